--- a/src/main/kotlin/io/reedmast/app/Main.kt
+++ b/src/main/kotlin/io/reedmast/app/Main.kt
@@ -80,7 +80,7 @@
         val node = Node(desk, controller, timings)
         try {
             FrontDoor(settings, node, timings).start()
-            val peers = PeerServer(settings.clusterListen, WorkPool("peer-in", settings.members.size * 2, settings.members.size), node::peerTold)
+            val peers = PeerServer(settings.clusterListen, WorkPool("peer-in", settings.members.size * 2, settings.members.size), node::peerSent)
             val listening = peers.open()
             RealOutward.startThread("peers") { peers.run(listening) }
         } catch (e: IOException) {
--- a/src/main/kotlin/io/reedmast/app/Node.kt
+++ b/src/main/kotlin/io/reedmast/app/Node.kt
@@ -5,7 +5,7 @@
 import io.reedmast.jobs.UserAnswer
 import io.reedmast.ownership.Cluster
 import io.reedmast.ownership.Token
-import io.reedmast.peers.Told
+import io.reedmast.peers.PeerMessage
 import io.reedmast.settings.Settings
 import io.reedmast.settings.Tuning
 import io.reedmast.state.Event
@@ -90,7 +90,7 @@
 
     fun abort(ref: String, answer: (UserAnswer) -> Unit) = jobs.abort(ref, answer)
 
-    fun peerTold(told: Told) = cluster.peerTold(told)
+    fun peerSent(message: PeerMessage) = cluster.peerSent(message)
 
     fun healthy(): Boolean = cluster.ready && cluster.fresh() && flavors.isNotEmpty()
 
@@ -117,14 +117,14 @@
     fun questionsWait(): Boolean = waiting
 
     private fun noteWaiting() {
-        waiting = controller.cluster.somebodyWaits
+        waiting = controller.cluster.freshness.hasWaiters
     }
 
     fun tick() {
         controller.tick()
         timings.tick()
         val healthy = controller.healthy()
-        if (healthy != healthyNow) log.info(if (healthy) "healthy: users are served" else "not healthy: {}", controller.cluster.knowledge())
+        if (healthy != healthyNow) log.info(if (healthy) "healthy: users are served" else "not healthy: {}", controller.cluster.freshness.describe())
         healthyNow = healthy
         noteWaiting()
     }
@@ -146,9 +146,9 @@
         noteWaiting()
     }
 
-    /** What a peer tells is for display, or a hint: it is dropped while there is too much to do. */
-    fun peerTold(told: Told) {
-        desk.offer(Urgency.SUBMISSION) { controller.peerTold(told) }
+    /** No rule depends on the arrival of a peer's message: it is dropped while there is too much to do. */
+    fun peerSent(message: PeerMessage) {
+        desk.offer(Urgency.SUBMISSION) { controller.peerSent(message) }
     }
 
     fun snapshot(items: List<Item>, askedAt: Long) = desk.post { controller.cluster.snapshot(items, askedAt) }
--- a/src/main/kotlin/io/reedmast/app/Outward.kt
+++ b/src/main/kotlin/io/reedmast/app/Outward.kt
@@ -1,7 +1,7 @@
 package io.reedmast.app
 
 import io.reedmast.fleet.Rental
-import io.reedmast.peers.Told
+import io.reedmast.peers.PeerMessage
 import io.reedmast.state.Change
 import io.reedmast.state.Fetched
 import io.reedmast.state.Item
@@ -46,8 +46,8 @@
 
     fun list(prefix: String, done: (List<Item>?) -> Unit)
 
-    /** Tells the other nodes of jobs and machines; no rule depends on its arrival. */
-    fun tellPeers(told: Told)
+    /** Sends [message] to every other controller; no rule depends on its arrival. */
+    fun sendToPeers(message: PeerMessage)
 
     /** Sends commands to a worker directly. */
     fun direct(addr: String, baton: Long, tenure: Long, orders: List<Order>, done: (Reply) -> Unit)
--- a/src/main/kotlin/io/reedmast/app/RealOutward.kt
+++ b/src/main/kotlin/io/reedmast/app/RealOutward.kt
@@ -3,7 +3,7 @@
 import com.google.common.util.concurrent.RateLimiter
 import io.reedmast.fleet.Rental
 import io.reedmast.peers.PeerClient
-import io.reedmast.peers.Told
+import io.reedmast.peers.PeerMessage
 import io.reedmast.settings.Settings
 import io.reedmast.state.Change
 import io.reedmast.state.Committer
@@ -56,7 +56,7 @@
 
     override fun writeFullness(): Double = client.budget.fullness()
 
-    override fun tellPeers(told: Told) = peers.forEach { peer -> call(peerCalls, { peer.tell(told) }, false, {}) }
+    override fun sendToPeers(message: PeerMessage) = peers.forEach { peer -> call(peerCalls, { peer.send(message) }, false, {}) }
 
     override fun direct(addr: String, baton: Long, tenure: Long, orders: List<Order>, done: (Reply) -> Unit) {
         val body = mapOf("baton" to baton, "tenure" to tenure, "orders" to orders.map { it.toFields() })
--- a/src/main/kotlin/io/reedmast/jobs/JobDoor.kt
+++ b/src/main/kotlin/io/reedmast/jobs/JobDoor.kt
@@ -119,7 +119,7 @@
             answer(ended(ref, it))
             return
         }
-        cluster.whenKnown { known ->
+        cluster.freshness.whenJobsKnown { known ->
             val job = jobs.live(ref)
             val end = jobs.end(ref)
             when {
--- a/src/main/kotlin/io/reedmast/jobs/JobIndex.kt
+++ b/src/main/kotlin/io/reedmast/jobs/JobIndex.kt
@@ -1,7 +1,7 @@
 package io.reedmast.jobs
 
 import com.github.benmanes.caffeine.cache.Caffeine
-import io.reedmast.peers.Progress
+import io.reedmast.peers.JobProgress
 import io.reedmast.settings.Settings
 import io.reedmast.settings.SliceIndex
 import io.reedmast.state.Item
@@ -118,7 +118,7 @@
         owned().forEach { if (it.index == known.slice) it.jobGone(ref) }
     }
 
-    fun noteProgress(progress: List<Progress>) {
+    fun noteProgress(progress: List<JobProgress>) {
         for (of in progress) {
             live[of.ref]?.apply {
                 done = of.done
--- a/src/main/kotlin/io/reedmast/jobs/SliceOwner.kt
+++ b/src/main/kotlin/io/reedmast/jobs/SliceOwner.kt
@@ -4,8 +4,8 @@
 import io.reedmast.app.Outward
 import io.reedmast.fleet.Wants
 import io.reedmast.ownership.SliceRecord
-import io.reedmast.peers.Progress
-import io.reedmast.peers.Told
+import io.reedmast.peers.JobProgress
+import io.reedmast.peers.PeerMessage
 import io.reedmast.placement.Placer
 import io.reedmast.settings.Settings
 import io.reedmast.settings.SliceIndex
@@ -296,17 +296,17 @@
         tellDue = now + TELL_EVERY_MS
         // A node that has just come back knows nothing: now and then all is told again.
         val all = ++tellings % TELL_ALL_EACH == 0
-        val news = ArrayList<Progress>()
+        val news = ArrayList<JobProgress>()
         for (job in book.jobs.values) {
             if (!all && job.doneCount == job.toldDone && job.runningCount == job.toldRunning) continue
             job.toldDone = job.doneCount
             job.toldRunning = job.runningCount
-            news.add(Progress(job.spec.ref, job.doneCount, job.runningCount))
+            news.add(JobProgress(job.spec.ref, job.doneCount, job.runningCount))
         }
         val hosts = records.roster.news(book.machines.keys, all)
         if (news.isEmpty() && hosts.isEmpty()) return
         records.jobs.noteProgress(news)
-        out.tellPeers(Told(news, hosts))
+        out.sendToPeers(PeerMessage.SliceNews(news, hosts))
     }
 
     private companion object {
--- a/src/main/kotlin/io/reedmast/ownership/Cluster.kt
+++ b/src/main/kotlin/io/reedmast/ownership/Cluster.kt
@@ -6,7 +6,7 @@
 import io.reedmast.jobs.JobIndex
 import io.reedmast.jobs.SliceOwner
 import io.reedmast.jobs.SliceRecords
-import io.reedmast.peers.Told
+import io.reedmast.peers.PeerMessage
 import io.reedmast.settings.Settings
 import io.reedmast.settings.SliceIndex
 import io.reedmast.settings.Tuning
@@ -30,7 +30,6 @@
 import io.reedmast.workers.HostRecord
 import io.reedmast.workers.Roster
 import org.slf4j.LoggerFactory
-import java.util.ArrayDeque
 import java.util.TreeMap
 
 /** A slice record as last seen, with its stamp. */
@@ -89,17 +88,9 @@
     private val lastTaken = LongArray(settings.slices) { Long.MIN_VALUE / 2 }
     private val refreshing = BooleanArray(settings.slices)
     private val startedAt = clock.now()
-    private var loaded = false
 
-    /** When the newest complete answers of the two watches were asked for: what was stored before is known here. */
-    private var clusterKnownAt = Long.MIN_VALUE / 2
-    private var jobsKnownAt = Long.MIN_VALUE / 2
-    private var jobsLoaded = false
-
-    private class Waiting(val since: Long, val then: (Boolean) -> Unit)
-
-    /** Who waits until all is known that was stored before it asked. */
-    private val waiting = ArrayDeque<Waiting>()
+    /** How recent the view of the state service is. */
+    val freshness = Freshness(clock, settings.workers)
 
     val leading: Boolean get() = leader == settings.label
 
@@ -114,28 +105,13 @@
     }
 
     /** Whether this node has lately heard enough from the state service to decide anything. */
-    fun fresh(): Boolean = ready && clock.now() - minOf(clusterKnownAt, jobsKnownAt) < FRESH_MS
+    fun fresh(): Boolean = freshness.isFresh
 
-    /** How old what is known is, for the log. */
-    fun knowledge(): String {
-        val now = clock.now()
-        return if (ready) "watches heard ${now - clusterKnownAt} and ${now - jobsKnownAt} ms ago" else "the state has not been read"
-    }
-
-    /**
-     * Whether this node may still answer workers with 200.
-     *
-     * Behind a cut, a cancelled task must be gone `cancel_s` after its user was told, and a worker's lease lasts
-     * `lease_s` after our last answer; a node that has not heard of the cancellation stops answering before that.
-     */
-    fun mayAnswerWorkers(): Boolean {
-        val rules = settings.workers
-        val fenceS = (rules.cancelS - rules.leaseS) * (1 - CLOCK_DRIFT) - FENCE_SLACK_S
-        return ready && clock.now() - minOf(clusterKnownAt, jobsKnownAt) < maxOf(fenceS, 1.0) * 1000
-    }
+    /** Whether this node may still answer workers with 200. */
+    fun mayAnswerWorkers(): Boolean = freshness.knownAt?.let { freshness.isWithinFence(it) } ?: false
 
     /** Whether requests of users can be taken. */
-    val ready: Boolean get() = loaded && jobsLoaded
+    val ready: Boolean get() = freshness.loaded
 
     fun sliceOfHost(host: String): SliceIndex? = hostSlices[host]
 
@@ -149,28 +125,6 @@
 
     fun isLeaving(slice: SliceIndex, host: String) = parts[slice.value].values.any { host in it.part.leaving }
 
-    /**
-     * Calls [then] once everything stored before now is known here, or with false if that takes too long.
-     *
-     * This is what makes an answer from memory as new as a read: one question to the state service serves all who wait.
-     */
-    fun whenKnown(then: (Boolean) -> Unit) {
-        if (waiting.size >= MAX_WAITING) then(false) else waiting.add(Waiting(clock.now(), then))
-    }
-
-    /** Whether somebody waits for an answer of the watch on jobs that has yet to be asked for. */
-    val somebodyWaits: Boolean get() = waiting.isNotEmpty()
-
-    private fun serveWaiting() {
-        while (true) {
-            val first = waiting.peek() ?: return
-            val known = jobsLoaded && jobsKnownAt > first.since
-            if (!known && clock.now() - first.since < KNOWN_WITHIN_MS) return
-            waiting.poll()
-            first.then(known)
-        }
-    }
-
     // ---- what the watches tell --------------------------------------------------------------------------------------
 
     fun snapshot(items: List<Item>, askedAt: Long) {
@@ -179,32 +133,26 @@
         items.forEach { see(it.path, it.value, it.stamp) }
         val seen = items.mapTo(HashSet()) { it.path }
         settings.members.filter { Keys.node(it.label) !in seen }.forEach { absentSince.putIfAbsent(it.label, clock.now()) }
-        clusterKnownAt = askedAt
-        if (!loaded) {
-            loaded = true
-            log.info("read the state: {} slices, {} nodes", records.count { it != null }, nodes.size)
-        }
+        if (!freshness.clusterLoaded) log.info("read the state: {} slices, {} nodes", records.count { it != null }, nodes.size)
+        freshness.clusterHeard(askedAt)
         shareLimits()
     }
 
     fun clusterEvents(events: List<Event>, askedAt: Long) {
         events.forEach { see(it.path, it.value, it.stamp) }
-        clusterKnownAt = maxOf(clusterKnownAt, askedAt)
+        freshness.clusterHeard(askedAt)
     }
 
     /** All unfinished jobs, read at the start and after a gap in the watch on jobs. */
     fun jobsSnapshot(items: List<Item>, epoch: Long, askedAt: Long) {
         jobs.load(items, epoch)
-        if (!jobsLoaded) log.info("read {} unfinished jobs", items.size)
-        jobsLoaded = true
-        jobsKnownAt = maxOf(jobsKnownAt, askedAt)
-        serveWaiting()
+        if (!freshness.jobsLoaded) log.info("read {} unfinished jobs", items.size)
+        freshness.jobsHeard(askedAt)
     }
 
     fun jobEvents(events: List<Event>, askedAt: Long) {
         events.forEach { jobs.see(it.path, it.value, it.stamp) }
-        jobsKnownAt = maxOf(jobsKnownAt, askedAt)
-        serveWaiting()
+        freshness.jobsHeard(askedAt)
     }
 
     private fun see(path: String, value: Fields?, stamp: Long) {
@@ -320,8 +268,8 @@
 
     fun tick() {
         keepLease()
-        serveWaiting()
-        if (!loaded) return
+        freshness.resumeWaiters()
+        if (!freshness.clusterLoaded) return
         val now = clock.now()
         // Late copies of a machine's reports come for longer than its lease; lists show it for twice their lag.
         departed.values.removeIf { now - it > ((settings.cloudLimits.listLagS + settings.workers.leaseS) * 3000 + 60_000).toLong() }
@@ -335,10 +283,14 @@
         owned().forEach { it.tick() }
     }
 
-    /** Another node tells of its slices' jobs and machines. */
-    fun peerTold(told: Told) {
-        jobs.noteProgress(told.jobs)
-        roster.heard(told.hosts) { it in hostSlices }
+    /** Another controller has sent a message. */
+    fun peerSent(message: PeerMessage) = when (message) {
+        is PeerMessage.SliceNews -> {
+            jobs.noteProgress(message.jobs)
+            roster.heard(message.hosts) { it in hostSlices }
+        }
+
+        is PeerMessage.StatusQuery, is PeerMessage.StatusReport -> {}
     }
 
     fun pump() = owned().forEach { it.pump() }
@@ -513,7 +465,7 @@
 
         // A page may name a job that the watch has not told of yet: without the wait its tasks would run twice.
         fun part() {
-            if (--open == 0) whenKnown { finish(it) }
+            if (--open == 0) freshness.whenJobsKnown { finish(it) }
         }
         out.list(Keys.pagesOf(slice.value)) {
             pages = it
@@ -692,12 +644,7 @@
 
     private companion object {
         const val MARKED = 0.95
-        const val MAX_WAITING = 1_000
-        const val KNOWN_WITHIN_MS = 1_500L
         const val LEASE_MS = 4_000L
-        const val FRESH_MS = 6_000L
-        const val CLOCK_DRIFT = 0.001
-        const val FENCE_SLACK_S = 2.0
         const val TURN_MS = 700L
         const val SETTLED_MS = 8_000L
         const val FIRST_HOME_PAUSE_MS = 30_000L
--- /dev/null
+++ b/src/main/kotlin/io/reedmast/peers/PeerCodec.kt
@@ -0,0 +1,129 @@
+package io.reedmast.peers
+
+import io.reedmast.settings.NodeIndex
+import io.reedmast.workers.HostNews
+import okio.Buffer
+import okio.BufferedSink
+import okio.BufferedSource
+import okio.ByteString.Companion.encodeUtf8
+import okio.IOException
+
+/** Frames between controllers: the length, a byte for the message's type, then its fields. */
+internal object PeerCodec {
+    /** The most cancellations that a [PeerMessage.StatusReport] holds, well within one frame. */
+    const val MAX_CANCELLATIONS = 2_000
+
+    private const val MAX_FRAME = 64 * 1024
+    private const val MAX_TEXT = 255
+    private const val MAX_IMAGES = 255
+    private const val NO_CANCELLATION_LIST = -1
+    private const val NEVER_HEARD = -1L
+
+    private const val NEWS = 1
+    private const val QUERY = 2
+    private const val REPORT = 3
+
+    private const val JOB_ENTRY = 1
+    private const val HOST_ENTRY = 2
+
+    /** Writes [message] in as many frames as it takes. */
+    fun write(sink: BufferedSink, message: PeerMessage) {
+        when (message) {
+            is PeerMessage.SliceNews -> writeNews(sink, message)
+            is PeerMessage.StatusQuery -> writeQuery(sink, message)
+            is PeerMessage.StatusReport -> writeReport(sink, message)
+        }
+        sink.flush()
+    }
+
+    private fun writeNews(sink: BufferedSink, news: PeerMessage.SliceNews) {
+        var frame = Buffer().writeByte(NEWS)
+        fun add(entry: Buffer) {
+            if (frame.size + entry.size > MAX_FRAME) {
+                send(sink, frame)
+                frame = Buffer().writeByte(NEWS)
+            }
+            frame.write(entry, entry.size)
+        }
+        for (job in news.jobs) add(Buffer().writeByte(JOB_ENTRY).text(job.ref).writeInt(job.done).writeInt(job.running))
+        for (host in news.hosts) add(hostEntry(host))
+        send(sink, frame)
+    }
+
+    private fun hostEntry(host: HostNews): Buffer {
+        val images = host.images.takeLast(MAX_IMAGES)
+        val entry = Buffer().writeByte(HOST_ENTRY).text(host.host).text(host.addr).writeByte(images.size)
+        images.forEach { (image, sizeGb) -> entry.text(image).writeLong(sizeGb.toRawBits()) }
+        return entry
+    }
+
+    private fun writeQuery(sink: BufferedSink, query: PeerMessage.StatusQuery) {
+        val frame = Buffer().writeByte(QUERY)
+        send(sink, frame.writeInt(query.from.value).text(query.incarnation).writeLong(query.sequence))
+    }
+
+    private fun writeReport(sink: BufferedSink, report: PeerMessage.StatusReport) {
+        val frame = Buffer().writeByte(REPORT)
+        frame.writeInt(report.from.value).text(report.incarnation).writeLong(report.sequence)
+        frame.writeLong(report.uptimeMs).writeLong(report.stateAgeMs ?: NEVER_HEARD)
+        val cancellations = report.cancellations?.takeIf { it.size <= MAX_CANCELLATIONS }
+        frame.writeInt(cancellations?.size ?: NO_CANCELLATION_LIST)
+        cancellations?.forEach { frame.text(it.ref).writeLong(it.stamp) }
+        send(sink, frame)
+    }
+
+    private fun Buffer.text(text: String): Buffer {
+        val bytes = text.encodeUtf8().let { if (it.size > MAX_TEXT) it.substring(0, MAX_TEXT) else it }
+        return writeByte(bytes.size).write(bytes)
+    }
+
+    private fun send(sink: BufferedSink, frame: Buffer) {
+        sink.writeInt(frame.size.toInt())
+        sink.write(frame, frame.size)
+    }
+
+    /** Reads the next frame; throws [IOException] if there is none or it makes no sense. */
+    fun read(source: BufferedSource): PeerMessage {
+        val size = source.readInt()
+        if (size !in 1..MAX_FRAME) throw IOException("a frame of $size bytes")
+        val frame = Buffer()
+        source.readFully(frame, size.toLong())
+        return when (val type = frame.readSmall()) {
+            NEWS -> readNews(frame)
+            QUERY -> PeerMessage.StatusQuery(NodeIndex(frame.readInt()), frame.readText(), frame.readLong())
+            REPORT -> readReport(frame)
+            else -> throw IOException("a message of type $type")
+        }
+    }
+
+    private fun readNews(frame: Buffer): PeerMessage.SliceNews {
+        val jobs = ArrayList<JobProgress>()
+        val hosts = ArrayList<HostNews>()
+        while (!frame.exhausted()) {
+            when (val kind = frame.readSmall()) {
+                JOB_ENTRY -> jobs.add(JobProgress(frame.readText(), frame.readInt(), frame.readInt()))
+                HOST_ENTRY -> hosts.add(HostNews(frame.readText(), frame.readText(), readImages(frame)))
+                else -> throw IOException("an entry of kind $kind")
+            }
+        }
+        return PeerMessage.SliceNews(jobs, hosts)
+    }
+
+    private fun readImages(frame: Buffer) = List(frame.readSmall()) { frame.readText() to Double.fromBits(frame.readLong()) }
+
+    private fun readReport(frame: Buffer): PeerMessage.StatusReport {
+        val from = NodeIndex(frame.readInt())
+        val incarnation = frame.readText()
+        val sequence = frame.readLong()
+        val uptimeMs = frame.readLong()
+        val stateAgeMs = frame.readLong().takeIf { it >= 0 }
+        val count = frame.readInt()
+        if (count > MAX_CANCELLATIONS) throw IOException("$count cancellations")
+        val cancellations = if (count < 0) null else List(count) { Cancellation(frame.readText(), frame.readLong()) }
+        return PeerMessage.StatusReport(from, incarnation, sequence, uptimeMs, stateAgeMs, cancellations)
+    }
+
+    private fun Buffer.readText(): String = readUtf8(readSmall().toLong())
+
+    private fun Buffer.readSmall(): Int = readByte().toInt() and 0xff
+}
--- /dev/null
+++ b/src/main/kotlin/io/reedmast/peers/PeerMessage.kt
@@ -0,0 +1,36 @@
+package io.reedmast.peers
+
+import io.reedmast.settings.NodeIndex
+import io.reedmast.workers.HostNews
+
+/** How far a job is, as its slice's owner knows it. */
+data class JobProgress(val ref: String, val done: Int, val running: Int)
+
+/** A job that its user has cancelled and that is not over yet, with the stamp of the record that says so. */
+data class Cancellation(val ref: String, val stamp: Long)
+
+/** A message between controllers. Every one of them may be lost, delayed or repeated without harm. */
+sealed interface PeerMessage {
+    /** What an owner tells of its slice's jobs, for display, and of its machines, as hints for a takeover. */
+    data class SliceNews(val jobs: List<JobProgress>, val hosts: List<HostNews>) : PeerMessage
+
+    /**
+     * Asks for a [StatusReport].
+     *
+     * [incarnation] is of the asking process and never used again, so that an answer to an earlier process is told apart.
+     */
+    data class StatusQuery(val from: NodeIndex, val incarnation: String, val sequence: Long) : PeerMessage
+
+    /** The answer of controller [from] to the query with this [incarnation] and [sequence]. */
+    data class StatusReport(
+        val from: NodeIndex,
+        val incarnation: String,
+        val sequence: Long,
+        /** How long the answering process has been running. */
+        val uptimeMs: Long,
+        /** How long ago it last heard the state service on both watches; null if it never did. */
+        val stateAgeMs: Long?,
+        /** All cancellations it may have told a user of, as far as the jobs are not over; null if there are too many. */
+        val cancellations: List<Cancellation>?,
+    ) : PeerMessage
+}
--- a/src/test/kotlin/io/reedmast/SocketTest.kt
+++ b/src/test/kotlin/io/reedmast/SocketTest.kt
@@ -9,10 +9,10 @@
 import io.reedmast.app.RealOutward
 import io.reedmast.app.Timings
 import io.reedmast.app.Watches
+import io.reedmast.peers.JobProgress
 import io.reedmast.peers.PeerClient
+import io.reedmast.peers.PeerMessage
 import io.reedmast.peers.PeerServer
-import io.reedmast.peers.Progress
-import io.reedmast.peers.Told
 import io.reedmast.settings.Settings
 import io.reedmast.settings.Tuning
 import io.reedmast.state.StateClient
@@ -253,22 +253,22 @@
     @Test
     fun `peers tell each other of progress in frames of bounded size, and nobody waits for one that is not there`() {
         val address = InetSocketAddress("127.0.0.1", freePort())
-        val heard = LinkedBlockingQueue<Told>()
+        val heard = LinkedBlockingQueue<PeerMessage>()
         val server = PeerServer(address, backendThreads) { heard.add(it) }
         val listening = server.open()
         backendThreads.execute { server.run(listening) }
-        val jobs = (0 until 5_000).map { Progress("wk-%06d".format(it), it, 7) }
+        val jobs = (0 until 5_000).map { JobProgress("wk-%06d".format(it), it, 7) }
         val hosts = (0 until 500).map { HostNews("host-%06d".format(it), "10.1.0.1:$it", listOf("img-1" to 1.5, "img-$it" to 2.0)) }
-        assertTrue(PeerClient(address).tell(Told(jobs, hosts)))
-        val gotJobs = ArrayList<Progress>()
+        assertTrue(PeerClient(address).send(PeerMessage.SliceNews(jobs, hosts)))
+        val gotJobs = ArrayList<JobProgress>()
         val gotHosts = ArrayList<HostNews>()
         while (gotHosts.size < hosts.size) {
-            val told = checkNotNull(heard.poll(5, TimeUnit.SECONDS)) { "${gotJobs.size} jobs and ${gotHosts.size} machines heard" }
-            gotJobs.addAll(told.jobs)
-            gotHosts.addAll(told.hosts)
+            val news = checkNotNull(heard.poll(5, TimeUnit.SECONDS) as? PeerMessage.SliceNews) { "${gotJobs.size} jobs and ${gotHosts.size} machines heard" }
+            gotJobs.addAll(news.jobs)
+            gotHosts.addAll(news.hosts)
         }
         assertEquals(jobs, gotJobs)
         assertEquals(hosts, gotHosts)
-        assertEquals(false, PeerClient(InetSocketAddress("127.0.0.1", freePort())).tell(Told(jobs, hosts)))
+        assertEquals(false, PeerClient(InetSocketAddress("127.0.0.1", freePort())).send(PeerMessage.SliceNews(jobs, hosts)))
     }
 }
--- a/src/test/kotlin/io/reedmast/sim/World.kt
+++ b/src/test/kotlin/io/reedmast/sim/World.kt
@@ -8,7 +8,7 @@
 import io.reedmast.app.WorkerAnswer
 import io.reedmast.fleet.Rental
 import io.reedmast.jobs.UserAnswer
-import io.reedmast.peers.Told
+import io.reedmast.peers.PeerMessage
 import io.reedmast.placement.allows
 import io.reedmast.settings.Settings
 import io.reedmast.settings.Tuning
@@ -363,8 +363,8 @@
 
             override fun writeFullness(): Double = 1.0
 
-            override fun tellPeers(told: Told) {
-                if (!peersCut) nodes.filter { it.index != index && !it.peersCut }.forEach { peer -> after(2) { peer.controller?.peerTold(told) } }
+            override fun sendToPeers(message: PeerMessage) {
+                if (!peersCut) nodes.filter { it.index != index && !it.peersCut }.forEach { peer -> after(2) { peer.controller?.peerSent(message) } }
             }
 
             override fun direct(addr: String, baton: Long, tenure: Long, orders: List<Order>, done: (Reply) -> Unit) {
