--- a/src/main/kotlin/io/reedmast/app/Node.kt
+++ b/src/main/kotlin/io/reedmast/app/Node.kt
@@ -26,13 +26,13 @@
     data object Unavailable : WorkerAnswer
 }
 
-/** All the deciding parts of a controller, joined; used by one thread. */
-class Controller(private val settings: Settings, tuning: Tuning, private val clock: Clock, private val out: Outward, charterPrefix: String) {
+/** All the deciding parts of a controller, joined; used by one thread. [incarnation] names this process and no other. */
+class Controller(private val settings: Settings, tuning: Tuning, private val clock: Clock, private val out: Outward, incarnation: String) {
     private var flavors: Map<String, Flavor> = emptyMap()
     private var flavorsAsked = false
     private var flavorsDue = 0L
-    val cluster = Cluster(settings, tuning, clock, out) { flavors.values }
-    private val leader = Leader(settings, tuning, clock, out, cluster, { flavors }, charterPrefix)
+    val cluster = Cluster(settings, tuning, clock, out, { flavors.values }, incarnation)
+    private val leader = Leader(settings, tuning, clock, out, cluster, { flavors }, incarnation)
     private val jobs = JobDoor(settings, clock, out, cluster) { flavors }
 
     private var tickDue = 0L
@@ -92,7 +92,11 @@
 
     fun peerSent(message: PeerMessage) = cluster.peerSent(message)
 
-    fun healthy(): Boolean = cluster.ready && cluster.fresh() && flavors.isNotEmpty()
+    /**
+     * Whether users should come here. During an outage for all controllers none is better than another, and one that the load
+     * balancer has removed gets its users back only a while after the outage.
+     */
+    fun healthy(): Boolean = cluster.ready && flavors.isNotEmpty() && (cluster.fresh() || cluster.outageForAll())
 
     private companion object {
         const val TICK_MS = 250L
--- a/src/main/kotlin/io/reedmast/app/Outward.kt
+++ b/src/main/kotlin/io/reedmast/app/Outward.kt
@@ -2,6 +2,7 @@
 
 import io.reedmast.fleet.Rental
 import io.reedmast.peers.PeerMessage
+import io.reedmast.settings.NodeIndex
 import io.reedmast.state.Change
 import io.reedmast.state.Fetched
 import io.reedmast.state.Item
@@ -49,6 +50,9 @@
     /** Sends [message] to every other controller; no rule depends on its arrival. */
     fun sendToPeers(message: PeerMessage)
 
+    /** Sends [message] to one other controller; no rule depends on its arrival. */
+    fun sendToPeer(peer: NodeIndex, message: PeerMessage)
+
     /** Sends commands to a worker directly. */
     fun direct(addr: String, baton: Long, tenure: Long, orders: List<Order>, done: (Reply) -> Unit)
 
--- a/src/main/kotlin/io/reedmast/app/RealOutward.kt
+++ b/src/main/kotlin/io/reedmast/app/RealOutward.kt
@@ -4,6 +4,8 @@
 import io.reedmast.fleet.Rental
 import io.reedmast.peers.PeerClient
 import io.reedmast.peers.PeerMessage
+import io.reedmast.settings.Member
+import io.reedmast.settings.NodeIndex
 import io.reedmast.settings.Settings
 import io.reedmast.state.Change
 import io.reedmast.state.Committer
@@ -32,8 +34,7 @@
     private val leases = WorkPool("lease", 1, 4)
     private val directs = WorkPool("direct", DIRECT_THREADS, DIRECTS_QUEUED)
     private val cloudCalls = WorkPool("cloud", 2, CLOUD_QUEUED)
-    private val peerCalls = WorkPool("peer", settings.members.size, PEER_CALLS_QUEUED)
-    private val peers = settings.members.filter { it.label != settings.label }.map { PeerClient(it.address) }
+    private val peers = otherMembers().associateWith { Peer(settings.members[it.value]) }
 
     /** With many machines, hundreds of connections to them would lie idle that the workers' own connections need. */
     @Volatile
@@ -56,7 +57,20 @@
 
     override fun writeFullness(): Double = client.budget.fullness()
 
-    override fun sendToPeers(message: PeerMessage) = peers.forEach { peer -> call(peerCalls, { peer.send(message) }, false, {}) }
+    override fun sendToPeers(message: PeerMessage) = peers.keys.forEach { sendToPeer(it, message) }
+
+    override fun sendToPeer(peer: NodeIndex, message: PeerMessage) {
+        val to = peers[peer] ?: return
+        call(to.calls, { to.client.send(message) }, false, {})
+    }
+
+    private fun otherMembers() = settings.members.indices.map { NodeIndex(it) }.filter { it != settings.self }
+
+    /** The connection to one other controller, with a thread of its own: one that hangs holds up no messages to others. */
+    private class Peer(member: Member) {
+        val client = PeerClient(member.address)
+        val calls = WorkPool("peer-${member.label}", 1, PEER_CALLS_QUEUED)
+    }
 
     override fun direct(addr: String, baton: Long, tenure: Long, orders: List<Order>, done: (Reply) -> Unit) {
         val body = mapOf("baton" to baton, "tenure" to tenure, "orders" to orders.map { it.toFields() })
@@ -192,7 +206,7 @@
         private const val DIRECT_THREADS = 16
         private const val DIRECTS_QUEUED = 400
         private const val CLOUD_QUEUED = 40
-        private const val PEER_CALLS_QUEUED = 40
+        private const val PEER_CALLS_QUEUED = 8
         private const val WORKER_CONNECT_MS = 800
         private const val WORKER_READ_MS = 2000
         private const val CLOUD_CONNECT_MS = 2000
--- a/src/main/kotlin/io/reedmast/jobs/JobDoor.kt
+++ b/src/main/kotlin/io/reedmast/jobs/JobDoor.kt
@@ -119,6 +119,10 @@
             answer(ended(ref, it))
             return
         }
+        if (!cluster.fresh()) {
+            answer(later())
+            return
+        }
         cluster.freshness.whenJobsKnown { known ->
             val job = jobs.live(ref)
             val end = jobs.end(ref)
--- a/src/main/kotlin/io/reedmast/jobs/JobIndex.kt
+++ b/src/main/kotlin/io/reedmast/jobs/JobIndex.kt
@@ -1,6 +1,7 @@
 package io.reedmast.jobs
 
 import com.github.benmanes.caffeine.cache.Caffeine
+import io.reedmast.peers.Cancellation
 import io.reedmast.peers.JobProgress
 import io.reedmast.settings.Settings
 import io.reedmast.settings.SliceIndex
@@ -102,8 +103,11 @@
         if (slice == null || slice !in 0 until settings.slices || ends.getIfPresent(ref) != null) return
         val known = live[ref]
         if (known != null && known.stamp >= stamp) return
-        val job = LiveJob(SliceIndex(slice), LiveRecord.parse(value), stamp)
-        known?.let {
+        put(ref, LiveJob(SliceIndex(slice), LiveRecord.parse(value), stamp))
+    }
+
+    private fun put(ref: String, job: LiveJob) {
+        live[ref]?.let {
             job.done = it.done
             job.running = it.running
         }
@@ -118,6 +122,15 @@
         owned().forEach { if (it.index == known.slice) it.jobGone(ref) }
     }
 
+    /** All cancelled jobs that are not over. */
+    fun cancellations(): List<Cancellation> = live.filterValues { it.record.aborted }.map { (ref, job) -> Cancellation(ref, job.stamp) }
+
+    /** Another controller knows that a job is cancelled, while the watch tells nothing. */
+    fun noteCancellation(cancellation: Cancellation) {
+        val job = live[cancellation.ref] ?: return
+        if (job.stamp < cancellation.stamp) put(cancellation.ref, LiveJob(job.slice, job.record.aborted(), cancellation.stamp))
+    }
+
     fun noteProgress(progress: List<JobProgress>) {
         for (of in progress) {
             live[of.ref]?.apply {
--- a/src/main/kotlin/io/reedmast/ownership/Cluster.kt
+++ b/src/main/kotlin/io/reedmast/ownership/Cluster.kt
@@ -50,6 +50,8 @@
     private val clock: Clock,
     private val out: Outward,
     private val flavors: () -> Collection<Flavor>,
+    /** Names this process; never used by another one. */
+    incarnation: String,
 ) : SliceRecords {
     private val log = LoggerFactory.getLogger("cluster")
     private val unreadable = Unreadable()
@@ -91,6 +93,8 @@
 
     /** How recent the view of the state service is. */
     val freshness = Freshness(clock, settings.workers)
+    private val peerStatuses = PeerStatuses(settings.self, settings.members.size, incarnation)
+    private var statusQueryDue = 0L
 
     val leading: Boolean get() = leader == settings.label
 
@@ -107,8 +111,17 @@
     /** Whether this node has lately heard enough from the state service to decide anything. */
     fun fresh(): Boolean = freshness.isFresh
 
-    /** Whether this node may still answer workers with 200. */
-    fun mayAnswerWorkers(): Boolean = freshness.knownAt?.let { freshness.isWithinFence(it) } ?: false
+    /**
+     * Whether this node may still answer workers with 200: it knows all cancellations that users were told of, up to a short
+     * time ago, from the state service or, during an outage, from every other controller.
+     */
+    fun mayAnswerWorkers(): Boolean {
+        val known = freshness.knownAt ?: return false
+        return freshness.isWithinFence(maxOf(known, peerStatuses.confirmedAt() ?: known))
+    }
+
+    /** Whether the state service is out for all controllers, as far as the others tell: none could serve users better. */
+    fun outageForAll(): Boolean = peerStatuses.noneHearsState(clock.now())
 
     /** Whether requests of users can be taken. */
     val ready: Boolean get() = freshness.loaded
@@ -271,6 +284,7 @@
         freshness.resumeWaiters()
         if (!freshness.clusterLoaded) return
         val now = clock.now()
+        queryPeers(now)
         // Late copies of a machine's reports come for longer than its lease; lists show it for twice their lag.
         departed.values.removeIf { now - it > ((settings.cloudLimits.listLagS + settings.workers.leaseS) * 3000 + 60_000).toLong() }
         if (fresh()) {
@@ -290,7 +304,29 @@
             roster.heard(message.hosts) { it in hostSlices }
         }
 
-        is PeerMessage.StatusQuery, is PeerMessage.StatusReport -> {}
+        is PeerMessage.StatusQuery -> out.sendToPeer(message.from, statusFor(message))
+
+        is PeerMessage.StatusReport -> {
+            message.cancellations?.forEach { jobs.noteCancellation(it) }
+            peerStatuses.heard(message, clock.now(), freshness.knownAt)
+        }
+    }
+
+    private fun statusFor(query: PeerMessage.StatusQuery) = PeerMessage.StatusReport(
+        from = settings.self,
+        incarnation = query.incarnation,
+        sequence = query.sequence,
+        uptimeMs = clock.now() - startedAt,
+        stateAgeMs = freshness.ageMs(),
+        cancellations = jobs.cancellations().takeIf { it.size <= PeerMessage.MAX_CANCELLATIONS },
+    )
+
+    /** Asks the other controllers how they are, while the state service does not answer this one. */
+    private fun queryPeers(now: Long) {
+        val age = freshness.ageMs() ?: return
+        if (age < QUERY_PEERS_AFTER_MS || now < statusQueryDue) return
+        statusQueryDue = now + QUERY_PEERS_EVERY_MS
+        out.sendToPeers(peerStatuses.query(now))
     }
 
     fun pump() = owned().forEach { it.pump() }
@@ -645,6 +681,8 @@
     private companion object {
         const val MARKED = 0.95
         const val LEASE_MS = 4_000L
+        const val QUERY_PEERS_AFTER_MS = 3_500L
+        const val QUERY_PEERS_EVERY_MS = 1_000L
         const val TURN_MS = 700L
         const val SETTLED_MS = 8_000L
         const val FIRST_HOME_PAUSE_MS = 30_000L
--- /dev/null
+++ b/src/main/kotlin/io/reedmast/ownership/PeerStatuses.kt
@@ -0,0 +1,81 @@
+package io.reedmast.ownership
+
+import io.reedmast.peers.PeerMessage
+import io.reedmast.settings.NodeIndex
+
+/**
+ * What the other controllers report while this one does not hear the state service.
+ *
+ * A controller tells a user of a cancellation only after recording it in its job index, and its report holds all that are
+ * there. With a report of every other controller, asked for at some time, all cancellations that a user had been told of by
+ * then are known here, although the state service does not answer. A report counts only if that controller's process was
+ * already running when this one last heard the state service: what an earlier process of it confirmed since then is not in
+ * the report.
+ */
+class PeerStatuses(private val self: NodeIndex, members: Int, private val incarnation: String) {
+    private class Peer {
+        /** When the newest report was asked for. */
+        var askedAt: Long? = null
+        var stateAgeMs: Long? = null
+
+        /** All cancellations confirmed by this controller before this time are known here. */
+        var confirmedAt: Long? = null
+    }
+
+    private val peers: Map<NodeIndex, Peer> = (0 until members).map { NodeIndex(it) }.filter { it != self }.associateWith { Peer() }
+    private val askedAt = object : LinkedHashMap<Long, Long>() {
+        override fun removeEldestEntry(eldest: Map.Entry<Long, Long>) = size > MAX_OPEN_QUERIES
+    }
+    private var sequence = 0L
+
+    /** A query to be sent to every other controller now. */
+    fun query(now: Long): PeerMessage.StatusQuery {
+        askedAt[++sequence] = now
+        return PeerMessage.StatusQuery(self, incarnation, sequence)
+    }
+
+    /**
+     * Takes up a report, whose cancellations have been noted already. [knownAt] is the time up to which all that was stored
+     * is known here.
+     */
+    fun heard(report: PeerMessage.StatusReport, now: Long, knownAt: Long?) {
+        val peer = peers[report.from] ?: return
+        // A late copy, or the answer to a query of this controller's earlier process, names no query of ours.
+        if (report.incarnation != incarnation) return
+        val asked = askedAt[report.sequence] ?: return
+        if (asked < (peer.askedAt ?: asked)) return
+        peer.askedAt = asked
+        peer.stateAgeMs = report.stateAgeMs
+        val latestStart = now - (report.uptimeMs * (1 - CLOCK_DRIFT)).toLong()
+        if (report.cancellations != null && knownAt != null && latestStart < knownAt) peer.confirmedAt = asked
+    }
+
+    /** All cancellations that any other controller has told a user of before this time are known here; null if unknown. */
+    fun confirmedAt(): Long? {
+        var earliest = Long.MAX_VALUE
+        for (peer in peers.values) earliest = minOf(earliest, peer.confirmedAt ?: return null)
+        return earliest.takeIf { peers.isNotEmpty() }
+    }
+
+    /** Whether some controller reports, and none of those that report is better off: the state service is out for all. */
+    fun noneHearsState(now: Long): Boolean {
+        val reporting = peers.values.filter { peer -> peer.askedAt?.let { now - it < REPORT_VALID_MS } ?: false }
+        return reporting.isNotEmpty() && reporting.all { peer -> outOfTouch(peer, now) }
+    }
+
+    private fun outOfTouch(peer: Peer, now: Long): Boolean {
+        val age = peer.stateAgeMs ?: return true
+        return age + now - (peer.askedAt ?: now) > OUT_OF_TOUCH_MS
+    }
+
+    private companion object {
+        const val MAX_OPEN_QUERIES = 16
+        const val REPORT_VALID_MS = 4_000L
+
+        /** The watches of a controller in touch complete an answer every one and a half seconds. */
+        const val OUT_OF_TOUCH_MS = 4_500L
+
+        /** Twice the protocol's bound on the drift between two machines' clocks. */
+        const val CLOCK_DRIFT = 0.001
+    }
+}
--- a/src/main/kotlin/io/reedmast/peers/PeerCodec.kt
+++ b/src/main/kotlin/io/reedmast/peers/PeerCodec.kt
@@ -10,9 +10,6 @@
 
 /** Frames between controllers: the length, a byte for the message's type, then its fields. */
 internal object PeerCodec {
-    /** The most cancellations that a [PeerMessage.StatusReport] holds, well within one frame. */
-    const val MAX_CANCELLATIONS = 2_000
-
     private const val MAX_FRAME = 64 * 1024
     private const val MAX_TEXT = 255
     private const val MAX_IMAGES = 255
@@ -66,7 +63,7 @@
         val frame = Buffer().writeByte(REPORT)
         frame.writeInt(report.from.value).text(report.incarnation).writeLong(report.sequence)
         frame.writeLong(report.uptimeMs).writeLong(report.stateAgeMs ?: NEVER_HEARD)
-        val cancellations = report.cancellations?.takeIf { it.size <= MAX_CANCELLATIONS }
+        val cancellations = report.cancellations
         frame.writeInt(cancellations?.size ?: NO_CANCELLATION_LIST)
         cancellations?.forEach { frame.text(it.ref).writeLong(it.stamp) }
         send(sink, frame)
@@ -118,7 +115,7 @@
         val uptimeMs = frame.readLong()
         val stateAgeMs = frame.readLong().takeIf { it >= 0 }
         val count = frame.readInt()
-        if (count > MAX_CANCELLATIONS) throw IOException("$count cancellations")
+        if (count > PeerMessage.MAX_CANCELLATIONS) throw IOException("$count cancellations")
         val cancellations = if (count < 0) null else List(count) { Cancellation(frame.readText(), frame.readLong()) }
         return PeerMessage.StatusReport(from, incarnation, sequence, uptimeMs, stateAgeMs, cancellations)
     }
--- a/src/main/kotlin/io/reedmast/peers/PeerMessage.kt
+++ b/src/main/kotlin/io/reedmast/peers/PeerMessage.kt
@@ -33,4 +33,9 @@
         /** All cancellations it may have told a user of, as far as the jobs are not over; null if there are too many. */
         val cancellations: List<Cancellation>?,
     ) : PeerMessage
+
+    companion object {
+        /** The most cancellations that a [StatusReport] names, well within one frame. */
+        const val MAX_CANCELLATIONS = 2_000
+    }
 }
--- /dev/null
+++ b/src/test/kotlin/io/reedmast/ownership/PeerStatusesTest.kt
@@ -0,0 +1,92 @@
+package io.reedmast.ownership
+
+import io.reedmast.peers.Cancellation
+import io.reedmast.peers.PeerMessage
+import io.reedmast.settings.NodeIndex
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertFalse
+import org.junit.jupiter.api.Assertions.assertNull
+import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.api.Test
+
+/** What counts as a confirmation by the other controllers, and what does not. */
+class PeerStatusesTest {
+    private val statuses = PeerStatuses(NodeIndex(0), 3, "now")
+
+    private fun report(
+        from: Int,
+        query: PeerMessage.StatusQuery,
+        uptimeMs: Long = 1_000_000,
+        incarnation: String = query.incarnation,
+        stateAgeMs: Long? = 10_000,
+        cancellations: List<Cancellation>? = emptyList(),
+    ) = PeerMessage.StatusReport(NodeIndex(from), incarnation, query.sequence, uptimeMs, stateAgeMs, cancellations)
+
+    @Test
+    fun `all others must have answered, and the earliest query counts`() {
+        val first = statuses.query(10_000)
+        statuses.heard(report(1, first), 10_100, KNOWN_AT)
+        assertNull(statuses.confirmedAt())
+        val second = statuses.query(11_000)
+        statuses.heard(report(2, second), 11_100, KNOWN_AT)
+        assertEquals(10_000, statuses.confirmedAt())
+        statuses.heard(report(1, second), 11_100, KNOWN_AT)
+        assertEquals(11_000, statuses.confirmedAt())
+    }
+
+    @Test
+    fun `a process that began after the state service was last heard confirms nothing`() {
+        val query = statuses.query(10_000)
+        statuses.heard(report(1, query), 10_100, KNOWN_AT)
+        statuses.heard(report(2, query, uptimeMs = 10_100 - KNOWN_AT), 10_100, KNOWN_AT)
+        assertNull(statuses.confirmedAt())
+    }
+
+    @Test
+    fun `an answer to an earlier process, or to no query of this one, confirms nothing`() {
+        val query = statuses.query(10_000)
+        statuses.heard(report(1, query), 10_100, KNOWN_AT)
+        statuses.heard(report(2, query, incarnation = "before"), 10_100, KNOWN_AT)
+        statuses.heard(report(2, query.copy(sequence = 77)), 10_100, KNOWN_AT)
+        statuses.heard(report(0, query), 10_100, KNOWN_AT)
+        assertNull(statuses.confirmedAt())
+    }
+
+    @Test
+    fun `a report without its list of cancellations confirms nothing`() {
+        val query = statuses.query(10_000)
+        statuses.heard(report(1, query), 10_100, KNOWN_AT)
+        statuses.heard(report(2, query, cancellations = null), 10_100, KNOWN_AT)
+        assertNull(statuses.confirmedAt())
+    }
+
+    @Test
+    fun `a late copy of an older answer does not move the time back`() {
+        val first = statuses.query(10_000)
+        val second = statuses.query(11_000)
+        for (peer in 1..2) statuses.heard(report(peer, second), 11_100, KNOWN_AT)
+        statuses.heard(report(1, first), 12_000, KNOWN_AT)
+        assertEquals(11_000, statuses.confirmedAt())
+    }
+
+    @Test
+    fun `a controller without others is confirmed by nobody`() {
+        assertNull(PeerStatuses(NodeIndex(0), 1, "now").confirmedAt())
+    }
+
+    @Test
+    fun `the state service is out for all if none of those that answer hears it`() {
+        assertFalse(statuses.noneHearsState(10_000))
+        val query = statuses.query(10_000)
+        statuses.heard(report(1, query), 10_100, KNOWN_AT)
+        assertTrue(statuses.noneHearsState(10_100))
+        statuses.heard(report(2, query, stateAgeMs = 1_500), 10_100, KNOWN_AT)
+        assertFalse(statuses.noneHearsState(10_100))
+        // What was heard long ago says nothing of now.
+        assertFalse(statuses.noneHearsState(20_000))
+    }
+
+    private companion object {
+        const val KNOWN_AT = 5_000L
+    }
+}
--- /dev/null
+++ b/src/test/kotlin/io/reedmast/peers/PeerCodecTest.kt
@@ -0,0 +1,38 @@
+package io.reedmast.peers
+
+import io.reedmast.settings.NodeIndex
+import okio.Buffer
+import okio.IOException
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertThrows
+import org.junit.jupiter.api.Test
+
+/** Messages between controllers come through their frames as they were, and nonsense does not come through at all. */
+class PeerCodecTest {
+    private fun through(message: PeerMessage): PeerMessage {
+        val buffer = Buffer()
+        PeerCodec.write(buffer, message)
+        return PeerCodec.read(buffer).also { assertEquals(0L, buffer.size) }
+    }
+
+    @Test
+    fun `queries and reports come through`() {
+        val query = PeerMessage.StatusQuery(NodeIndex(2), "n2-abc-1", 7)
+        val full = (0 until PeerMessage.MAX_CANCELLATIONS).map { Cancellation("wk-%018d".format(it), Long.MAX_VALUE - it) }
+        val reports = listOf(full, emptyList(), null).map { PeerMessage.StatusReport(NodeIndex(0), "n2-abc-1", 7, 123_456, 0, it) }
+        for (message in reports + reports[1].copy(stateAgeMs = null) + query) assertEquals(message, through(message))
+    }
+
+    @Test
+    fun `frames that make no sense are refused`() {
+        val frames = listOf(
+            Buffer().writeInt(0),
+            Buffer().writeInt(70_000),
+            Buffer().writeInt(1).writeByte(9),
+            Buffer().writeInt(3).writeByte(3).writeShort(1),
+            Buffer().writeInt(2).writeByte(1).writeByte(5),
+            Buffer().writeInt(100).writeByte(2),
+        )
+        for (frame in frames) assertThrows(IOException::class.java) { PeerCodec.read(frame) }
+    }
+}
--- a/src/test/kotlin/io/reedmast/sim/World.kt
+++ b/src/test/kotlin/io/reedmast/sim/World.kt
@@ -10,6 +10,7 @@
 import io.reedmast.jobs.UserAnswer
 import io.reedmast.peers.PeerMessage
 import io.reedmast.placement.allows
+import io.reedmast.settings.NodeIndex
 import io.reedmast.settings.Settings
 import io.reedmast.settings.Tuning
 import io.reedmast.state.Change
@@ -313,6 +314,11 @@
             }
         }
 
+        fun receive(message: PeerMessage) {
+            val receiving = life
+            later(2) { if (life == receiving) controller?.peerSent(message) }
+        }
+
         private inner class Out(val of: Int) : Outward {
             override val stateAnswers: Boolean get() = !stateCut && state.up
 
@@ -364,7 +370,12 @@
             override fun writeFullness(): Double = 1.0
 
             override fun sendToPeers(message: PeerMessage) {
-                if (!peersCut) nodes.filter { it.index != index && !it.peersCut }.forEach { peer -> after(2) { peer.controller?.peerSent(message) } }
+                if (!peersCut) nodes.filter { it.index != index && !it.peersCut }.forEach { it.receive(message) }
+            }
+
+            override fun sendToPeer(peer: NodeIndex, message: PeerMessage) {
+                val to = nodes[peer.value]
+                if (!peersCut && !to.peersCut) to.receive(message)
             }
 
             override fun direct(addr: String, baton: Long, tenure: Long, orders: List<Order>, done: (Reply) -> Unit) {
