--- a/src/main/kotlin/io/reedmast/jobs/Job.kt
+++ b/src/main/kotlin/io/reedmast/jobs/Job.kt
@@ -37,6 +37,9 @@
     var seen = false
     var runningSince = 0L
     var stopReason: StopReason? = null
+
+    /** Until then it yields to no other work: its job had waited for too long. */
+    var keptUntil = 0L
     val running: Boolean get() = runningSince != 0L
 }
 
@@ -91,7 +94,7 @@
     /** Since when, without a break, tasks of it have waited for a machine. */
     var waitsSince = 0L
 
-    /** Since when none of its tasks has had a machine. */
+    /** Since when none of its tasks has had a machine for longer than a moment. */
     var idleSince = 0L
 
     /** Which machine types are too dear for it, as long as prices stay as they are. */
--- a/src/main/kotlin/io/reedmast/jobs/SliceBook.kt
+++ b/src/main/kotlin/io/reedmast/jobs/SliceBook.kt
@@ -81,13 +81,16 @@
         if (job.waitingCount == 0) job.waitsSince = clock.now()
         preemptedFor.remove(placement)?.let { it.preempting-- }
         job.remove(placement, done)
-        if (job.placedCount == 0) job.idleSince = clock.now()
+        if (job.placedCount == 0 && hasRun(placement, done)) job.idleSince = clock.now()
         touched(job.chunkOf(placement.task))
         count(placement, -1)
         if (placement.machine.placements.isEmpty()) placement.machine.emptySince = clock.now()
         placeWanted = true
     }
 
+    /** Whether the attempt ran long enough to count as service of its job: one that was stopped at once does not. */
+    private fun hasRun(placement: Placement, done: Boolean) = done || (placement.running && clock.now() - placement.runningSince >= COUNTS_AS_RUN_MS)
+
     /** A chunk differs from what is stored. */
     fun touched(chunk: Chunk) {
         chunk.dirty = true
@@ -176,6 +179,9 @@
      */
     fun starves(job: Job): Boolean = hungry(job) && hungrySince(job) < clock.now() - STARVES_MS
 
+    /** It has starved for so long that its next task comes before work of a higher priority of its team. */
+    fun isOverdue(job: Job): Boolean = hungry(job) && hungrySince(job) < clock.now() - OVERDUE_MS
+
     /** It may starve before a machine of another slice is emptied for it, so that is thought of sooner. */
     fun hungry(job: Job): Boolean = job.waitingCount > 0 && !looksBad(job) && hungrySince(job) < clock.now() - HUNGRY_MS
 
@@ -199,6 +205,12 @@
         const val LATE_WITHOUT_DUE_MS = 120_000L
         const val STARVES_MS = 60_000L
         const val HUNGRY_MS = 30_000L
+
+        /** Half of the time within which the largest jobs must have begun. */
+        const val OVERDUE_MS = 120_000L
+
+        /** A start counts for users if no command stops the task for this long. */
+        const val COUNTS_AS_RUN_MS = 30_000L
         const val FAILURES_OF_A_BAD_JOB = 4
         const val REPORT_SLACK_MS = 1_000L
     }
--- a/src/main/kotlin/io/reedmast/placement/Placer.kt
+++ b/src/main/kotlin/io/reedmast/placement/Placer.kt
@@ -23,6 +23,7 @@
     private var attempts = 0L
     private var nextPass = 0L
     private var lastPass = 0L
+    private val nextOverdue = HashMap<TeamIndex, Long>()
 
     /** Passes made so far, for those who count work. */
     var passes = 0L
@@ -61,12 +62,17 @@
         val wall = book.clock.wall()
         val full = HashSet<Shape>()
         val placed = HashMap<Job, Int>()
+        for (job in overdueJobs(ready, now)) {
+            if (!placeOne(job, machines, room, full, now)) continue
+            placed.merge(job, 1, Int::plus)
+            nextOverdue[job.team] = now + OVERDUE_EVERY_MS
+        }
         for (funded in listOf(true, false)) {
             val queues =
                 ready
                     .filter { it.spec.rank.funded == funded }
                     .groupBy { it.team }
-                    .mapValuesTo(LinkedHashMap()) { (_, list) -> ArrayDeque(list.sortedWith(compareBy({ it.spec.rank }, { book.dueMs(it) }))) }
+                    .mapValuesTo(LinkedHashMap()) { (_, list) -> ArrayDeque(list.sortedWith(queueOrder)) }
             while (queues.isNotEmpty()) {
                 val team = first(queues, wall)
                 val queue = queues.getValue(team)
@@ -79,6 +85,17 @@
         preempt(ready, now, wall)
     }
 
+    /** Within a team: by priority, then what starves, of which one task is placed at a time, then by due time. */
+    private val queueOrder = compareBy<Job>({ it.spec.rank }, { !book.starves(it) }, { book.dueMs(it) })
+
+    /**
+     * The job of each team that has waited longest beyond all patience, now and then one: a team that is always at its limit
+     * with work of a higher priority, or with a large array, would never begin its other jobs.
+     */
+    private fun overdueJobs(ready: List<Job>, now: Long): List<Job> = ready
+        .filter { book.isOverdue(it) && now >= (nextOverdue[it.team] ?: 0L) }
+        .groupBy { it.team }.values.map { jobs -> jobs.minBy { book.hungrySince(it) } }
+
     private fun first(queues: Map<TeamIndex, ArrayDeque<Job>>, wall: Long): TeamIndex {
         if (queues.size == 1) return queues.keys.first()
         return queues.keys.minWith(compareBy({ t -> !book.within(t, queues.getValue(t).first().spec) }, { t -> book.ratio(t, wall) }))
@@ -113,6 +130,7 @@
         }
         val attempt = (Token.takings(book.token) shl ATTEMPT_BITS) + ++attempts
         val placement = Placement(job, task, attempt, machine, now)
+        if (book.isOverdue(job)) placement.keptUntil = now + KEPT_MS
         if (machine.isServiceHome) room.free -= spec.cpus
         book.place(placement)
         book.touched(job.chunkOf(task))
@@ -159,7 +177,7 @@
     private fun preemptAfterMs(job: Job): Long = (book.settings.workers.reportS * 1000 * if (book.startsSoon(job)) 1 else ARRAY_WAITS_REPORTS).toLong()
 
     /** Whether the work yields to anything at all: funded work that cannot resume never does. */
-    private fun yieldable(placement: Placement) = !placement.job.spec.rank.funded || placement.job.spec.resumable
+    private fun yieldable(placement: Placement) = book.clock.now() >= placement.keptUntil && (!placement.job.spec.rank.funded || placement.job.spec.resumable)
 
     private fun victims(job: Job, machine: Machine, request: Request, wall: Long): List<Placement>? {
         var cpus = machine.freeCpus
@@ -197,6 +215,8 @@
 
     private companion object {
         const val MOST_RESERVED = 0.25
+        const val OVERDUE_EVERY_MS = 2_000L
+        const val KEPT_MS = 60_000L
         const val ARRAY_WAITS_REPORTS = 4
         const val PASS_EVERY_MS = 100L
         const val ARRAY_PASS_EVERY_MS = 250L
--- a/src/test/kotlin/io/reedmast/sim/Scenario.kt
+++ b/src/test/kotlin/io/reedmast/sim/Scenario.kt
@@ -188,6 +188,14 @@
 
             "starts" -> assertEquals(words[2].toInt(), world.starts[words[1]] ?: 0, at)
 
+            // At least one of its tasks has begun to run.
+            "begun" -> assertTrue((world.starts[words[1]] ?: 0) > 0, "$at: nothing of it has started")
+
+            "done-at-least" -> {
+                val done = world.jobs.getValue(words[1]).completed.size
+                assertTrue(done >= words[2].toInt(), "$at: $done done")
+            }
+
             "kept" -> assertTrue(words[1] in world.workers, "$at: returned are ${world.returned}")
 
             // No node counts the machine to any slice.
