--- /dev/null
+++ b/src/main/kotlin/io/reedmast/ownership/MachineAssignment.kt
@@ -0,0 +1,174 @@
+package io.reedmast.ownership
+
+import io.reedmast.app.Outward
+import io.reedmast.settings.Settings
+import io.reedmast.settings.SliceIndex
+import io.reedmast.state.Change
+import io.reedmast.state.Guard
+import io.reedmast.state.Haste
+import io.reedmast.state.Keys
+import io.reedmast.state.Outcome
+import io.reedmast.state.Write
+import io.reedmast.wire.Tree
+import io.reedmast.workers.HostRecord
+import org.slf4j.LoggerFactory
+
+/**
+ * The changes to the records of slices' machines: a leader gives machines and marks those that are to move, an owner hands
+ * them over and removes those that are gone.
+ *
+ * Each change has the record's own stamp as a condition, and the key that entitles this node to it.
+ */
+class MachineAssignment(
+    private val settings: Settings,
+    private val out: Outward,
+    private val slices: SliceTable,
+    private val machines: MachineTable,
+    private val leaderStamp: () -> Long,
+    /** Reads a key again after a change that was not applied. */
+    private val reread: (String) -> Unit,
+) {
+    private val log = LoggerFactory.getLogger("cluster")
+
+    /** Records that a change of ours is on its way to. */
+    private val writing = HashSet<String>()
+
+    /** The slice's owner removes machines that are gone. */
+    fun removeHosts(slice: SliceIndex, hosts: Set<String>) {
+        val term = slices.records[slice.value]?.takeIf { it.record.owner == settings.label }?.stamp ?: return
+        for ((index, held) in machines.partsOf(slice)) {
+            if (held.part.hosts.none { it.name in hosts }) continue
+            rewrite(slice, index, held.part.without(hosts), Guard(Keys.slice(slice.value), term), haste = Haste.LAZY) {}
+        }
+    }
+
+    /** Moves empty machines, as many as share a record and a destination; the others follow with the next call. */
+    fun handOver(slice: SliceIndex, hosts: Collection<String>) {
+        val from = slices.records[slice.value] ?: return
+        val (index, held) = machines.partsOf(slice).entries.firstOrNull { (_, held) -> hosts.any { it in held.part.leaving } } ?: return
+        val to = hosts.firstNotNullOfOrNull { held.part.leaving[it] }?.let { SliceIndex(it) } ?: return
+        val target = slices.records.getOrNull(to.value) ?: return
+        if (to == slice) return
+        val moving = held.part.hosts.filter { it.name in hosts && held.part.leaving[it.name] == to.value }
+        val destination = machines.roomIn(to, moving)
+        val moved = moving.filter { destination.part.holds(it.name) }.mapTo(HashSet()) { it.name }
+        if (moved.isEmpty()) return
+        val source = Source(slice, index, held, from)
+        move(source, held.part.without(moved), to, target, destination, moved)
+    }
+
+    /** The record that machines leave. */
+    private class Source(val slice: SliceIndex, val index: Int, val held: HeldPart, val owner: Held)
+
+    private fun move(source: Source, left: HostPart, to: SliceIndex, target: Held, destination: MachineTable.Grown, moved: Set<String>) {
+        val fromPath = Keys.hosts(source.slice.value, source.index)
+        val toPath = Keys.hosts(to.value, destination.index)
+        if (fromPath in writing || toPath in writing) return
+        val guards = arrayListOf(
+            Guard(Keys.slice(source.slice.value), source.owner.stamp),
+            Guard(fromPath, source.held.stamp),
+            Guard(toPath, destination.held?.stamp ?: 0L),
+            Guard(Keys.slice(to.value), target.stamp),
+        )
+        val writes = arrayListOf<Write>(Write.Put(fromPath, left.toFields()), Write.Put(toPath, destination.part.toFields()))
+        // The other slice's owner must have a token above all that these machines have seen, which is at most ours.
+        val renewed = if (target.record.token > source.owner.record.token) null else target.record.copy(token = Token.after(slices.token))
+        if (renewed != null) {
+            guards.add(Guard(Keys.TOKEN, slices.tokenStamp))
+            writes.add(Write.Put(Keys.slice(to.value), renewed.toFields()))
+            writes.add(Write.Put(Keys.TOKEN, mapOf("token" to renewed.token)))
+        }
+        writing.add(fromPath)
+        writing.add(toPath)
+        out.commit(
+            Change(guards, writes) { outcome ->
+                writing.remove(fromPath)
+                writing.remove(toPath)
+                if (outcome is Outcome.Applied) {
+                    log.info("{}: moved from slice {} to slice {}", moved, source.slice.value, to.value)
+                    if (renewed != null) {
+                        slices.seeToken(renewed.token, outcome.epoch)
+                        slices.seeSlice(to, renewed, outcome.epoch)
+                    }
+                    machines.seePart(to, destination.index, destination.part, outcome.epoch)
+                    machines.seePart(source.slice, source.index, left, outcome.epoch)
+                } else {
+                    listOf(Keys.slice(source.slice.value), Keys.slice(to.value), Keys.TOKEN, fromPath, toPath).forEach(reread)
+                }
+            },
+        )
+    }
+
+    /** The leader gives machines to a slice; [seen] is the highest token that any of them has seen. [done] tells which were. */
+    fun addHosts(slice: SliceIndex, hosts: List<HostRecord>, seen: Long, done: (Set<String>) -> Unit) {
+        val owner = slices.records[slice.value]
+        val grown = machines.roomIn(slice, hosts)
+        val names = hosts.mapTo(HashSet()) { it.name }.apply { removeIf { !grown.part.holds(it) } }
+        if (owner == null || names.isEmpty()) {
+            done(emptySet())
+            return
+        }
+        val lead = Guard(Keys.LEADER, leaderStamp())
+        val sofar = grown.held ?: HeldPart(HostPart.EMPTY, 0L)
+        if (seen <= owner.record.token) {
+            rewrite(slice, grown.index, grown.part, lead, sofar) { done(if (it) names else emptySet()) }
+            return
+        }
+        val renewed = owner.record.copy(token = Token.after(maxOf(slices.token, seen)))
+        val guards = listOf(Guard(Keys.TOKEN, slices.tokenStamp), Guard(Keys.slice(slice.value), owner.stamp))
+        val writes = listOf(Write.Put(Keys.slice(slice.value), renewed.toFields()), Write.Put(Keys.TOKEN, mapOf("token" to renewed.token)))
+        rewrite(slice, grown.index, grown.part, lead, sofar, guards, writes) { ok ->
+            if (!ok) reread(Keys.TOKEN)
+            done(if (ok) names else emptySet())
+        }
+    }
+
+    /** The leader marks machines that are to leave for another slice as soon as they are empty. */
+    fun markLeaving(slice: SliceIndex, hosts: Collection<String>, to: SliceIndex) {
+        for ((index, held) in machines.partsOf(slice)) {
+            val mine = held.part.hosts.filter { it.name in hosts }
+            if (mine.isEmpty()) continue
+            var marks = mine.size
+            fun marked() = held.part.copy(leaving = held.part.leaving + mine.take(marks).associate { it.name to to.value })
+            while (marks > 0 && Tree.jsonSize(marked().toFields()) > settings.stateLimits.valueBytes * MARKED) marks /= 2
+            if (marks > 0) rewrite(slice, index, marked(), Guard(Keys.LEADER, leaderStamp())) {}
+        }
+    }
+
+    private fun rewrite(
+        slice: SliceIndex,
+        index: Int,
+        part: HostPart,
+        entitled: Guard,
+        held: HeldPart? = machines.partsOf(slice)[index],
+        moreGuards: List<Guard> = emptyList(),
+        moreWrites: List<Write.Put> = emptyList(),
+        haste: Haste = Haste.PROMPT,
+        done: (Boolean) -> Unit,
+    ) {
+        val path = Keys.hosts(slice.value, index)
+        if (held == null || !writing.add(path)) {
+            done(false)
+            return
+        }
+        val guards = listOf(Guard(path, held.stamp), entitled) + moreGuards
+        out.commit(
+            Change(guards, listOf(Write.Put(path, part.toFields())) + moreWrites, haste) { outcome ->
+                writing.remove(path)
+                if (outcome is Outcome.Applied) {
+                    moreWrites.forEach { slices.see(it.path, it.value, outcome.epoch) }
+                    machines.seePart(slice, index, part, outcome.epoch)
+                } else {
+                    reread(path)
+                    reread(Keys.slice(slice.value))
+                }
+                done(outcome is Outcome.Applied)
+            },
+        )
+    }
+
+    private companion object {
+        /** How full a value may be made with marks. */
+        const val MARKED = 0.95
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/io/reedmast/ownership/Membership.kt
@@ -0,0 +1,172 @@
+package io.reedmast.ownership
+
+import io.reedmast.app.Clock
+import io.reedmast.app.LeaseState
+import io.reedmast.app.Outward
+import io.reedmast.settings.Settings
+import io.reedmast.state.Change
+import io.reedmast.state.Fetched
+import io.reedmast.state.Guard
+import io.reedmast.state.Keys
+import io.reedmast.state.Outcome
+import io.reedmast.state.Write
+import io.reedmast.wire.Fields
+import io.reedmast.wire.text
+import org.slf4j.LoggerFactory
+
+/**
+ * Which controllers live and which of them leads, by keys that are attached to their leases; and this node's own lease.
+ *
+ * Nobody's safety rests on it: it only chooses good moments for taking slices, and who rents machines.
+ */
+class Membership(private val settings: Settings, private val clock: Clock, private val out: Outward) {
+    private val log = LoggerFactory.getLogger("cluster")
+    private val present = HashSet<String>()
+    private val absentSince = HashMap<String, Long>()
+    private var lease: Long? = null
+    private var leaseAsked = false
+    private var leaseDue = 0L
+    private var claimingLeader = false
+    private var claimingNode = false
+    private var nodeKeyLease: Long? = null
+
+    /** The label of the leader, if there is one. */
+    var leader: String? = null
+        private set
+
+    /** Stamp of the leader's key, a condition of what it writes. */
+    var leaderStamp = 0L
+        private set
+
+    val leading: Boolean get() = leader == settings.label
+
+    /** The controllers whose keys are there. */
+    val presentCount: Int get() = present.size
+
+    fun isPresent(label: String): Boolean = label in present
+
+    /** The controllers that live, this one included. */
+    fun alive(): Set<String> = present + settings.label
+
+    /** For how long the controller's key has been gone. */
+    fun absentForMs(label: String, now: Long): Long = now - (absentSince[label] ?: now)
+
+    /** All keys are about to be read anew. */
+    fun reset() {
+        present.clear()
+        leader = null
+    }
+
+    /** All keys have been read: those of controllers that are not among [paths] are gone. */
+    fun noteAbsent(paths: Set<String>) {
+        settings.members.filter { Keys.node(it.label) !in paths }.forEach { absentSince.putIfAbsent(it.label, clock.now()) }
+    }
+
+    /** Takes up the value under [path], if it is one of these keys; a null [value] is a deletion. */
+    fun see(path: String, value: Fields?, stamp: Long) {
+        when {
+            path == Keys.LEADER -> seeLeader(value?.text("label"), stamp)
+            path.startsWith(Keys.NODES) -> seeNode(path.removePrefix(Keys.NODES), value != null)
+        }
+    }
+
+    private fun seeLeader(label: String?, stamp: Long) {
+        if (stamp <= leaderStamp) return
+        leader = label
+        leaderStamp = stamp
+        if (label != null) log.info("leader: {}", label)
+        shareLimits()
+    }
+
+    private fun seeNode(label: String, here: Boolean) {
+        if (here) {
+            present.add(label)
+            absentSince.remove(label)
+        } else {
+            present.remove(label)
+            absentSince[label] = clock.now()
+            if (label == settings.label) nodeKeyLease = null
+        }
+        shareLimits()
+    }
+
+    /** Tells the clients of the state service and the cloud how many controllers share their limits. */
+    fun shareLimits() = out.shareLimits(maxOf(1, alive().size), leading)
+
+    /** Renews this node's lease, or gets a new one. */
+    fun keepLease() {
+        val now = clock.now()
+        if (leaseAsked || now < leaseDue) return
+        leaseAsked = true
+        leaseDue = now + LEASE_MS / 4
+        out.extendLease(lease, LEASE_MS) { state ->
+            leaseAsked = false
+            when (state) {
+                is LeaseState.Held -> {
+                    if (state.fresh) nodeKeyLease = null
+                    lease = state.lease
+                }
+
+                LeaseState.Lost -> {
+                    lease = null
+                    nodeKeyLease = null
+                    leaseDue = 0
+                }
+
+                LeaseState.Unknown -> {}
+            }
+        }
+    }
+
+    /** Puts this node's key under its lease, and the leader's if there is none. */
+    fun claimKeys() {
+        claimNode()
+        if (leader == null) claimLeader()
+    }
+
+    private fun claimNode() {
+        val held = lease ?: return
+        if (claimingNode || nodeKeyLease == held) return
+        claimingNode = true
+        out.get(Keys.node(settings.label)) { fetched ->
+            when (fetched) {
+                is Fetched.Found -> putNode(held, fetched.item.stamp)
+                is Fetched.Missing -> putNode(held, 0L)
+                is Fetched.Failed -> claimingNode = false
+            }
+        }
+    }
+
+    private fun putNode(held: Long, stamp: Long) {
+        val path = Keys.node(settings.label)
+        out.commit(
+            Change(listOf(Guard(path, stamp)), listOf(Write.Put(path, mapOf("label" to settings.label), held))) { outcome ->
+                claimingNode = false
+                when (outcome) {
+                    is Outcome.Applied -> nodeKeyLease = held
+                    is Outcome.Conflict -> {}
+                    is Outcome.Refused -> if (lease == held) lease = null
+                }
+            },
+        )
+    }
+
+    private fun claimLeader() {
+        val held = lease ?: return
+        if (claimingLeader || nodeKeyLease != held) return
+        claimingLeader = true
+        out.commit(
+            Change(listOf(Guard(Keys.LEADER, 0)), listOf(Write.Put(Keys.LEADER, mapOf("label" to settings.label), held))) { outcome ->
+                claimingLeader = false
+                // The watch tells the same: whichever is first counts.
+                if (outcome is Outcome.Applied) seeLeader(settings.label, outcome.epoch)
+                if (outcome is Outcome.Refused && lease == held) lease = null
+            },
+        )
+    }
+
+    companion object {
+        /** How long a controller counts as alive after it was last heard by the state service. */
+        const val LEASE_MS = 4_000L
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/io/reedmast/ownership/SliceTable.kt
@@ -0,0 +1,68 @@
+package io.reedmast.ownership
+
+import io.reedmast.app.Outward
+import io.reedmast.settings.SliceIndex
+import io.reedmast.state.Fetched
+import io.reedmast.state.Keys
+import io.reedmast.wire.Fields
+import io.reedmast.wire.count
+
+/** A slice record as last seen, with its stamp. */
+data class Held(val record: SliceRecord, val stamp: Long)
+
+/** The slices' records and the token counter, as last seen in the state service or in answers to this node's changes. */
+class SliceTable(
+    slices: Int,
+    private val out: Outward,
+    /** Called with each newer record and the one before it. */
+    private val onChange: (SliceIndex, Held?, Held) -> Unit,
+) {
+    val records = arrayOfNulls<Held>(slices)
+
+    /** The highest token given so far, and the stamp of the counter. */
+    var token = 0L
+        private set
+    var tokenStamp = 0L
+        private set
+    private val refreshing = BooleanArray(slices)
+
+    fun ownerOf(slice: SliceIndex): String? = records[slice.value]?.record?.owner
+
+    /** How many slices [owner] has. */
+    fun countOf(owner: String): Int = records.count { it?.record?.owner == owner }
+
+    /** Takes up the value under [path], if it is one of this table's keys. */
+    fun see(path: String, value: Fields?, stamp: Long) {
+        if (value == null) return
+        if (path == Keys.TOKEN) {
+            seeToken(value.count("token"), stamp)
+        } else if (path.startsWith(Keys.SLICES)) {
+            val slice = path.removePrefix(Keys.SLICES).toIntOrNull() ?: return
+            if (slice in records.indices) seeSlice(SliceIndex(slice), SliceRecord.parse(value), stamp)
+        }
+    }
+
+    fun seeToken(value: Long, stamp: Long) {
+        if (stamp <= tokenStamp) return
+        token = value
+        tokenStamp = stamp
+    }
+
+    fun seeSlice(slice: SliceIndex, record: SliceRecord, stamp: Long) {
+        val before = records[slice.value]
+        if (before != null && before.stamp >= stamp) return
+        val now = Held(record, stamp)
+        records[slice.value] = now
+        onChange(slice, before, now)
+    }
+
+    /** Reads the slice's record again, unless that is being done. */
+    fun refresh(slice: SliceIndex, read: (Fetched) -> Unit) {
+        if (refreshing[slice.value]) return
+        refreshing[slice.value] = true
+        out.get(Keys.slice(slice.value)) { fetched ->
+            refreshing[slice.value] = false
+            read(fetched)
+        }
+    }
+}
