--- a/src/main/kotlin/io/reedmast/app/Node.kt
+++ b/src/main/kotlin/io/reedmast/app/Node.kt
@@ -67,6 +67,7 @@
     }
 
     fun checkin(report: Report): WorkerAnswer {
+        cluster.workerHeard()
         if (!cluster.mayAnswerWorkers()) return WorkerAnswer.Unavailable
         val slice = cluster.sliceOfHost(report.host)
         if (slice == null) {
--- a/src/main/kotlin/io/reedmast/ownership/Cluster.kt
+++ b/src/main/kotlin/io/reedmast/ownership/Cluster.kt
@@ -47,9 +47,10 @@
     private val membership = Membership(settings, clock, out)
     private val slices = SliceTable(settings.slices, out, ::sliceChanged)
     private val machines = MachineTable(settings, clock, out, { owners[it.value]?.syncHosts() }, roster::forget)
+    private val contact = WorkerContact(clock, out)
     private val assignment = MachineAssignment(settings, out, slices, machines, { membership.leaderStamp }, ::reread)
     private val takeover =
-        Takeover(settings, clock, out, freshness, membership, slices, machines, jobs, roster, owners, ::newOwner, ::reread)
+        Takeover(settings, clock, out, freshness, membership, slices, machines, jobs, roster, contact, owners, ::newOwner, ::reread)
     private val peerStatuses = PeerStatuses(settings.self, settings.members.size, incarnation)
     private var statusQueryDue = 0L
 
@@ -93,6 +94,9 @@
 
     fun departedLately(host: String): Boolean = machines.departedLately(host)
 
+    /** A worker has reported to this node. */
+    fun workerHeard() = contact.noteHeard()
+
     /** Where to send a worker of [slice], which is not ours. */
     fun sendOn(slice: SliceIndex, host: String, addr: String): String? = takeover.sendOn(slice, host, addr)
 
--- a/src/main/kotlin/io/reedmast/ownership/Takeover.kt
+++ b/src/main/kotlin/io/reedmast/ownership/Takeover.kt
@@ -33,6 +33,7 @@
     private val machines: MachineTable,
     private val jobs: JobIndex,
     private val roster: Roster,
+    private val contact: WorkerContact,
     /** The owners of this node's slices, by slice. */
     private val owners: Array<SliceOwner?>,
     private val newOwner: (SliceIndex) -> SliceOwner,
@@ -84,10 +85,25 @@
         if (taking[slice.value] || owners[slice.value] != null) return
         val owner = slices.ownerOf(slice)
         val wanted = isWanted(slice, owner, now)
-        if (wanted && now > notBefore[slice.value]) take(slice)
+        if (wanted && now > notBefore[slice.value]) takeIfInContact(slice, owner, now)
         if (!wanted && owner != null && membership.isPresent(owner)) heedComplaints(slice, now)
     }
 
+    /** Takes the slice of another controller only if its workers can be reached, or if nobody else has taken it for long. */
+    private fun takeIfInContact(slice: SliceIndex, owner: String?, now: Long) {
+        val addresses = machines.hostsOf(slice).mapNotNull { roster.of(it.name).addr }.toList()
+        val ofAnother = owner != null && owner != settings.label
+        val abandoned = ofAnother && !membership.isPresent(owner) && membership.absentForMs(owner, now) > ABANDONED_MS
+        if (!ofAnother || abandoned || contact.isRecent || addresses.isEmpty()) {
+            take(slice)
+            return
+        }
+        contact.probe(slice, addresses) {
+            log.info("slice {}: its workers are not reached from here; it is not taken", slice.value)
+            notBefore[slice.value] = clock.now() + UNREACHED_PAUSE_MS
+        }
+    }
+
     private fun isWanted(slice: SliceIndex, owner: String?, now: Long): Boolean {
         val home = slice.value == settings.self.value
         return when {
@@ -225,5 +241,9 @@
         const val MOST_HOME_PAUSE_MS = 240_000L
         const val RETRY_TAKE_MS = 100L
         const val RETAKE_MS = 3_000L
+
+        /** Twice the time in which the others find that the slice needs another owner. */
+        const val ABANDONED_MS = 20_000L
+        const val UNREACHED_PAUSE_MS = 5_000L
     }
 }
--- /dev/null
+++ b/src/main/kotlin/io/reedmast/ownership/WorkerContact.kt
@@ -0,0 +1,52 @@
+package io.reedmast.ownership
+
+import io.reedmast.app.Clock
+import io.reedmast.app.Outward
+import io.reedmast.settings.SliceIndex
+import io.reedmast.wire.Reply
+
+/**
+ * Whether this controller and the workers reach each other.
+ *
+ * A controller that has lost only the workers still has its keys and hears the state service. If it took over a slice, the
+ * slice's workers would lose their leases before another controller noticed.
+ */
+class WorkerContact(private val clock: Clock, private val out: Outward) {
+    private var heardAt: Long? = null
+    private val probing = HashSet<SliceIndex>()
+
+    /** A worker's report, or its answer to a call, has come. */
+    fun noteHeard() {
+        heardAt = clock.now()
+    }
+
+    /** Whether a worker was heard so recently that nothing need be tried. */
+    val isRecent: Boolean get() = heardAt?.let { clock.now() - it < RECENT_MS } ?: false
+
+    /** Calls some of the workers of [slice] at [addresses], all over the list; [failed] is called if none of them answers. */
+    fun probe(slice: SliceIndex, addresses: List<String>, failed: () -> Unit) {
+        if (addresses.isEmpty() || !probing.add(slice)) return
+        val step = maxOf(1, addresses.size / PROBES)
+        val chosen = addresses.filterIndexed { index, _ -> index % step == 0 }.take(PROBES)
+        var open = chosen.size
+        var answered = false
+        for (address in chosen) {
+            // Neither token nor session are the worker's: nothing is executed, and the refusal is its newest report.
+            out.direct(address, 0L, 0L, emptyList()) { reply ->
+                if (reply is Reply.Answer) {
+                    answered = true
+                    noteHeard()
+                }
+                if (--open == 0) {
+                    probing.remove(slice)
+                    if (!answered) failed()
+                }
+            }
+        }
+    }
+
+    private companion object {
+        const val RECENT_MS = 5_000L
+        const val PROBES = 3
+    }
+}
