--- a/src/main/kotlin/io/reedmast/jobs/SliceOwner.kt
+++ b/src/main/kotlin/io/reedmast/jobs/SliceOwner.kt
@@ -41,6 +41,9 @@
     /** The term may have moved on: read the record again. */
     fun refresh(slice: SliceIndex)
 
+    /** Asks the other controllers to take the slice, since its workers do not reach this one. */
+    fun requestTakeover(slice: SliceIndex)
+
     fun removeHosts(slice: SliceIndex, hosts: Set<String>)
 
     /** Gives empty machines to the slices that they are marked to leave for. */
@@ -71,7 +74,8 @@
     private val wants = Wants(book, out, { records.machinesStamp(index) }, { records.refresh(index) })
     val placer = Placer(book, commands, wants)
     private val ledger = Ledger(book, out, Storing())
-    private val upkeep = Upkeep(book, out, commands, wants, { records.removeHosts(index, it) }, { records.handOver(index, it) })
+    private val upkeep =
+        Upkeep(book, out, commands, wants, { records.removeHosts(index, it) }, { records.handOver(index, it) }, { records.requestTakeover(index) })
     private var tellDue = 0L
     private var tellings = 0
 
--- a/src/main/kotlin/io/reedmast/ownership/Cluster.kt
+++ b/src/main/kotlin/io/reedmast/ownership/Cluster.kt
@@ -193,6 +193,8 @@
             roster.heard(message.hosts, machines::contains)
         }
 
+        is PeerMessage.TakeoverRequest -> takeover.requested(message)
+
         is PeerMessage.StatusQuery -> out.sendToPeer(message.from, statusFor(message))
 
         is PeerMessage.StatusReport -> {
@@ -222,6 +224,12 @@
 
     override fun renewToken(slice: SliceIndex) = takeover.renewToken(slice)
 
+    override fun requestTakeover(slice: SliceIndex) {
+        val term = slices.records[slice.value]?.takeIf { it.record.owner == settings.label }?.stamp ?: return
+        log.info("slice {}: its workers are silent here; the other nodes are asked to take it", slice.value)
+        out.sendToPeers(PeerMessage.TakeoverRequest(slice, term))
+    }
+
     override fun refresh(slice: SliceIndex) = slices.refresh(slice, ::seeFetched)
 
     override fun removeHosts(slice: SliceIndex, hosts: Set<String>) = assignment.removeHosts(slice, hosts)
--- a/src/main/kotlin/io/reedmast/ownership/Takeover.kt
+++ b/src/main/kotlin/io/reedmast/ownership/Takeover.kt
@@ -4,6 +4,7 @@
 import io.reedmast.app.Outward
 import io.reedmast.jobs.JobIndex
 import io.reedmast.jobs.SliceOwner
+import io.reedmast.peers.PeerMessage
 import io.reedmast.settings.Settings
 import io.reedmast.settings.SliceIndex
 import io.reedmast.state.Change
@@ -50,6 +51,11 @@
     private val asking = BooleanArray(settings.slices)
     private val notBefore = LongArray(settings.slices)
 
+    /** Slices whose owners have asked the others to take them: since when, and for which term. */
+    private val requests = HashMap<SliceIndex, Request>()
+
+    private class Request(val at: Long, val term: Long)
+
     /** Until then a slice that others have taken from this node is left to them, and how long that is the next time. */
     private var homeNotBefore = 0L
     private var homePauseMs = FIRST_HOME_PAUSE_MS
@@ -69,6 +75,13 @@
         homePauseMs = minOf(homePauseMs * 2, MOST_HOME_PAUSE_MS)
     }
 
+    /** The owner of a slice does not hear its workers. A late copy of its request names a term that is over. */
+    fun requested(message: PeerMessage.TakeoverRequest) {
+        val slice = message.slice
+        if (slices.records.getOrNull(slice.value)?.stamp != message.term) return
+        if (requests[slice]?.term != message.term) requests[slice] = Request(clock.now(), message.term)
+    }
+
     fun noteNewOwner(slice: SliceIndex) = complaints.newOwner(slice, clock.now())
 
     /** Where to send a worker of [slice], which is not ours: to its owner, but not twice in a row to one that is silent. */
@@ -112,18 +125,22 @@
             owner == settings.label -> true
 
             !membership.isPresent(owner) -> {
-                // The node with the least to do comes first; the others follow if it does not act.
-                val order = membership.alive().sortedWith(compareBy({ slices.countOf(it) }, { it }))
-                val place = order.indexOf(settings.label)
-                membership.absentForMs(owner, now) > place * TURN_MS && now - startedAt > TURN_MS
+                membership.absentForMs(owner, now) > turn(owner) * TURN_MS && now - startedAt > TURN_MS
             }
 
+            isRequested(slice) -> now - (requests[slice]?.at ?: now) > turn(owner) * TURN_MS
+
             home -> now - startedAt > SETTLED_MS && now > homeNotBefore && slices.countOf(owner) > 1
 
             else -> false
         }
     }
 
+    private fun isRequested(slice: SliceIndex) = requests[slice]?.let { it.term == slices.records[slice.value]?.stamp } ?: false
+
+    /** The node with the least to do comes first; the others follow if it does not act. */
+    private fun turn(owner: String): Int = (membership.alive() - owner).sortedWith(compareBy({ slices.countOf(it) }, { it })).indexOf(settings.label)
+
     /**
      * Takes a slice whose owner lives, if its machines do not reach that owner.
      *
--- a/src/main/kotlin/io/reedmast/peers/PeerCodec.kt
+++ b/src/main/kotlin/io/reedmast/peers/PeerCodec.kt
@@ -1,6 +1,7 @@
 package io.reedmast.peers
 
 import io.reedmast.settings.NodeIndex
+import io.reedmast.settings.SliceIndex
 import io.reedmast.workers.HostNews
 import okio.Buffer
 import okio.BufferedSink
@@ -19,6 +20,7 @@
     private const val NEWS = 1
     private const val QUERY = 2
     private const val REPORT = 3
+    private const val TAKEOVER = 4
 
     private const val JOB_ENTRY = 1
     private const val HOST_ENTRY = 2
@@ -29,6 +31,7 @@
             is PeerMessage.SliceNews -> writeNews(sink, message)
             is PeerMessage.StatusQuery -> writeQuery(sink, message)
             is PeerMessage.StatusReport -> writeReport(sink, message)
+            is PeerMessage.TakeoverRequest -> send(sink, Buffer().writeByte(TAKEOVER).writeInt(message.slice.value).writeLong(message.term))
         }
         sink.flush()
     }
@@ -89,6 +92,7 @@
             NEWS -> readNews(frame)
             QUERY -> PeerMessage.StatusQuery(NodeIndex(frame.readInt()), frame.readText(), frame.readLong())
             REPORT -> readReport(frame)
+            TAKEOVER -> PeerMessage.TakeoverRequest(SliceIndex(frame.readInt()), frame.readLong())
             else -> throw IOException("a message of type $type")
         }
     }
--- a/src/main/kotlin/io/reedmast/peers/PeerMessage.kt
+++ b/src/main/kotlin/io/reedmast/peers/PeerMessage.kt
@@ -1,6 +1,7 @@
 package io.reedmast.peers
 
 import io.reedmast.settings.NodeIndex
+import io.reedmast.settings.SliceIndex
 import io.reedmast.workers.HostNews
 
 /** How far a job is, as its slice's owner knows it. */
@@ -14,6 +15,9 @@
     /** What an owner tells of its slice's jobs, for display, and of its machines, as hints for a takeover. */
     data class SliceNews(val jobs: List<JobProgress>, val hosts: List<HostNews>) : PeerMessage
 
+    /** The owner of [slice] under [term] hears nearly none of its workers: another controller should take the slice. */
+    data class TakeoverRequest(val slice: SliceIndex, val term: Long) : PeerMessage
+
     /**
      * Asks for a [StatusReport].
      *
--- a/src/main/kotlin/io/reedmast/workers/Upkeep.kt
+++ b/src/main/kotlin/io/reedmast/workers/Upkeep.kt
@@ -14,6 +14,7 @@
     private val wants: Wants,
     private val removeHosts: (Set<String>) -> Unit,
     private val handOver: (Collection<String>) -> Unit,
+    private val requestTakeover: () -> Unit,
 ) {
     private val log = LoggerFactory.getLogger("slice")
     private val toReturn = LinkedHashSet<Machine>()
@@ -22,6 +23,7 @@
     /** Hosts that are returned but may still stand in the slice's records. */
     private val gone = HashSet<String>()
     private var removeDue = 0L
+    private var requestDue = 0L
 
     /** When this node last was unable to answer workers or to decide: silence before that says nothing. */
     private var deafUntil = 0L
@@ -49,6 +51,7 @@
             return
         }
         val silentAfter = (book.settings.workers.reportS * 1000 * SILENT_REPORTS).toLong()
+        noticeLossOfWorkers(now)
         retireSilent(now, silentAfter)
         retireDeaf()
         val spare = wants.spareCpus(now)
@@ -85,6 +88,21 @@
         if (empty.isNotEmpty()) handOver(empty)
     }
 
+    /**
+     * Nearly all machines falling silent within one report's time is this node's loss of its workers. It still has its keys and
+     * hears the state service, so nobody else can tell as soon, and the workers' leases are short.
+     */
+    private fun noticeLossOfWorkers(now: Long) {
+        val overdueMs = book.reportOverdueMs
+        if (now < requestDue || now - maxOf(book.activeAt, deafUntil) < overdueMs * SETTLED_REPORTS) return
+        val heard = book.machines.values.filter { it.trusted && it.retirement == null }
+        val overdue = heard.count { now - it.lastHeardAt > overdueMs }
+        val newlySilent = heard.count { now - it.lastHeardAt in overdueMs..overdueMs * SETTLED_REPORTS }
+        if (heard.size < FEWEST_TO_TELL || overdue < heard.size * NEARLY_ALL || newlySilent * 2 < heard.size) return
+        requestDue = now + REQUEST_EVERY_MS
+        requestTakeover()
+    }
+
     private fun retireSilent(now: Long, silentAfter: Long) {
         // A machine that was up before we took the slice must show itself to us too, and may need a greeting for that.
         val heard = book.machines.values.filter { it.everHeard || it.placements.isNotEmpty() }
@@ -203,6 +221,10 @@
         private const val MOST_RETURNED = 100
         private const val MOST_DEAF = 3
         private const val SILENT_REPORTS = 3.0
+        private const val FEWEST_TO_TELL = 4
+        private const val NEARLY_ALL = 0.8
+        private const val SETTLED_REPORTS = 3
+        private const val REQUEST_EVERY_MS = 2_000L
         private const val LOST_BOOT_FACTOR = 2.5
         private const val LOST_BOOT_S = 5.0
         private const val DRAIN_SLACK_S = 3.0
