--- a/src/main/kotlin/io/reedmast/jobs/Job.kt
+++ b/src/main/kotlin/io/reedmast/jobs/Job.kt
@@ -38,8 +38,11 @@
     var runningSince = 0L
     var stopReason: StopReason? = null
 
-    /** Until then it yields to no other work: its job had waited for too long. */
+    /** Until then it yields at most to work that has to start soon: its job had starved. */
     var keptUntil = 0L
+
+    /** Until then it yields to nothing: its job had starved for very long. */
+    var keptFromAllUntil = 0L
     val running: Boolean get() = runningSince != 0L
 }
 
--- a/src/main/kotlin/io/reedmast/jobs/SliceBook.kt
+++ b/src/main/kotlin/io/reedmast/jobs/SliceBook.kt
@@ -179,7 +179,7 @@
      */
     fun starves(job: Job): Boolean = hungry(job) && hungrySince(job) < clock.now() - STARVES_MS
 
-    /** It has starved for so long that its next task comes before work of a higher priority of its team. */
+    /** It has starved for so long that its next task is kept from yielding at once to other work. */
     fun isOverdue(job: Job): Boolean = hungry(job) && hungrySince(job) < clock.now() - OVERDUE_MS
 
     /** It may starve before a machine of another slice is emptied for it, so that is thought of sooner. */
--- a/src/main/kotlin/io/reedmast/placement/Placer.kt
+++ b/src/main/kotlin/io/reedmast/placement/Placer.kt
@@ -23,7 +23,7 @@
     private var attempts = 0L
     private var nextPass = 0L
     private var lastPass = 0L
-    private val nextOverdue = HashMap<TeamIndex, Long>()
+    private val nextStarving = HashMap<TeamIndex, Long>()
 
     /** Passes made so far, for those who count work. */
     var passes = 0L
@@ -62,10 +62,10 @@
         val wall = book.clock.wall()
         val full = HashSet<Shape>()
         val placed = HashMap<Job, Int>()
-        for (job in overdueJobs(ready, now)) {
+        for (job in starvingJobs(ready, now)) {
             if (!placeOne(job, machines, room, full, now)) continue
             placed.merge(job, 1, Int::plus)
-            nextOverdue[job.team] = now + OVERDUE_EVERY_MS
+            nextStarving[job.team] = now + STARVING_EVERY_MS
         }
         for (funded in listOf(true, false)) {
             val queues =
@@ -89,12 +89,12 @@
     private val queueOrder = compareBy<Job>({ it.spec.rank }, { !book.starves(it) }, { book.dueMs(it) })
 
     /**
-     * The job of each team that has waited longest beyond all patience, now and then one: a team that is always at its limit
-     * with work of a higher priority, or with a large array, would never begin its other jobs.
+     * A few jobs of each team that have starved longest, now and then: a team that is always at its limit, or in a full slice,
+     * with work of a higher priority or with a large array, would never begin its other jobs.
      */
-    private fun overdueJobs(ready: List<Job>, now: Long): List<Job> = ready
-        .filter { book.isOverdue(it) && now >= (nextOverdue[it.team] ?: 0L) }
-        .groupBy { it.team }.values.map { jobs -> jobs.minBy { book.hungrySince(it) } }
+    private fun starvingJobs(ready: List<Job>, now: Long): List<Job> = ready
+        .filter { now >= (nextStarving[it.team] ?: 0L) && book.starves(it) }
+        .groupBy { it.team }.values.flatMap { jobs -> jobs.sortedBy { book.hungrySince(it) }.take(STARVING_AT_ONCE) }
 
     private fun first(queues: Map<TeamIndex, ArrayDeque<Job>>, wall: Long): TeamIndex {
         if (queues.size == 1) return queues.keys.first()
@@ -130,7 +130,7 @@
         }
         val attempt = (Token.takings(book.token) shl ATTEMPT_BITS) + ++attempts
         val placement = Placement(job, task, attempt, machine, now)
-        if (book.isOverdue(job)) placement.keptUntil = now + KEPT_MS
+        if (starves) keep(placement, now)
         if (machine.isServiceHome) room.free -= spec.cpus
         book.place(placement)
         book.touched(job.chunkOf(task))
@@ -138,6 +138,13 @@
         return true
     }
 
+    /** Placed since its job starves, and stopped in the same moment for what it was preferred to, it would starve on. */
+    private fun keep(placement: Placement, now: Long) {
+        val until = now + KEPT_MS + (placement.job.spec.guessS * 1000).toLong()
+        placement.keptUntil = until
+        if (book.isOverdue(placement.job)) placement.keptFromAllUntil = until
+    }
+
     private fun dear(flavor: Flavor, job: Job): Boolean =
         job.dearFlavors.getOrPut(flavor.label) { isDear(flavor, book.flavors, job.spec.cpus, job.spec.gpus, job.spec.memGb) }
 
@@ -177,7 +184,11 @@
     private fun preemptAfterMs(job: Job): Long = (book.settings.workers.reportS * 1000 * if (book.startsSoon(job)) 1 else ARRAY_WAITS_REPORTS).toLong()
 
     /** Whether the work yields to anything at all: funded work that cannot resume never does. */
-    private fun yieldable(placement: Placement) = book.clock.now() >= placement.keptUntil && (!placement.job.spec.rank.funded || placement.job.spec.resumable)
+    private fun yieldable(placement: Placement) =
+        book.clock.now() >= placement.keptFromAllUntil && (!placement.job.spec.rank.funded || placement.job.spec.resumable)
+
+    /** Whether the work was placed for having starved, and too lately to be stopped for [job]. */
+    private fun isKeptFrom(placement: Placement, job: Job) = book.clock.now() < placement.keptUntil && !book.startsSoon(job)
 
     private fun victims(job: Job, machine: Machine, request: Request, wall: Long): List<Placement>? {
         var cpus = machine.freeCpus
@@ -187,7 +198,8 @@
         val chosen = ArrayList<Placement>()
         val candidates =
             machine.placements.values
-                .filter { it.stopReason == null && yieldable(it) && mayYield(runner(it, job, wall), request) }
+                .filter { it.stopReason == null && yieldable(it) && !isKeptFrom(it, job) }
+                .filter { mayYield(runner(it, job, wall), request) }
                 .sortedByDescending { it.madeAt }
         for (victim in candidates) {
             if (enough()) break
@@ -215,7 +227,8 @@
 
     private companion object {
         const val MOST_RESERVED = 0.25
-        const val OVERDUE_EVERY_MS = 2_000L
+        const val STARVING_EVERY_MS = 250L
+        const val STARVING_AT_ONCE = 3
         const val KEPT_MS = 60_000L
         const val ARRAY_WAITS_REPORTS = 4
         const val PASS_EVERY_MS = 100L
