--- a/src/main/kotlin/io/reedmast/app/Desk.kt
+++ b/src/main/kotlin/io/reedmast/app/Desk.kt
@@ -1,5 +1,6 @@
 package io.reedmast.app
 
+import io.reedmast.ports.Clock
 import org.slf4j.LoggerFactory
 import java.util.ArrayDeque
 
--- a/src/main/kotlin/io/reedmast/app/Main.kt
+++ b/src/main/kotlin/io/reedmast/app/Main.kt
@@ -13,6 +13,7 @@
 import com.github.ajalt.clikt.parameters.options.versionOption
 import com.github.ajalt.clikt.parameters.types.double
 import io.reedmast.peers.PeerServer
+import io.reedmast.ports.Clock
 import io.reedmast.settings.Settings
 import io.reedmast.settings.SettingsException
 import io.reedmast.settings.Tuning
@@ -72,7 +73,7 @@
         val log = LoggerFactory.getLogger("main")
         val desk = Desk(SystemClock, MAX_QUEUED)
         val client = StateClient(settings.state, settings.stateLimits, settings.members.size, Caller(STATE_CONNECT_MS, STATE_READ_MS))
-        val out = RealOutward(settings, desk, client)
+        val out = NetworkGateway(settings, desk, client)
         // Time of day and process start tell two processes of a node apart.
         val incarnation = "${settings.label}-${java.lang.Long.toString(SystemClock.wall(), 36)}-${java.lang.Long.toString(System.nanoTime(), 36)}"
         val controller = Controller(settings, Tuning(window, protectCap, resize, totals, idle), SystemClock, out, incarnation)
@@ -82,7 +83,7 @@
             FrontDoor(settings, node, timings).start()
             val peers = PeerServer(settings.clusterListen, WorkPool("peer-in", settings.members.size * 2, settings.members.size), node::peerSent)
             val listening = peers.open()
-            RealOutward.startThread("peers") { peers.run(listening) }
+            NetworkGateway.startThread("peers") { peers.run(listening) }
         } catch (e: IOException) {
             System.err.println("reedmast: cannot listen on front ${settings.front} or cluster_listen ${settings.clusterListen}: ${e.message}")
             throw ProgramResult(EXIT_USAGE)
@@ -90,7 +91,7 @@
         out.start()
         Watches(client, SystemClock, node).start()
         log.info("{} listens on {}", settings.label, settings.front)
-        val deciding = RealOutward.startThread("desk") { desk.run(TICK_MS, IDLE_TICK_MS, node::tick) }
+        val deciding = NetworkGateway.startThread("desk") { desk.run(TICK_MS, IDLE_TICK_MS, node::tick) }
         val limit = rehearse
         if (limit == null) {
             deciding.join()
--- a/src/main/kotlin/io/reedmast/app/RealOutward.kt
+++ b/src/main/kotlin/io/reedmast/app/NetworkGateway.kt
@@ -4,6 +4,9 @@
 import io.reedmast.fleet.Rental
 import io.reedmast.peers.PeerClient
 import io.reedmast.peers.PeerMessage
+import io.reedmast.ports.Gateway
+import io.reedmast.ports.LeaseState
+import io.reedmast.ports.Rented
 import io.reedmast.settings.Member
 import io.reedmast.settings.NodeIndex
 import io.reedmast.settings.Settings
@@ -26,7 +29,7 @@
 import java.util.concurrent.TimeUnit
 
 /** Hands calls to small pools of threads and brings their results back to the deciding thread. */
-class RealOutward(private val settings: Settings, private val desk: Desk, private val client: StateClient) : Outward {
+class NetworkGateway(private val settings: Settings, private val desk: Desk, private val client: StateClient) : Gateway {
     private val log = LoggerFactory.getLogger("cloud")
     private val committer =
         Committer(client, settings.stateLimits, MAX_SUBMISSIONS_QUEUED) { change, outcome -> desk.post { change.done(outcome) } }
--- a/src/main/kotlin/io/reedmast/app/Node.kt
+++ b/src/main/kotlin/io/reedmast/app/Node.kt
@@ -6,6 +6,8 @@
 import io.reedmast.ownership.Cluster
 import io.reedmast.ownership.Token
 import io.reedmast.peers.PeerMessage
+import io.reedmast.ports.Clock
+import io.reedmast.ports.Gateway
 import io.reedmast.settings.Settings
 import io.reedmast.settings.Tuning
 import io.reedmast.state.Event
@@ -27,7 +29,7 @@
 }
 
 /** All the deciding parts of a controller, joined; used by one thread. [incarnation] names this process and no other. */
-class Controller(private val settings: Settings, tuning: Tuning, private val clock: Clock, private val out: Outward, incarnation: String) {
+class Controller(private val settings: Settings, tuning: Tuning, private val clock: Clock, private val out: Gateway, incarnation: String) {
     private var flavors: Map<String, Flavor> = emptyMap()
     private var flavorsAsked = false
     private var flavorsDue = 0L
--- a/src/main/kotlin/io/reedmast/app/Timings.kt
+++ b/src/main/kotlin/io/reedmast/app/Timings.kt
@@ -1,5 +1,6 @@
 package io.reedmast.app
 
+import io.reedmast.ports.Clock
 import org.HdrHistogram.ConcurrentHistogram
 import org.HdrHistogram.Histogram
 import org.slf4j.LoggerFactory
--- a/src/main/kotlin/io/reedmast/app/Watches.kt
+++ b/src/main/kotlin/io/reedmast/app/Watches.kt
@@ -1,5 +1,6 @@
 package io.reedmast.app
 
+import io.reedmast.ports.Clock
 import io.reedmast.state.Keys
 import io.reedmast.state.StateClient
 import io.reedmast.state.Watched
@@ -8,8 +9,8 @@
 /** The two watches on the state service: on the cluster's few keys, and on the records under job ids. */
 class Watches(private val client: StateClient, private val clock: Clock, private val node: Node) {
     fun start() {
-        RealOutward.startThread("watch-cluster", ::followCluster)
-        RealOutward.startThread("watch-jobs", ::followJobs)
+        NetworkGateway.startThread("watch-cluster", ::followCluster)
+        NetworkGateway.startThread("watch-jobs", ::followJobs)
     }
 
     private fun followCluster() {
--- a/src/main/kotlin/io/reedmast/fleet/Leader.kt
+++ b/src/main/kotlin/io/reedmast/fleet/Leader.kt
@@ -1,9 +1,9 @@
 package io.reedmast.fleet
 
-import io.reedmast.app.Clock
-import io.reedmast.app.Outward
-import io.reedmast.app.Rented
 import io.reedmast.ownership.Cluster
+import io.reedmast.ports.Clock
+import io.reedmast.ports.Gateway
+import io.reedmast.ports.Rented
 import io.reedmast.settings.Settings
 import io.reedmast.settings.SliceIndex
 import io.reedmast.settings.Tuning
@@ -43,7 +43,7 @@
     private val settings: Settings,
     private val tuning: Tuning,
     private val clock: Clock,
-    private val out: Outward,
+    private val out: Gateway,
     private val cluster: Cluster,
     private val flavors: () -> Map<String, Flavor>,
     /** Part of every charter's name: never the same twice, over all nodes and restarts. */
--- a/src/main/kotlin/io/reedmast/fleet/Wants.kt
+++ b/src/main/kotlin/io/reedmast/fleet/Wants.kt
@@ -1,11 +1,11 @@
 package io.reedmast.fleet
 
-import io.reedmast.app.Outward
 import io.reedmast.jobs.Job
 import io.reedmast.jobs.Placement
 import io.reedmast.jobs.SliceBook
 import io.reedmast.placement.allows
 import io.reedmast.placement.zonesOpen
+import io.reedmast.ports.Gateway
 import io.reedmast.settings.TeamIndex
 import io.reedmast.state.Change
 import io.reedmast.state.Fetched
@@ -26,7 +26,7 @@
 import kotlin.math.sqrt
 
 /** What a slice needs, what it can spare, and the totals that tell the leader. */
-class Wants(private val book: SliceBook, private val out: Outward, private val hostsStamp: () -> Long, private val termInDoubt: () -> Unit) {
+class Wants(private val book: SliceBook, private val out: Gateway, private val hostsStamp: () -> Long, private val termInDoubt: () -> Unit) {
     private val log = LoggerFactory.getLogger("slice")
     private val slice = book.index.value
     private var stamp = 0L
--- a/src/main/kotlin/io/reedmast/jobs/JobDoor.kt
+++ b/src/main/kotlin/io/reedmast/jobs/JobDoor.kt
@@ -1,8 +1,8 @@
 package io.reedmast.jobs
 
-import io.reedmast.app.Clock
-import io.reedmast.app.Outward
 import io.reedmast.ownership.Cluster
+import io.reedmast.ports.Clock
+import io.reedmast.ports.Gateway
 import io.reedmast.settings.Settings
 import io.reedmast.state.Change
 import io.reedmast.state.Fetched
@@ -28,7 +28,7 @@
 class JobDoor(
     private val settings: Settings,
     private val clock: Clock,
-    private val out: Outward,
+    private val out: Gateway,
     private val cluster: Cluster,
     private val flavors: () -> Map<String, Flavor>,
 ) {
--- a/src/main/kotlin/io/reedmast/jobs/Ledger.kt
+++ b/src/main/kotlin/io/reedmast/jobs/Ledger.kt
@@ -1,6 +1,6 @@
 package io.reedmast.jobs
 
-import io.reedmast.app.Outward
+import io.reedmast.ports.Gateway
 import io.reedmast.state.Change
 import io.reedmast.state.Fetched
 import io.reedmast.state.Guard
@@ -29,7 +29,7 @@
 }
 
 /** The storing of a slice: pages of progress, and the ends of jobs. */
-class Ledger(private val book: SliceBook, private val out: Outward, private val told: Stored) {
+class Ledger(private val book: SliceBook, private val out: Gateway, private val told: Stored) {
     private val log = LoggerFactory.getLogger("slice")
     private val slice = book.index.value
     private val pages = ArrayList<Page>()
--- a/src/main/kotlin/io/reedmast/jobs/SliceBook.kt
+++ b/src/main/kotlin/io/reedmast/jobs/SliceBook.kt
@@ -1,8 +1,8 @@
 package io.reedmast.jobs
 
-import io.reedmast.app.Clock
 import io.reedmast.fairshare.Usage
 import io.reedmast.fairshare.funded
+import io.reedmast.ports.Clock
 import io.reedmast.settings.Settings
 import io.reedmast.settings.SliceIndex
 import io.reedmast.settings.TeamIndex
--- a/src/main/kotlin/io/reedmast/jobs/SliceOwner.kt
+++ b/src/main/kotlin/io/reedmast/jobs/SliceOwner.kt
@@ -1,12 +1,12 @@
 package io.reedmast.jobs
 
-import io.reedmast.app.Clock
-import io.reedmast.app.Outward
 import io.reedmast.fleet.Wants
 import io.reedmast.ownership.SliceRecord
 import io.reedmast.peers.JobProgress
 import io.reedmast.peers.PeerMessage
 import io.reedmast.placement.Placer
+import io.reedmast.ports.Clock
+import io.reedmast.ports.Gateway
 import io.reedmast.settings.Settings
 import io.reedmast.settings.SliceIndex
 import io.reedmast.settings.Tuning
@@ -61,7 +61,7 @@
     private val settings: Settings,
     tuning: Tuning,
     private val clock: Clock,
-    private val out: Outward,
+    private val out: Gateway,
     flavors: () -> Collection<Flavor>,
     fresh: () -> Boolean,
     private val records: SliceRecords,
--- a/src/main/kotlin/io/reedmast/ownership/Cluster.kt
+++ b/src/main/kotlin/io/reedmast/ownership/Cluster.kt
@@ -1,11 +1,11 @@
 package io.reedmast.ownership
 
-import io.reedmast.app.Clock
-import io.reedmast.app.Outward
 import io.reedmast.jobs.JobIndex
 import io.reedmast.jobs.SliceOwner
 import io.reedmast.jobs.SliceRecords
 import io.reedmast.peers.PeerMessage
+import io.reedmast.ports.Clock
+import io.reedmast.ports.Gateway
 import io.reedmast.settings.Settings
 import io.reedmast.settings.SliceIndex
 import io.reedmast.settings.Tuning
@@ -30,7 +30,7 @@
     private val settings: Settings,
     private val tuning: Tuning,
     private val clock: Clock,
-    private val out: Outward,
+    private val out: Gateway,
     private val flavors: () -> Collection<Flavor>,
     /** Names this process; never used by another one. */
     incarnation: String,
--- a/src/main/kotlin/io/reedmast/ownership/Freshness.kt
+++ b/src/main/kotlin/io/reedmast/ownership/Freshness.kt
@@ -1,6 +1,6 @@
 package io.reedmast.ownership
 
-import io.reedmast.app.Clock
+import io.reedmast.ports.Clock
 import io.reedmast.settings.WorkerRules
 import java.util.ArrayDeque
 
--- a/src/main/kotlin/io/reedmast/ownership/MachineAssignment.kt
+++ b/src/main/kotlin/io/reedmast/ownership/MachineAssignment.kt
@@ -1,6 +1,6 @@
 package io.reedmast.ownership
 
-import io.reedmast.app.Outward
+import io.reedmast.ports.Gateway
 import io.reedmast.settings.Settings
 import io.reedmast.settings.SliceIndex
 import io.reedmast.state.Change
@@ -21,7 +21,7 @@
  */
 class MachineAssignment(
     private val settings: Settings,
-    private val out: Outward,
+    private val out: Gateway,
     private val slices: SliceTable,
     private val machines: MachineTable,
     private val leaderStamp: () -> Long,
--- a/src/main/kotlin/io/reedmast/ownership/MachineTable.kt
+++ b/src/main/kotlin/io/reedmast/ownership/MachineTable.kt
@@ -1,7 +1,7 @@
 package io.reedmast.ownership
 
-import io.reedmast.app.Clock
-import io.reedmast.app.Outward
+import io.reedmast.ports.Clock
+import io.reedmast.ports.Gateway
 import io.reedmast.settings.Settings
 import io.reedmast.settings.SliceIndex
 import io.reedmast.state.Keys
@@ -16,7 +16,7 @@
 class MachineTable(
     private val settings: Settings,
     private val clock: Clock,
-    private val out: Outward,
+    private val out: Gateway,
     /** Called when the machines of a slice have changed. */
     private val onChange: (SliceIndex) -> Unit,
     /** Called when a machine has left all slices. */
--- a/src/main/kotlin/io/reedmast/ownership/Membership.kt
+++ b/src/main/kotlin/io/reedmast/ownership/Membership.kt
@@ -1,8 +1,8 @@
 package io.reedmast.ownership
 
-import io.reedmast.app.Clock
-import io.reedmast.app.LeaseState
-import io.reedmast.app.Outward
+import io.reedmast.ports.Clock
+import io.reedmast.ports.Gateway
+import io.reedmast.ports.LeaseState
 import io.reedmast.settings.Settings
 import io.reedmast.state.Change
 import io.reedmast.state.Fetched
@@ -19,7 +19,7 @@
  *
  * Nobody's safety rests on it: it only chooses good moments for taking slices, and who rents machines.
  */
-class Membership(private val settings: Settings, private val clock: Clock, private val out: Outward) {
+class Membership(private val settings: Settings, private val clock: Clock, private val out: Gateway) {
     private val log = LoggerFactory.getLogger("cluster")
     private val present = HashSet<String>()
     private val absentSince = HashMap<String, Long>()
--- a/src/main/kotlin/io/reedmast/ownership/SliceTable.kt
+++ b/src/main/kotlin/io/reedmast/ownership/SliceTable.kt
@@ -1,6 +1,6 @@
 package io.reedmast.ownership
 
-import io.reedmast.app.Outward
+import io.reedmast.ports.Gateway
 import io.reedmast.settings.SliceIndex
 import io.reedmast.state.Fetched
 import io.reedmast.state.Keys
@@ -13,7 +13,7 @@
 /** The slices' records and the token counter, as last seen in the state service or in answers to this node's changes. */
 class SliceTable(
     slices: Int,
-    private val out: Outward,
+    private val out: Gateway,
     /** Called with each newer record and the one before it. */
     private val onChange: (SliceIndex, Held?, Held) -> Unit,
 ) {
--- a/src/main/kotlin/io/reedmast/ownership/Takeover.kt
+++ b/src/main/kotlin/io/reedmast/ownership/Takeover.kt
@@ -1,10 +1,10 @@
 package io.reedmast.ownership
 
-import io.reedmast.app.Clock
-import io.reedmast.app.Outward
 import io.reedmast.jobs.JobIndex
 import io.reedmast.jobs.SliceOwner
 import io.reedmast.peers.PeerMessage
+import io.reedmast.ports.Clock
+import io.reedmast.ports.Gateway
 import io.reedmast.settings.Settings
 import io.reedmast.settings.SliceIndex
 import io.reedmast.state.Change
@@ -27,7 +27,7 @@
 class Takeover(
     private val settings: Settings,
     private val clock: Clock,
-    private val out: Outward,
+    private val out: Gateway,
     private val freshness: Freshness,
     private val membership: Membership,
     private val slices: SliceTable,
--- a/src/main/kotlin/io/reedmast/ownership/WorkerContact.kt
+++ b/src/main/kotlin/io/reedmast/ownership/WorkerContact.kt
@@ -1,7 +1,7 @@
 package io.reedmast.ownership
 
-import io.reedmast.app.Clock
-import io.reedmast.app.Outward
+import io.reedmast.ports.Clock
+import io.reedmast.ports.Gateway
 import io.reedmast.settings.SliceIndex
 import io.reedmast.wire.Reply
 
@@ -11,7 +11,7 @@
  * A controller that has lost only the workers still has its keys and hears the state service. If it took over a slice, the
  * slice's workers would lose their leases before another controller noticed.
  */
-class WorkerContact(private val clock: Clock, private val out: Outward) {
+class WorkerContact(private val clock: Clock, private val out: Gateway) {
     private var heardAt: Long? = null
     private val probing = HashSet<SliceIndex>()
 
--- a/src/main/kotlin/io/reedmast/app/Outward.kt
+++ b/src/main/kotlin/io/reedmast/ports/Gateway.kt
@@ -1,4 +1,4 @@
-package io.reedmast.app
+package io.reedmast.ports
 
 import io.reedmast.fleet.Rental
 import io.reedmast.peers.PeerMessage
@@ -11,13 +11,6 @@
 import io.reedmast.wire.Order
 import io.reedmast.wire.Reply
 
-/** Steady time and time of day, both in milliseconds. */
-interface Clock {
-    fun now(): Long
-
-    fun wall(): Long
-}
-
 /** What a rental request came to. */
 sealed interface Rented {
     data class Hosts(val names: List<String>) : Rented
@@ -29,11 +22,11 @@
 }
 
 /**
- * Everything the deciding thread asks of the world. No call waits: each answers later, on the deciding thread.
+ * All I/O that the decisions ask for. No call blocks: each answers later, on the deciding thread.
  *
- * The real one hands calls to threads that do the I/O; tests have one of their own.
+ * The real one hands calls to threads; tests have one of their own.
  */
-interface Outward {
+interface Gateway {
     /** False if refused because too much waits already; only a [refusable] change can be. */
     fun commit(change: Change, refusable: Boolean = false): Boolean
 
--- a/src/main/kotlin/io/reedmast/workers/Commands.kt
+++ b/src/main/kotlin/io/reedmast/workers/Commands.kt
@@ -1,9 +1,9 @@
 package io.reedmast.workers
 
-import io.reedmast.app.Outward
 import io.reedmast.jobs.Placement
 import io.reedmast.jobs.SliceBook
 import io.reedmast.jobs.StopReason
+import io.reedmast.ports.Gateway
 import io.reedmast.wire.MalformedException
 import io.reedmast.wire.Order
 import io.reedmast.wire.Reply
@@ -11,7 +11,7 @@
 import org.slf4j.LoggerFactory
 
 /** Direct commands to workers. Launches also go out with the answers to reports, so none of these must arrive. */
-class Commands(private val book: SliceBook, private val out: Outward, private val take: (Machine, Report) -> Unit) {
+class Commands(private val book: SliceBook, private val out: Gateway, private val take: (Machine, Report) -> Unit) {
     private val log = LoggerFactory.getLogger("slice")
     private val outbox = LinkedHashMap<Machine, MutableList<Order>>()
     private var greetDue = 0L
--- a/src/main/kotlin/io/reedmast/workers/Upkeep.kt
+++ b/src/main/kotlin/io/reedmast/workers/Upkeep.kt
@@ -1,15 +1,15 @@
 package io.reedmast.workers
 
-import io.reedmast.app.Outward
 import io.reedmast.fleet.Wants
 import io.reedmast.jobs.SliceBook
 import io.reedmast.jobs.StopReason
+import io.reedmast.ports.Gateway
 import org.slf4j.LoggerFactory
 
 /** Which machines of a slice stay, move or go. */
 class Upkeep(
     private val book: SliceBook,
-    private val out: Outward,
+    private val out: Gateway,
     private val commands: Commands,
     private val wants: Wants,
     private val removeHosts: (Set<String>) -> Unit,
--- a/src/test/kotlin/io/reedmast/DeskTest.kt
+++ b/src/test/kotlin/io/reedmast/DeskTest.kt
@@ -1,9 +1,9 @@
 package io.reedmast
 
-import io.reedmast.app.Clock
 import io.reedmast.app.Desk
 import io.reedmast.app.Urgency
 import io.reedmast.app.WorkPool
+import io.reedmast.ports.Clock
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertThrows
--- a/src/test/kotlin/io/reedmast/SocketTest.kt
+++ b/src/test/kotlin/io/reedmast/SocketTest.kt
@@ -1,18 +1,18 @@
 package io.reedmast
 
 import com.sun.net.httpserver.HttpServer
-import io.reedmast.app.Clock
 import io.reedmast.app.Controller
 import io.reedmast.app.Desk
 import io.reedmast.app.FrontDoor
+import io.reedmast.app.NetworkGateway
 import io.reedmast.app.Node
-import io.reedmast.app.RealOutward
 import io.reedmast.app.Timings
 import io.reedmast.app.Watches
 import io.reedmast.peers.JobProgress
 import io.reedmast.peers.PeerClient
 import io.reedmast.peers.PeerMessage
 import io.reedmast.peers.PeerServer
+import io.reedmast.ports.Clock
 import io.reedmast.settings.Settings
 import io.reedmast.settings.Tuning
 import io.reedmast.state.StateClient
@@ -93,13 +93,13 @@
         val settings = Settings.parse(Tree.readJson(text.toByteArray()))
         val desk = Desk(SystemClock, 100)
         val client = StateClient(settings.state, settings.stateLimits, 1, Caller(500, 1000))
-        val out = RealOutward(settings, desk, client)
+        val out = NetworkGateway(settings, desk, client)
         val timings = Timings(SystemClock)
         val node = Node(desk, Controller(settings, Tuning(), SystemClock, out, "test"), timings)
         FrontDoor(settings, node, timings).start()
         out.start()
         Watches(client, SystemClock, node).start()
-        RealOutward.startThread("test-desk") { desk.run(50, 50, node::tick) }
+        NetworkGateway.startThread("test-desk") { desk.run(50, 50, node::tick) }
         val patience = System.nanoTime() + 10_000_000_000L
         while (call("GET", "/healthz", null).first != 200 && System.nanoTime() < patience) Thread.sleep(50)
     }
--- a/src/test/kotlin/io/reedmast/sim/World.kt
+++ b/src/test/kotlin/io/reedmast/sim/World.kt
@@ -1,15 +1,15 @@
 package io.reedmast.sim
 
-import io.reedmast.app.Clock
 import io.reedmast.app.Controller
-import io.reedmast.app.LeaseState
-import io.reedmast.app.Outward
-import io.reedmast.app.Rented
 import io.reedmast.app.WorkerAnswer
 import io.reedmast.fleet.Rental
 import io.reedmast.jobs.UserAnswer
 import io.reedmast.peers.PeerMessage
 import io.reedmast.placement.allows
+import io.reedmast.ports.Clock
+import io.reedmast.ports.Gateway
+import io.reedmast.ports.LeaseState
+import io.reedmast.ports.Rented
 import io.reedmast.settings.NodeIndex
 import io.reedmast.settings.Settings
 import io.reedmast.settings.Tuning
@@ -319,7 +319,7 @@
             later(2) { if (life == receiving) controller?.peerSent(message) }
         }
 
-        private inner class Out(val of: Int) : Outward {
+        private inner class Out(val of: Int) : Gateway {
             override val stateAnswers: Boolean get() = !stateCut && state.up
 
             private fun <T> reply(ms: Long, done: (T) -> Unit, make: () -> T) = after(ms) {
