--- a/src/main/kotlin/io/reedmast/jobs/SliceOwner.kt
+++ b/src/main/kotlin/io/reedmast/jobs/SliceOwner.kt
@@ -105,6 +105,7 @@
             placement.committed = true
             book.place(placement)
         }
+        book.jobs.values.forEach { countWaitFromAcceptance(it) }
         book.jobs.values.filter { it.aborted }.forEach { stopAll(it) }
         book.changed.addAll(book.jobs.values)
         book.active = true
@@ -114,6 +115,14 @@
         log.info("slice {}: took over under token {}: {} jobs, {} machines", slice, token, book.jobs.size, book.machines.size)
     }
 
+    /** A job that has got nothing so far has waited since its acceptance, whoever owned the slice: else each takeover prolongs its wait. */
+    private fun countWaitFromAcceptance(job: Job) {
+        if (job.placedCount > 0 || job.doneCount > 0) return
+        val since = clock.now() - maxOf(0L, clock.wall() - job.acceptedAtMs)
+        job.waitsSince = since
+        job.idleSince = since
+    }
+
     /** A machine that a stored placement names but the slice does not have any more: kept until it is returned. */
     private fun machineFor(host: String): Machine = book.machines.getOrPut(host) {
         Machine(HostRecord(host, "", "", false), null, clock.now(), token).apply { retirement = Retirement.SILENT }
