--- a/src/main/kotlin/io/reedmast/jobs/Job.kt
+++ b/src/main/kotlin/io/reedmast/jobs/Job.kt
@@ -38,10 +38,10 @@
     var runningSince = 0L
     var stopReason: StopReason? = null
 
-    /** Until then it yields at most to work that has to start soon: its job had starved. */
+    /** Until then it yields at most to work that has to start soon: its job had got nothing for long. */
     var keptUntil = 0L
 
-    /** Until then it yields to nothing: its job had starved for very long. */
+    /** Until then it yields to nothing: its job had got nothing for very long. */
     var keptFromAllUntil = 0L
     val running: Boolean get() = runningSince != 0L
 }
@@ -97,9 +97,12 @@
     /** Since when, without a break, tasks of it have waited for a machine. */
     var waitsSince = 0L
 
-    /** Since when none of its tasks has had a machine for longer than a moment. */
+    /** Since when none of its tasks has had a machine. */
     var idleSince = 0L
 
+    /** Since when none of its tasks has run for longer than a moment. */
+    var unservedSince = 0L
+
     /** Which machine types are too dear for it, as long as prices stay as they are. */
     val dearFlavors = HashMap<String, Boolean>(4)
 
--- a/src/main/kotlin/io/reedmast/jobs/SliceBook.kt
+++ b/src/main/kotlin/io/reedmast/jobs/SliceBook.kt
@@ -81,7 +81,10 @@
         if (job.waitingCount == 0) job.waitsSince = clock.now()
         preemptedFor.remove(placement)?.let { it.preempting-- }
         job.remove(placement, done)
-        if (job.placedCount == 0 && hasRun(placement, done)) job.idleSince = clock.now()
+        if (job.placedCount == 0) {
+            job.idleSince = clock.now()
+            if (hasRun(placement, done)) job.unservedSince = clock.now()
+        }
         touched(job.chunkOf(placement.task))
         count(placement, -1)
         if (placement.machine.placements.isEmpty()) placement.machine.emptySince = clock.now()
@@ -179,8 +182,21 @@
      */
     fun starves(job: Job): Boolean = hungry(job) && hungrySince(job) < clock.now() - STARVES_MS
 
-    /** It has starved for so long that its next task is kept from yielding at once to other work. */
-    fun isOverdue(job: Job): Boolean = hungry(job) && hungrySince(job) < clock.now() - OVERDUE_MS
+    /** No task of it has run for longer than a moment for so long that its next task comes before other work of its team. */
+    fun isUnserved(job: Job): Boolean = unservedForMs(job) > STARVES_MS
+
+    /** As [isUnserved], for so long that its next task yields to nothing. */
+    fun isOverdue(job: Job): Boolean = unservedForMs(job) > OVERDUE_MS
+
+    /** How long a job that waits has got nothing that lasted, a service: lacked replicas; 0 if it does not wait for that. */
+    fun unservedForMs(job: Job): Long {
+        if (job.waitingCount <= 0 || looksBad(job)) return 0L
+        return when {
+            job.spec.service -> clock.now() - job.waitsSince
+            job.placedCount == 0 -> clock.now() - job.unservedSince
+            else -> 0L
+        }
+    }
 
     /** It may starve before a machine of another slice is emptied for it, so that is thought of sooner. */
     fun hungry(job: Job): Boolean = job.waitingCount > 0 && !looksBad(job) && hungrySince(job) < clock.now() - HUNGRY_MS
--- a/src/main/kotlin/io/reedmast/jobs/SliceOwner.kt
+++ b/src/main/kotlin/io/reedmast/jobs/SliceOwner.kt
@@ -121,6 +121,7 @@
         val since = clock.now() - maxOf(0L, clock.wall() - job.acceptedAtMs)
         job.waitsSince = since
         job.idleSince = since
+        job.unservedSince = since
     }
 
     /** A machine that a stored placement names but the slice does not have any more: kept until it is returned. */
@@ -204,6 +205,7 @@
         book.changed.add(job)
         job.waitsSince = clock.now()
         job.idleSince = clock.now()
+        job.unservedSince = clock.now()
         if (active) {
             val (arrivals, amount) = if (spec.service) book.arrivals to spec.cpus * spec.pieces else book.arrayArrivals to spec.cpus * spec.pieces * spec.guessS
             arrivals.addLast(SliceBook.Arrival(clock.now(), amount))
--- a/src/main/kotlin/io/reedmast/placement/Placer.kt
+++ b/src/main/kotlin/io/reedmast/placement/Placer.kt
@@ -23,7 +23,7 @@
     private var attempts = 0L
     private var nextPass = 0L
     private var lastPass = 0L
-    private val nextStarving = HashMap<TeamIndex, Long>()
+    private val nextUnserved = HashMap<TeamIndex, Long>()
 
     /** Passes made so far, for those who count work. */
     var passes = 0L
@@ -62,10 +62,10 @@
         val wall = book.clock.wall()
         val full = HashSet<Shape>()
         val placed = HashMap<Job, Int>()
-        for (job in starvingJobs(ready, now)) {
+        for (job in unservedJobs(ready, now)) {
             if (!placeOne(job, machines, room, full, now)) continue
             placed.merge(job, 1, Int::plus)
-            nextStarving[job.team] = now + STARVING_EVERY_MS
+            nextUnserved[job.team] = now + UNSERVED_EVERY_MS
         }
         for (funded in listOf(true, false)) {
             val queues =
@@ -85,16 +85,16 @@
         preempt(ready, now, wall)
     }
 
-    /** Within a team: by priority, then what starves, of which one task is placed at a time, then by due time. */
-    private val queueOrder = compareBy<Job>({ it.spec.rank }, { !book.starves(it) }, { book.dueMs(it) })
+    /** Within a team: by priority, then what has got nothing for long, of which one task is placed at a time, then by due time. */
+    private val queueOrder = compareBy<Job>({ it.spec.rank }, { !book.isUnserved(it) }, { book.dueMs(it) })
 
     /**
-     * A few jobs of each team that have starved longest, now and then: a team that is always at its limit, or in a full slice,
+     * A few jobs of each team that have got nothing for longest, now and then: a team that is always at its limit, or in a full slice,
      * with work of a higher priority or with a large array, would never begin its other jobs.
      */
-    private fun starvingJobs(ready: List<Job>, now: Long): List<Job> = ready
-        .filter { now >= (nextStarving[it.team] ?: 0L) && book.starves(it) }
-        .groupBy { it.team }.values.flatMap { jobs -> jobs.sortedBy { book.hungrySince(it) }.take(STARVING_AT_ONCE) }
+    private fun unservedJobs(ready: List<Job>, now: Long): List<Job> = ready
+        .filter { now >= (nextUnserved[it.team] ?: 0L) && book.isUnserved(it) }
+        .groupBy { it.team }.values.flatMap { jobs -> jobs.sortedByDescending { book.unservedForMs(it) }.take(UNSERVED_AT_ONCE) }
 
     private fun first(queues: Map<TeamIndex, ArrayDeque<Job>>, wall: Long): TeamIndex {
         if (queues.size == 1) return queues.keys.first()
@@ -130,7 +130,7 @@
         }
         val attempt = (Token.takings(book.token) shl ATTEMPT_BITS) + ++attempts
         val placement = Placement(job, task, attempt, machine, now)
-        if (starves) keep(placement, now)
+        if (book.isUnserved(job)) keep(placement, now)
         if (machine.isServiceHome) room.free -= spec.cpus
         book.place(placement)
         book.touched(job.chunkOf(task))
@@ -138,7 +138,7 @@
         return true
     }
 
-    /** Placed since its job starves, and stopped in the same moment for what it was preferred to, it would starve on. */
+    /** Stopped in the same moment for the work that it was preferred to, the job would get nothing for ever. */
     private fun keep(placement: Placement, now: Long) {
         val until = now + KEPT_MS + (placement.job.spec.guessS * 1000).toLong()
         placement.keptUntil = until
@@ -187,7 +187,7 @@
     private fun yieldable(placement: Placement) =
         book.clock.now() >= placement.keptFromAllUntil && (!placement.job.spec.rank.funded || placement.job.spec.resumable)
 
-    /** Whether the work was placed for having starved, and too lately to be stopped for [job]. */
+    /** Whether the work was preferred for its long wait, too lately to be stopped for [job]. */
     private fun isKeptFrom(placement: Placement, job: Job) = book.clock.now() < placement.keptUntil && !book.startsSoon(job)
 
     private fun victims(job: Job, machine: Machine, request: Request, wall: Long): List<Placement>? {
@@ -227,8 +227,8 @@
 
     private companion object {
         const val MOST_RESERVED = 0.25
-        const val STARVING_EVERY_MS = 250L
-        const val STARVING_AT_ONCE = 3
+        const val UNSERVED_EVERY_MS = 250L
+        const val UNSERVED_AT_ONCE = 3
         const val KEPT_MS = 60_000L
         const val ARRAY_WAITS_REPORTS = 4
         const val PASS_EVERY_MS = 100L
