--- a/src/test/kotlin/io/reedmast/StormTest.kt
+++ b/src/test/kotlin/io/reedmast/StormTest.kt
@@ -46,6 +46,7 @@
         fun lines(): List<String> {
             jobs()
             repeat(random.nextInt(3, 9)) { trouble(time(12.0, LAST - 30.0)) }
+            outageBesideTroubleOfPeers()
             at(LAST, "calm")
             at(LAST + 60, "expect answered")
             at(LAST + 220, "expect settled")
@@ -73,6 +74,32 @@
             }
         }
 
+        /** On some days an outage meets controllers that do not reach each other, or one that ends within it. */
+        private fun outageBesideTroubleOfPeers() {
+            val kind = random.nextInt(6)
+            if (kind > 2) return
+            val from = time(15.0, 50.0)
+            val node = node()
+            at(from, "outage ${time(10.0, 60.0)}")
+            val then = time(from - 3.0, from + 8.0)
+            when (kind) {
+                0 -> {
+                    at(then, "cut-peers $node on")
+                    at(time(then + 1.0, LAST), "cut-peers $node off")
+                }
+
+                1 -> {
+                    at(then, "crash $node")
+                    at(time(then + 0.1, then + 1.0), "start $node")
+                }
+
+                else -> {
+                    at(time(from - 8.0, from), "cut-state $node on")
+                    at(time(from + 1.0, LAST), "cut-state $node off")
+                }
+            }
+        }
+
         private fun trouble(from: Double) {
             val long = time(from + 1.0, LAST)
             val short = time(from + 1.0, minOf(from + 20.0, LAST))
