--- a/src/main/kotlin/io/reedmast/jobs/Job.kt
+++ b/src/main/kotlin/io/reedmast/jobs/Job.kt
@@ -38,7 +38,7 @@
     var runningSince = 0L
     var stopReason: StopReason? = null
 
-    /** Until then it yields at most to work that has to start soon: its job had got nothing for long. */
+    /** Until then it yields to no work of its own team: its job had got nothing for long. */
     var keptUntil = 0L
 
     /** Until then it yields to nothing: its job had got nothing for very long. */
--- a/src/main/kotlin/io/reedmast/placement/Placer.kt
+++ b/src/main/kotlin/io/reedmast/placement/Placer.kt
@@ -23,6 +23,7 @@
     private var attempts = 0L
     private var nextPass = 0L
     private var lastPass = 0L
+    private val keptFromAll = HashMap<TeamIndex, MutableList<Placement>>()
     private val nextUnserved = HashMap<TeamIndex, Long>()
 
     /** Passes made so far, for those who count work. */
@@ -142,7 +143,12 @@
     private fun keep(placement: Placement, now: Long) {
         val until = now + KEPT_MS + (placement.job.spec.guessS * 1000).toLong()
         placement.keptUntil = until
-        if (book.isOverdue(placement.job)) placement.keptFromAllUntil = until
+        val kept = keptFromAll.getOrPut(placement.job.team) { ArrayList() }
+        kept.removeIf { now >= it.keptFromAllUntil || it.machine.placements[it.id] !== it }
+        // A few at a time: a swarm of uncharged tasks that yield to nothing would hold the room of funded work.
+        if (!book.isOverdue(placement.job) || kept.size >= MOST_KEPT_FROM_ALL) return
+        placement.keptFromAllUntil = until
+        kept.add(placement)
     }
 
     private fun dear(flavor: Flavor, job: Job): Boolean =
@@ -187,8 +193,8 @@
     private fun yieldable(placement: Placement) =
         book.clock.now() >= placement.keptFromAllUntil && (!placement.job.spec.rank.funded || placement.job.spec.resumable)
 
-    /** Whether the work was preferred for its long wait, too lately to be stopped for [job]. */
-    private fun isKeptFrom(placement: Placement, job: Job) = book.clock.now() < placement.keptUntil && !book.startsSoon(job)
+    /** Whether the work was preferred to [job], of the same team, for its long wait, and too lately to be stopped for it. */
+    private fun isKeptFrom(placement: Placement, job: Job) = book.clock.now() < placement.keptUntil && placement.job.team == job.team
 
     private fun victims(job: Job, machine: Machine, request: Request, wall: Long): List<Placement>? {
         var cpus = machine.freeCpus
@@ -229,6 +235,7 @@
         const val MOST_RESERVED = 0.25
         const val UNSERVED_EVERY_MS = 250L
         const val UNSERVED_AT_ONCE = 3
+        const val MOST_KEPT_FROM_ALL = 4
         const val KEPT_MS = 60_000L
         const val ARRAY_WAITS_REPORTS = 4
         const val PASS_EVERY_MS = 100L
