--- a/src/main/kotlin/io/reedmast/app/Desk.kt
+++ b/src/main/kotlin/io/reedmast/app/EventLoop.kt
@@ -21,7 +21,7 @@
  * Queues for what comes from outside are bounded; results of the node's own calls are not refused, since the calls
  * themselves are bounded.
  */
-class Desk(private val clock: Clock, private val maxQueued: Int) {
+class EventLoop(private val clock: Clock, private val maxQueued: Int) {
     private val log = LoggerFactory.getLogger("desk")
     private val lock = Object()
     private val queues = Urgency.entries.map { ArrayDeque<() -> Unit>() }
--- a/src/main/kotlin/io/reedmast/app/FrontDoor.kt
+++ b/src/main/kotlin/io/reedmast/app/HttpApi.kt
@@ -26,7 +26,7 @@
  *
  * Submissions and polls may hold only part of the threads, so that reports of workers always find one.
  */
-class FrontDoor(private val settings: Settings, private val node: Node, private val timings: Timings) {
+class HttpApi(private val settings: Settings, private val node: Node, private val timings: Timings) {
     private val submissions = Semaphore(SUBMISSIONS_AT_ONCE)
     private val questions = Semaphore(QUESTIONS_AT_ONCE)
 
@@ -68,7 +68,7 @@
         val answer = await(WORKER_PATIENCE_MS) { node.checkin(report, it) }
         when (answer) {
             null, WorkerAnswer.Unavailable -> Response(Status.SERVICE_UNAVAILABLE)
-            is WorkerAnswer.Orders -> cbor(Status.OK, mapOf("baton" to answer.baton, "orders" to answer.orders.map { it.toFields() }))
+            is WorkerAnswer.Orders -> cbor(Status.OK, mapOf("baton" to answer.token, "orders" to answer.orders.map { it.toFields() }))
             is WorkerAnswer.Elsewhere -> cbor(MISDIRECTED, mapOf("steward" to answer.label))
         }
     }
--- a/src/main/kotlin/io/reedmast/app/Main.kt
+++ b/src/main/kotlin/io/reedmast/app/Main.kt
@@ -71,16 +71,16 @@
                 throw ProgramResult(EXIT_USAGE)
             }
         val log = LoggerFactory.getLogger("main")
-        val desk = Desk(SystemClock, MAX_QUEUED)
+        val eventLoop = EventLoop(SystemClock, MAX_QUEUED)
         val client = StateClient(settings.state, settings.stateLimits, settings.members.size, Caller(STATE_CONNECT_MS, STATE_READ_MS))
-        val out = NetworkGateway(settings, desk, client)
+        val out = NetworkGateway(settings, eventLoop, client)
         // Time of day and process start tell two processes of a node apart.
         val incarnation = "${settings.label}-${java.lang.Long.toString(SystemClock.wall(), 36)}-${java.lang.Long.toString(System.nanoTime(), 36)}"
         val controller = Controller(settings, Tuning(window, protectCap, resize, totals, idle), SystemClock, out, incarnation)
         val timings = Timings(SystemClock)
-        val node = Node(desk, controller, timings)
+        val node = Node(eventLoop, controller, timings)
         try {
-            FrontDoor(settings, node, timings).start()
+            HttpApi(settings, node, timings).start()
             val peers = PeerServer(settings.clusterListen, WorkPool("peer-in", settings.members.size * 2, settings.members.size), node::peerSent)
             val listening = peers.open()
             NetworkGateway.startThread("peers") { peers.run(listening) }
@@ -91,7 +91,7 @@
         out.start()
         Watches(client, SystemClock, node).start()
         log.info("{} listens on {}", settings.label, settings.front)
-        val deciding = NetworkGateway.startThread("desk") { desk.run(TICK_MS, IDLE_TICK_MS, node::tick) }
+        val deciding = NetworkGateway.startThread("desk") { eventLoop.run(TICK_MS, IDLE_TICK_MS, node::tick) }
         val limit = rehearse
         if (limit == null) {
             deciding.join()
--- a/src/main/kotlin/io/reedmast/app/NetworkGateway.kt
+++ b/src/main/kotlin/io/reedmast/app/NetworkGateway.kt
@@ -16,8 +16,8 @@
 import io.reedmast.state.Item
 import io.reedmast.state.StateClient
 import io.reedmast.wire.Caller
-import io.reedmast.wire.Flavor
 import io.reedmast.wire.ListedHost
+import io.reedmast.wire.MachineType
 import io.reedmast.wire.MalformedException
 import io.reedmast.wire.Order
 import io.reedmast.wire.Reply
@@ -29,10 +29,10 @@
 import java.util.concurrent.TimeUnit
 
 /** Hands calls to small pools of threads and brings their results back to the deciding thread. */
-class NetworkGateway(private val settings: Settings, private val desk: Desk, private val client: StateClient) : Gateway {
+class NetworkGateway(private val settings: Settings, private val eventLoop: EventLoop, private val client: StateClient) : Gateway {
     private val log = LoggerFactory.getLogger("cloud")
     private val committer =
-        Committer(client, settings.stateLimits, MAX_SUBMISSIONS_QUEUED) { change, outcome -> desk.post { change.done(outcome) } }
+        Committer(client, settings.stateLimits, MAX_SUBMISSIONS_QUEUED) { change, outcome -> eventLoop.post { change.done(outcome) } }
     private val reads = WorkPool("read", READ_THREADS, READS_QUEUED)
     private val leases = WorkPool("lease", 1, 4)
     private val directs = WorkPool("direct", DIRECT_THREADS, DIRECTS_QUEUED)
@@ -75,18 +75,18 @@
         val calls = WorkPool("peer-${member.label}", 1, PEER_CALLS_QUEUED)
     }
 
-    override fun direct(addr: String, baton: Long, tenure: Long, orders: List<Order>, done: (Reply) -> Unit) {
-        val body = mapOf("baton" to baton, "tenure" to tenure, "orders" to orders.map { it.toFields() })
+    override fun direct(addr: String, token: Long, session: Long, orders: List<Order>, done: (Reply) -> Unit) {
+        val body = mapOf("baton" to token, "tenure" to session, "orders" to orders.map { it.toFields() })
         call(directs, { workerCaller.call("POST", addr, "/do", body) }, Reply.NotSent("too many calls"), done, STALE_DIRECT_MS)
     }
 
     override fun rent(rental: Rental, done: (Rented) -> Unit) {
         val body =
             mapOf(
-                "charter" to rental.charter,
-                "build" to rental.build,
-                "yard" to rental.yard,
-                "driftwood" to rental.driftwood,
+                "charter" to rental.requestName,
+                "build" to rental.typeName,
+                "yard" to rental.zone,
+                "driftwood" to rental.spot,
                 "count" to rental.count,
             )
         call(cloudCalls, { rented(cloud("POST", "/machines", body)) }, Rented.Failed, done)
@@ -127,9 +127,9 @@
         }
     }
 
-    override fun flavors(done: (List<Flavor>?) -> Unit) = call(
+    override fun machineTypes(done: (List<MachineType>?) -> Unit) = call(
         cloudCalls,
-        { (cloud("GET", "/flavors") as? Reply.Answer)?.takeIf { it.status == 200 }?.let { reading { Flavor.parseAll(it.body) } } },
+        { (cloud("GET", "/flavors") as? Reply.Answer)?.takeIf { it.status == 200 }?.let { reading { MachineType.parseAll(it.body) } } },
         null,
         done,
     )
@@ -138,10 +138,10 @@
         leases,
         {
             if (lease == null) {
-                client.lease(lifeMs)?.let { LeaseState.Held(it, fresh = true) } ?: LeaseState.Unknown
+                client.lease(lifeMs)?.let { LeaseState.StoredRecord(it, fresh = true) } ?: LeaseState.Unknown
             } else {
                 when (client.extend(lease)) {
-                    true -> LeaseState.Held(lease, fresh = false)
+                    true -> LeaseState.StoredRecord(lease, fresh = false)
                     false -> LeaseState.Lost
                     null -> LeaseState.Unknown
                 }
@@ -194,10 +194,10 @@
             pool.execute {
                 val late = (System.nanoTime() - decidedAt) / 1_000_000 > staleMs
                 val result = if (late) refused else ask()
-                desk.post { done(result) }
+                eventLoop.post { done(result) }
             }
         } catch (e: RejectedExecutionException) {
-            desk.post { done(refused) }
+            eventLoop.post { done(refused) }
         }
     }
 
--- a/src/main/kotlin/io/reedmast/app/Node.kt
+++ b/src/main/kotlin/io/reedmast/app/Node.kt
@@ -1,7 +1,7 @@
 package io.reedmast.app
 
 import io.reedmast.fleet.Leader
-import io.reedmast.jobs.JobDoor
+import io.reedmast.jobs.JobRequests
 import io.reedmast.jobs.UserAnswer
 import io.reedmast.ownership.Cluster
 import io.reedmast.ownership.Token
@@ -12,15 +12,15 @@
 import io.reedmast.settings.Tuning
 import io.reedmast.state.Event
 import io.reedmast.state.Item
-import io.reedmast.wire.Flavor
 import io.reedmast.wire.JobSpec
+import io.reedmast.wire.MachineType
 import io.reedmast.wire.Order
 import io.reedmast.wire.Report
 import org.slf4j.LoggerFactory
 
 /** The answer to a worker's report. */
 sealed interface WorkerAnswer {
-    data class Orders(val baton: Long, val orders: List<Order>) : WorkerAnswer
+    data class Orders(val token: Long, val orders: List<Order>) : WorkerAnswer
 
     /** Another node answers this worker; null: nobody is known to. */
     data class Elsewhere(val label: String?) : WorkerAnswer
@@ -30,12 +30,12 @@
 
 /** All the deciding parts of a controller, joined; used by one thread. [incarnation] names this process and no other. */
 class Controller(private val settings: Settings, tuning: Tuning, private val clock: Clock, private val out: Gateway, incarnation: String) {
-    private var flavors: Map<String, Flavor> = emptyMap()
-    private var flavorsAsked = false
-    private var flavorsDue = 0L
-    val cluster = Cluster(settings, tuning, clock, out, { flavors.values }, incarnation)
-    private val leader = Leader(settings, tuning, clock, out, cluster, { flavors }, incarnation)
-    private val jobs = JobDoor(settings, clock, out, cluster) { flavors }
+    private var machineTypes: Map<String, MachineType> = emptyMap()
+    private var machineTypesAsked = false
+    private var machineTypesDue = 0L
+    val cluster = Cluster(settings, tuning, clock, out, { machineTypes.values }, incarnation)
+    private val leader = Leader(settings, tuning, clock, out, cluster, { machineTypes }, incarnation)
+    private val jobs = JobRequests(settings, clock, out, cluster) { machineTypes }
 
     private var tickDue = 0L
 
@@ -46,24 +46,24 @@
         cluster.pump()
         if (now >= tickDue) {
             tickDue = now + TICK_MS
-            askFlavors()
+            askMachineTypes()
             cluster.tick()
             leader.tick()
         }
     }
 
-    private fun askFlavors() {
+    private fun askMachineTypes() {
         val now = clock.now()
-        if (flavorsAsked || now < flavorsDue) return
-        flavorsAsked = true
-        out.flavors { found ->
-            flavorsAsked = false
+        if (machineTypesAsked || now < machineTypesDue) return
+        machineTypesAsked = true
+        out.machineTypes { found ->
+            machineTypesAsked = false
             if (found == null || found.isEmpty()) {
-                flavorsDue = clock.now() + FLAVORS_RETRY_MS
+                machineTypesDue = clock.now() + MACHINE_TYPES_RETRY_MS
             } else {
-                flavorsDue = clock.now() + FLAVORS_EVERY_MS
-                flavors = found.associateBy { it.label }
-                cluster.owned().forEach { it.flavorsChanged() }
+                machineTypesDue = clock.now() + MACHINE_TYPES_EVERY_MS
+                machineTypes = found.associateBy { it.label }
+                cluster.owned().forEach { it.machineTypesChanged() }
             }
         }
     }
@@ -83,15 +83,15 @@
         if (!owner.active) return WorkerAnswer.Orders(cluster.records[slice.value]?.record?.token ?: 0L, emptyList())
         val orders = owner.checkin(report)
         // The worker would drop our answer and stay here until its lease is over: it must look for the slice's new owner.
-        if (report.baton > Token.last(owner.token)) return WorkerAnswer.Elsewhere(null)
+        if (report.token > Token.last(owner.token)) return WorkerAnswer.Elsewhere(null)
         return WorkerAnswer.Orders(owner.tokenFor(report.host), orders)
     }
 
     fun submit(spec: JobSpec, answer: (UserAnswer) -> Unit) = jobs.submit(spec, answer)
 
-    fun poll(ref: String, answer: (UserAnswer) -> Unit) = jobs.poll(ref, answer)
+    fun poll(jobId: String, answer: (UserAnswer) -> Unit) = jobs.poll(jobId, answer)
 
-    fun abort(ref: String, answer: (UserAnswer) -> Unit) = jobs.abort(ref, answer)
+    fun abort(jobId: String, answer: (UserAnswer) -> Unit) = jobs.abort(jobId, answer)
 
     fun peerSent(message: PeerMessage) = cluster.peerSent(message)
 
@@ -99,17 +99,17 @@
      * Whether users should come here. During an outage for all controllers none is better than another, and one that the load
      * balancer has removed gets its users back only a while after the outage.
      */
-    fun healthy(): Boolean = cluster.ready && flavors.isNotEmpty() && (cluster.fresh() || cluster.outageForAll())
+    fun healthy(): Boolean = cluster.ready && machineTypes.isNotEmpty() && (cluster.fresh() || cluster.outageForAll())
 
     private companion object {
         const val TICK_MS = 250L
-        const val FLAVORS_EVERY_MS = 60_000L
-        const val FLAVORS_RETRY_MS = 2_000L
+        const val MACHINE_TYPES_EVERY_MS = 60_000L
+        const val MACHINE_TYPES_RETRY_MS = 2_000L
     }
 }
 
 /** What the threads at the door and at the watches may ask of the deciding thread. */
-class Node(private val desk: Desk, private val controller: Controller, private val timings: Timings) {
+class Node(private val eventLoop: EventLoop, private val controller: Controller, private val timings: Timings) {
     private val log = LoggerFactory.getLogger("main")
 
     @Volatile
@@ -136,35 +136,35 @@
         noteWaiting()
     }
 
-    fun checkin(report: Report, answer: (WorkerAnswer) -> Unit): Boolean = desk.offer(Urgency.REPORT) { answer(controller.checkin(report)) }
+    fun checkin(report: Report, answer: (WorkerAnswer) -> Unit): Boolean = eventLoop.offer(Urgency.REPORT) { answer(controller.checkin(report)) }
 
-    fun submit(spec: JobSpec, answer: (UserAnswer) -> Unit): Boolean = desk.offer(Urgency.SUBMISSION) {
+    fun submit(spec: JobSpec, answer: (UserAnswer) -> Unit): Boolean = eventLoop.offer(Urgency.SUBMISSION) {
         controller.submit(spec, answer)
         noteWaiting()
     }
 
-    fun poll(ref: String, answer: (UserAnswer) -> Unit): Boolean = desk.offer(Urgency.SUBMISSION) {
-        controller.poll(ref, answer)
+    fun poll(jobId: String, answer: (UserAnswer) -> Unit): Boolean = eventLoop.offer(Urgency.SUBMISSION) {
+        controller.poll(jobId, answer)
         noteWaiting()
     }
 
-    fun abort(ref: String, answer: (UserAnswer) -> Unit): Boolean = desk.offer(Urgency.SUBMISSION) {
-        controller.abort(ref, answer)
+    fun abort(jobId: String, answer: (UserAnswer) -> Unit): Boolean = eventLoop.offer(Urgency.SUBMISSION) {
+        controller.abort(jobId, answer)
         noteWaiting()
     }
 
     /** No rule depends on the arrival of a peer's message: it is dropped while there is too much to do. */
     fun peerSent(message: PeerMessage) {
-        desk.offer(Urgency.SUBMISSION) { controller.peerSent(message) }
+        eventLoop.offer(Urgency.SUBMISSION) { controller.peerSent(message) }
     }
 
-    fun snapshot(items: List<Item>, askedAt: Long) = desk.post { controller.cluster.snapshot(items, askedAt) }
+    fun snapshot(items: List<Item>, askedAt: Long) = eventLoop.post { controller.cluster.snapshot(items, askedAt) }
 
-    fun clusterEvents(events: List<Event>, askedAt: Long) = desk.post { controller.cluster.clusterEvents(events, askedAt) }
+    fun clusterEvents(events: List<Event>, askedAt: Long) = eventLoop.post { controller.cluster.clusterEvents(events, askedAt) }
 
-    fun jobsSnapshot(items: List<Item>, epoch: Long, askedAt: Long) = desk.post { controller.cluster.jobsSnapshot(items, epoch, askedAt) }
+    fun jobsSnapshot(items: List<Item>, revision: Long, askedAt: Long) = eventLoop.post { controller.cluster.jobsSnapshot(items, revision, askedAt) }
 
-    fun jobEvents(events: List<Event>, askedAt: Long) = desk.post {
+    fun jobEvents(events: List<Event>, askedAt: Long) = eventLoop.post {
         controller.cluster.jobEvents(events, askedAt)
         noteWaiting()
     }
--- a/src/main/kotlin/io/reedmast/app/Watches.kt
+++ b/src/main/kotlin/io/reedmast/app/Watches.kt
@@ -16,20 +16,20 @@
     private fun followCluster() {
         while (true) {
             var askedAt = clock.now()
-            val (items, epoch) = client.list(Keys.CLUSTER) ?: (emptyList<Nothing>() to -1L)
-            if (epoch < 0) {
+            val (items, revision) = client.list(Keys.CLUSTER) ?: (emptyList<Nothing>() to -1L)
+            if (revision < 0) {
                 pause()
                 continue
             }
             node.snapshot(items, askedAt)
-            var after = epoch
+            var after = revision
             while (true) {
                 askedAt = clock.now()
                 val watched = client.follow(Keys.CLUSTER, after, HOLD_MS)
                 if (watched is Watched.TooOld) break
                 if (watched is Watched.Events) {
                     node.clusterEvents(watched.events, askedAt)
-                    after = maxOf(after, watched.epoch)
+                    after = maxOf(after, watched.revision)
                 } else {
                     pause()
                 }
@@ -45,13 +45,13 @@
     private fun followJobs() {
         while (true) {
             var askedAt = clock.now()
-            val (items, epoch) = client.list(Keys.LIVE) ?: (null to 0L)
+            val (items, revision) = client.list(Keys.LIVE) ?: (null to 0L)
             if (items == null) {
                 pause()
                 continue
             }
-            node.jobsSnapshot(items, epoch, askedAt)
-            var after = epoch
+            node.jobsSnapshot(items, revision, askedAt)
+            var after = revision
             while (true) {
                 val spare = askedAt + JOBS_EVERY_MS - clock.now()
                 if (spare > 0) Thread.sleep(spare)
@@ -60,7 +60,7 @@
                 if (watched is Watched.TooOld) break
                 if (watched is Watched.Events) {
                     node.jobEvents(watched.events, askedAt)
-                    after = maxOf(after, watched.epoch)
+                    after = maxOf(after, watched.revision)
                 } else {
                     pause()
                 }
--- a/src/main/kotlin/io/reedmast/fairshare/Usage.kt
+++ b/src/main/kotlin/io/reedmast/fairshare/Usage.kt
@@ -3,7 +3,7 @@
 import io.reedmast.settings.TeamIndex
 import io.reedmast.wire.Fields
 import io.reedmast.wire.MalformedException
-import io.reedmast.wire.Rank
+import io.reedmast.wire.Priority
 import java.util.TreeMap
 import kotlin.math.roundToLong
 
@@ -58,11 +58,11 @@
 }
 
 /** Work of the lowest rank declares no minimum run time: it is not charged, and any funded request may take its place. */
-val Rank.funded: Boolean get() = this != Rank.BEST_EFFORT
+val Priority.funded: Boolean get() = this != Priority.BEST_EFFORT
 
 /** What [mayYield] needs to know of a running task. */
 data class Runner(
-    val rank: Rank,
+    val priority: Priority,
     val resumable: Boolean,
     val sameTeam: Boolean,
     val ranForS: Double,
@@ -73,7 +73,7 @@
 )
 
 /** What [mayYield] needs to know of a waiting request. */
-data class Request(val rank: Rank, val withinGuarantee: Boolean, val teamRatio: Double)
+data class Request(val priority: Priority, val withinGuarantee: Boolean, val teamRatio: Double)
 
 /**
  * Whether [runner] may be stopped to make room for [request], where both the design and the protocol permit it.
@@ -83,9 +83,9 @@
  * runner beyond its own.
  */
 fun mayYield(runner: Runner, request: Request): Boolean {
-    if (!request.rank.funded) return false
-    val protocol = request.rank < runner.rank || (!runner.sameTeam && request.withinGuarantee && runner.teamBeyondGuarantee)
+    if (!request.priority.funded) return false
+    val protocol = request.priority < runner.priority || (!runner.sameTeam && request.withinGuarantee && runner.teamBeyondGuarantee)
     if (!protocol) return false
-    if (!runner.rank.funded) return true
+    if (!runner.priority.funded) return true
     return runner.resumable && !runner.sameTeam && runner.ranForS >= runner.minimumS && request.teamRatio < runner.teamRatio
 }
--- a/src/main/kotlin/io/reedmast/fleet/Demand.kt
+++ b/src/main/kotlin/io/reedmast/fleet/Demand.kt
@@ -1,8 +1,8 @@
 package io.reedmast.fleet
 
 import io.reedmast.wire.Fields
-import io.reedmast.wire.Flavor
 import io.reedmast.wire.JobSpec
+import io.reedmast.wire.MachineType
 import io.reedmast.wire.amount
 import io.reedmast.wire.count
 import io.reedmast.wire.flag
@@ -18,13 +18,13 @@
     /** What a task takes on average, and at most. */
     val cpus: Double,
     val gpus: Double,
-    val memGb: Double,
+    val memoryGb: Double,
     val maxCpus: Double,
     val maxGpus: Double,
-    val maxMemGb: Double,
-    val driftwood: Boolean,
-    val builds: List<String>?,
-    val yard: String?,
+    val maxMemoryGb: Double,
+    val spot: Boolean,
+    val allowedTypes: List<String>?,
+    val zone: String?,
     /** The jobs are past their due time: then a dear machine is better than none. */
     val late: Boolean,
     val count: Int,
@@ -32,22 +32,28 @@
     fun toFields(): Fields = mapOf(
         "cpus" to cpus,
         "gpus" to gpus,
-        "memGb" to memGb,
+        "memGb" to memoryGb,
         "maxCpus" to maxCpus,
         "maxGpus" to maxGpus,
-        "maxMemGb" to maxMemGb,
-        "spot" to driftwood,
-        "builds" to builds,
-        "yard" to yard,
+        "maxMemGb" to maxMemoryGb,
+        "spot" to spot,
+        "builds" to allowedTypes,
+        "yard" to zone,
         "late" to late,
         "count" to count,
     )
 
     /** How many of the tasks an empty machine holds, 0 if not each of them. */
-    fun heldBy(flavor: Flavor): Int = if (flavor.holds(maxCpus, maxGpus, maxMemGb) < 1) 0 else maxOf(1, flavor.holds(cpus, gpus, memGb))
+    fun heldBy(machineType: MachineType): Int = if (machineType.holds(maxCpus, maxGpus, maxMemoryGb) <
+        1
+    ) {
+        0
+    } else {
+        maxOf(1, machineType.holds(cpus, gpus, memoryGb))
+    }
 
-    fun runsOn(build: String, yard: String, spot: Boolean): Boolean =
-        (!spot || driftwood) && (builds == null || build in builds) && (this.yard == null || this.yard == yard)
+    fun runsOn(typeName: String, zone: String, onSpot: Boolean): Boolean =
+        (!onSpot || spot) && (allowedTypes == null || typeName in allowedTypes) && (this.zone == null || this.zone == zone)
 
     /** Both together; their averages weigh by their counts. */
     fun plus(other: Demand): Demand {
@@ -56,21 +62,21 @@
         return copy(
             cpus = mean(cpus, other.cpus),
             gpus = mean(gpus, other.gpus),
-            memGb = mean(memGb, other.memGb),
+            memoryGb = mean(memoryGb, other.memoryGb),
             maxCpus = maxOf(maxCpus, other.maxCpus),
             maxGpus = maxOf(maxGpus, other.maxGpus),
-            maxMemGb = maxOf(maxMemGb, other.maxMemGb),
+            maxMemoryGb = maxOf(maxMemoryGb, other.maxMemoryGb),
             count = all,
         )
     }
 
     /** What may be added up: tasks that may run on the same machines. */
-    fun kind(): Any = listOf(driftwood, builds, yard, late)
+    fun kind(): Any = listOf(spot, allowedTypes, zone, late)
 
     companion object {
-        /** [yard]: the only zone in which room is of use, by the job itself or by where its other tasks are. */
-        fun of(spec: JobSpec, late: Boolean, count: Int, yard: String? = spec.yard) = Demand(
-            spec.cpus, spec.gpus, spec.memGb, spec.cpus, spec.gpus, spec.memGb, spec.driftwood, spec.builds?.sorted(), yard, late, count,
+        /** [zone]: the only zone in which room is of use, by the job itself or by where its other tasks are. */
+        fun of(spec: JobSpec, late: Boolean, count: Int, zone: String? = spec.zone) = Demand(
+            spec.cpus, spec.gpus, spec.memoryGb, spec.cpus, spec.gpus, spec.memoryGb, spec.spot, spec.allowedTypes?.sorted(), zone, late, count,
         )
 
         fun parse(fields: Fields) = Demand(
@@ -99,4 +105,4 @@
 }
 
 /** A request to the cloud. The charter's name is never used for another request, by any node. */
-data class Rental(val charter: String, val build: String, val yard: String, val driftwood: Boolean, val count: Int)
+data class Rental(val requestName: String, val typeName: String, val zone: String, val spot: Boolean, val count: Int)
--- a/src/main/kotlin/io/reedmast/fleet/Wants.kt
+++ b/src/main/kotlin/io/reedmast/fleet/DemandEstimator.kt
@@ -2,7 +2,7 @@
 
 import io.reedmast.jobs.Job
 import io.reedmast.jobs.Placement
-import io.reedmast.jobs.SliceBook
+import io.reedmast.jobs.SliceState
 import io.reedmast.placement.allows
 import io.reedmast.placement.zonesOpen
 import io.reedmast.ports.Gateway
@@ -10,35 +10,35 @@
 import io.reedmast.state.Change
 import io.reedmast.state.Fetched
 import io.reedmast.state.Guard
-import io.reedmast.state.Haste
 import io.reedmast.state.Item
 import io.reedmast.state.Keys
 import io.reedmast.state.Outcome
 import io.reedmast.state.Write
+import io.reedmast.state.WritePriority
 import io.reedmast.wire.JobSpec
 import io.reedmast.wire.MalformedException
 import io.reedmast.wire.map
 import io.reedmast.workers.HostRecord
 import io.reedmast.workers.Machine
-import io.reedmast.workers.Upkeep
+import io.reedmast.workers.MachineLifecycle
 import org.slf4j.LoggerFactory
 import kotlin.math.ceil
 import kotlin.math.sqrt
 
 /** What a slice needs, what it can spare, and the totals that tell the leader. */
-class Wants(private val book: SliceBook, private val out: Gateway, private val hostsStamp: () -> Long, private val termInDoubt: () -> Unit) {
+class DemandEstimator(private val sliceState: SliceState, private val out: Gateway, private val hostsVersion: () -> Long, private val termInDoubt: () -> Unit) {
     private val log = LoggerFactory.getLogger("slice")
-    private val slice = book.index.value
-    private var stamp = 0L
+    private val slice = sliceState.index.value
+    private var version = 0L
     private var writing = false
     private var due = 0L
     private var lastDemand: List<Demand> = emptyList()
     private var lastWritten = 0L
 
     fun load(totals: Item) {
-        stamp = totals.stamp
+        version = totals.version
         try {
-            book.usage.load(totals.value.map("usage"))
+            sliceState.usage.load(totals.value.map("usage"))
         } catch (e: MalformedException) {
             log.error("slice {}: stored totals cannot be read: {}", slice, e.message)
         }
@@ -47,20 +47,20 @@
     // ---- room ---------------------------------------------------------------------------------------------------------
 
     /** Free room of a machine, which is filled up in thought. */
-    class Room(val host: HostRecord, private var cpus: Double, private var gpus: Double, private var memGb: Double) {
+    class Room(val host: HostRecord, private var cpus: Double, private var gpus: Double, private var memoryGb: Double) {
         val freeCpus: Double get() = cpus
 
         /** Takes as many of [most] tasks as fit, and returns how many. */
         fun take(spec: JobSpec, most: Int): Int {
-            if (!allows(spec, host.build, host.yard, host.driftwood)) return 0
+            if (!allows(spec, host.typeName, host.zone, host.spot)) return 0
             var fit = most
             if (spec.cpus > 0) fit = minOf(fit, ((cpus + Machine.EPSILON) / spec.cpus).toInt())
             if (spec.gpus > 0) fit = minOf(fit, ((gpus + Machine.EPSILON) / spec.gpus).toInt())
-            if (spec.memGb > 0) fit = minOf(fit, ((memGb + Machine.EPSILON) / spec.memGb).toInt())
+            if (spec.memoryGb > 0) fit = minOf(fit, ((memoryGb + Machine.EPSILON) / spec.memoryGb).toInt())
             if (fit <= 0) return 0
             cpus -= spec.cpus * fit
             gpus -= spec.gpus * fit
-            memGb -= spec.memGb * fit
+            memoryGb -= spec.memoryGb * fit
             return fit
         }
     }
@@ -71,10 +71,10 @@
      * One that was up before and does not report is rather dead than booting: its room must not hide what is wanted.
      */
     fun coming(): List<Room> {
-        val justTaken = book.clock.now() - book.activeAt < book.settings.workers.reportS * 1000 * REPORTS_TO_SHOW_UP
-        return book.machines.values
-            .filter { !it.trusted && it.retirement == null && it.flavor != null && (justTaken || !it.everHeard) }
-            .map { Room(it.record, it.freeCpus, it.freeGpus, it.freeMemGb) }
+        val justTaken = sliceState.clock.now() - sliceState.activeAt < sliceState.settings.workers.reportS * 1000 * REPORTS_TO_SHOW_UP
+        return sliceState.machines.values
+            .filter { !it.trusted && it.retirement == null && it.machineType != null && (justTaken || !it.everHeard) }
+            .map { Room(it.record, it.freeCpus, it.freeGpus, it.freeMemoryGb) }
     }
 
     /** How many of [count] tasks find no room in [rooms]. */
@@ -91,14 +91,14 @@
 
     /** Whether the slice would have too little free room for the services that arrive while a machine boots. */
     inner class Spare(private var free: Double, private val wanted: Double) {
-        fun needs(machine: Machine) = wanted > 0.0 && !machine.record.driftwood && free - machine.freeCpus < wanted
+        fun needs(machine: Machine) = wanted > 0.0 && !machine.record.spot && free - machine.freeCpus < wanted
 
         fun without(machine: Machine) {
-            if (!machine.record.driftwood) free -= machine.freeCpus
+            if (!machine.record.spot) free -= machine.freeCpus
         }
     }
 
-    fun spareCpus(now: Long) = Spare(book.machines.values.filter { it.usable && !it.record.driftwood }.sumOf { it.freeCpus }, headroom(now))
+    fun spareCpus(now: Long) = Spare(sliceState.machines.values.filter { it.usable && !it.record.spot }.sumOf { it.freeCpus }, headroom(now))
 
     /** CPUs of the services that arrive within a boot. */
     private fun headroom(now: Long): Double = shortestBoot()?.let { arriving(now, it) } ?: 0.0
@@ -108,22 +108,22 @@
 
     /** Expected CPUs of the services that arrive within [seconds], with two deviations on top. */
     private fun arriving(now: Long, seconds: Double): Double {
-        val arrivals = book.arrivals.since(now - ARRIVALS_WINDOW_MS)
+        val arrivals = sliceState.arrivals.since(now - ARRIVALS_WINDOW_MS)
         // With the last service gone, nothing says that more will come.
-        if (arrivals.isEmpty() || book.jobs.values.none { it.spec.service }) return 0.0
+        if (arrivals.isEmpty() || sliceState.jobs.values.none { it.spec.service }) return 0.0
         val part = seconds * 1000.0 / ARRIVALS_WINDOW_MS
         return arrivals.sumOf { it.cpus } * part + 2 * sqrt(arrivals.sumOf { it.cpus * it.cpus } * part)
     }
 
-    private fun ArrayDeque<SliceBook.Arrival>.since(at: Long) = apply { while (isNotEmpty() && first().at < at) removeFirst() }
+    private fun ArrayDeque<SliceState.Arrival>.since(at: Long) = apply { while (isNotEmpty() && first().at < at) removeFirst() }
 
     /** Array work that arrives in a second, in CPU seconds, as far as it is sure: below the mean by one deviation and a half. */
     private fun arrayRate(): Double {
-        val arrivals = book.arrayArrivals.since(book.clock.now() - ARRAYS_WINDOW_MS)
+        val arrivals = sliceState.arrayArrivals.since(sliceState.clock.now() - ARRAYS_WINDOW_MS)
         return maxOf(0.0, arrivals.sumOf { it.cpus } - RATE_DEVIATIONS * sqrt(arrivals.sumOf { it.cpus * it.cpus })) * 1000.0 / ARRAYS_WINDOW_MS
     }
 
-    private fun shortestBoot(): Double? = book.machines.values.mapNotNull { it.flavor?.startupS }.minOrNull()
+    private fun shortestBoot(): Double? = sliceState.machines.values.mapNotNull { it.machineType?.bootS }.minOrNull()
 
     private var meanImageGb = 0.0
 
@@ -134,11 +134,11 @@
      * Spot machines cost a fraction, and are kept longer by the same measure.
      */
     fun patienceMs(machine: Machine): Double {
-        val flavor = machine.flavor ?: return 0.0
+        val machineType = machine.machineType ?: return 0.0
         val ordinary =
-            book.tuning.idleS
-                ?: maxOf(flavor.startupS * BOOT_WORTH + meanImageGb / flavor.pullGbPerS, book.settings.workers.reportS * KEPT_REPORTS)
-        return ordinary * 1000 * if (machine.record.driftwood) SPOT_PATIENCE else 1.0
+            sliceState.tuning.idleS
+                ?: maxOf(machineType.bootS * BOOT_WORTH + meanImageGb / machineType.fetchGbPerS, sliceState.settings.workers.reportS * KEPT_REPORTS)
+        return ordinary * 1000 * if (machine.record.spot) SPOT_PATIENCE else 1.0
     }
 
     /**
@@ -147,8 +147,8 @@
      */
     private fun movable(now: Long): List<String> {
         val spare = spareCpus(now)
-        return book.machines.values.filter { machine ->
-            machine.placements.isEmpty() && machine.retirement == null && !machine.returning && machine.flavor != null &&
+        return sliceState.machines.values.filter { machine ->
+            machine.placements.isEmpty() && machine.retirement == null && !machine.returning && machine.machineType != null &&
                 (
                     (!machine.everHeard && now - machine.firstSeenAt > JUST_COME_MS) ||
                         (machine.trusted && now - machine.emptySince > IDLE_TO_MOVE_MS && !spare.needs(machine))
@@ -163,13 +163,15 @@
      * Services are placed again at once, and what ends within seconds is waited for; other work that cannot resume is lost.
      */
     private fun lendable(now: Long): List<String> {
-        val usable = book.machines.values.filter { it.usable && it.warningUntil == 0L && it.placements.values.none { p -> now - p.madeAt < JUST_PLACED_MS } }
+        val usable = sliceState.machines.values.filter {
+            it.usable && it.noticeUntil == 0L && it.placements.values.none { p -> now - p.madeAt < JUST_PLACED_MS }
+        }
         val free = usable.sumOf { it.freeCpus }
         return usable
             // With less room on the others, the work of this one would starve next, and the machine come back.
             .filter { machine -> machine.placements.values.sumOf { it.job.spec.cpus } <= free - machine.freeCpus + Machine.EPSILON }
             .sortedBy { machine -> machine.placements.values.sumOf { emptyingCost(it, now) } }
-            .groupBy { Triple(it.record.build, it.record.yard, it.record.driftwood) }.values
+            .groupBy { Triple(it.record.typeName, it.record.zone, it.record.spot) }.values
             .flatMap { it.take(LENDABLE_OF_A_KIND) }.take(MAX_LENDABLE).map { it.name }
     }
 
@@ -178,22 +180,22 @@
         val ranS = if (placement.running) (now - placement.runningSince) / 1000.0 else 0.0
         return spec.cpus * when {
             spec.service -> SERVICE_COST_S
-            spec.guessS - ranS < Upkeep.ENDS_SOON_S -> 0.0
-            spec.resumable -> spec.stowS
+            spec.estimateS - ranS < MachineLifecycle.ENDS_SOON_S -> 0.0
+            spec.resumable -> spec.saveS
             else -> ranS
         }
     }
 
     /** What a task of each job takes of which nothing has run for long, and since how many seconds, the longest first. */
-    private fun starving(now: Long): List<Starving> = book.jobs.values
-        .filter { book.hungry(it) && !it.ending && book.allowance(it) > 0 }
-        .sortedBy { book.hungrySince(it) }.take(MAX_STARVING)
-        .map { Starving(Demand.of(it.spec, true, 1, onlyZone(it)), (now - book.hungrySince(it)) / 1000.0) }
+    private fun starving(now: Long): List<Starving> = sliceState.jobs.values
+        .filter { sliceState.hungry(it) && !it.ending && sliceState.allowance(it) > 0 }
+        .sortedBy { sliceState.hungrySince(it) }.take(MAX_STARVING)
+        .map { Starving(Demand.of(it.spec, true, 1, onlyZone(it)), (now - sliceState.hungrySince(it)) / 1000.0) }
 
     /** The zone in which new room for the job must be, if its other tasks or its user leave only one. */
-    private fun onlyZone(job: Job): String? = zonesOpen(job, yards())?.singleOrNull() ?: job.spec.yard
+    private fun onlyZone(job: Job): String? = zonesOpen(job, zones())?.singleOrNull() ?: job.spec.zone
 
-    private fun yards() = book.flavors.flatMapTo(LinkedHashSet()) { it.yards }
+    private fun zones() = sliceState.machineTypes.flatMapTo(LinkedHashSet()) { it.zones }
 
     // ---- what is wanted ---------------------------------------------------------------------------------------------------
 
@@ -202,25 +204,31 @@
         val kinds = LinkedHashMap<Any, Demand>()
         val left = HashMap<TeamIndex, Double>()
         val pace = Pace(rooms)
-        val now = book.clock.wall()
-        val yards = yards()
-        val waiting = book.jobs.values.filter { it.waitingCount > 0 && !it.ending && !book.looksBad(it) }
-        for (job in waiting.sortedWith(compareBy({ !it.spec.service }, { it.spec.rank }, { book.dueMs(it) }))) {
+        val now = sliceState.clock.wall()
+        val zones = zones()
+        val waiting = sliceState.jobs.values.filter { it.waitingCount > 0 && !it.ending && !sliceState.looksBad(it) }
+        for (job in waiting.sortedWith(compareBy({ !it.spec.service }, { it.spec.priority }, { sliceState.dueMs(it) }))) {
             val spec = job.spec
-            var tasks = minOf(job.waitingCount, book.allowance(job))
-            val share = book.settings.teams[job.team.value]
+            var tasks = minOf(job.waitingCount, sliceState.allowance(job))
+            val share = sliceState.settings.teams[job.team.value]
             if (share.maxCpus > 0 && spec.cpus > 0) {
-                val cpus = left.getOrPut(job.team) { share.maxCpus - book.usedCpus(job.team) }
+                val cpus = left.getOrPut(job.team) { share.maxCpus - sliceState.usedCpus(job.team) }
                 tasks = minOf(tasks, (cpus / spec.cpus + Machine.EPSILON).toInt())
                 left[job.team] = cpus - tasks * spec.cpus
             }
-            val open = zonesOpen(job, yards)
-            tasks = left(spec, tasks, if (open == null) rooms else rooms.filter { it.host.yard in open })
+            val open = zonesOpen(job, zones)
+            tasks = left(spec, tasks, if (open == null) rooms else rooms.filter { it.host.zone in open })
             // The pace takes any room of the slice for room of the job. Where it is in another zone, say, the job would wait for ever.
-            if (!spec.service) tasks = minOf(tasks, maxOf(pace.tasksToRentFor(job, tasks, now), if (book.starves(job)) 1 else 0))
+            if (!spec.service) tasks = minOf(tasks, maxOf(pace.tasksToRentFor(job, tasks, now), if (sliceState.starves(job)) 1 else 0))
             if (tasks <= 0 || open?.isEmpty() == true) continue
-            val yard = if (open == null || open.size == yards.size) spec.yard else open.minBy { yard -> book.machines.values.count { it.record.yard == yard } }
-            val demand = Demand.of(spec, book.late(job), tasks, yard)
+            val zone = if (open == null ||
+                open.size == zones.size
+            ) {
+                spec.zone
+            } else {
+                open.minBy { zone -> sliceState.machines.values.count { it.record.zone == zone } }
+            }
+            val demand = Demand.of(spec, sliceState.late(job), tasks, zone)
             kinds.merge(demand.kind(), demand, Demand::plus)
         }
         return kinds.values.toList()
@@ -241,20 +249,20 @@
         private val arriving = arrayRate()
 
         init {
-            for (machine in book.machines.values) if (machine.usable) cpus += machine.freeCpus
+            for (machine in sliceState.machines.values) if (machine.usable) cpus += machine.freeCpus
             cpus += rooms.sumOf { it.freeCpus }
-            for (job in book.jobs.values) {
+            for (job in sliceState.jobs.values) {
                 if (job.spec.service) continue
                 val running = job.placedCount * job.spec.cpus
                 cpus += running
-                work += running * job.spec.guessS / 2
+                work += running * job.spec.estimateS / 2
             }
         }
 
         fun tasksToRentFor(job: Job, tasks: Int, now: Long): Int {
             val spec = job.spec
-            work += job.waitingCount * spec.cpus * spec.guessS
-            val leftS = (book.dueMs(job) - now) / 1000.0 - spec.guessS
+            work += job.waitingCount * spec.cpus * spec.estimateS
+            val leftS = (sliceState.dueMs(job) - now) / 1000.0 - spec.estimateS
             val seconds = maxOf(leftS, bootS * LATEST_BOOTS)
             val lacking = maxOf(work * ESTIMATE_SLACK / seconds, arriving) - cpus
             if (lacking <= 0.0) return 0
@@ -268,10 +276,10 @@
      * Zones most of whose machines fell silent lately: a zone that is cut off. What is rented there cannot be reached either,
      * and with its machines returned it would look like the zone with the most room.
      */
-    private fun dark(now: Long): List<String> = book.givenUp.filter { (yard, times) ->
+    private fun dark(now: Long): List<String> = sliceState.givenUp.filter { (zone, times) ->
         while (times.isNotEmpty() && now - times.first() > DARK_MS) times.removeFirst()
         times.size >= LEAST_DARK &&
-            times.size > book.machines.values.count { it.record.yard == yard && it.trusted && now - it.lastHeardAt <= book.reportOverdueMs }
+            times.size > sliceState.machines.values.count { it.record.zone == zone && it.trusted && now - it.lastHeardAt <= sliceState.reportOverdueMs }
     }.keys.toList()
 
     // ---- totals -----------------------------------------------------------------------------------------------------------
@@ -279,7 +287,7 @@
     /** Team totals and demand, every few seconds, and sooner when demand has changed. */
     fun writeTotals(now: Long) {
         if (writing || now - lastWritten < MIN_TOTALS_MS) return
-        meanImageGb = if (book.jobs.isEmpty()) 0.0 else book.jobs.values.sumOf { it.spec.sizeGb } / book.jobs.size
+        meanImageGb = if (sliceState.jobs.isEmpty()) 0.0 else sliceState.jobs.values.sumOf { it.spec.imageGb } / sliceState.jobs.size
         val demand = demand()
         val starving = starving(now)
         val wanted = demand.isNotEmpty() || lastDemand.isNotEmpty() || starving.isNotEmpty()
@@ -287,16 +295,16 @@
         lastDemand = demand
         lastWritten = now
         logState(now, demand)
-        due = now + (book.tuning.totalsS * 1000).toLong()
+        due = now + (sliceState.tuning.totalsS * 1000).toLong()
         writing = true
-        val wall = book.clock.wall()
-        val waiting = book.jobs.values.filter { it.waitingCount > 0 }.mapTo(HashSet()) { it.team }
+        val wall = sliceState.clock.wall()
+        val waiting = sliceState.jobs.values.filter { it.waitingCount > 0 }.mapTo(HashSet()) { it.team }
         val value =
             mapOf(
-                "term" to book.term,
-                "hosts" to hostsStamp(),
-                "usage" to book.usage.toFields(book.teams),
-                "ratio" to (waiting.minOfOrNull { book.ratio(it, wall) } ?: 0.0),
+                "term" to sliceState.term,
+                "hosts" to hostsVersion(),
+                "usage" to sliceState.usage.toFields(sliceState.teams),
+                "ratio" to (waiting.minOfOrNull { sliceState.ratio(it, wall) } ?: 0.0),
                 "demand" to demand.take(MAX_KINDS).map { it.toFields() },
                 "idle" to movable(now),
                 "lendable" to lendable(now),
@@ -305,13 +313,17 @@
             )
         val path = Keys.totals(slice)
         out.commit(
-            Change(listOf(book.termGuard, Guard(path, stamp)), listOf(Write.Put(path, value)), if (wanted) Haste.PROMPT else Haste.LAZY) { outcome ->
+            Change(
+                listOf(sliceState.termGuard, Guard(path, version)),
+                listOf(Write.Put(path, value)),
+                if (wanted) WritePriority.PROMPT else WritePriority.LAZY,
+            ) { outcome ->
                 writing = false
-                if (book.dropped) return@Change
-                if (outcome is Outcome.Applied) stamp = outcome.epoch
+                if (sliceState.dropped) return@Change
+                if (outcome is Outcome.Applied) version = outcome.revision
                 if (outcome is Outcome.Conflict) {
                     if (Keys.slice(slice) in outcome.failed) termInDoubt()
-                    if (path in outcome.failed) out.get(path) { if (it is Fetched.Found) stamp = it.item.stamp }
+                    if (path in outcome.failed) out.get(path) { if (it is Fetched.Found) version = it.item.version }
                 }
             },
         )
@@ -322,22 +334,22 @@
     private fun logState(now: Long, demand: List<Demand>) {
         if (now < logDue) return
         logDue = now + LOG_EVERY_MS
-        val (up, coming) = book.machines.values.partition { it.usable }
+        val (up, coming) = sliceState.machines.values.partition { it.usable }
         log.info(
             "slice {}: {} machines, {} not in use, {} CPUs free of {}, {} jobs with {} tasks waiting, wanted: {}",
             slice,
             up.size,
             coming.size,
             up.sumOf { it.freeCpus }.toInt(),
-            up.sumOf { it.flavor?.cpus ?: 0.0 }.toInt(),
-            book.jobs.size,
-            book.jobs.values.sumOf { it.waitingCount },
+            up.sumOf { it.machineType?.cpus ?: 0.0 }.toInt(),
+            sliceState.jobs.size,
+            sliceState.jobs.values.sumOf { it.waitingCount },
             demand.map { "${it.count} of ${"%.1f".format(it.cpus)} CPUs" },
         )
     }
 
     /** Whether machines that are on their way have room for all that [job] may still start. */
-    fun comingHolds(job: Job, rooms: List<Room>): Boolean = left(job.spec, minOf(job.waitingCount, book.allowance(job)), rooms) == 0
+    fun comingHolds(job: Job, rooms: List<Room>): Boolean = left(job.spec, minOf(job.waitingCount, sliceState.allowance(job)), rooms) == 0
 
     private companion object {
         const val SPOT_PATIENCE = 2.0
--- a/src/main/kotlin/io/reedmast/fleet/Leader.kt
+++ b/src/main/kotlin/io/reedmast/fleet/Leader.kt
@@ -10,8 +10,8 @@
 import io.reedmast.state.Item
 import io.reedmast.state.Keys
 import io.reedmast.state.Unreadable
-import io.reedmast.wire.Flavor
 import io.reedmast.wire.ListedHost
+import io.reedmast.wire.MachineType
 import io.reedmast.wire.MalformedException
 import io.reedmast.wire.Reply
 import io.reedmast.wire.Report
@@ -45,14 +45,14 @@
     private val clock: Clock,
     private val out: Gateway,
     private val cluster: Cluster,
-    private val flavors: () -> Map<String, Flavor>,
+    private val machineTypes: () -> Map<String, MachineType>,
     /** Part of every charter's name: never the same twice, over all nodes and restarts. */
-    private val charterPrefix: String,
+    private val requestPrefix: String,
 ) {
     private val log = LoggerFactory.getLogger("fleet")
     private val unreadable = Unreadable()
     private var wasLeading = false
-    private var charters = 0L
+    private var requests = 0L
     private var totalsAsked = false
     private var totalsDue = 0L
     private var listAsked = false
@@ -100,7 +100,7 @@
             }
         }
         assignLeftovers()
-        if (!totalsAsked && now >= totalsDue && flavors().isNotEmpty()) {
+        if (!totalsAsked && now >= totalsDue && machineTypes().isNotEmpty()) {
             totalsAsked = true
             totalsDue = now + READ_TOTALS_MS
             out.list(Keys.TOTALS) { items ->
@@ -170,8 +170,8 @@
 
     private fun suits(slice: SliceIndex, name: String, demand: Demand): Boolean {
         val host = cluster.hostsOf(slice).firstOrNull { it.name == name } ?: return false
-        val flavor = flavors()[host.build] ?: return false
-        return !cluster.isLeaving(slice, name) && demand.runsOn(host.build, host.yard, host.driftwood) && demand.heldBy(flavor) > 0
+        val machineType = machineTypes()[host.typeName] ?: return false
+        return !cluster.isLeaving(slice, name) && demand.runsOn(host.typeName, host.zone, host.spot) && demand.heldBy(machineType) > 0
     }
 
     private fun awaits(slice: SliceIndex) = unassigned.values.any { it.slice == slice }
@@ -186,11 +186,11 @@
                 val given = ArrayList<String>()
                 for (host in cluster.hostsOf(giver.slice)) {
                     if (host.name !in idle || cluster.isLeaving(giver.slice, host.name)) continue
-                    val flavor = flavors()[host.build] ?: continue
+                    val machineType = machineTypes()[host.typeName] ?: continue
                     val demand =
-                        left.entries.firstOrNull { it.value > 0 && it.key.runsOn(host.build, host.yard, host.driftwood) && it.key.heldBy(flavor) > 0 }
+                        left.entries.firstOrNull { it.value > 0 && it.key.runsOn(host.typeName, host.zone, host.spot) && it.key.heldBy(machineType) > 0 }
                             ?: continue
-                    demand.setValue(demand.value - demand.key.heldBy(flavor))
+                    demand.setValue(demand.value - demand.key.heldBy(machineType))
                     given.add(host.name)
                 }
                 if (given.isEmpty()) continue
@@ -212,18 +212,18 @@
     private fun rent(wanting: List<Totals>, dark: Set<String>, now: Long) {
         val parts = LinkedHashMap<Offer, ArrayList<Part>>()
         val held = HashMap<String, Int>()
-        for (slice in cluster.records.indices) cluster.hostsOf(SliceIndex(slice)).forEach { held.merge(it.yard, 1, Int::plus) }
+        for (slice in cluster.records.indices) cluster.hostsOf(SliceIndex(slice)).forEach { held.merge(it.zone, 1, Int::plus) }
         for (needy in wanting) {
             for (demand in needy.demand) {
                 var left = demand
                 // Spread over zones: a zone that is cut off takes only its part with it.
                 while (left.count > 0) {
-                    val (offer, count) = shop(left, flavors().values, { (soldOutUntil[it] ?: 0L) > now || it.yard in dark }, { held[it] ?: 0 }) ?: break
-                    val zones = flavors().getValue(offer.build).yards.size
-                    val some = if (demand.yard != null || zones < 2) minOf(count, MOST_AT_ONCE) else minOf(count, maxOf(MIN_IN_A_ZONE, count / zones))
-                    held.merge(offer.yard, some, Int::plus)
+                    val (offer, count) = shop(left, machineTypes().values, { (soldOutUntil[it] ?: 0L) > now || it.zone in dark }, { held[it] ?: 0 }) ?: break
+                    val zones = machineTypes().getValue(offer.typeName).zones.size
+                    val some = if (demand.zone != null || zones < 2) minOf(count, MOST_AT_ONCE) else minOf(count, maxOf(MIN_IN_A_ZONE, count / zones))
+                    held.merge(offer.zone, some, Int::plus)
                     parts.getOrPut(offer) { ArrayList() }.add(Part(needy.slice, some))
-                    left = left.copy(count = left.count - some * left.heldBy(flavors().getValue(offer.build)))
+                    left = left.copy(count = left.count - some * left.heldBy(machineTypes().getValue(offer.typeName)))
                 }
             }
         }
@@ -237,7 +237,7 @@
                 mine.add(Part(share.slice, some))
             }
             mine.mapTo(HashSet()) { it.slice }.forEach { renting.merge(it, 1, Int::plus) }
-            val rental = Rental("$charterPrefix-${++charters}", offer.build, offer.yard, offer.driftwood, MOST_AT_ONCE - room)
+            val rental = Rental("$requestPrefix-${++requests}", offer.typeName, offer.zone, offer.spot, MOST_AT_ONCE - room)
             send(mine, offer, rental, RENT_TRIES)
         }
     }
@@ -253,13 +253,13 @@
             shares.mapTo(HashSet()) { it.slice }.forEach { renting.computeIfPresent(it) { _, n -> if (n > 1) n - 1 else null } }
             if (rented is Rented.NoCapacity) soldOutUntil[offer] = now + SOLD_OUT_MS
             if (rented is Rented.Hosts) {
-                log.info("rented {} of {} {} in {}{}", rented.names.size, rental.count, rental.build, rental.yard, if (rental.driftwood) ", spot" else "")
+                log.info("rented {} of {} {} in {}{}", rented.names.size, rental.count, rental.typeName, rental.zone, if (rental.spot) ", spot" else "")
                 if (rented.names.size < rental.count) soldOutUntil[offer] = now + SOLD_OUT_MS
                 val names = ArrayDeque(rented.names)
                 for (share in shares) {
                     repeat(share.count) {
                         names.removeFirstOrNull()?.let {
-                            unassigned[HostRecord(it, rental.build, rental.yard, rental.driftwood)] = Destination(share.slice, 0L)
+                            unassigned[HostRecord(it, rental.typeName, rental.zone, rental.spot)] = Destination(share.slice, 0L)
                         }
                     }
                 }
@@ -277,7 +277,7 @@
             cluster.addHosts(slice, records, hosts.maxOf { it.value.seen }) { added ->
                 assigning.remove(slice)
                 if (added.isNotEmpty()) {
-                    outdated[slice] = cluster.machinesStamp(slice)
+                    outdated[slice] = cluster.machinesVersion(slice)
                     unassigned.keys.removeIf { it.name in added }
                 }
             }
@@ -312,18 +312,18 @@
 
     private fun accept(report: Report) {
         if (cluster.sliceOfHost(report.host) != null || report.host in returning || cluster.departedLately(report.host)) return
-        val host = HostRecord(report.host, report.build, report.yard, report.driftwood)
+        val host = HostRecord(report.host, report.typeName, report.zone, report.spot)
         val slice = emptiest()
         log.info("{}: a worker of no slice reports; it goes to slice {}", report.host, slice.value)
-        unassigned[host] = Destination(slice, report.baton)
+        unassigned[host] = Destination(slice, report.token)
         assignLeftovers()
     }
 
     /** The slice with the fewest CPUs, so that machines found at the start are spread evenly. */
     private fun emptiest(): SliceIndex {
         val cpus = DoubleArray(cluster.records.size)
-        for (slice in cpus.indices) cpus[slice] = cluster.hostsOf(SliceIndex(slice)).sumOf { flavors()[it.build]?.cpus ?: 1.0 }
-        for ((host, to) in unassigned) cpus[to.slice.value] += flavors()[host.build]?.cpus ?: 1.0
+        for (slice in cpus.indices) cpus[slice] = cluster.hostsOf(SliceIndex(slice)).sumOf { machineTypes()[it.typeName]?.cpus ?: 1.0 }
+        for ((host, to) in unassigned) cpus[to.slice.value] += machineTypes()[host.typeName]?.cpus ?: 1.0
         return SliceIndex(cpus.indices.minByOrNull { cpus[it] } ?: 0)
     }
 
@@ -340,7 +340,7 @@
                 continue
             }
             val since = strangers.getOrPut(host.name) { now }
-            val patience = ((flavors()[host.build]?.startupS ?: 60.0) * 2 + settings.cloudLimits.listLagS * 2) * 1000
+            val patience = ((machineTypes()[host.typeName]?.bootS ?: 60.0) * 2 + settings.cloudLimits.listLagS * 2) * 1000
             if ((host.stage == "failed" || now - since > patience) && host.name !in returning) lost.add(host.name)
         }
         if (lost.isEmpty()) return
--- a/src/main/kotlin/io/reedmast/fleet/Offer.kt
+++ b/src/main/kotlin/io/reedmast/fleet/Offer.kt
@@ -1,35 +1,35 @@
 package io.reedmast.fleet
 
-import io.reedmast.wire.Flavor
+import io.reedmast.wire.MachineType
 import kotlin.math.ceil
 
 /** A kind of machine that the cloud rents: type, zone, and spot or ordinary. */
-data class Offer(val build: String, val yard: String, val driftwood: Boolean)
+data class Offer(val typeName: String, val zone: String, val spot: Boolean)
 
 /**
  * What to rent for [demand], cheapest first: the kind of machine that covers the whole need at the least cost per hour.
  *
  * A pure function: [soldOut] says which offers were refused lately, [held] how many machines of ours a zone has.
  */
-fun shop(demand: Demand, flavors: Collection<Flavor>, soldOut: (Offer) -> Boolean, held: (String) -> Int): Pair<Offer, Int>? {
+fun shop(demand: Demand, machineTypes: Collection<MachineType>, soldOut: (Offer) -> Boolean, held: (String) -> Int): Pair<Offer, Int>? {
     var best: Pair<Offer, Int>? = null
     var bestCost = Double.MAX_VALUE
-    for (flavor in flavors) {
-        if (demand.builds != null && flavor.label !in demand.builds) continue
-        val holds = demand.heldBy(flavor)
+    for (machineType in machineTypes) {
+        if (demand.allowedTypes != null && machineType.label !in demand.allowedTypes) continue
+        val holds = demand.heldBy(machineType)
         if (holds < 1) continue
         val count = ceil(demand.count.toDouble() / holds).toInt()
-        val yards = flavor.yards.filter { demand.yard == null || it == demand.yard }.sortedBy { held(it) }
+        val zones = machineType.zones.filter { demand.zone == null || it == demand.zone }.sortedBy { held(it) }
         for (spot in listOf(true, false)) {
-            val price = if (spot) flavor.lowPrice?.times(SPOT_RISK) else flavor.hourly
-            if (price == null || (spot && !demand.driftwood)) continue
-            if (!spot && demand.driftwood && !demand.late && isDear(flavor, flavors, demand.cpus, demand.gpus, demand.memGb)) continue
-            val yard = yards.firstOrNull { !soldOut(Offer(flavor.label, it, spot)) } ?: continue
+            val price = if (spot) machineType.spotPrice?.times(SPOT_RISK) else machineType.hourlyPrice
+            if (price == null || (spot && !demand.spot)) continue
+            if (!spot && demand.spot && !demand.late && isDear(machineType, machineTypes, demand.cpus, demand.gpus, demand.memoryGb)) continue
+            val zone = zones.firstOrNull { !soldOut(Offer(machineType.label, it, spot)) } ?: continue
             // A machine that is only partly filled still costs as a whole.
             val cost = price * count
             if (cost < bestCost) {
                 bestCost = cost
-                best = Offer(flavor.label, yard, spot) to count
+                best = Offer(machineType.label, zone, spot) to count
             }
         }
     }
@@ -37,13 +37,13 @@
 }
 
 /** Whether an ordinary machine of this type is too dear for tasks of this shape that may use spot machines. */
-fun isDear(flavor: Flavor, flavors: Collection<Flavor>, cpus: Double, gpus: Double, memGb: Double): Boolean {
-    fun perTask(of: Flavor, price: Double?): Double {
-        val holds = of.holds(cpus, gpus, memGb)
+fun isDear(machineType: MachineType, machineTypes: Collection<MachineType>, cpus: Double, gpus: Double, memoryGb: Double): Boolean {
+    fun perTask(of: MachineType, price: Double?): Double {
+        val holds = of.holds(cpus, gpus, memoryGb)
         return if (price == null || holds < 1) Double.MAX_VALUE else price / holds
     }
-    val cheapest = flavors.minOfOrNull { perTask(it, it.lowPrice) } ?: return false
-    return perTask(flavor, flavor.hourly) > cheapest * MOST_PREMIUM
+    val cheapest = machineTypes.minOfOrNull { perTask(it, it.spotPrice) } ?: return false
+    return perTask(machineType, machineType.hourlyPrice) > cheapest * MOST_PREMIUM
 }
 
 /**
--- a/src/main/kotlin/io/reedmast/jobs/Job.kt
+++ b/src/main/kotlin/io/reedmast/jobs/Job.kt
@@ -20,16 +20,16 @@
  * Quota, zone rules and free room count every placement, whatever is known of it.
  */
 class Placement(val job: Job, val task: Int, val attempt: Long, val machine: Machine, val madeAt: Long) {
-    val id = TaskId(job.spec.ref, task)
+    val id = TaskId(job.spec.jobId, task)
 
     /** Whether the state service holds it: nothing is launched before. */
     var committed = false
 
     /** The worker's session for which a launch was last sent, 0 if this owner sent none. */
-    var launchTenure = 0L
+    var launchSession = 0L
 
-    /** The tally of the report in whose answer a launch was last sent. */
-    var answeredTally = -1L
+    /** The sequence of the report in whose answer a launch was last sent. */
+    var answeredSequence = -1L
 
     /** In how many answers a launch was sent since the worker last showed the attempt. */
     var launchesAnswered = 0
@@ -52,7 +52,7 @@
     val placements = TreeMap<Int, Placement>()
 
     /** The stored value that holds it, from its first change on. */
-    var page: Page? = null
+    var page: ProgressPage? = null
 
     /** Whether it has changed since its page was last handed to the state service. */
     var dirty = false
@@ -66,9 +66,9 @@
     private val chunkSize: Int,
     val acceptedAtMs: Long,
     /** Stamp of the job's [LiveRecord]: whoever cancels or ends the job moves it. */
-    var stamp: Long,
+    var version: Long,
 ) {
-    val chunks: Array<Chunk?> = arrayOfNulls((spec.pieces + chunkSize - 1) / chunkSize)
+    val chunks: Array<Chunk?> = arrayOfNulls((spec.taskCount + chunkSize - 1) / chunkSize)
     var aborted = false
     var doneCount = 0
     var placedCount = 0
@@ -81,9 +81,9 @@
     var endNotBefore = 0L
 
     /** Tasks with neither result nor placement, lowest number first. */
-    private val waiting = BitSet(spec.pieces).apply { set(0, spec.pieces) }
-    val waitingCount: Int get() = if (aborted) 0 else spec.pieces - doneCount - placedCount
-    val over: Boolean get() = placedCount == 0 && (aborted || (!spec.service && doneCount == spec.pieces))
+    private val waiting = BitSet(spec.taskCount).apply { set(0, spec.taskCount) }
+    val waitingCount: Int get() = if (aborted) 0 else spec.taskCount - doneCount - placedCount
+    val over: Boolean get() = placedCount == 0 && (aborted || (!spec.service && doneCount == spec.taskCount))
 
     /** Machines on which attempts of this job failed, and how many failed in a row. */
     val failedOn = HashSet<Machine>()
@@ -104,11 +104,11 @@
     var unservedSince = 0L
 
     /** Which machine types are too dear for it, as long as prices stay as they are. */
-    val dearFlavors = HashMap<String, Boolean>(4)
+    val dearTypes = HashMap<String, Boolean>(4)
 
     fun chunkOf(task: Int): Chunk {
         val index = task / chunkSize
-        return chunks[index] ?: Chunk(this, index, index * chunkSize, minOf(chunkSize, spec.pieces - index * chunkSize)).also { chunks[index] = it }
+        return chunks[index] ?: Chunk(this, index, index * chunkSize, minOf(chunkSize, spec.taskCount - index * chunkSize)).also { chunks[index] = it }
     }
 
     fun nextWaiting(): Int = waiting.nextSetBit(0)
@@ -146,7 +146,7 @@
         if (placement.running) runningCount--
         placement.runningSince = 0L
         placement.seen = false
-        placement.launchTenure = 0L
+        placement.launchSession = 0L
         placement.launchesAnswered = 0
     }
 
--- a/src/main/kotlin/io/reedmast/jobs/JobIndex.kt
+++ b/src/main/kotlin/io/reedmast/jobs/JobIndex.kt
@@ -16,7 +16,7 @@
 import io.reedmast.wire.optionalFlag
 
 /** How a job ended. */
-enum class FinalStage(val wire: String) {
+enum class FinalState(val wire: String) {
     DONE("done"),
     ABORTED("aborted"),
 }
@@ -37,19 +37,19 @@
 }
 
 /** The record of a job that is over, kept for good. */
-class EndRecord(val stage: FinalStage, val pieces: Int) {
-    fun toFields(): Fields = mapOf("stage" to stage.wire, "pieces" to pieces)
+class EndRecord(val stage: FinalState, val taskCount: Int) {
+    fun toFields(): Fields = mapOf("stage" to stage.wire, "pieces" to taskCount)
 
     companion object {
         fun parse(fields: Fields) = EndRecord(
-            FinalStage.entries.firstOrNull { it.wire == fields["stage"] } ?: throw MalformedException("stage is unknown"),
+            FinalState.entries.firstOrNull { it.wire == fields["stage"] } ?: throw MalformedException("stage is unknown"),
             fields.count("pieces").toInt(),
         )
     }
 }
 
 /** An unfinished job as every node knows it. */
-class LiveJob(val slice: SliceIndex, val record: LiveRecord, val stamp: Long) {
+class LiveJob(val slice: SliceIndex, val record: LiveRecord, val version: Long) {
     /** Counts for display, as the slice's owner last told. */
     var done = 0
     var running = 0
@@ -68,72 +68,72 @@
     /** Final states never change, so those that do not fit are read again. */
     private val ends = Caffeine.newBuilder().maximumSize(ENDS_KEPT).executor(Runnable::run).build<String, EndRecord>()
 
-    fun live(ref: String): LiveJob? = live[ref]
+    fun live(jobId: String): LiveJob? = live[jobId]
 
-    fun end(ref: String): EndRecord? = ends.getIfPresent(ref)
+    fun end(jobId: String): EndRecord? = ends.getIfPresent(jobId)
 
-    fun noteEnd(ref: String, end: EndRecord) = ends.put(ref, end)
+    fun noteEnd(jobId: String, end: EndRecord) = ends.put(jobId, end)
 
     fun liveOf(slice: SliceIndex): List<LiveJob> = live.values.filter { it.slice == slice }
 
-    /** Takes up a complete reading; [epoch] is what it is at least as new as. */
-    fun load(items: List<Item>, epoch: Long) {
+    /** Takes up a complete reading; [revision] is what it is at least as new as. */
+    fun load(items: List<Item>, revision: Long) {
         val listed = items.mapTo(HashSet()) { it.path.substringAfterLast('/') }
-        live.filter { (ref, job) -> ref !in listed && job.stamp <= epoch }.keys.toList().forEach { remove(it, Long.MAX_VALUE) }
-        items.forEach { see(it.path, it.value, it.stamp) }
+        live.filter { (jobId, job) -> jobId !in listed && job.version <= revision }.keys.toList().forEach { remove(it, Long.MAX_VALUE) }
+        items.forEach { see(it.path, it.value, it.version) }
     }
 
     /** A record was stored, or (null) deleted, whichever is told first: the watch, or the answer to a change of our own. */
-    fun see(path: String, value: Fields?, stamp: Long) {
-        val ref = path.substringAfterLast('/')
+    fun see(path: String, value: Fields?, version: Long) {
+        val jobId = path.substringAfterLast('/')
         try {
             when {
-                path.startsWith(Keys.ENDS) -> if (value != null) noteEnd(ref, EndRecord.parse(value))
+                path.startsWith(Keys.ENDS) -> if (value != null) noteEnd(jobId, EndRecord.parse(value))
                 !path.startsWith(Keys.LIVE) -> {}
-                value == null -> remove(ref, stamp)
-                else -> put(ref, path.removePrefix(Keys.LIVE).substringBefore('/').toIntOrNull(), value, stamp)
+                value == null -> remove(jobId, version)
+                else -> put(jobId, path.removePrefix(Keys.LIVE).substringBefore('/').toIntOrNull(), value, version)
             }
         } catch (e: MalformedException) {
             unreadable.note(path, e.message)
         }
     }
 
-    private fun put(ref: String, slice: Int?, value: Fields, stamp: Long) {
+    private fun put(jobId: String, slice: Int?, value: Fields, version: Long) {
         // The watch may tell of the job after our own change has ended it.
-        if (slice == null || slice !in 0 until settings.slices || ends.getIfPresent(ref) != null) return
-        val known = live[ref]
-        if (known != null && known.stamp >= stamp) return
-        put(ref, LiveJob(SliceIndex(slice), LiveRecord.parse(value), stamp))
+        if (slice == null || slice !in 0 until settings.slices || ends.getIfPresent(jobId) != null) return
+        val known = live[jobId]
+        if (known != null && known.version >= version) return
+        put(jobId, LiveJob(SliceIndex(slice), LiveRecord.parse(value), version))
     }
 
-    private fun put(ref: String, job: LiveJob) {
-        live[ref]?.let {
+    private fun put(jobId: String, job: LiveJob) {
+        live[jobId]?.let {
             job.done = it.done
             job.running = it.running
         }
-        live[ref] = job
+        live[jobId] = job
         owned().forEach { if (it.index == job.slice) it.jobSeen(job) }
     }
 
-    private fun remove(ref: String, stamp: Long) {
-        val known = live[ref] ?: return
-        if (known.stamp > stamp) return
-        live.remove(ref)
-        owned().forEach { if (it.index == known.slice) it.jobGone(ref) }
+    private fun remove(jobId: String, version: Long) {
+        val known = live[jobId] ?: return
+        if (known.version > version) return
+        live.remove(jobId)
+        owned().forEach { if (it.index == known.slice) it.jobGone(jobId) }
     }
 
     /** All cancelled jobs that are not over. */
-    fun cancellations(): List<Cancellation> = live.filterValues { it.record.aborted }.map { (ref, job) -> Cancellation(ref, job.stamp) }
+    fun cancellations(): List<Cancellation> = live.filterValues { it.record.aborted }.map { (jobId, job) -> Cancellation(jobId, job.version) }
 
     /** Another controller knows that a job is cancelled, while the watch tells nothing. */
     fun noteCancellation(cancellation: Cancellation) {
-        val job = live[cancellation.ref] ?: return
-        if (job.stamp < cancellation.stamp) put(cancellation.ref, LiveJob(job.slice, job.record.aborted(), cancellation.stamp))
+        val job = live[cancellation.jobId] ?: return
+        if (job.version < cancellation.version) put(cancellation.jobId, LiveJob(job.slice, job.record.aborted(), cancellation.version))
     }
 
     fun noteProgress(progress: List<JobProgress>) {
         for (of in progress) {
-            live[of.ref]?.apply {
+            live[of.jobId]?.apply {
                 done = of.done
                 running = of.running
             }
--- a/src/main/kotlin/io/reedmast/jobs/JobDoor.kt
+++ b/src/main/kotlin/io/reedmast/jobs/JobRequests.kt
@@ -11,8 +11,8 @@
 import io.reedmast.state.Outcome
 import io.reedmast.state.Write
 import io.reedmast.wire.Fields
-import io.reedmast.wire.Flavor
 import io.reedmast.wire.JobSpec
+import io.reedmast.wire.MachineType
 import io.reedmast.wire.MalformedException
 import org.slf4j.LoggerFactory
 
@@ -25,33 +25,33 @@
  * What a user is told is stored before, and a poll waits until this node knows all that was stored when it came, so every
  * later answer of every node agrees with it. Only final states are answered from memory at once, since they never change.
  */
-class JobDoor(
+class JobRequests(
     private val settings: Settings,
     private val clock: Clock,
     private val out: Gateway,
     private val cluster: Cluster,
-    private val flavors: () -> Map<String, Flavor>,
+    private val machineTypes: () -> Map<String, MachineType>,
 ) {
     private val log = LoggerFactory.getLogger("jobs")
     private val jobs get() = cluster.jobs
 
     fun submit(spec: JobSpec, answer: (UserAnswer) -> Unit) {
-        jobs.end(spec.ref)?.let {
-            answer(ended(spec.ref, it))
+        jobs.end(spec.jobId)?.let {
+            answer(ended(spec.jobId, it))
             return
         }
         // Before anything that could refuse it: an accepted job's submission may be repeated at any time.
-        if (jobs.live(spec.ref) != null) {
-            poll(spec.ref, answer)
+        if (jobs.live(spec.jobId) != null) {
+            poll(spec.jobId, answer)
             return
         }
-        val team = settings.teamsByName[spec.crew]
+        val team = settings.teamsByName[spec.teamName]
         val refusal = if (team == null) "unknown team" else refusal(spec, settings.teams[team.value].maxCpus, settings.teams[team.value].maxGpus)
         if (team == null || refusal != null) {
             answer(UserAnswer(422, mapOf("error" to refusal)))
             return
         }
-        if (!cluster.ready || flavors().isEmpty() || !out.stateAnswers) {
+        if (!cluster.ready || machineTypes().isEmpty() || !out.stateAnswers) {
             answer(later())
             return
         }
@@ -60,19 +60,19 @@
             return
         }
         val slice = settings.sliceOf(team).value
-        val record = LiveRecord(spec, Page.chunkSizeFor(settings.stateLimits.valueBytes), clock.wall(), aborted = false).toFields()
-        val path = Keys.live(slice, spec.ref)
+        val record = LiveRecord(spec, ProgressPage.chunkSizeFor(settings.stateLimits.valueBytes), clock.wall(), aborted = false).toFields()
+        val path = Keys.live(slice, spec.jobId)
         // A late copy of a submission must not bring back a job that is over: its end is a condition too.
         val change =
-            Change(listOf(Guard(path, 0), Guard(Keys.end(spec.ref), 0)), listOf(Write.Put(path, record))) { outcome ->
+            Change(listOf(Guard(path, 0), Guard(Keys.end(spec.jobId), 0)), listOf(Write.Put(path, record))) { outcome ->
                 when (outcome) {
                     is Outcome.Applied -> {
-                        log.info("{}: accepted, {} tasks of {} for {}", spec.ref, spec.pieces, spec.lot, spec.crew)
-                        answer(UserAnswer(201, mapOf("ref" to spec.ref, "stage" to "queued")))
-                        jobs.see(path, record, outcome.epoch)
+                        log.info("{}: accepted, {} tasks of {} for {}", spec.jobId, spec.taskCount, spec.jobClass, spec.teamName)
+                        answer(UserAnswer(201, mapOf("ref" to spec.jobId, "stage" to "queued")))
+                        jobs.see(path, record, outcome.revision)
                     }
 
-                    is Outcome.Conflict -> poll(spec.ref) { answer(if (it.status == 404) later() else it) }
+                    is Outcome.Conflict -> poll(spec.jobId) { answer(if (it.status == 404) later() else it) }
 
                     is Outcome.Refused -> answer(UserAnswer(413, mapOf("error" to "the job's description is too large")))
                 }
@@ -81,42 +81,43 @@
     }
 
     private fun refusal(spec: JobSpec, maxCpus: Double, maxGpus: Double): String? {
-        val times = if (spec.service) spec.pieces.toDouble() else 1.0
+        val times = if (spec.service) spec.taskCount.toDouble() else 1.0
         val above = (maxCpus > 0 && spec.cpus * times > maxCpus + SLACK) || (maxGpus > 0 && spec.gpus * times > maxGpus + SLACK)
         return if (above) "more than the team's limit" else null
     }
 
-    private fun fitsNowhere(spec: JobSpec): Boolean = (spec.yard != null && spec.yard !in settings.zones && flavors().values.none { spec.yard in it.yards }) ||
-        flavors().values.none { flavor ->
-            (spec.builds == null || flavor.label in spec.builds) && flavor.holds(spec.cpus, spec.gpus, spec.memGb) >= 1 &&
-                (spec.yard == null || flavor.yards.isEmpty() || spec.yard in flavor.yards)
-        }
+    private fun fitsNowhere(spec: JobSpec): Boolean =
+        (spec.zone != null && spec.zone !in settings.zones && machineTypes().values.none { spec.zone in it.zones }) ||
+            machineTypes().values.none { machineType ->
+                (spec.allowedTypes == null || machineType.label in spec.allowedTypes) && machineType.holds(spec.cpus, spec.gpus, spec.memoryGb) >= 1 &&
+                    (spec.zone == null || machineType.zones.isEmpty() || spec.zone in machineType.zones)
+            }
 
     private fun later() = UserAnswer(503, mapOf("error" to "cannot decide yet"), RETRY_AFTER_S)
 
-    private fun ended(ref: String, end: EndRecord): UserAnswer {
-        val done = if (end.stage == FinalStage.DONE) end.pieces else 0
-        return UserAnswer(200, mapOf("ref" to ref, "stage" to end.stage.wire, "done" to done, "running" to 0))
+    private fun ended(jobId: String, end: EndRecord): UserAnswer {
+        val done = if (end.stage == FinalState.DONE) end.taskCount else 0
+        return UserAnswer(200, mapOf("ref" to jobId, "stage" to end.stage.wire, "done" to done, "running" to 0))
     }
 
-    private fun aborted(ref: String) = ended(ref, EndRecord(FinalStage.ABORTED, 0))
+    private fun aborted(jobId: String) = ended(jobId, EndRecord(FinalState.ABORTED, 0))
 
     /** Counts are for display; a job of which no owner has told is shown as queued, which is never too new. */
-    private fun unfinished(ref: String, job: LiveJob) =
-        UserAnswer(200, mapOf("ref" to ref, "stage" to if (job.running > 0) "running" else "queued", "done" to job.done, "running" to job.running))
+    private fun unfinished(jobId: String, job: LiveJob) =
+        UserAnswer(200, mapOf("ref" to jobId, "stage" to if (job.running > 0) "running" else "queued", "done" to job.done, "running" to job.running))
 
-    fun poll(ref: String, answer: (UserAnswer) -> Unit) = find(ref, answer) { job ->
-        answer(if (job.record.aborted) aborted(ref) else unfinished(ref, job))
+    fun poll(jobId: String, answer: (UserAnswer) -> Unit) = find(jobId, answer) { job ->
+        answer(if (job.record.aborted) aborted(jobId) else unfinished(jobId, job))
     }
 
     /** Answers for a job that is over, unknown, or cannot be looked up now; leaves an unfinished one to [use]. */
-    private fun find(ref: String, answer: (UserAnswer) -> Unit, use: (LiveJob) -> Unit) {
-        if (!JobSpec.isRef(ref)) {
+    private fun find(jobId: String, answer: (UserAnswer) -> Unit, use: (LiveJob) -> Unit) {
+        if (!JobSpec.isJobId(jobId)) {
             answer(UNKNOWN)
             return
         }
-        jobs.end(ref)?.let {
-            answer(ended(ref, it))
+        jobs.end(jobId)?.let {
+            answer(ended(jobId, it))
             return
         }
         if (!cluster.fresh()) {
@@ -124,19 +125,19 @@
             return
         }
         cluster.freshness.whenJobsKnown { known ->
-            val job = jobs.live(ref)
-            val end = jobs.end(ref)
+            val job = jobs.live(jobId)
+            val end = jobs.end(jobId)
             when {
                 !known -> answer(later())
-                end != null -> answer(ended(ref, end))
+                end != null -> answer(ended(jobId, end))
                 job != null -> use(job)
-                else -> readEnd(ref, answer)
+                else -> readEnd(jobId, answer)
             }
         }
     }
 
     /** Not among the unfinished: it ended long ago, or nobody has submitted it. */
-    private fun readEnd(ref: String, answer: (UserAnswer) -> Unit) = out.get(Keys.end(ref)) { fetched ->
+    private fun readEnd(jobId: String, answer: (UserAnswer) -> Unit) = out.get(Keys.end(jobId)) { fetched ->
         when (fetched) {
             is Fetched.Failed -> answer(later())
 
@@ -144,34 +145,34 @@
 
             is Fetched.Found -> try {
                 val end = EndRecord.parse(fetched.item.value)
-                jobs.noteEnd(ref, end)
-                answer(ended(ref, end))
+                jobs.noteEnd(jobId, end)
+                answer(ended(jobId, end))
             } catch (e: MalformedException) {
-                jobs.unreadable.note(Keys.end(ref), e.message)
+                jobs.unreadable.note(Keys.end(jobId), e.message)
                 answer(later())
             }
         }
     }
 
-    fun abort(ref: String, answer: (UserAnswer) -> Unit, tries: Int = ABORT_TRIES): Unit = find(ref, answer) { job ->
+    fun abort(jobId: String, answer: (UserAnswer) -> Unit, tries: Int = ABORT_TRIES): Unit = find(jobId, answer) { job ->
         if (job.record.aborted) {
-            answer(aborted(ref))
+            answer(aborted(jobId))
             return@find
         }
         if (!out.stateAnswers) {
             answer(later())
             return@find
         }
-        val path = Keys.live(job.slice.value, ref)
+        val path = Keys.live(job.slice.value, jobId)
         val record = job.record.aborted().toFields()
         out.commit(
-            Change(listOf(Guard(path, job.stamp)), listOf(Write.Put(path, record))) { outcome ->
+            Change(listOf(Guard(path, job.version)), listOf(Write.Put(path, record))) { outcome ->
                 if (outcome is Outcome.Applied) {
-                    log.info("{}: cancelled by its user", ref)
-                    answer(aborted(ref))
-                    jobs.see(path, record, outcome.epoch)
+                    log.info("{}: cancelled by its user", jobId)
+                    answer(aborted(jobId))
+                    jobs.see(path, record, outcome.revision)
                 } else if (tries > 1) {
-                    abort(ref, answer, tries - 1)
+                    abort(jobId, answer, tries - 1)
                 } else {
                     answer(later())
                 }
--- a/src/main/kotlin/io/reedmast/jobs/Page.kt
+++ b/src/main/kotlin/io/reedmast/jobs/ProgressPage.kt
@@ -14,8 +14,8 @@
  * Each put counts against the state service's limit, whatever its size: a record for each job cost several puts a second
  * where one does. A chunk stays in its page; room for all its tasks is set aside when it comes.
  */
-class Page(val index: Int) {
-    var stamp = 0L
+class ProgressPage(val index: Int) {
+    var version = 0L
     var writing = false
     val chunks = LinkedHashSet<Chunk>()
     var reserved = 0
@@ -42,7 +42,7 @@
         "chunks" to
             chunks.filter { it.placements.isNotEmpty() || !it.done.isEmpty }.map { chunk ->
                 mapOf(
-                    "ref" to chunk.job.spec.ref,
+                    "ref" to chunk.job.spec.jobId,
                     "first" to chunk.first,
                     "done" to HexFormat.of().formatHex(chunk.done.toByteArray()),
                     "on" to chunk.placements.values.filter { it !in left }.flatMap { listOf(it.task, it.attempt, it.machine.name) },
@@ -54,7 +54,7 @@
     class Stored(val task: Int, val attempt: Long, val host: String)
 
     /** One chunk as it is stored. */
-    class StoredChunk(val ref: String, val first: Int, val done: BitSet, val on: List<Stored>) {
+    class StoredChunk(val jobId: String, val first: Int, val done: BitSet, val on: List<Stored>) {
         companion object {
             fun parse(fields: Fields): StoredChunk {
                 val flat = fields.list("on")
@@ -83,7 +83,7 @@
         private const val BYTES_PER_PLACEMENT = 48
         private const val BYTES_PER_CHUNK = 64
 
-        private fun reserve(chunk: Chunk) = BYTES_PER_CHUNK + chunk.job.spec.ref.length + chunk.size * BYTES_PER_PLACEMENT + chunk.size / 4 + 1
+        private fun reserve(chunk: Chunk) = BYTES_PER_CHUNK + chunk.job.spec.jobId.length + chunk.size * BYTES_PER_PLACEMENT + chunk.size / 4 + 1
 
         /** Tasks that a chunk has at most, so that two of them fit one value. */
         fun chunkSizeFor(valueBytes: Int): Int = maxOf(1, (valueBytes / 2 - 3 * BYTES_PER_CHUNK) / (BYTES_PER_PLACEMENT + 1))
--- a/src/main/kotlin/io/reedmast/jobs/Ledger.kt
+++ b/src/main/kotlin/io/reedmast/jobs/ProgressStore.kt
@@ -4,11 +4,11 @@
 import io.reedmast.state.Change
 import io.reedmast.state.Fetched
 import io.reedmast.state.Guard
-import io.reedmast.state.Haste
 import io.reedmast.state.Item
 import io.reedmast.state.Keys
 import io.reedmast.state.Outcome
 import io.reedmast.state.Write
+import io.reedmast.state.WritePriority
 import io.reedmast.wire.MalformedException
 import io.reedmast.wire.maps
 import org.slf4j.LoggerFactory
@@ -25,34 +25,34 @@
     fun recordChanged(path: String, item: Item?)
 
     /** The job's final state is stored. */
-    fun ended(job: Job, end: EndRecord, epoch: Long)
+    fun ended(job: Job, end: EndRecord, revision: Long)
 }
 
 /** The storing of a slice: pages of progress, and the ends of jobs. */
-class Ledger(private val book: SliceBook, private val out: Gateway, private val told: Stored) {
+class ProgressStore(private val sliceState: SliceState, private val out: Gateway, private val told: Stored) {
     private val log = LoggerFactory.getLogger("slice")
-    private val slice = book.index.value
-    private val pages = ArrayList<Page>()
-    private val pageBytes = book.settings.stateLimits.valueBytes * 95 / 100
+    private val slice = sliceState.index.value
+    private val pages = ArrayList<ProgressPage>()
+    private val pageBytes = sliceState.settings.stateLimits.valueBytes * 95 / 100
     private val toEnd = LinkedHashSet<Job>()
     private var endings = 0
 
     /** Stored pages as they were read; [place] takes up each placement. */
-    fun load(items: List<Item>, jobs: (String) -> Job?, place: (Job, Page.Stored) -> Unit) {
-        for (item in items.sortedBy { it.stamp }) {
+    fun load(items: List<Item>, jobs: (String) -> Job?, place: (Job, ProgressPage.Stored) -> Unit) {
+        for (item in items.sortedBy { it.version }) {
             val index = item.path.substringAfterLast('/').toIntOrNull() ?: continue
-            while (pages.size <= index) pages.add(Page(pages.size))
+            while (pages.size <= index) pages.add(ProgressPage(pages.size))
             val page = pages[index]
-            page.stamp = item.stamp
+            page.version = item.version
             try {
-                for (stored in item.value.maps("chunks").map { Page.StoredChunk.parse(it) }) {
+                for (stored in item.value.maps("chunks").map { ProgressPage.StoredChunk.parse(it) }) {
                     // A job that is over needs no clearing from its page: the next writing leaves it out.
-                    val job = jobs(stored.ref) ?: continue
-                    if (stored.first !in 0 until job.spec.pieces) throw MalformedException("first is out of range")
+                    val job = jobs(stored.jobId) ?: continue
+                    if (stored.first !in 0 until job.spec.taskCount) throw MalformedException("first is out of range")
                     page.add(job.chunkOf(stored.first))
-                    stored.done.stream().forEach { if (stored.first + it < job.spec.pieces) job.markDone(stored.first + it) }
-                    stored.on.forEach { if (it.task in 0 until job.spec.pieces) place(job, it) }
-                    book.changed.add(job)
+                    stored.done.stream().forEach { if (stored.first + it < job.spec.taskCount) job.markDone(stored.first + it) }
+                    stored.on.forEach { if (it.task in 0 until job.spec.taskCount) place(job, it) }
+                    sliceState.changed.add(job)
                 }
             } catch (e: MalformedException) {
                 log.error("slice {}: stored record {} cannot be read: {}", slice, item.path, e.message)
@@ -62,8 +62,8 @@
 
     /** Stores what differs from what is stored, as far as the limit on changes allows. */
     fun flush(now: Long) {
-        for (job in book.changed) {
-            if (book.jobs[job.spec.ref] !== job) continue
+        for (job in sliceState.changed) {
+            if (sliceState.jobs[job.spec.jobId] !== job) continue
             if (job.over) toEnd.add(job)
             for (chunk in job.chunks) {
                 if (chunk == null || !chunk.dirty) continue
@@ -72,32 +72,32 @@
                 if (!page.urgent && chunk.placements.values.any { !it.committed }) page.urgent = true
             }
         }
-        book.changed.clear()
-        if (!book.fresh()) return
+        sliceState.changed.clear()
+        if (!sliceState.fresh()) return
         endJobs()
         for (page in pages) {
             if (page.dirtySince == 0L || page.writing) continue
             if (page.urgent) {
                 // Not to the last change that is allowed: an acceptance, whose user waits, takes one and should find it.
-                if (out.writeFullness() > FULL_ENOUGH_TO_PLACE) store(page, Haste.PROMPT)
+                if (out.writeFullness() > FULL_ENOUGH_TO_PLACE) store(page, WritePriority.PROMPT)
             } else if (now - page.dirtySince >= LAZY_MS && out.writeFullness() > FULL_ENOUGH) {
-                store(page, Haste.LAZY)
+                store(page, WritePriority.LAZY)
             }
         }
     }
 
     /** Pages that are about to be written anyway come first, so that decisions of a moment share a put. */
-    private fun pageFor(chunk: Chunk): Page {
+    private fun pageFor(chunk: Chunk): ProgressPage {
         val open = pages.filter { !it.writing && it.hasRoom(chunk, pageBytes) }
         val page = open.firstOrNull { it.urgent } ?: open.firstOrNull { it.dirtySince != 0L } ?: open.firstOrNull()
-        return (page ?: Page(pages.size).also { pages.add(it) }).also { it.add(chunk) }
+        return (page ?: ProgressPage(pages.size).also { pages.add(it) }).also { it.add(chunk) }
     }
 
-    private fun store(page: Page, haste: Haste) {
+    private fun store(page: ProgressPage, writePriority: WritePriority) {
         val path = Keys.page(slice, page.index)
         val pending = page.chunks.flatMap { chunk -> chunk.placements.values.filter { !it.committed } }
         // Each job that is placed anew is a condition, and a transaction takes only so many.
-        val jobs = pending.mapTo(LinkedHashSet()) { it.job }.take(book.settings.stateLimits.opsPerCommit * 3)
+        val jobs = pending.mapTo(LinkedHashSet()) { it.job }.take(sliceState.settings.stateLimits.opsPerCommit * 3)
         val included = pending.filter { it.job in jobs }
         val left = pending.filterTo(HashSet()) { it.job !in jobs }
         page.chunks.forEach { it.dirty = false }
@@ -105,16 +105,16 @@
         page.urgent = left.isNotEmpty()
         page.writing = true
         val guards = ArrayList<Guard>(jobs.size + 2)
-        guards.add(book.termGuard)
-        guards.add(Guard(path, page.stamp))
-        jobs.mapTo(guards) { Guard(Keys.live(slice, it.spec.ref), it.stamp) }
+        guards.add(sliceState.termGuard)
+        guards.add(Guard(path, page.version))
+        jobs.mapTo(guards) { Guard(Keys.live(slice, it.spec.jobId), it.version) }
         out.commit(
-            Change(guards, listOf(Write.Put(path, page.toFields(left))), haste) { outcome ->
+            Change(guards, listOf(Write.Put(path, page.toFields(left))), writePriority) { outcome ->
                 page.writing = false
-                if (book.dropped) return@Change
+                if (sliceState.dropped) return@Change
                 when (outcome) {
                     is Outcome.Applied -> {
-                        page.stamp = outcome.epoch
+                        page.version = outcome.revision
                         included.forEach { told.placed(it) }
                     }
 
@@ -127,8 +127,8 @@
                         log.error("{}: the state service refuses it: {}", path, outcome.reason)
                         again(page)
                         included.forEach {
-                            it.job.notBefore = book.clock.now() + REFUSED_MS
-                            book.finish(it, done = false)
+                            it.job.notBefore = sliceState.clock.now() + REFUSED_MS
+                            sliceState.finish(it, done = false)
                         }
                     }
                 }
@@ -136,27 +136,27 @@
         )
     }
 
-    private fun again(page: Page) {
-        page.chunks.forEach { book.touched(it) }
-        page.dirtySince = book.clock.now()
+    private fun again(page: ProgressPage) {
+        page.chunks.forEach { sliceState.touched(it) }
+        page.dirtySince = sliceState.clock.now()
         page.urgent = true
     }
 
     /** Something had moved on: the term, a job that its user has cancelled, or the page, if an answer of ours was lost. */
-    private fun conflict(failed: Set<String>, page: Page?, included: List<Placement>) {
+    private fun conflict(failed: Set<String>, page: ProgressPage?, included: List<Placement>) {
         if (Keys.slice(slice) in failed) told.termInDoubt()
         for (path in failed) {
-            val ref = path.removePrefix("${Keys.LIVE}$slice/").takeIf { it != path } ?: continue
+            val jobId = path.removePrefix("${Keys.LIVE}$slice/").takeIf { it != path } ?: continue
             // Sent again as it is, it would only fail again: nothing is placed before the record is known.
-            included.filter { it.job.spec.ref == ref && !it.committed }.forEach { book.finish(it, done = false) }
-            book.jobs[ref]?.let { it.notBefore = book.clock.now() + REREAD_MS }
-            out.get(path) { if (!book.dropped && it !is Fetched.Failed) told.recordChanged(path, (it as? Fetched.Found)?.item) }
+            included.filter { it.job.spec.jobId == jobId && !it.committed }.forEach { sliceState.finish(it, done = false) }
+            sliceState.jobs[jobId]?.let { it.notBefore = sliceState.clock.now() + REREAD_MS }
+            out.get(path) { if (!sliceState.dropped && it !is Fetched.Failed) told.recordChanged(path, (it as? Fetched.Found)?.item) }
         }
         if (page != null && Keys.page(slice, page.index) in failed) {
             page.writing = true
             out.get(Keys.page(slice, page.index)) {
                 page.writing = false
-                if (it is Fetched.Found) page.stamp = maxOf(page.stamp, it.item.stamp)
+                if (it is Fetched.Found) page.version = maxOf(page.version, it.item.version)
             }
         }
     }
@@ -166,11 +166,11 @@
         val each = toEnd.iterator()
         while (each.hasNext() && endings < MAX_ENDINGS) {
             val job = each.next()
-            if (!job.over || job.ending || book.jobs[job.spec.ref] !== job) {
+            if (!job.over || job.ending || sliceState.jobs[job.spec.jobId] !== job) {
                 each.remove()
                 continue
             }
-            if (book.clock.now() < job.endNotBefore || (job.aborted && out.writeFullness() < FULL_ENOUGH)) continue
+            if (sliceState.clock.now() < job.endNotBefore || (job.aborted && out.writeFullness() < FULL_ENOUGH)) continue
             each.remove()
             end(job)
         }
@@ -179,26 +179,26 @@
     private fun end(job: Job) {
         job.ending = true
         endings++
-        val ref = job.spec.ref
-        val live = Keys.live(slice, ref)
-        val end = EndRecord(if (job.aborted) FinalStage.ABORTED else FinalStage.DONE, job.spec.pieces)
-        val guards = listOf(book.termGuard, Guard(live, job.stamp), Guard(Keys.end(ref), 0))
-        val writes = listOf(Write.Put(Keys.end(ref), end.toFields()), Write.Delete(live))
+        val jobId = job.spec.jobId
+        val live = Keys.live(slice, jobId)
+        val end = EndRecord(if (job.aborted) FinalState.ABORTED else FinalState.DONE, job.spec.taskCount)
+        val guards = listOf(sliceState.termGuard, Guard(live, job.version), Guard(Keys.end(jobId), 0))
+        val writes = listOf(Write.Put(Keys.end(jobId), end.toFields()), Write.Delete(live))
         out.commit(
-            Change(guards, writes, if (job.aborted) Haste.LAZY else Haste.PROMPT) { outcome ->
+            Change(guards, writes, if (job.aborted) WritePriority.LAZY else WritePriority.PROMPT) { outcome ->
                 endings--
-                if (book.dropped) return@Change
+                if (sliceState.dropped) return@Change
                 job.ending = false
                 when (outcome) {
-                    is Outcome.Applied -> told.ended(job, end, outcome.epoch)
+                    is Outcome.Applied -> told.ended(job, end, outcome.revision)
 
                     is Outcome.Conflict -> {
-                        job.endNotBefore = book.clock.now() + REREAD_MS
+                        job.endNotBefore = sliceState.clock.now() + REREAD_MS
                         toEnd.add(job)
                         conflict(outcome.failed, null, emptyList())
                     }
 
-                    is Outcome.Refused -> log.error("{}: the state service refuses the end of the job: {}", ref, outcome.reason)
+                    is Outcome.Refused -> log.error("{}: the state service refuses the end of the job: {}", jobId, outcome.reason)
                 }
             },
         )
--- a/src/main/kotlin/io/reedmast/jobs/SliceOwner.kt
+++ b/src/main/kotlin/io/reedmast/jobs/SliceOwner.kt
@@ -1,6 +1,6 @@
 package io.reedmast.jobs
 
-import io.reedmast.fleet.Wants
+import io.reedmast.fleet.DemandEstimator
 import io.reedmast.ownership.SliceRecord
 import io.reedmast.peers.JobProgress
 import io.reedmast.peers.PeerMessage
@@ -12,28 +12,28 @@
 import io.reedmast.settings.Tuning
 import io.reedmast.state.Item
 import io.reedmast.state.Keys
-import io.reedmast.wire.Flavor
+import io.reedmast.wire.MachineType
 import io.reedmast.wire.Order
 import io.reedmast.wire.Report
 import io.reedmast.workers.Commands
+import io.reedmast.workers.HostDirectory
 import io.reedmast.workers.HostRecord
 import io.reedmast.workers.Machine
+import io.reedmast.workers.MachineLifecycle
 import io.reedmast.workers.Reports
 import io.reedmast.workers.Retirement
-import io.reedmast.workers.Roster
-import io.reedmast.workers.Upkeep
 import org.slf4j.LoggerFactory
 
 /** The records of slices and their machines, which their owner asks to change and others may change too. */
 interface SliceRecords {
     val jobs: JobIndex
-    val roster: Roster
+    val hostDirectory: HostDirectory
 
     /** The machines that the records name for the slice, and the slices that they are to move to. */
     fun machinesOf(slice: SliceIndex): Map<HostRecord, Int?>
 
     /** Stamp of the newest change to them. */
-    fun machinesStamp(slice: SliceIndex): Long
+    fun machinesVersion(slice: SliceIndex): Long
 
     /** Asks for a fresh token: a worker has seen a higher one than ours. */
     fun renewToken(slice: SliceIndex)
@@ -62,35 +62,37 @@
     tuning: Tuning,
     private val clock: Clock,
     private val out: Gateway,
-    flavors: () -> Collection<Flavor>,
+    machineTypes: () -> Collection<MachineType>,
     fresh: () -> Boolean,
     private val records: SliceRecords,
 ) {
     private val log = LoggerFactory.getLogger("slice")
     private val slice = index.value
-    val book = SliceBook(index, settings, tuning, clock, flavors, fresh)
-    private val commands = Commands(book, out) { machine, report -> reports.answered(machine, report) }
-    private val reports: Reports = Reports(book, commands) { records.renewToken(index) }
-    private val wants = Wants(book, out, { records.machinesStamp(index) }, { records.refresh(index) })
-    val placer = Placer(book, commands, wants)
-    private val ledger = Ledger(book, out, Storing())
-    private val upkeep =
-        Upkeep(book, out, commands, wants, { records.removeHosts(index, it) }, { records.handOver(index, it) }, { records.requestTakeover(index) })
+    val sliceState = SliceState(index, settings, tuning, clock, machineTypes, fresh)
+    private val commands = Commands(sliceState, out) { machine, report -> reports.answered(machine, report) }
+    private val reports: Reports = Reports(sliceState, commands) { records.renewToken(index) }
+    private val demandEstimator = DemandEstimator(sliceState, out, { records.machinesVersion(index) }, { records.refresh(index) })
+    val placer = Placer(sliceState, commands, demandEstimator)
+    private val progressStore = ProgressStore(sliceState, out, Storing())
+    private val lifecycle =
+        MachineLifecycle(sliceState, out, commands, demandEstimator, {
+            records.removeHosts(index, it)
+        }, { records.handOver(index, it) }, { records.requestTakeover(index) })
     private var tellDue = 0L
     private var tellings = 0
 
-    val token: Long get() = book.token
+    val token: Long get() = sliceState.token
 
     /** The token that answers to this machine's reports carry. */
-    fun tokenFor(host: String): Long = book.machines[host]?.let { book.tokenFor(it) } ?: book.token
+    fun tokenFor(host: String): Long = sliceState.machines[host]?.let { sliceState.tokenFor(it) } ?: sliceState.token
 
-    val active: Boolean get() = book.active
+    val active: Boolean get() = sliceState.active
 
     /** Set when another owner has taken the slice: answers that still come in are ignored. */
     var dropped: Boolean
-        get() = book.dropped
+        get() = sliceState.dropped
         set(value) {
-            book.dropped = value
+            sliceState.dropped = value
         }
 
     // ---- taking over ----------------------------------------------------------------------------------------------
@@ -98,21 +100,21 @@
     /** Reads what is stored of the slice: [pages] were listed, and [live] is at least as new, after our token was stored. */
     fun load(live: List<LiveJob>, pages: List<Item>, totals: Item?) {
         syncHosts()
-        totals?.let { wants.load(it) }
+        totals?.let { demandEstimator.load(it) }
         live.forEach { addJob(it) }
-        ledger.load(pages, { book.jobs[it] }) { job, stored ->
+        progressStore.load(pages, { sliceState.jobs[it] }) { job, stored ->
             val placement = Placement(job, stored.task, stored.attempt, machineFor(stored.host), clock.now())
             placement.committed = true
-            book.place(placement)
+            sliceState.place(placement)
         }
-        book.jobs.values.forEach { countWaitFromAcceptance(it) }
-        book.jobs.values.filter { it.aborted }.forEach { stopAll(it) }
-        book.changed.addAll(book.jobs.values)
-        book.active = true
-        book.activeAt = clock.now()
-        book.placeWanted = true
+        sliceState.jobs.values.forEach { countWaitFromAcceptance(it) }
+        sliceState.jobs.values.filter { it.aborted }.forEach { stopAll(it) }
+        sliceState.changed.addAll(sliceState.jobs.values)
+        sliceState.active = true
+        sliceState.activeAt = clock.now()
+        sliceState.placeWanted = true
         commands.begin()
-        log.info("slice {}: took over under token {}: {} jobs, {} machines", slice, token, book.jobs.size, book.machines.size)
+        log.info("slice {}: took over under token {}: {} jobs, {} machines", slice, token, sliceState.jobs.size, sliceState.machines.size)
     }
 
     /** A job that has got nothing so far has waited since its acceptance, whoever owned the slice: else each takeover prolongs its wait. */
@@ -125,29 +127,29 @@
     }
 
     /** A machine that a stored placement names but the slice does not have any more: kept until it is returned. */
-    private fun machineFor(host: String): Machine = book.machines.getOrPut(host) {
+    private fun machineFor(host: String): Machine = sliceState.machines.getOrPut(host) {
         Machine(HostRecord(host, "", "", false), null, clock.now(), token).apply { retirement = Retirement.SILENT }
     }
 
     /** Takes up the slice's record as it now stands: our token may have been raised for a machine that moves here. */
     fun sync(record: SliceRecord, term: Long) {
-        if (term < book.term) return
+        if (term < sliceState.term) return
         // The token was raised for machines that move here. One that we know of already, from the same change, must show it:
         // what its old owner has sent may arrive until then.
-        if (record.token > book.token) book.machines.values.forEach { if (it.tally < 0) it.floor = record.token }
-        book.token = record.token
-        book.term = term
+        if (record.token > sliceState.token) sliceState.machines.values.forEach { if (it.sequence < 0) it.floor = record.token }
+        sliceState.token = record.token
+        sliceState.term = term
     }
 
     /** Takes up the machines that the records now name for the slice. */
     fun syncHosts() {
         val named = records.machinesOf(index)
         val names = named.keys.mapTo(HashSet()) { it.name }
-        upkeep.noteRecorded(names)
+        lifecycle.noteRecorded(names)
         for ((host, to) in named) {
-            if (upkeep.isGone(host.name)) continue
-            val known = book.machines[host.name]
-            val machine = if (known == null || known.record.build.isEmpty()) added(host, known) else known
+            if (lifecycle.isGone(host.name)) continue
+            val known = sliceState.machines[host.name]
+            val machine = if (known == null || known.record.typeName.isEmpty()) added(host, known) else known
             if (to != null && machine.retirement == null) {
                 machine.retirement = Retirement.MOVING
                 machine.movingSince = clock.now()
@@ -155,12 +157,12 @@
             if (to == null && machine.retirement == Retirement.MOVING) machine.retirement = null
         }
         // A machine that has left for another slice left it empty.
-        book.machines.values.removeIf { it.name !in names && it.placements.isEmpty() && !it.returning }
-        book.placeWanted = true
+        sliceState.machines.values.removeIf { it.name !in names && it.placements.isEmpty() && !it.returning }
+        sliceState.placeWanted = true
     }
 
     private fun added(host: HostRecord, known: Machine?): Machine {
-        val machine = Machine(host, book.flavorOf(host.build), clock.now(), token, records.roster.of(host.name))
+        val machine = Machine(host, sliceState.machineTypeOf(host.typeName), clock.now(), token, records.hostDirectory.of(host.name))
         // An address known from another owner: the machine was up before.
         machine.everHeard = machine.addr != null
         known?.placements?.values?.toList()?.forEach { old ->
@@ -168,14 +170,14 @@
             old.job.chunkOf(old.task).placements[old.task] = placement
             machine.add(placement)
         }
-        book.machines[host.name] = machine
+        sliceState.machines[host.name] = machine
         return machine
     }
 
-    fun flavorsChanged() {
-        for (machine in book.machines.values) book.flavorOf(machine.record.build)?.let { machine.flavor = it }
-        book.jobs.values.forEach { it.dearFlavors.clear() }
-        book.placeWanted = true
+    fun machineTypesChanged() {
+        for (machine in sliceState.machines.values) sliceState.machineTypeOf(machine.record.typeName)?.let { machine.machineType = it }
+        sliceState.jobs.values.forEach { it.dearTypes.clear() }
+        sliceState.placeWanted = true
     }
 
     // ---- jobs -----------------------------------------------------------------------------------------------------
@@ -183,58 +185,63 @@
     /** A job of the slice is new, or its user has cancelled it. While the slice is being read, the index remembers. */
     fun jobSeen(live: LiveJob) {
         if (!active) return
-        val job = book.jobs[live.record.spec.ref] ?: addJob(live) ?: return
-        job.stamp = maxOf(job.stamp, live.stamp)
+        val job = sliceState.jobs[live.record.spec.jobId] ?: addJob(live) ?: return
+        job.version = maxOf(job.version, live.version)
         if (live.record.aborted && !job.aborted) {
             job.aborted = true
-            book.changed.add(job)
+            sliceState.changed.add(job)
             stopAll(job)
         }
-        book.placeWanted = true
+        sliceState.placeWanted = true
     }
 
     private fun addJob(live: LiveJob): Job? {
         val spec = live.record.spec
-        val team = settings.teamsByName[spec.crew]
+        val team = settings.teamsByName[spec.teamName]
         if (team == null) {
-            log.error("{}: its team {} is not in the settings", spec.ref, spec.crew)
+            log.error("{}: its team {} is not in the settings", spec.jobId, spec.teamName)
             return null
         }
-        val job = Job(spec, team, live.record.chunkSize, live.record.acceptedAtMs, live.stamp).apply { aborted = live.record.aborted }
-        book.jobs[spec.ref] = job
-        book.changed.add(job)
+        val job = Job(spec, team, live.record.chunkSize, live.record.acceptedAtMs, live.version).apply { aborted = live.record.aborted }
+        sliceState.jobs[spec.jobId] = job
+        sliceState.changed.add(job)
         job.waitsSince = clock.now()
         job.idleSince = clock.now()
         job.unservedSince = clock.now()
         if (active) {
-            val (arrivals, amount) = if (spec.service) book.arrivals to spec.cpus * spec.pieces else book.arrayArrivals to spec.cpus * spec.pieces * spec.guessS
-            arrivals.addLast(SliceBook.Arrival(clock.now(), amount))
+            val (arrivals, amount) = if (spec.service) {
+                sliceState.arrivals to spec.cpus * spec.taskCount
+            } else {
+                sliceState.arrayArrivals to
+                    spec.cpus * spec.taskCount * spec.estimateS
+            }
+            arrivals.addLast(SliceState.Arrival(clock.now(), amount))
         }
         return job
     }
 
     /** The record of the job is gone. What still runs of it, if anything could, is stopped. */
-    fun jobGone(ref: String) {
-        val job = book.jobs[ref] ?: return
+    fun jobGone(jobId: String) {
+        val job = sliceState.jobs[jobId] ?: return
         if (job.placedCount == 0) {
             forget(job)
         } else if (!job.aborted) {
-            log.error("{}: its record is gone while {} tasks are placed", ref, job.placedCount)
+            log.error("{}: its record is gone while {} tasks are placed", jobId, job.placedCount)
             job.aborted = true
             stopAll(job)
         }
     }
 
     private fun forget(job: Job) {
-        book.jobs.remove(job.spec.ref)
-        ledger.forget(job)
-        book.placeWanted = true
+        sliceState.jobs.remove(job.spec.jobId)
+        progressStore.forget(job)
+        sliceState.placeWanted = true
     }
 
     private fun stopAll(job: Job) {
         for (placement in job.placements().toList()) {
             if (!placement.committed && job.chunkOf(placement.task).page?.writing != true) {
-                book.finish(placement, done = false)
+                sliceState.finish(placement, done = false)
             } else {
                 commands.stop(placement, StopReason.ABORTED)
             }
@@ -249,23 +256,23 @@
             if (placement.job.aborted) commands.stop(placement, StopReason.ABORTED)
             if (placement.stopReason == null) {
                 commands.launch(placement)
-            } else if (placement.launchTenure == 0L) {
-                book.finish(placement, done = false)
+            } else if (placement.launchSession == 0L) {
+                sliceState.finish(placement, done = false)
             }
         }
 
         override fun termInDoubt() = records.refresh(index)
 
         override fun recordChanged(path: String, item: Item?) {
-            if (item == null) jobGone(path.substringAfterLast('/')) else records.jobs.see(path, item.value, item.stamp)
+            if (item == null) jobGone(path.substringAfterLast('/')) else records.jobs.see(path, item.value, item.version)
         }
 
-        override fun ended(job: Job, end: EndRecord, epoch: Long) {
-            val ref = job.spec.ref
-            log.info("{}: {}", ref, if (job.aborted) "cleared away" else "done")
+        override fun ended(job: Job, end: EndRecord, revision: Long) {
+            val jobId = job.spec.jobId
+            log.info("{}: {}", jobId, if (job.aborted) "cleared away" else "done")
             forget(job)
-            records.jobs.see(Keys.end(ref), end.toFields(), epoch)
-            records.jobs.see(Keys.live(slice, ref), null, epoch)
+            records.jobs.see(Keys.end(jobId), end.toFields(), revision)
+            records.jobs.see(Keys.live(slice, jobId), null, revision)
         }
     }
 
@@ -278,7 +285,7 @@
         if (!active || dropped) return
         val now = clock.now()
         placer.passIfDue(now)
-        ledger.flush(now)
+        progressStore.flush(now)
         commands.send()
     }
 
@@ -288,10 +295,10 @@
         val now = clock.now()
         chargeIfDue(now)
         commands.greet(now)
-        upkeep.tick(now)
+        lifecycle.tick(now)
         // Waiting may itself let work start: after a failure's pause, or once it has waited long enough to preempt.
-        if (book.jobs.values.any { it.waitingCount > 0 }) book.placeWanted = true
-        wants.writeTotals(now)
+        if (sliceState.jobs.values.any { it.waitingCount > 0 }) sliceState.placeWanted = true
+        demandEstimator.writeTotals(now)
         tellPeers(now)
     }
 
@@ -302,7 +309,7 @@
         if (seconds < CHARGE_EVERY_S) return
         lastCharged = now
         if (seconds > MOST_CHARGED_S) return
-        book.charge(seconds)
+        sliceState.charge(seconds)
     }
 
     /** Tells the other nodes how far jobs are, for their users' display, and what helps whoever takes the slice over. */
@@ -312,13 +319,13 @@
         // A node that has just come back knows nothing: now and then all is told again.
         val all = ++tellings % TELL_ALL_EACH == 0
         val news = ArrayList<JobProgress>()
-        for (job in book.jobs.values) {
+        for (job in sliceState.jobs.values) {
             if (!all && job.doneCount == job.toldDone && job.runningCount == job.toldRunning) continue
             job.toldDone = job.doneCount
             job.toldRunning = job.runningCount
-            news.add(JobProgress(job.spec.ref, job.doneCount, job.runningCount))
+            news.add(JobProgress(job.spec.jobId, job.doneCount, job.runningCount))
         }
-        val hosts = records.roster.news(book.machines.keys, all)
+        val hosts = records.hostDirectory.news(sliceState.machines.keys, all)
         if (news.isEmpty() && hosts.isEmpty()) return
         records.jobs.noteProgress(news)
         out.sendToPeers(PeerMessage.SliceNews(news, hosts))
--- a/src/main/kotlin/io/reedmast/jobs/SliceBook.kt
+++ b/src/main/kotlin/io/reedmast/jobs/SliceState.kt
@@ -9,8 +9,8 @@
 import io.reedmast.settings.Tuning
 import io.reedmast.state.Guard
 import io.reedmast.state.Keys
-import io.reedmast.wire.Flavor
 import io.reedmast.wire.JobSpec
+import io.reedmast.wire.MachineType
 import io.reedmast.workers.Machine
 
 /**
@@ -19,12 +19,12 @@
  *
  * Nothing here guesses: a placement counts from the decision until there is evidence that its attempt is over.
  */
-class SliceBook(
+class SliceState(
     val index: SliceIndex,
     val settings: Settings,
     val tuning: Tuning,
     val clock: Clock,
-    private val flavorList: () -> Collection<Flavor>,
+    private val machineTypeList: () -> Collection<MachineType>,
     /** Whether this node has lately heard enough from the state service to act. */
     val fresh: () -> Boolean,
 ) {
@@ -60,13 +60,13 @@
     /** Arrays accepted lately: of these, [Arrival.cpus] is their work in CPU seconds. */
     val arrayArrivals = ArrayDeque<Arrival>()
 
-    val flavors: Collection<Flavor> get() = flavorList()
+    val machineTypes: Collection<MachineType> get() = machineTypeList()
     val termGuard: Guard get() = Guard(Keys.slice(index.value), term)
 
     /** The token of commands to this machine's worker. */
     fun tokenFor(machine: Machine): Long = maxOf(token, machine.raisedTo)
 
-    fun flavorOf(build: String): Flavor? = flavors.firstOrNull { it.label == build }
+    fun machineTypeOf(typeName: String): MachineType? = machineTypes.firstOrNull { it.label == typeName }
 
     fun usedCpus(team: TeamIndex): Double = usedCpus[team.value]
 
@@ -114,9 +114,9 @@
     fun charge(seconds: Double) {
         val sums = DoubleArray(settings.teams.size)
         for (machine in machines.values) {
-            val flavor = machine.flavor ?: continue
+            val machineType = machine.machineType ?: continue
             for (placement in machine.placements.values) {
-                if (placement.seen && placement.job.spec.rank.funded) sums[placement.job.team.value] += charge(placement.job.spec, flavor)
+                if (placement.seen && placement.job.spec.priority.funded) sums[placement.job.team.value] += charge(placement.job.spec, machineType)
             }
         }
         val wall = clock.wall()
@@ -124,14 +124,14 @@
     }
 
     /** The largest share of the machine, in that machine's CPUs, so that machines of different sizes add up. */
-    private fun charge(spec: JobSpec, flavor: Flavor): Double {
+    private fun charge(spec: JobSpec, machineType: MachineType): Double {
         val share =
             maxOf(
-                if (flavor.cpus > 0) spec.cpus / flavor.cpus else 0.0,
-                if (flavor.gpus > 0) spec.gpus / flavor.gpus else 0.0,
-                if (flavor.memGb > 0) spec.memGb / flavor.memGb else 0.0,
+                if (machineType.cpus > 0) spec.cpus / machineType.cpus else 0.0,
+                if (machineType.gpus > 0) spec.gpus / machineType.gpus else 0.0,
+                if (machineType.memoryGb > 0) spec.memoryGb / machineType.memoryGb else 0.0,
             )
-        return share * flavor.cpus
+        return share * machineType.cpus
     }
 
     // ---- teams ------------------------------------------------------------------------------------------------------
@@ -168,11 +168,11 @@
     }
 
     fun dueMs(job: Job): Long {
-        val due = job.spec.dueS ?: settings.objectives.firstOrNull { it.kind == "finished" && it.lot == job.spec.lot }?.withinS
+        val due = job.spec.deadlineS ?: settings.objectives.firstOrNull { it.kind == "finished" && it.jobClass == job.spec.jobClass }?.withinS
         return if (due == null) job.acceptedAtMs else job.acceptedAtMs + (due * 1000).toLong()
     }
 
-    fun late(job: Job): Boolean = clock.wall() > dueMs(job) + if (job.spec.dueS == null) LATE_WITHOUT_DUE_MS else 0L
+    fun late(job: Job): Boolean = clock.wall() > dueMs(job) + if (job.spec.deadlineS == null) LATE_WITHOUT_DUE_MS else 0L
 
     /**
      * Nothing of it runs, or a service lacks replicas, and has for so long that what a machine costs, whose room it is or where
@@ -208,7 +208,7 @@
         else -> Long.MAX_VALUE
     }
 
-    fun startsSoon(job: Job) = job.spec.service || settings.objectives.any { it.kind == "wait" && it.lot == job.spec.lot }
+    fun startsSoon(job: Job) = job.spec.service || settings.objectives.any { it.kind == "wait" && it.jobClass == job.spec.jobClass }
 
     /** It failed on several machines in a row: the job has a mistake, and the machines have not. */
     fun looksBad(job: Job) = job.failures >= FAILURES_OF_A_BAD_JOB
--- a/src/main/kotlin/io/reedmast/ownership/Cluster.kt
+++ b/src/main/kotlin/io/reedmast/ownership/Cluster.kt
@@ -15,10 +15,10 @@
 import io.reedmast.state.Keys
 import io.reedmast.state.Unreadable
 import io.reedmast.wire.Fields
-import io.reedmast.wire.Flavor
+import io.reedmast.wire.MachineType
 import io.reedmast.wire.MalformedException
+import io.reedmast.workers.HostDirectory
 import io.reedmast.workers.HostRecord
-import io.reedmast.workers.Roster
 import org.slf4j.LoggerFactory
 
 /**
@@ -31,7 +31,7 @@
     private val tuning: Tuning,
     private val clock: Clock,
     private val out: Gateway,
-    private val flavors: () -> Collection<Flavor>,
+    private val machineTypes: () -> Collection<MachineType>,
     /** Names this process; never used by another one. */
     incarnation: String,
 ) : SliceRecords {
@@ -39,26 +39,26 @@
     private val unreadable = Unreadable()
     private val startedAt = clock.now()
     override val jobs = JobIndex(settings, ::owned)
-    override val roster = Roster()
+    override val hostDirectory = HostDirectory()
     val owners = arrayOfNulls<SliceOwner>(settings.slices)
 
     /** How recent the view of the state service is. */
     val freshness = Freshness(clock, settings.workers)
     private val membership = Membership(settings, clock, out)
     private val slices = SliceTable(settings.slices, out, ::sliceChanged)
-    private val machines = MachineTable(settings, clock, out, { owners[it.value]?.syncHosts() }, roster::forget)
+    private val machines = MachineTable(settings, clock, out, { owners[it.value]?.syncHosts() }, hostDirectory::forget)
     private val contact = WorkerContact(clock, out)
-    private val assignment = MachineAssignment(settings, out, slices, machines, { membership.leaderStamp }, ::reread)
+    private val assignment = MachineAssignment(settings, out, slices, machines, { membership.leaderVersion }, ::reread)
     private val takeover =
-        Takeover(settings, clock, out, freshness, membership, slices, machines, jobs, roster, contact, owners, ::newOwner, ::reread)
+        Takeover(settings, clock, out, freshness, membership, slices, machines, jobs, hostDirectory, contact, owners, ::newOwner, ::reread)
     private val peerStatuses = PeerStatuses(settings.self, settings.members.size, incarnation)
     private var statusQueryDue = 0L
 
     val leader: String? get() = membership.leader
     val leading: Boolean get() = membership.leading
-    val records: Array<Held?> get() = slices.records
+    val records: Array<StoredRecord?> get() = slices.records
 
-    private fun newOwner(slice: SliceIndex) = SliceOwner(slice, settings, tuning, clock, out, flavors, ::fresh, this)
+    private fun newOwner(slice: SliceIndex) = SliceOwner(slice, settings, tuning, clock, out, machineTypes, ::fresh, this)
 
     /** Whether this node has lately heard enough from the state service to decide anything. */
     fun fresh(): Boolean = freshness.isFresh
@@ -86,7 +86,7 @@
 
     fun hostsOf(slice: SliceIndex): Sequence<HostRecord> = machines.hostsOf(slice)
 
-    override fun machinesStamp(slice: SliceIndex): Long = machines.stampOf(slice)
+    override fun machinesVersion(slice: SliceIndex): Long = machines.versionOf(slice)
 
     override fun machinesOf(slice: SliceIndex): Map<HostRecord, Int?> = machines.destinationsOf(slice)
 
@@ -105,7 +105,7 @@
     /** All keys of the cluster, read at the start and after a gap in their watch. */
     fun snapshot(items: List<Item>, askedAt: Long) {
         membership.reset()
-        items.forEach { see(it.path, it.value, it.stamp) }
+        items.forEach { see(it.path, it.value, it.version) }
         membership.noteAbsent(items.mapTo(HashSet()) { it.path })
         if (!freshness.clusterLoaded) {
             log.info("read the state: {} slices, {} nodes", slices.records.count { it != null }, membership.presentCount)
@@ -115,39 +115,39 @@
     }
 
     fun clusterEvents(events: List<Event>, askedAt: Long) {
-        events.forEach { see(it.path, it.value, it.stamp) }
+        events.forEach { see(it.path, it.value, it.version) }
         freshness.clusterHeard(askedAt)
     }
 
     /** All unfinished jobs, read at the start and after a gap in the watch on jobs. */
-    fun jobsSnapshot(items: List<Item>, epoch: Long, askedAt: Long) {
-        jobs.load(items, epoch)
+    fun jobsSnapshot(items: List<Item>, revision: Long, askedAt: Long) {
+        jobs.load(items, revision)
         if (!freshness.jobsLoaded) log.info("read {} unfinished jobs", items.size)
         freshness.jobsHeard(askedAt)
     }
 
     fun jobEvents(events: List<Event>, askedAt: Long) {
-        events.forEach { jobs.see(it.path, it.value, it.stamp) }
+        events.forEach { jobs.see(it.path, it.value, it.version) }
         freshness.jobsHeard(askedAt)
     }
 
     /** Each table takes up the keys that are its own. */
-    private fun see(path: String, value: Fields?, stamp: Long) {
+    private fun see(path: String, value: Fields?, version: Long) {
         try {
-            membership.see(path, value, stamp)
-            slices.see(path, value, stamp)
-            machines.see(path, value, stamp)
+            membership.see(path, value, version)
+            slices.see(path, value, version)
+            machines.see(path, value, version)
         } catch (e: MalformedException) {
             unreadable.note(path, e.message)
         }
     }
 
-    private fun sliceChanged(slice: SliceIndex, before: Held?, now: Held) {
+    private fun sliceChanged(slice: SliceIndex, before: StoredRecord?, now: StoredRecord) {
         val record = now.record
         if (before?.record?.owner != record.owner) takeover.noteNewOwner(slice)
         val owner = owners[slice.value] ?: return
         if (record.owner == settings.label) {
-            owner.sync(record, now.stamp)
+            owner.sync(record, now.version)
             return
         }
         if (!owner.dropped) {
@@ -161,7 +161,7 @@
     private fun reread(path: String) = out.get(path, ::seeFetched)
 
     private fun seeFetched(fetched: Fetched) {
-        if (fetched is Fetched.Found) see(fetched.item.path, fetched.item.value, fetched.item.stamp)
+        if (fetched is Fetched.Found) see(fetched.item.path, fetched.item.value, fetched.item.version)
     }
 
     // ---- time -------------------------------------------------------------------------------------------------------
@@ -190,7 +190,7 @@
     fun peerSent(message: PeerMessage) = when (message) {
         is PeerMessage.SliceNews -> {
             jobs.noteProgress(message.jobs)
-            roster.heard(message.hosts, machines::contains)
+            hostDirectory.heard(message.hosts, machines::contains)
         }
 
         is PeerMessage.TakeoverRequest -> takeover.requested(message)
@@ -225,7 +225,7 @@
     override fun renewToken(slice: SliceIndex) = takeover.renewToken(slice)
 
     override fun requestTakeover(slice: SliceIndex) {
-        val term = slices.records[slice.value]?.takeIf { it.record.owner == settings.label }?.stamp ?: return
+        val term = slices.records[slice.value]?.takeIf { it.record.owner == settings.label }?.version ?: return
         log.info("slice {}: its workers are silent here; the other nodes are asked to take it", slice.value)
         out.sendToPeers(PeerMessage.TakeoverRequest(slice, term))
     }
--- a/src/main/kotlin/io/reedmast/ownership/MachineAssignment.kt
+++ b/src/main/kotlin/io/reedmast/ownership/MachineAssignment.kt
@@ -5,10 +5,10 @@
 import io.reedmast.settings.SliceIndex
 import io.reedmast.state.Change
 import io.reedmast.state.Guard
-import io.reedmast.state.Haste
 import io.reedmast.state.Keys
 import io.reedmast.state.Outcome
 import io.reedmast.state.Write
+import io.reedmast.state.WritePriority
 import io.reedmast.wire.Tree
 import io.reedmast.workers.HostRecord
 import org.slf4j.LoggerFactory
@@ -24,7 +24,7 @@
     private val out: Gateway,
     private val slices: SliceTable,
     private val machines: MachineTable,
-    private val leaderStamp: () -> Long,
+    private val leaderVersion: () -> Long,
     /** Reads a key again after a change that was not applied. */
     private val reread: (String) -> Unit,
 ) {
@@ -35,10 +35,10 @@
 
     /** The slice's owner removes machines that are gone. */
     fun removeHosts(slice: SliceIndex, hosts: Set<String>) {
-        val term = slices.records[slice.value]?.takeIf { it.record.owner == settings.label }?.stamp ?: return
+        val term = slices.records[slice.value]?.takeIf { it.record.owner == settings.label }?.version ?: return
         for ((index, held) in machines.partsOf(slice)) {
             if (held.part.hosts.none { it.name in hosts }) continue
-            rewrite(slice, index, held.part.without(hosts), Guard(Keys.slice(slice.value), term), haste = Haste.LAZY) {}
+            rewrite(slice, index, held.part.without(hosts), Guard(Keys.slice(slice.value), term), writePriority = WritePriority.LAZY) {}
         }
     }
 
@@ -58,23 +58,23 @@
     }
 
     /** The record that machines leave. */
-    private class Source(val slice: SliceIndex, val index: Int, val held: HeldPart, val owner: Held)
+    private class Source(val slice: SliceIndex, val index: Int, val held: StoredPart, val owner: StoredRecord)
 
-    private fun move(source: Source, left: HostPart, to: SliceIndex, target: Held, destination: MachineTable.Grown, moved: Set<String>) {
+    private fun move(source: Source, left: HostPart, to: SliceIndex, target: StoredRecord, destination: MachineTable.Grown, moved: Set<String>) {
         val fromPath = Keys.hosts(source.slice.value, source.index)
         val toPath = Keys.hosts(to.value, destination.index)
         if (fromPath in writing || toPath in writing) return
         val guards = arrayListOf(
-            Guard(Keys.slice(source.slice.value), source.owner.stamp),
-            Guard(fromPath, source.held.stamp),
-            Guard(toPath, destination.held?.stamp ?: 0L),
-            Guard(Keys.slice(to.value), target.stamp),
+            Guard(Keys.slice(source.slice.value), source.owner.version),
+            Guard(fromPath, source.held.version),
+            Guard(toPath, destination.held?.version ?: 0L),
+            Guard(Keys.slice(to.value), target.version),
         )
         val writes = arrayListOf<Write>(Write.Put(fromPath, left.toFields()), Write.Put(toPath, destination.part.toFields()))
         // The other slice's owner must have a token above all that these machines have seen, which is at most ours.
         val renewed = if (target.record.token > source.owner.record.token) null else target.record.copy(token = Token.after(slices.token))
         if (renewed != null) {
-            guards.add(Guard(Keys.TOKEN, slices.tokenStamp))
+            guards.add(Guard(Keys.TOKEN, slices.tokenVersion))
             writes.add(Write.Put(Keys.slice(to.value), renewed.toFields()))
             writes.add(Write.Put(Keys.TOKEN, mapOf("token" to renewed.token)))
         }
@@ -87,11 +87,11 @@
                 if (outcome is Outcome.Applied) {
                     log.info("{}: moved from slice {} to slice {}", moved, source.slice.value, to.value)
                     if (renewed != null) {
-                        slices.seeToken(renewed.token, outcome.epoch)
-                        slices.seeSlice(to, renewed, outcome.epoch)
+                        slices.seeToken(renewed.token, outcome.revision)
+                        slices.seeSlice(to, renewed, outcome.revision)
                     }
-                    machines.seePart(to, destination.index, destination.part, outcome.epoch)
-                    machines.seePart(source.slice, source.index, left, outcome.epoch)
+                    machines.seePart(to, destination.index, destination.part, outcome.revision)
+                    machines.seePart(source.slice, source.index, left, outcome.revision)
                 } else {
                     listOf(Keys.slice(source.slice.value), Keys.slice(to.value), Keys.TOKEN, fromPath, toPath).forEach(reread)
                 }
@@ -108,14 +108,14 @@
             done(emptySet())
             return
         }
-        val lead = Guard(Keys.LEADER, leaderStamp())
-        val sofar = grown.held ?: HeldPart(HostPart.EMPTY, 0L)
+        val lead = Guard(Keys.LEADER, leaderVersion())
+        val sofar = grown.held ?: StoredPart(HostPart.EMPTY, 0L)
         if (seen <= owner.record.token) {
             rewrite(slice, grown.index, grown.part, lead, sofar) { done(if (it) names else emptySet()) }
             return
         }
         val renewed = owner.record.copy(token = Token.after(maxOf(slices.token, seen)))
-        val guards = listOf(Guard(Keys.TOKEN, slices.tokenStamp), Guard(Keys.slice(slice.value), owner.stamp))
+        val guards = listOf(Guard(Keys.TOKEN, slices.tokenVersion), Guard(Keys.slice(slice.value), owner.version))
         val writes = listOf(Write.Put(Keys.slice(slice.value), renewed.toFields()), Write.Put(Keys.TOKEN, mapOf("token" to renewed.token)))
         rewrite(slice, grown.index, grown.part, lead, sofar, guards, writes) { ok ->
             if (!ok) reread(Keys.TOKEN)
@@ -131,7 +131,7 @@
             var marks = mine.size
             fun marked() = held.part.copy(leaving = held.part.leaving + mine.take(marks).associate { it.name to to.value })
             while (marks > 0 && Tree.jsonSize(marked().toFields()) > settings.stateLimits.valueBytes * MARKED) marks /= 2
-            if (marks > 0) rewrite(slice, index, marked(), Guard(Keys.LEADER, leaderStamp())) {}
+            if (marks > 0) rewrite(slice, index, marked(), Guard(Keys.LEADER, leaderVersion())) {}
         }
     }
 
@@ -140,10 +140,10 @@
         index: Int,
         part: HostPart,
         entitled: Guard,
-        held: HeldPart? = machines.partsOf(slice)[index],
+        held: StoredPart? = machines.partsOf(slice)[index],
         moreGuards: List<Guard> = emptyList(),
         moreWrites: List<Write.Put> = emptyList(),
-        haste: Haste = Haste.PROMPT,
+        writePriority: WritePriority = WritePriority.PROMPT,
         done: (Boolean) -> Unit,
     ) {
         val path = Keys.hosts(slice.value, index)
@@ -151,13 +151,13 @@
             done(false)
             return
         }
-        val guards = listOf(Guard(path, held.stamp), entitled) + moreGuards
+        val guards = listOf(Guard(path, held.version), entitled) + moreGuards
         out.commit(
-            Change(guards, listOf(Write.Put(path, part.toFields())) + moreWrites, haste) { outcome ->
+            Change(guards, listOf(Write.Put(path, part.toFields())) + moreWrites, writePriority) { outcome ->
                 writing.remove(path)
                 if (outcome is Outcome.Applied) {
-                    moreWrites.forEach { slices.see(it.path, it.value, outcome.epoch) }
-                    machines.seePart(slice, index, part, outcome.epoch)
+                    moreWrites.forEach { slices.see(it.path, it.value, outcome.revision) }
+                    machines.seePart(slice, index, part, outcome.revision)
                 } else {
                     reread(path)
                     reread(Keys.slice(slice.value))
--- a/src/main/kotlin/io/reedmast/ownership/MachineTable.kt
+++ b/src/main/kotlin/io/reedmast/ownership/MachineTable.kt
@@ -10,7 +10,7 @@
 import java.util.TreeMap
 
 /** Some of a slice's machines as last seen, with the stamp of their record. */
-data class HeldPart(val part: HostPart, val stamp: Long)
+data class StoredPart(val part: HostPart, val version: Long)
 
 /** Which machines belong to which slice, as last seen in the state service or in answers to this node's changes. */
 class MachineTable(
@@ -22,7 +22,7 @@
     /** Called when a machine has left all slices. */
     private val onDeparture: (String) -> Unit,
 ) {
-    private val parts = Array(settings.slices) { TreeMap<Int, HeldPart>() }
+    private val parts = Array(settings.slices) { TreeMap<Int, StoredPart>() }
     private val sliceByHost = HashMap<String, SliceIndex>()
 
     /** Hosts that have left all slices lately: lists may still show them. */
@@ -37,14 +37,14 @@
 
     fun departedLately(host: String): Boolean = departed.containsKey(host)
 
-    fun partsOf(slice: SliceIndex): Map<Int, HeldPart> = parts[slice.value]
+    fun partsOf(slice: SliceIndex): Map<Int, StoredPart> = parts[slice.value]
 
     fun hostsOf(slice: SliceIndex): Sequence<HostRecord> = parts[slice.value].values.asSequence().flatMap { it.part.hosts }
 
     fun isLeaving(slice: SliceIndex, host: String) = parts[slice.value].values.any { host in it.part.leaving }
 
     /** Stamp of the newest change to the slice's machines. */
-    fun stampOf(slice: SliceIndex): Long = parts[slice.value].values.maxOfOrNull { it.stamp } ?: 0L
+    fun versionOf(slice: SliceIndex): Long = parts[slice.value].values.maxOfOrNull { it.version } ?: 0L
 
     /** The machines of a slice and where they are to move. */
     fun destinationsOf(slice: SliceIndex): Map<HostRecord, Int?> {
@@ -54,18 +54,18 @@
     }
 
     /** Takes up the value under [path], if it is a record of machines. */
-    fun see(path: String, value: Fields?, stamp: Long) {
+    fun see(path: String, value: Fields?, version: Long) {
         if (!path.startsWith(Keys.HOSTS) || value == null) return
         val indices = path.removePrefix(Keys.HOSTS).split('/').map { it.toIntOrNull() }
         val slice = indices.getOrNull(0) ?: return
         val part = indices.getOrNull(1) ?: return
-        if (slice in parts.indices) seePart(SliceIndex(slice), part, HostPart.parse(value), stamp)
+        if (slice in parts.indices) seePart(SliceIndex(slice), part, HostPart.parse(value), version)
     }
 
-    fun seePart(slice: SliceIndex, index: Int, part: HostPart, stamp: Long) {
+    fun seePart(slice: SliceIndex, index: Int, part: HostPart, version: Long) {
         val held = parts[slice.value][index]
-        if (held != null && held.stamp >= stamp) return
-        parts[slice.value][index] = HeldPart(part, stamp)
+        if (held != null && held.version >= version) return
+        parts[slice.value][index] = StoredPart(part, version)
         val names = part.hosts.mapTo(HashSet()) { it.name }
         held?.part?.hosts.orEmpty().filter { it.name !in names }.forEach { noteRemoved(slice, it.name) }
         for (host in part.hosts) {
@@ -88,7 +88,7 @@
     }
 
     /** A record with room for some of the machines that are to be added to a slice, with them in it. */
-    data class Grown(val index: Int, val held: HeldPart?, val part: HostPart)
+    data class Grown(val index: Int, val held: StoredPart?, val part: HostPart)
 
     /** The first record of the slice's machines, or a new one, that has room for some of [hosts], with them in it. */
     fun roomIn(slice: SliceIndex, hosts: List<HostRecord>): Grown {
--- a/src/main/kotlin/io/reedmast/ownership/Membership.kt
+++ b/src/main/kotlin/io/reedmast/ownership/Membership.kt
@@ -35,7 +35,7 @@
         private set
 
     /** Stamp of the leader's key, a condition of what it writes. */
-    var leaderStamp = 0L
+    var leaderVersion = 0L
         private set
 
     val leading: Boolean get() = leader == settings.label
@@ -63,17 +63,17 @@
     }
 
     /** Takes up the value under [path], if it is one of these keys; a null [value] is a deletion. */
-    fun see(path: String, value: Fields?, stamp: Long) {
+    fun see(path: String, value: Fields?, version: Long) {
         when {
-            path == Keys.LEADER -> seeLeader(value?.text("label"), stamp)
+            path == Keys.LEADER -> seeLeader(value?.text("label"), version)
             path.startsWith(Keys.NODES) -> seeNode(path.removePrefix(Keys.NODES), value != null)
         }
     }
 
-    private fun seeLeader(label: String?, stamp: Long) {
-        if (stamp <= leaderStamp) return
+    private fun seeLeader(label: String?, version: Long) {
+        if (version <= leaderVersion) return
         leader = label
-        leaderStamp = stamp
+        leaderVersion = version
         if (label != null) log.info("leader: {}", label)
         shareLimits()
     }
@@ -102,7 +102,7 @@
         out.extendLease(lease, LEASE_MS) { state ->
             leaseAsked = false
             when (state) {
-                is LeaseState.Held -> {
+                is LeaseState.StoredRecord -> {
                     if (state.fresh) nodeKeyLease = null
                     lease = state.lease
                 }
@@ -130,17 +130,17 @@
         claimingNode = true
         out.get(Keys.node(settings.label)) { fetched ->
             when (fetched) {
-                is Fetched.Found -> putNode(held, fetched.item.stamp)
+                is Fetched.Found -> putNode(held, fetched.item.version)
                 is Fetched.Missing -> putNode(held, 0L)
                 is Fetched.Failed -> claimingNode = false
             }
         }
     }
 
-    private fun putNode(held: Long, stamp: Long) {
+    private fun putNode(held: Long, version: Long) {
         val path = Keys.node(settings.label)
         out.commit(
-            Change(listOf(Guard(path, stamp)), listOf(Write.Put(path, mapOf("label" to settings.label), held))) { outcome ->
+            Change(listOf(Guard(path, version)), listOf(Write.Put(path, mapOf("label" to settings.label), held))) { outcome ->
                 claimingNode = false
                 when (outcome) {
                     is Outcome.Applied -> nodeKeyLease = held
@@ -159,7 +159,7 @@
             Change(listOf(Guard(Keys.LEADER, 0)), listOf(Write.Put(Keys.LEADER, mapOf("label" to settings.label), held))) { outcome ->
                 claimingLeader = false
                 // The watch tells the same: whichever is first counts.
-                if (outcome is Outcome.Applied) seeLeader(settings.label, outcome.epoch)
+                if (outcome is Outcome.Applied) seeLeader(settings.label, outcome.revision)
                 if (outcome is Outcome.Refused && lease == held) lease = null
             },
         )
--- a/src/main/kotlin/io/reedmast/ownership/Complaints.kt
+++ b/src/main/kotlin/io/reedmast/ownership/MisdirectedReports.kt
@@ -8,7 +8,7 @@
  * An owner may be cut off from workers alone. It keeps its key and its term then, and nothing tells it so; if nobody took
  * its slices over, every task of them would end with the workers' leases.
  */
-class Complaints(slices: Int, reportS: Double) {
+class MisdirectedReports(slices: Int, reportS: Double) {
     /** A worker that was sent on to the owner; [again]: not for the first time. */
     class Sent(val at: Long, val addr: String, val again: Boolean)
 
--- a/src/main/kotlin/io/reedmast/ownership/SliceRecord.kt
+++ b/src/main/kotlin/io/reedmast/ownership/SliceRecord.kt
@@ -33,7 +33,7 @@
 ) {
     fun toFields(): Fields = mapOf(
         "kinds" to
-            hosts.groupBy { Triple(it.build, it.yard, it.driftwood) }.map { (kind, of) ->
+            hosts.groupBy { Triple(it.typeName, it.zone, it.spot) }.map { (kind, of) ->
                 mapOf("build" to kind.first, "yard" to kind.second, "spot" to kind.third, "hosts" to of.map { it.name })
             },
         "leaving" to leaving,
--- a/src/main/kotlin/io/reedmast/ownership/SliceTable.kt
+++ b/src/main/kotlin/io/reedmast/ownership/SliceTable.kt
@@ -8,21 +8,21 @@
 import io.reedmast.wire.count
 
 /** A slice record as last seen, with its stamp. */
-data class Held(val record: SliceRecord, val stamp: Long)
+data class StoredRecord(val record: SliceRecord, val version: Long)
 
 /** The slices' records and the token counter, as last seen in the state service or in answers to this node's changes. */
 class SliceTable(
     slices: Int,
     private val out: Gateway,
     /** Called with each newer record and the one before it. */
-    private val onChange: (SliceIndex, Held?, Held) -> Unit,
+    private val onChange: (SliceIndex, StoredRecord?, StoredRecord) -> Unit,
 ) {
-    val records = arrayOfNulls<Held>(slices)
+    val records = arrayOfNulls<StoredRecord>(slices)
 
     /** The highest token given so far, and the stamp of the counter. */
     var token = 0L
         private set
-    var tokenStamp = 0L
+    var tokenVersion = 0L
         private set
     private val refreshing = BooleanArray(slices)
 
@@ -32,26 +32,26 @@
     fun countOf(owner: String): Int = records.count { it?.record?.owner == owner }
 
     /** Takes up the value under [path], if it is one of this table's keys. */
-    fun see(path: String, value: Fields?, stamp: Long) {
+    fun see(path: String, value: Fields?, version: Long) {
         if (value == null) return
         if (path == Keys.TOKEN) {
-            seeToken(value.count("token"), stamp)
+            seeToken(value.count("token"), version)
         } else if (path.startsWith(Keys.SLICES)) {
             val slice = path.removePrefix(Keys.SLICES).toIntOrNull() ?: return
-            if (slice in records.indices) seeSlice(SliceIndex(slice), SliceRecord.parse(value), stamp)
+            if (slice in records.indices) seeSlice(SliceIndex(slice), SliceRecord.parse(value), version)
         }
     }
 
-    fun seeToken(value: Long, stamp: Long) {
-        if (stamp <= tokenStamp) return
+    fun seeToken(value: Long, version: Long) {
+        if (version <= tokenVersion) return
         token = value
-        tokenStamp = stamp
+        tokenVersion = version
     }
 
-    fun seeSlice(slice: SliceIndex, record: SliceRecord, stamp: Long) {
+    fun seeSlice(slice: SliceIndex, record: SliceRecord, version: Long) {
         val before = records[slice.value]
-        if (before != null && before.stamp >= stamp) return
-        val now = Held(record, stamp)
+        if (before != null && before.version >= version) return
+        val now = StoredRecord(record, version)
         records[slice.value] = now
         onChange(slice, before, now)
     }
--- a/src/main/kotlin/io/reedmast/ownership/Takeover.kt
+++ b/src/main/kotlin/io/reedmast/ownership/Takeover.kt
@@ -15,7 +15,7 @@
 import io.reedmast.state.Outcome
 import io.reedmast.state.Write
 import io.reedmast.wire.Reply
-import io.reedmast.workers.Roster
+import io.reedmast.workers.HostDirectory
 import org.slf4j.LoggerFactory
 
 /**
@@ -33,7 +33,7 @@
     private val slices: SliceTable,
     private val machines: MachineTable,
     private val jobs: JobIndex,
-    private val roster: Roster,
+    private val hostDirectory: HostDirectory,
     private val contact: WorkerContact,
     /** The owners of this node's slices, by slice. */
     private val owners: Array<SliceOwner?>,
@@ -42,7 +42,7 @@
     private val reread: (String) -> Unit,
 ) {
     private val log = LoggerFactory.getLogger("cluster")
-    private val complaints = Complaints(settings.slices, settings.workers.reportS)
+    private val misdirected = MisdirectedReports(settings.slices, settings.workers.reportS)
     private val startedAt = clock.now()
 
     /** Two takes at once would both want the next token. */
@@ -66,7 +66,7 @@
     }
 
     /** This node hears nothing from the state service. */
-    fun outOfTouch(now: Long) = complaints.outOfTouch(now)
+    fun outOfTouch(now: Long) = misdirected.outOfTouch(now)
 
     /** Another controller has taken a slice of this node's, and has a reason that may not be visible here. */
     fun noteTakenByAnother() {
@@ -78,19 +78,19 @@
     /** The owner of a slice does not hear its workers. A late copy of its request names a term that is over. */
     fun requested(message: PeerMessage.TakeoverRequest) {
         val slice = message.slice
-        if (slices.records.getOrNull(slice.value)?.stamp != message.term) return
+        if (slices.records.getOrNull(slice.value)?.version != message.term) return
         if (requests[slice]?.term != message.term) requests[slice] = Request(clock.now(), message.term)
     }
 
-    fun noteNewOwner(slice: SliceIndex) = complaints.newOwner(slice, clock.now())
+    fun noteNewOwner(slice: SliceIndex) = misdirected.newOwner(slice, clock.now())
 
     /** Where to send a worker of [slice], which is not ours: to its owner, but not twice in a row to one that is silent. */
     fun sendOn(slice: SliceIndex, host: String, addr: String): String? {
-        val facts = roster.of(host)
+        val facts = hostDirectory.of(host)
         // A new machine reports to any node first: with a slice that grows fast, most of its workers are new ones.
         val known = facts.addr == addr
         facts.addr = addr
-        val again = known && complaints.sentOn(slice, host, addr, clock.now())
+        val again = known && misdirected.sentOn(slice, host, addr, clock.now())
         return slices.ownerOf(slice)?.takeIf { it != settings.label && !again }
     }
 
@@ -99,12 +99,12 @@
         val owner = slices.ownerOf(slice)
         val wanted = isWanted(slice, owner, now)
         if (wanted && now > notBefore[slice.value]) takeIfInContact(slice, owner, now)
-        if (!wanted && owner != null && membership.isPresent(owner)) heedComplaints(slice, now)
+        if (!wanted && owner != null && membership.isPresent(owner)) considerMisdirected(slice, now)
     }
 
     /** Takes the slice of another controller only if its workers can be reached, or if nobody else has taken it for long. */
     private fun takeIfInContact(slice: SliceIndex, owner: String?, now: Long) {
-        val addresses = machines.hostsOf(slice).mapNotNull { roster.of(it.name).addr }.toList()
+        val addresses = machines.hostsOf(slice).mapNotNull { hostDirectory.of(it.name).addr }.toList()
         val ofAnother = owner != null && owner != settings.label
         val abandoned = ofAnother && !membership.isPresent(owner) && membership.absentForMs(owner, now) > ABANDONED_MS
         if (!ofAnother || abandoned || contact.isRecent || addresses.isEmpty()) {
@@ -136,7 +136,7 @@
         }
     }
 
-    private fun isRequested(slice: SliceIndex) = requests[slice]?.let { it.term == slices.records[slice.value]?.stamp } ?: false
+    private fun isRequested(slice: SliceIndex) = requests[slice]?.let { it.term == slices.records[slice.value]?.version } ?: false
 
     /** The node with the least to do comes first; the others follow if it does not act. */
     private fun turn(owner: String): Int = (membership.alive() - owner).sortedWith(compareBy({ slices.countOf(it) }, { it })).indexOf(settings.label)
@@ -146,10 +146,10 @@
      *
      * One of them must answer a call before: late copies of the reports of dead machines complain as well.
      */
-    private fun heedComplaints(slice: SliceIndex, now: Long) {
-        if (asking[slice.value] || complaints.none(slice)) return
-        val known = machines.hostsOf(slice).count { roster.of(it.name).addr != null }
-        val some = complaints.ofMost(slice, known, now)
+    private fun considerMisdirected(slice: SliceIndex, now: Long) {
+        if (asking[slice.value] || misdirected.none(slice)) return
+        val known = machines.hostsOf(slice).count { hostDirectory.of(it.name).addr != null }
+        val some = misdirected.ofMost(slice, known, now)
         val owner = slices.ownerOf(slice)
         for ((host, addr) in some) {
             asking[slice.value] = true
@@ -180,13 +180,13 @@
         val held = slices.records[slice.value]
         val fresh = Token.after(slices.token)
         val record = SliceRecord(settings.label, fresh)
-        val guards = listOf(Guard(Keys.slice(slice.value), held?.stamp ?: 0L), Guard(Keys.TOKEN, slices.tokenStamp))
+        val guards = listOf(Guard(Keys.slice(slice.value), held?.version ?: 0L), Guard(Keys.TOKEN, slices.tokenVersion))
         val writes = listOf(Write.Put(Keys.slice(slice.value), record.toFields()), Write.Put(Keys.TOKEN, mapOf("token" to fresh)))
         out.commit(
             Change(guards, writes) { outcome ->
                 claiming = false
                 if (outcome is Outcome.Applied) {
-                    taken(slice, record, outcome.epoch)
+                    taken(slice, record, outcome.revision)
                 } else {
                     // Mostly another node took the token we wanted.
                     retrySoon(slice)
@@ -197,13 +197,13 @@
         )
     }
 
-    private fun taken(slice: SliceIndex, record: SliceRecord, epoch: Long) {
+    private fun taken(slice: SliceIndex, record: SliceRecord, revision: Long) {
         owners[slice.value]?.dropped = true
         owners[slice.value] = null
-        slices.seeToken(record.token, epoch)
-        slices.seeSlice(slice, record, epoch)
+        slices.seeToken(record.token, revision)
+        slices.seeSlice(slice, record, revision)
         val owner = newOwner(slice)
-        owner.sync(record, epoch)
+        owner.sync(record, revision)
         owners[slice.value] = owner
         read(owner)
     }
--- a/src/main/kotlin/io/reedmast/peers/PeerCodec.kt
+++ b/src/main/kotlin/io/reedmast/peers/PeerCodec.kt
@@ -45,7 +45,7 @@
             }
             frame.write(entry, entry.size)
         }
-        for (job in news.jobs) add(Buffer().writeByte(JOB_ENTRY).text(job.ref).writeInt(job.done).writeInt(job.running))
+        for (job in news.jobs) add(Buffer().writeByte(JOB_ENTRY).text(job.jobId).writeInt(job.done).writeInt(job.running))
         for (host in news.hosts) add(hostEntry(host))
         send(sink, frame)
     }
@@ -53,7 +53,7 @@
     private fun hostEntry(host: HostNews): Buffer {
         val images = host.images.takeLast(MAX_IMAGES)
         val entry = Buffer().writeByte(HOST_ENTRY).text(host.host).text(host.addr).writeByte(images.size)
-        images.forEach { (image, sizeGb) -> entry.text(image).writeLong(sizeGb.toRawBits()) }
+        images.forEach { (image, imageGb) -> entry.text(image).writeLong(imageGb.toRawBits()) }
         return entry
     }
 
@@ -68,7 +68,7 @@
         frame.writeLong(report.uptimeMs).writeLong(report.stateAgeMs ?: NEVER_HEARD)
         val cancellations = report.cancellations
         frame.writeInt(cancellations?.size ?: NO_CANCELLATION_LIST)
-        cancellations?.forEach { frame.text(it.ref).writeLong(it.stamp) }
+        cancellations?.forEach { frame.text(it.jobId).writeLong(it.version) }
         send(sink, frame)
     }
 
--- a/src/main/kotlin/io/reedmast/placement/Choice.kt
+++ b/src/main/kotlin/io/reedmast/placement/Choice.kt
@@ -1,43 +1,43 @@
 package io.reedmast.placement
 
 import io.reedmast.jobs.Job
-import io.reedmast.wire.Flavor
 import io.reedmast.wire.JobSpec
+import io.reedmast.wire.MachineType
 import io.reedmast.workers.Machine
 
 /** Whether a job may ever run on a machine of this kind, whatever else is on it. */
-fun allows(spec: JobSpec, build: String, yard: String, driftwood: Boolean): Boolean =
-    (!driftwood || spec.driftwood) && (spec.builds == null || build in spec.builds) && (spec.yard == null || yard == spec.yard)
+fun allows(spec: JobSpec, typeName: String, zone: String, spot: Boolean): Boolean =
+    (!spot || spec.spot) && (spec.allowedTypes == null || typeName in spec.allowedTypes) && (spec.zone == null || zone == spec.zone)
 
 /**
- * Whether one more task of [job] may start in [yard], given every other task of it that may be on a machine.
+ * Whether one more task of [job] may start in [zone], given every other task of it that may be on a machine.
  *
  * In-flight launches and attempts on silent machines count like running ones: `oneZone` and `apart` are broken by what is
  * there, not by what was heard.
  */
-fun zonesAllow(job: Job, yard: String): Boolean {
+fun zonesAllow(job: Job, zone: String): Boolean {
     val spec = job.spec
-    if (!spec.oneZone && !spec.apart) return true
+    if (!spec.oneZone && !spec.spread) return true
     var here = 0
     for (other in job.placements()) {
-        val there = other.machine.record.yard
+        val there = other.machine.record.zone
         // Of a machine that is known by name alone, the zone is not known: it may be this one, and may be another.
-        if (there == yard || there.isEmpty()) here++
-        if (there != yard && spec.oneZone) return false
+        if (there == zone || there.isEmpty()) here++
+        if (there != zone && spec.oneZone) return false
     }
-    return !spec.apart || here + 1 <= (spec.pieces + 1) / 2
+    return !spec.spread || here + 1 <= (spec.taskCount + 1) / 2
 }
 
 /**
- * Where new room for one more task of [job] would be of use: null if anywhere, else those of [yards] that its other tasks
+ * Where new room for one more task of [job] would be of use: null if anywhere, else those of [zones] that its other tasks
  * leave open to it.
  *
  * What is rented in another zone stays empty, and hides that the job still waits.
  */
-fun zonesOpen(job: Job, yards: Collection<String>): Set<String>? {
+fun zonesOpen(job: Job, zones: Collection<String>): Set<String>? {
     val spec = job.spec
-    if ((!spec.oneZone && !spec.apart) || job.placedCount == 0) return null
-    return yards.filterTo(LinkedHashSet()) { zonesAllow(job, it) }
+    if ((!spec.oneZone && !spec.spread) || job.placedCount == 0) return null
+    return zones.filterTo(LinkedHashSet()) { zonesAllow(job, it) }
 }
 
 /**
@@ -56,16 +56,16 @@
  * Work that may use spot machines keeps an ordinary one that is [dear] from becoming empty only if it is [late]. A job that
  * [starves] goes back to where it failed, too.
  */
-fun choose(job: Job, machines: List<Machine>, late: Boolean, starves: Boolean, room: HeldRoom, dear: (Flavor, Job) -> Boolean): Machine? {
+fun choose(job: Job, machines: List<Machine>, late: Boolean, starves: Boolean, room: HeldRoom, dear: (MachineType, Job) -> Boolean): Machine? {
     val spec = job.spec
     var best: Machine? = null
     var bestScore = Double.MAX_VALUE
     for (machine in machines) {
-        if (!machine.fits(spec.cpus, spec.gpus, spec.memGb)) continue
-        if (!allows(spec, machine.record.build, machine.record.yard, machine.record.driftwood)) continue
-        if (!late && spec.driftwood && !machine.record.driftwood && !machine.held && machine.flavor?.let { dear(it, job) } == true) continue
+        if (!machine.fits(spec.cpus, spec.gpus, spec.memoryGb)) continue
+        if (!allows(spec, machine.record.typeName, machine.record.zone, machine.record.spot)) continue
+        if (!late && spec.spot && !machine.record.spot && !machine.held && machine.machineType?.let { dear(it, job) } == true) continue
         if (!spec.service && !late && machine.isServiceHome && !room.leaves(spec.cpus)) continue
-        if ((!starves && machine in job.failedOn) || !zonesAllow(job, machine.record.yard)) continue
+        if ((!starves && machine in job.failedOn) || !zonesAllow(job, machine.record.zone)) continue
         val score = score(spec, machine)
         if (score < bestScore) {
             bestScore = score
@@ -82,13 +82,13 @@
  * hold anyway, then spot machines, and leaves ordinary machines to become empty.
  */
 private fun score(spec: JobSpec, machine: Machine): Double {
-    val flavor = machine.flavor ?: return Double.MAX_VALUE
-    val fetch = if (spec.bundle in machine.images) 0.0 else spec.sizeGb / flavor.pullGbPerS
-    val fullness = FULLNESS_S * machine.freeCpus / maxOf(flavor.cpus, 1e-3)
+    val machineType = machine.machineType ?: return Double.MAX_VALUE
+    val fetch = if (spec.image in machine.images) 0.0 else spec.imageGb / machineType.fetchGbPerS
+    val fullness = FULLNESS_S * machine.freeCpus / maxOf(machineType.cpus, 1e-3)
     val cost =
         when {
-            spec.driftwood && (machine.held || machine.record.driftwood) -> 0.0
-            else -> COST_S * machine.hourly / maxOf(flavor.cpus, 1e-3)
+            spec.spot && (machine.held || machine.record.spot) -> 0.0
+            else -> COST_S * machine.hourlyPrice / maxOf(machineType.cpus, 1e-3)
         }
     return fetch + fullness + cost + if (spec.service && !machine.held) LONE_S else 0.0
 }
--- a/src/main/kotlin/io/reedmast/placement/Placer.kt
+++ b/src/main/kotlin/io/reedmast/placement/Placer.kt
@@ -4,21 +4,21 @@
 import io.reedmast.fairshare.Runner
 import io.reedmast.fairshare.funded
 import io.reedmast.fairshare.mayYield
-import io.reedmast.fleet.Wants
+import io.reedmast.fleet.DemandEstimator
 import io.reedmast.fleet.isDear
 import io.reedmast.jobs.Job
 import io.reedmast.jobs.Placement
-import io.reedmast.jobs.SliceBook
+import io.reedmast.jobs.SliceState
 import io.reedmast.jobs.StopReason
 import io.reedmast.ownership.Token
 import io.reedmast.settings.TeamIndex
-import io.reedmast.wire.Flavor
+import io.reedmast.wire.MachineType
 import io.reedmast.workers.Commands
 import io.reedmast.workers.Machine
 import org.slf4j.LoggerFactory
 
 /** Queue order, placement and preemption: a pass over all that waits, at a bounded rate. */
-class Placer(private val book: SliceBook, private val commands: Commands, private val wants: Wants) {
+class Placer(private val sliceState: SliceState, private val commands: Commands, private val demandEstimator: DemandEstimator) {
     private val log = LoggerFactory.getLogger("slice")
     private var attempts = 0L
     private var nextPass = 0L
@@ -31,10 +31,10 @@
         private set
 
     fun passIfDue(now: Long) {
-        if (!book.placeWanted || now < nextPass || !book.fresh()) return
+        if (!sliceState.placeWanted || now < nextPass || !sliceState.fresh()) return
         // Each pass that places something costs puts: tasks of arrays that follow each other on a machine share them.
-        if (now < lastPass + ARRAY_PASS_EVERY_MS && book.jobs.values.none { it.waitingCount > 0 && book.startsSoon(it) }) return
-        book.placeWanted = false
+        if (now < lastPass + ARRAY_PASS_EVERY_MS && sliceState.jobs.values.none { it.waitingCount > 0 && sliceState.startsSoon(it) }) return
+        sliceState.placeWanted = false
         lastPass = now
         nextPass = now + PASS_EVERY_MS
         passes++
@@ -45,22 +45,22 @@
     private data class Shape(
         val cpus: Double,
         val gpus: Double,
-        val memGb: Double,
-        val driftwood: Boolean,
-        val builds: List<String>?,
-        val yard: String?,
+        val memoryGb: Double,
+        val spot: Boolean,
+        val allowedTypes: List<String>?,
+        val zone: String?,
         val late: Boolean,
     )
 
     /** Funded work before uncharged work; teams within their guarantee first, then by charged use against allocation. */
     private fun pass(now: Long) {
-        val ready = book.jobs.values.filter { it.waitingCount > 0 && !it.ending && now >= it.notBefore }
+        val ready = sliceState.jobs.values.filter { it.waitingCount > 0 && !it.ending && now >= it.notBefore }
         if (ready.isEmpty()) return
         val machines = candidates(now)
         val homes = machines.filter { it.isServiceHome }
-        val most = homes.sumOf { it.flavor?.cpus ?: 0.0 } * MOST_RESERVED
-        val room = HeldRoom(homes.sumOf { it.freeCpus }, minOf(wants.reserve(now), most))
-        val wall = book.clock.wall()
+        val most = homes.sumOf { it.machineType?.cpus ?: 0.0 } * MOST_RESERVED
+        val room = HeldRoom(homes.sumOf { it.freeCpus }, minOf(demandEstimator.reserve(now), most))
+        val wall = sliceState.clock.wall()
         val full = HashSet<Shape>()
         val placed = HashMap<Job, Int>()
         for (job in unservedJobs(ready, now)) {
@@ -71,7 +71,7 @@
         for (funded in listOf(true, false)) {
             val queues =
                 ready
-                    .filter { it.spec.rank.funded == funded }
+                    .filter { it.spec.priority.funded == funded }
                     .groupBy { it.team }
                     .mapValuesTo(LinkedHashMap()) { (_, list) -> ArrayDeque(list.sortedWith(queueOrder)) }
             while (queues.isNotEmpty()) {
@@ -82,46 +82,46 @@
                 if (queue.isEmpty()) queues.remove(team)
             }
         }
-        for ((job, count) in placed) log.info("{}: {} placed", job.spec.ref, count)
+        for ((job, count) in placed) log.info("{}: {} placed", job.spec.jobId, count)
         preempt(ready, now, wall)
     }
 
     /** Within a team: by priority, then what has got nothing for long, of which one task is placed at a time, then by due time. */
-    private val queueOrder = compareBy<Job>({ it.spec.rank }, { !book.isUnserved(it) }, { book.dueMs(it) })
+    private val queueOrder = compareBy<Job>({ it.spec.priority }, { !sliceState.isUnserved(it) }, { sliceState.dueMs(it) })
 
     /**
      * A few jobs of each team that have got nothing for longest, now and then: a team that is always at its limit, or in a full slice,
      * with work of a higher priority or with a large array, would never begin its other jobs.
      */
     private fun unservedJobs(ready: List<Job>, now: Long): List<Job> = ready
-        .filter { now >= (nextUnserved[it.team] ?: 0L) && book.isUnserved(it) }
-        .groupBy { it.team }.values.flatMap { jobs -> jobs.sortedByDescending { book.unservedForMs(it) }.take(UNSERVED_AT_ONCE) }
+        .filter { now >= (nextUnserved[it.team] ?: 0L) && sliceState.isUnserved(it) }
+        .groupBy { it.team }.values.flatMap { jobs -> jobs.sortedByDescending { sliceState.unservedForMs(it) }.take(UNSERVED_AT_ONCE) }
 
     private fun first(queues: Map<TeamIndex, ArrayDeque<Job>>, wall: Long): TeamIndex {
         if (queues.size == 1) return queues.keys.first()
-        return queues.keys.minWith(compareBy({ t -> !book.within(t, queues.getValue(t).first().spec) }, { t -> book.ratio(t, wall) }))
+        return queues.keys.minWith(compareBy({ t -> !sliceState.within(t, queues.getValue(t).first().spec) }, { t -> sliceState.ratio(t, wall) }))
     }
 
     /** Machines whose report is overdue may be gone or hang; unless most are overdue, which would be this node's fault. */
     private fun candidates(now: Long): List<Machine> {
-        val usable = book.machines.values.filter { it.usable && it.warningUntil == 0L }
-        val heard = usable.filter { now - it.lastHeardAt <= book.reportOverdueMs }
+        val usable = sliceState.machines.values.filter { it.usable && it.noticeUntil == 0L }
+        val heard = usable.filter { now - it.lastHeardAt <= sliceState.reportOverdueMs }
         return if (heard.size * 2 >= usable.size) heard else usable
     }
 
     /** True if a task was placed and the job may have another one to place. */
     private fun placeOne(job: Job, machines: List<Machine>, room: HeldRoom, full: MutableSet<Shape>, now: Long): Boolean {
-        if (job.waitingCount <= 0 || book.allowance(job) < 1) return false
+        if (job.waitingCount <= 0 || sliceState.allowance(job) < 1) return false
         val task = job.nextWaiting()
         if (task < 0) return false
         val spec = job.spec
-        val starves = book.starves(job)
-        val late = starves || book.late(job)
+        val starves = sliceState.starves(job)
+        val late = starves || sliceState.late(job)
         // Jobs with rules of their own for zones or machines may fail where others of their shape would not.
-        val shape = if (spec.oneZone || spec.apart || job.failedOn.isNotEmpty()) {
+        val shape = if (spec.oneZone || spec.spread || job.failedOn.isNotEmpty()) {
             null
         } else {
-            Shape(spec.cpus, spec.gpus, spec.memGb, spec.driftwood, spec.builds, spec.yard, late)
+            Shape(spec.cpus, spec.gpus, spec.memoryGb, spec.spot, spec.allowedTypes, spec.zone, late)
         }
         if (shape != null && shape in full) return false
         val machine = choose(job, machines, late, starves, room, ::dear)
@@ -129,55 +129,55 @@
             if (shape != null) full.add(shape)
             return false
         }
-        val attempt = (Token.takings(book.token) shl ATTEMPT_BITS) + ++attempts
+        val attempt = (Token.takings(sliceState.token) shl ATTEMPT_BITS) + ++attempts
         val placement = Placement(job, task, attempt, machine, now)
-        if (book.isUnserved(job)) keep(placement, now)
+        if (sliceState.isUnserved(job)) keep(placement, now)
         if (machine.isServiceHome) room.free -= spec.cpus
-        book.place(placement)
-        book.touched(job.chunkOf(task))
+        sliceState.place(placement)
+        sliceState.touched(job.chunkOf(task))
         log.debug("{} try {}: placed on {}", placement.id, attempt, machine.name)
         return true
     }
 
     /** Stopped in the same moment for the work that it was preferred to, the job would get nothing for ever. */
     private fun keep(placement: Placement, now: Long) {
-        val until = now + KEPT_MS + (placement.job.spec.guessS * 1000).toLong()
+        val until = now + KEPT_MS + (placement.job.spec.estimateS * 1000).toLong()
         placement.keptUntil = until
         val kept = keptFromAll.getOrPut(placement.job.team) { ArrayList() }
         kept.removeIf { now >= it.keptFromAllUntil || it.machine.placements[it.id] !== it }
         // A few at a time: a swarm of uncharged tasks that yield to nothing would hold the room of funded work.
-        if (!book.isOverdue(placement.job) || kept.size >= MOST_KEPT_FROM_ALL) return
+        if (!sliceState.isOverdue(placement.job) || kept.size >= MOST_KEPT_FROM_ALL) return
         placement.keptFromAllUntil = until
         kept.add(placement)
     }
 
-    private fun dear(flavor: Flavor, job: Job): Boolean =
-        job.dearFlavors.getOrPut(flavor.label) { isDear(flavor, book.flavors, job.spec.cpus, job.spec.gpus, job.spec.memGb) }
+    private fun dear(machineType: MachineType, job: Job): Boolean =
+        job.dearTypes.getOrPut(machineType.label) { isDear(machineType, sliceState.machineTypes, job.spec.cpus, job.spec.gpus, job.spec.memoryGb) }
 
     /** Stops work for requests that cannot fit otherwise, one machine at a time and never twice for the same request. */
     private fun preempt(ready: List<Job>, now: Long, wall: Long) {
-        val holding = book.machines.values.filter { m -> m.usable && m.warningUntil == 0L && m.placements.values.any { yieldable(it) } }
+        val holding = sliceState.machines.values.filter { m -> m.usable && m.noticeUntil == 0L && m.placements.values.any { yieldable(it) } }
         if (holding.isEmpty()) return
-        val coming = wants.coming()
+        val coming = demandEstimator.coming()
         var tries = 0
         for (job in ready) {
-            if (!job.spec.rank.funded || job.waitingCount <= job.preempting || book.allowance(job) <= job.preempting) continue
+            if (!job.spec.priority.funded || job.waitingCount <= job.preempting || sliceState.allowance(job) <= job.preempting) continue
             if (now - job.waitsSince < preemptAfterMs(job)) continue
             // What only has to be done some time fits on the machines that are on their way; what has to start soon does not.
-            if (!book.startsSoon(job) && wants.comingHolds(job, coming)) continue
+            if (!sliceState.startsSoon(job) && demandEstimator.comingHolds(job, coming)) continue
             if (++tries > MOST_PREEMPTING) break
-            val request = Request(job.spec.rank, book.within(job.team, job.spec), book.ratio(job.team, wall))
+            val request = Request(job.spec.priority, sliceState.within(job.team, job.spec), sliceState.ratio(job.team, wall))
             for (machine in holding) {
                 if (job.waitingCount <= job.preempting) break
-                if (!zonesAllow(job, machine.record.yard)) continue
-                if (!allows(job.spec, machine.record.build, machine.record.yard, machine.record.driftwood)) continue
+                if (!zonesAllow(job, machine.record.zone)) continue
+                if (!allows(job.spec, machine.record.typeName, machine.record.zone, machine.record.spot)) continue
                 if (machine.placements.values.any { it.stopReason != null }) continue
                 val victims = victims(job, machine, request, wall) ?: continue
                 for (victim in victims) {
-                    log.info("{}: yields to {} on {}", victim.id, job.spec.ref, machine.name)
+                    log.info("{}: yields to {} on {}", victim.id, job.spec.jobId, machine.name)
                     commands.stop(victim, StopReason.PREEMPTED)
                     job.preempting++
-                    book.preemptedFor[victim] = job
+                    sliceState.preemptedFor[victim] = job
                 }
             }
         }
@@ -187,20 +187,21 @@
      * What fits a little later without stopping anything does not need a victim: tasks end all the time, and each victim
      * loses what it has done. A day of arrays that yielded at once to services stopped a fifth of all tasks.
      */
-    private fun preemptAfterMs(job: Job): Long = (book.settings.workers.reportS * 1000 * if (book.startsSoon(job)) 1 else ARRAY_WAITS_REPORTS).toLong()
+    private fun preemptAfterMs(job: Job): Long =
+        (sliceState.settings.workers.reportS * 1000 * if (sliceState.startsSoon(job)) 1 else ARRAY_WAITS_REPORTS).toLong()
 
     /** Whether the work yields to anything at all: funded work that cannot resume never does. */
     private fun yieldable(placement: Placement) =
-        book.clock.now() >= placement.keptFromAllUntil && (!placement.job.spec.rank.funded || placement.job.spec.resumable)
+        sliceState.clock.now() >= placement.keptFromAllUntil && (!placement.job.spec.priority.funded || placement.job.spec.resumable)
 
     /** Whether the work was preferred to [job], of the same team, for its long wait, and too lately to be stopped for it. */
-    private fun isKeptFrom(placement: Placement, job: Job) = book.clock.now() < placement.keptUntil && placement.job.team == job.team
+    private fun isKeptFrom(placement: Placement, job: Job) = sliceState.clock.now() < placement.keptUntil && placement.job.team == job.team
 
     private fun victims(job: Job, machine: Machine, request: Request, wall: Long): List<Placement>? {
         var cpus = machine.freeCpus
         var gpus = machine.freeGpus
-        var memGb = machine.freeMemGb
-        fun enough() = cpus + Machine.EPSILON >= job.spec.cpus && gpus + Machine.EPSILON >= job.spec.gpus && memGb + Machine.EPSILON >= job.spec.memGb
+        var memoryGb = machine.freeMemoryGb
+        fun enough() = cpus + Machine.EPSILON >= job.spec.cpus && gpus + Machine.EPSILON >= job.spec.gpus && memoryGb + Machine.EPSILON >= job.spec.memoryGb
         val chosen = ArrayList<Placement>()
         val candidates =
             machine.placements.values
@@ -212,22 +213,22 @@
             chosen.add(victim)
             cpus += victim.job.spec.cpus
             gpus += victim.job.spec.gpus
-            memGb += victim.job.spec.memGb
+            memoryGb += victim.job.spec.memoryGb
         }
         return if (enough() && chosen.isNotEmpty()) chosen else null
     }
 
     private fun runner(placement: Placement, job: Job, wall: Long): Runner {
         val spec = placement.job.spec
-        val cap = book.tuning.protectCapS
+        val cap = sliceState.tuning.protectCapS
         return Runner(
-            rank = spec.rank,
+            priority = spec.priority,
             resumable = spec.resumable,
             sameTeam = placement.job.team == job.team,
-            ranForS = (book.clock.now() - placement.madeAt) / 1000.0,
-            minimumS = minOf(cap, if (spec.guessS > 0) spec.guessS else cap),
-            teamBeyondGuarantee = book.beyondGuarantee(placement.job.team),
-            teamRatio = book.ratio(placement.job.team, wall),
+            ranForS = (sliceState.clock.now() - placement.madeAt) / 1000.0,
+            minimumS = minOf(cap, if (spec.estimateS > 0) spec.estimateS else cap),
+            teamBeyondGuarantee = sliceState.beyondGuarantee(placement.job.team),
+            teamRatio = sliceState.ratio(placement.job.team, wall),
         )
     }
 
--- a/src/main/kotlin/io/reedmast/ports/Gateway.kt
+++ b/src/main/kotlin/io/reedmast/ports/Gateway.kt
@@ -6,8 +6,8 @@
 import io.reedmast.state.Change
 import io.reedmast.state.Fetched
 import io.reedmast.state.Item
-import io.reedmast.wire.Flavor
 import io.reedmast.wire.ListedHost
+import io.reedmast.wire.MachineType
 import io.reedmast.wire.Order
 import io.reedmast.wire.Reply
 
@@ -47,7 +47,7 @@
     fun sendToPeer(peer: NodeIndex, message: PeerMessage)
 
     /** Sends commands to a worker directly. */
-    fun direct(addr: String, baton: Long, tenure: Long, orders: List<Order>, done: (Reply) -> Unit)
+    fun direct(addr: String, token: Long, session: Long, orders: List<Order>, done: (Reply) -> Unit)
 
     fun rent(rental: Rental, done: (Rented) -> Unit)
 
@@ -56,7 +56,7 @@
 
     fun listHosts(done: (List<ListedHost>?) -> Unit)
 
-    fun flavors(done: (List<Flavor>?) -> Unit)
+    fun machineTypes(done: (List<MachineType>?) -> Unit)
 
     fun extendLease(lease: Long?, lifeMs: Long, done: (LeaseState) -> Unit)
 
@@ -69,7 +69,7 @@
 
 /** A lease of this node after an attempt to renew it, or to get a new one. */
 sealed interface LeaseState {
-    data class Held(val lease: Long, val fresh: Boolean) : LeaseState
+    data class StoredRecord(val lease: Long, val fresh: Boolean) : LeaseState
 
     data object Lost : LeaseState
 
--- a/src/main/kotlin/io/reedmast/settings/Settings.kt
+++ b/src/main/kotlin/io/reedmast/settings/Settings.kt
@@ -41,7 +41,7 @@
 
 data class CloudLimits(val requestsPerS: Double, val listLagS: Double)
 
-data class Objective(val kind: String, val lot: String?, val withinS: Double?)
+data class Objective(val kind: String, val jobClass: String?, val withinS: Double?)
 
 /** What the platform hands over. [members] has every node in name order, so all nodes agree on their indices. */
 data class Settings(
--- a/src/main/kotlin/io/reedmast/state/Change.kt
+++ b/src/main/kotlin/io/reedmast/state/Change.kt
@@ -4,7 +4,7 @@
 import java.math.BigInteger
 
 /** The condition that a key still has this stamp; 0: that it does not exist. */
-data class Guard(val path: String, val stamp: Long)
+data class Guard(val path: String, val version: Long)
 
 sealed interface Write {
     val path: String
@@ -15,8 +15,8 @@
 }
 
 sealed interface Outcome {
-    /** Applied; [epoch] is the new stamp of everything written. */
-    data class Applied(val epoch: Long) : Outcome
+    /** Applied; [revision] is the new stamp of everything written. */
+    data class Applied(val revision: Long) : Outcome
 
     /** Not applied and never will be: these keys had moved on. */
     data class Conflict(val failed: Set<String>) : Outcome
@@ -26,7 +26,7 @@
 }
 
 /** What goes first when the state service takes fewer changes than there are. */
-enum class Haste {
+enum class WritePriority {
     /** Somebody waits for it: an acceptance, a placement, the end of a job. */
     PROMPT,
 
@@ -40,14 +40,14 @@
  * Every key written must be guarded by its own stamp: a transaction that got no answer may be applied minutes later,
  * and it must then find that its keys have moved on.
  */
-class Change(val guards: List<Guard>, val writes: List<Write>, val haste: Haste = Haste.PROMPT, val done: (Outcome) -> Unit) {
+class Change(val guards: List<Guard>, val writes: List<Write>, val writePriority: WritePriority = WritePriority.PROMPT, val done: (Outcome) -> Unit) {
     init {
         val guarded = guards.mapTo(HashSet()) { it.path }
         require(writes.all { it.path in guarded }) { "a key is written without its own guard" }
     }
 }
 
-data class Item(val path: String, val value: Fields, val stamp: Long)
+data class Item(val path: String, val value: Fields, val version: Long)
 
 sealed interface Fetched {
     data class Found(val item: Item) : Fetched
@@ -98,9 +98,9 @@
 
     fun node(label: String) = "$NODES$label"
 
-    fun live(slice: Int, ref: String) = "$LIVE$slice/$ref"
+    fun live(slice: Int, jobId: String) = "$LIVE$slice/$jobId"
 
-    fun end(ref: String) = "$ENDS$ref"
+    fun end(jobId: String) = "$ENDS$jobId"
 
     fun pagesOf(slice: Int) = "page/$slice/"
 
--- a/src/main/kotlin/io/reedmast/state/Committer.kt
+++ b/src/main/kotlin/io/reedmast/state/Committer.kt
@@ -17,7 +17,7 @@
     private val budget = client.budget
     private val log = LoggerFactory.getLogger("state")
     private val lock = Object()
-    private val queues = Haste.entries.map { ArrayDeque<Change>() }
+    private val queues = WritePriority.entries.map { ArrayDeque<Change>() }
 
     @Volatile
     private var lastAnswered = true
@@ -28,7 +28,7 @@
     /** False if the queue is full; only changes asked for from outside may be refused. */
     fun offer(change: Change, refusable: Boolean): Boolean {
         synchronized(lock) {
-            val queue = queues[change.haste.ordinal]
+            val queue = queues[change.writePriority.ordinal]
             if (refusable && queue.size >= maxQueued) return false
             queue.add(change)
             lock.notify()
@@ -51,7 +51,7 @@
                     continue
                 }
                 val first = queue.peek()
-                val wait = budget.take(first.writes.size, first.haste)
+                val wait = budget.take(first.writes.size, first.writePriority)
                 if (wait > 0L) {
                     lock.wait(wait)
                     continue
@@ -60,7 +60,7 @@
                 val batch = Batch(limits).apply { add(first) }
                 while (true) {
                     val next = queue.peek() ?: break
-                    if (!batch.accepts(next) || budget.take(next.writes.size, next.haste) > 0L) break
+                    if (!batch.accepts(next) || budget.take(next.writes.size, next.writePriority) > 0L) break
                     batch.add(queue.poll())
                 }
                 return batch.changes
@@ -84,7 +84,7 @@
             val newGuards = next.guards.count { it.path !in guards }
             if (ops + next.writes.size > limits.opsPerCommit || guards.size + newGuards > limits.opsPerCommit * 4) return false
             val clash =
-                next.guards.any { g -> guards[g.path]?.let { it != g.stamp } ?: false } || next.guards.any { it.path in written } ||
+                next.guards.any { g -> guards[g.path]?.let { it != g.version } ?: false } || next.guards.any { it.path in written } ||
                     next.writes.any { it.path in guards }
             return !clash && bytes + size(next) <= MAX_BYTES
         }
@@ -93,7 +93,7 @@
             changes.add(change)
             ops += change.writes.size
             bytes += size(change)
-            change.guards.forEach { guards[it.path] = it.stamp }
+            change.guards.forEach { guards[it.path] = it.version }
             change.writes.forEach { written.add(it.path) }
         }
     }
@@ -108,20 +108,20 @@
             when (reply) {
                 is CommitReply.Applied -> {
                     lastAnswered = true
-                    batch.forEach { deliver(it, Outcome.Applied(reply.epoch)) }
+                    batch.forEach { deliver(it, Outcome.Applied(reply.revision)) }
                     return
                 }
 
                 is CommitReply.Failed -> {
                     lastAnswered = true
                     if (unsure) {
-                        val epoch = appliedBefore(batch)
-                        if (epoch == null) {
+                        val revision = appliedBefore(batch)
+                        if (revision == null) {
                             Thread.sleep(pause)
                             continue
                         }
-                        if (epoch > 0) {
-                            batch.forEach { deliver(it, Outcome.Applied(epoch)) }
+                        if (revision > 0) {
+                            batch.forEach { deliver(it, Outcome.Applied(revision)) }
                             return
                         }
                     }
@@ -172,7 +172,7 @@
         return when (val now = client.get(write.path)) {
             is Fetched.Failed -> null
             is Fetched.Missing -> if (write is Write.Delete) 1L else 0L
-            is Fetched.Found -> if (write is Write.Put && sameValue(write.value, now.item.value)) now.item.stamp else 0L
+            is Fetched.Found -> if (write is Write.Put && sameValue(write.value, now.item.value)) now.item.version else 0L
         }
     }
 
--- a/src/main/kotlin/io/reedmast/state/StateClient.kt
+++ b/src/main/kotlin/io/reedmast/state/StateClient.kt
@@ -18,10 +18,10 @@
 import java.util.concurrent.TimeUnit
 
 /** One change of a watched prefix; a null [value] is a deletion. */
-data class Event(val path: String, val value: Fields?, val stamp: Long)
+data class Event(val path: String, val value: Fields?, val version: Long)
 
 sealed interface Watched {
-    data class Events(val epoch: Long, val events: List<Event>) : Watched
+    data class Events(val revision: Long, val events: List<Event>) : Watched
 
     /** The service has dropped the changes asked for: read the keys again. */
     data object TooOld : Watched
@@ -30,7 +30,7 @@
 }
 
 sealed interface CommitReply {
-    data class Applied(val epoch: Long) : CommitReply
+    data class Applied(val revision: Long) : CommitReply
 
     data class Failed(val paths: Set<String>) : CommitReply
 
@@ -73,7 +73,7 @@
     /** All keys with the prefix and the epoch of the first page, or null if they could not be read. */
     fun list(prefix: String): Pair<List<Item>, Long>? {
         val items = ArrayList<Item>()
-        var epoch = -1L
+        var revision = -1L
         var after: String? = null
         while (true) {
             val tail = if (after == null) "" else "&after=${encode(after)}"
@@ -82,10 +82,10 @@
             val more =
                 reading(null) {
                     reply.body.maps("pairs").forEach { items.add(Item(it.text("path"), it.map("v"), it.count("stamp"))) }
-                    if (epoch < 0) epoch = reply.body.count("epoch")
+                    if (revision < 0) revision = reply.body.count("epoch")
                     reply.body.flag("more")
                 } ?: return null
-            if (!more) return items to epoch
+            if (!more) return items to revision
             after = items.lastOrNull()?.path ?: return null
         }
     }
@@ -93,7 +93,7 @@
     fun commit(guards: Collection<Guard>, writes: List<Write>): CommitReply {
         val body =
             mapOf(
-                "when" to guards.map { mapOf("path" to it.path, "stamp" to it.stamp) },
+                "when" to guards.map { mapOf("path" to it.path, "stamp" to it.version) },
                 "writes" to
                     writes.map {
                         when (it) {
--- a/src/main/kotlin/io/reedmast/state/WriteBudget.kt
+++ b/src/main/kotlin/io/reedmast/state/WriteBudget.kt
@@ -26,10 +26,10 @@
 
     /** Takes [count] and returns 0, or takes nothing and returns after how many milliseconds to ask again. */
     @Synchronized
-    fun take(count: Int, haste: Haste): Long {
+    fun take(count: Int, writePriority: WritePriority): Long {
         fill()
         val full = maxOf(rate, 1.0)
-        val keep = if (haste == Haste.LAZY) full * KEPT_FOR_PROMPT else 0.0
+        val keep = if (writePriority == WritePriority.LAZY) full * KEPT_FOR_PROMPT else 0.0
         val needed = minOf(count + keep, full)
         if (level >= needed) {
             level -= count
--- a/src/main/kotlin/io/reedmast/wire/Submission.kt
+++ b/src/main/kotlin/io/reedmast/wire/Submission.kt
@@ -1,7 +1,7 @@
 package io.reedmast.wire
 
 /** The priorities of the protocol, most urgent first. */
-enum class Rank(val wire: String) {
+enum class Priority(val wire: String) {
     PRODUCTION("production"),
     URGENT("urgent"),
     STANDARD("standard"),
@@ -9,98 +9,98 @@
     ;
 
     companion object {
-        fun of(text: String): Rank = entries.firstOrNull { it.wire == text } ?: throw MalformedException("rank is unknown: $text")
+        fun of(text: String): Priority = entries.firstOrNull { it.wire == text } ?: throw MalformedException("rank is unknown: $text")
     }
 }
 
 /** A job as its user described it. */
 data class JobSpec(
-    val ref: String,
-    val lot: String,
-    val crew: String,
+    val jobId: String,
+    val jobClass: String,
+    val teamName: String,
     val service: Boolean,
-    val rank: Rank,
-    val pieces: Int,
+    val priority: Priority,
+    val taskCount: Int,
     val cpus: Double,
     val gpus: Double,
-    val memGb: Double,
-    val bundle: String,
-    val sizeGb: Double,
-    val builds: List<String>?,
-    val yard: String?,
+    val memoryGb: Double,
+    val image: String,
+    val imageGb: Double,
+    val allowedTypes: List<String>?,
+    val zone: String?,
     val oneZone: Boolean,
-    val apart: Boolean,
-    val driftwood: Boolean,
-    val guessS: Double,
-    val markS: Double,
-    val stowS: Double,
-    val dueS: Double?,
+    val spread: Boolean,
+    val spot: Boolean,
+    val estimateS: Double,
+    val checkpointS: Double,
+    val saveS: Double,
+    val deadlineS: Double?,
 ) {
-    val resumable: Boolean get() = markS > 0.0
+    val resumable: Boolean get() = checkpointS > 0.0
 
     fun toFields(): Fields = mapOf(
-        "ref" to ref,
-        "lot" to lot,
-        "crew" to crew,
+        "ref" to jobId,
+        "lot" to jobClass,
+        "crew" to teamName,
         "shape" to if (service) "service" else "array",
-        "rank" to rank.wire,
-        "pieces" to pieces,
+        "rank" to priority.wire,
+        "pieces" to taskCount,
         "cpus" to cpus,
         "gpus" to gpus,
-        "memGb" to memGb,
-        "bundle" to bundle,
-        "sizeGb" to sizeGb,
-        "builds" to builds,
-        "yard" to yard,
+        "memGb" to memoryGb,
+        "bundle" to image,
+        "sizeGb" to imageGb,
+        "builds" to allowedTypes,
+        "yard" to zone,
         "oneZone" to oneZone,
-        "apart" to apart,
-        "driftwood" to driftwood,
-        "guessS" to guessS,
-        "markS" to markS,
-        "stowS" to stowS,
-        "dueS" to dueS,
+        "apart" to spread,
+        "driftwood" to spot,
+        "guessS" to estimateS,
+        "markS" to checkpointS,
+        "stowS" to saveS,
+        "dueS" to deadlineS,
     )
 
     companion object {
-        const val MAX_PIECES = 100_000L
-        private val REF = Regex("wk-[0-9]{1,18}")
+        const val MAX_TASKS = 100_000L
+        private val JOB_ID = Regex("wk-[0-9]{1,18}")
         private const val MAX_NAME = 200
 
         /** Users' ids are always of this form, and only what has it can ever have been accepted. */
-        fun isRef(text: String): Boolean = REF.matches(text)
+        fun isJobId(text: String): Boolean = JOB_ID.matches(text)
 
         fun parse(fields: Fields): JobSpec {
-            val ref = fields.text("ref")
-            if (!isRef(ref)) throw MalformedException("ref is not of the usual form")
+            val jobId = fields.text("ref")
+            if (!isJobId(jobId)) throw MalformedException("ref is not of the usual form")
             val shape = fields.text("shape")
             if (shape != "array" && shape != "service") throw MalformedException("shape is unknown: $shape")
-            val pieces = fields.count("pieces")
-            if (pieces < 1 || pieces > MAX_PIECES) throw MalformedException("pieces is out of range")
+            val taskCount = fields.count("pieces")
+            if (taskCount < 1 || taskCount > MAX_TASKS) throw MalformedException("pieces is out of range")
             val cpus = fields.amount("cpus")
             val gpus = fields.amount("gpus")
-            val memGb = fields.amount("memGb")
-            if (cpus == 0.0 && gpus == 0.0 && memGb == 0.0) throw MalformedException("a task must take something of its machine")
+            val memoryGb = fields.amount("memGb")
+            if (cpus == 0.0 && gpus == 0.0 && memoryGb == 0.0) throw MalformedException("a task must take something of its machine")
             return JobSpec(
-                ref = ref,
-                lot = fields.text("lot").limited("lot"),
-                crew = fields.text("crew").limited("crew"),
+                jobId = jobId,
+                jobClass = fields.text("lot").limited("lot"),
+                teamName = fields.text("crew").limited("crew"),
                 service = shape == "service",
-                rank = Rank.of(fields.text("rank")),
-                pieces = pieces.toInt(),
+                priority = Priority.of(fields.text("rank")),
+                taskCount = taskCount.toInt(),
                 cpus = cpus,
                 gpus = gpus,
-                memGb = memGb,
-                bundle = fields.text("bundle").limited("bundle"),
-                sizeGb = fields.amount("sizeGb"),
-                builds = fields.optionalTexts("builds")?.onEach { it.limited("builds") },
-                yard = fields.optionalText("yard")?.limited("yard"),
+                memoryGb = memoryGb,
+                image = fields.text("bundle").limited("bundle"),
+                imageGb = fields.amount("sizeGb"),
+                allowedTypes = fields.optionalTexts("builds")?.onEach { it.limited("builds") },
+                zone = fields.optionalText("yard")?.limited("yard"),
                 oneZone = fields.flag("oneZone"),
-                apart = fields.flag("apart"),
-                driftwood = fields.flag("driftwood"),
-                guessS = fields.amount("guessS"),
-                markS = fields.amount("markS"),
-                stowS = fields.amount("stowS"),
-                dueS = fields.optionalAmount("dueS"),
+                spread = fields.flag("apart"),
+                spot = fields.flag("driftwood"),
+                estimateS = fields.amount("guessS"),
+                checkpointS = fields.amount("markS"),
+                saveS = fields.amount("stowS"),
+                deadlineS = fields.optionalAmount("dueS"),
             )
         }
 
--- a/src/main/kotlin/io/reedmast/wire/WorkerMessages.kt
+++ b/src/main/kotlin/io/reedmast/wire/WorkerMessages.kt
@@ -1,7 +1,7 @@
 package io.reedmast.wire
 
 /** The state of one task on a worker. */
-enum class PieceStage(val wire: String) {
+enum class TaskState(val wire: String) {
     FETCHING("fetching"),
     RUNNING("running"),
     SAVING("saving"),
@@ -19,8 +19,8 @@
 }
 
 /** One task of one job: `wk-000412/3`. */
-data class TaskId(val ref: String, val task: Int) {
-    override fun toString(): String = "$ref/$task"
+data class TaskId(val jobId: String, val task: Int) {
+    override fun toString(): String = "$jobId/$task"
 
     companion object {
         fun parse(text: String): TaskId {
@@ -32,46 +32,46 @@
     }
 }
 
-data class PieceReport(val id: TaskId, val attempt: Long, val stage: PieceStage, val cause: Cause?)
+data class TaskReport(val id: TaskId, val attempt: Long, val state: TaskState, val cause: Cause?)
 
 /** A worker's report, from `/checkin`, `/do` or `/status`. */
 data class Report(
     val host: String,
     val addr: String,
-    val build: String,
-    val yard: String,
-    val driftwood: Boolean,
-    val tenure: Long,
-    val tally: Long,
-    val baton: Long,
-    val warningS: Double?,
-    val pieces: List<PieceReport>,
+    val typeName: String,
+    val zone: String,
+    val spot: Boolean,
+    val session: Long,
+    val sequence: Long,
+    val token: Long,
+    val noticeS: Double?,
+    val tasks: List<TaskReport>,
 ) {
     companion object {
         fun parse(fields: Fields): Report = Report(
             host = fields.text("host"),
             addr = fields.text("addr"),
-            build = fields.text("build"),
-            yard = fields.text("yard"),
-            driftwood = fields.optionalFlag("driftwood"),
-            tenure = fields.count("tenure"),
-            tally = fields.count("tally"),
-            baton = fields.count("baton"),
-            warningS = fields.optionalAmount("warningS"),
-            pieces = fields.maps("pieces").map { piece(it) },
+            typeName = fields.text("build"),
+            zone = fields.text("yard"),
+            spot = fields.optionalFlag("driftwood"),
+            session = fields.count("tenure"),
+            sequence = fields.count("tally"),
+            token = fields.count("baton"),
+            noticeS = fields.optionalAmount("warningS"),
+            tasks = fields.maps("pieces").map { piece(it) },
         )
 
-        private fun piece(fields: Fields): PieceReport {
-            val stageName = fields.text("stage")
-            // A stage nobody told us of: the task is on the machine, and not known to run.
-            val stage = PieceStage.entries.firstOrNull { it.wire == stageName } ?: PieceStage.FETCHING
+        private fun piece(fields: Fields): TaskReport {
+            val stateName = fields.text("stage")
+            // A state nobody told us of: the task is on the machine, and not known to run.
+            val state = TaskState.entries.firstOrNull { it.wire == stateName } ?: TaskState.FETCHING
             val causeName = fields.optionalText("cause")
-            return PieceReport(
+            return TaskReport(
                 TaskId.parse(fields.text("piece")),
                 fields.count("try"),
-                stage,
+                state,
                 // A cause nobody told us of still means that the attempt is over without a result.
-                if (stage == PieceStage.ENDED) Cause.entries.firstOrNull { it.wire == causeName } ?: Cause.ERROR else null,
+                if (state == TaskState.ENDED) Cause.entries.firstOrNull { it.wire == causeName } ?: Cause.ERROR else null,
             )
         }
     }
@@ -84,13 +84,13 @@
 
     data class Launch(override val id: TaskId, override val attempt: Long) : Order
 
-    data class Stop(override val id: TaskId, override val attempt: Long, val mercyS: Double) : Order
+    data class Stop(override val id: TaskId, override val attempt: Long, val graceS: Double) : Order
 
     data class Forget(override val id: TaskId, override val attempt: Long) : Order
 
     fun toFields(): Fields = when (this) {
         is Launch -> mapOf("verb" to "launch", "piece" to id.toString(), "try" to attempt)
-        is Stop -> mapOf("verb" to "stop", "piece" to id.toString(), "try" to attempt, "mercyS" to mercyS)
+        is Stop -> mapOf("verb" to "stop", "piece" to id.toString(), "try" to attempt, "mercyS" to graceS)
         is Forget -> mapOf("verb" to "forget", "piece" to id.toString(), "try" to attempt)
     }
 }
