--- a/src/main/kotlin/io/reedmast/workers/Commands.kt
+++ b/src/main/kotlin/io/reedmast/workers/Commands.kt
@@ -1,7 +1,7 @@
 package io.reedmast.workers
 
 import io.reedmast.jobs.Placement
-import io.reedmast.jobs.SliceBook
+import io.reedmast.jobs.SliceState
 import io.reedmast.jobs.StopReason
 import io.reedmast.ports.Gateway
 import io.reedmast.wire.MalformedException
@@ -11,7 +11,7 @@
 import org.slf4j.LoggerFactory
 
 /** Direct commands to workers. Launches also go out with the answers to reports, so none of these must arrive. */
-class Commands(private val book: SliceBook, private val out: Gateway, private val take: (Machine, Report) -> Unit) {
+class Commands(private val sliceState: SliceState, private val out: Gateway, private val take: (Machine, Report) -> Unit) {
     private val log = LoggerFactory.getLogger("slice")
     private val outbox = LinkedHashMap<Machine, MutableList<Order>>()
     private var greetDue = 0L
@@ -23,9 +23,9 @@
      * Without it a machine takes no work before it has reported twice, which is several seconds for each failover.
      */
     fun begin() {
-        greetDue = book.clock.now() + GREET_AFTER_MS
-        for (machine in book.machines.values.toList()) {
-            if (!machine.trusted && machine.retirement == null) greet(machine, machine.addr ?: continue, machine.tenure, again = true)
+        greetDue = sliceState.clock.now() + GREET_AFTER_MS
+        for (machine in sliceState.machines.values.toList()) {
+            if (!machine.trusted && machine.retirement == null) greet(machine, machine.addr ?: continue, machine.session, again = true)
         }
     }
 
@@ -38,15 +38,15 @@
         placement.stopReason = reason
         if (reason != StopReason.ABORTED) log.info("{} try {}: to be stopped on {}: {}", placement.id, placement.attempt, placement.machine.name, reason)
         val machine = placement.machine
-        if (placement.committed && machine.trusted && placement.launchTenure == machine.tenure) {
+        if (placement.committed && machine.trusted && placement.launchSession == machine.session) {
             outbox.getOrPut(machine) { ArrayList() }.add(stopOrder(placement))
         }
     }
 
     fun stopOrder(placement: Placement): Order.Stop {
         val spec = placement.job.spec
-        val mercy = if (placement.stopReason == StopReason.ABORTED || !spec.resumable) 0.0 else spec.stowS + MERCY_SLACK_S
-        return Order.Stop(placement.id, placement.attempt, mercy)
+        val grace = if (placement.stopReason == StopReason.ABORTED || !spec.resumable) 0.0 else spec.saveS + GRACE_SLACK_S
+        return Order.Stop(placement.id, placement.attempt, grace)
     }
 
     /** Sends what has gathered for the workers. */
@@ -56,19 +56,19 @@
         outbox.clear()
         for ((machine, orders) in batches) {
             val addr = machine.addr
-            if (addr == null || !machine.trusted || machine.directCalls >= MAX_DIRECT_CALLS || !book.fresh() || seemsAway(machine)) continue
-            val token = book.tokenFor(machine)
-            val tenure = machine.tenure
+            if (addr == null || !machine.trusted || machine.directCalls >= MAX_DIRECT_CALLS || !sliceState.fresh() || seemsAway(machine)) continue
+            val token = sliceState.tokenFor(machine)
+            val session = machine.session
             val launches = orders.filterIsInstance<Order.Launch>()
             for (order in launches) {
-                machine.noteLaunch(order.id, order.attempt, DirectLaunch(tenure, token))
-                machine.placements[order.id]?.takeIf { it.attempt == order.attempt }?.launchTenure = tenure
+                machine.noteLaunch(order.id, order.attempt, DirectLaunch(session, token))
+                machine.placements[order.id]?.takeIf { it.attempt == order.attempt }?.launchSession = session
             }
             machine.directCalls++
-            out.direct(addr, token, tenure, orders) { reply ->
+            out.direct(addr, token, session, orders) { reply ->
                 machine.directCalls--
                 if (reply is Reply.NotSent) launches.forEach { machine.noteNotSent(it.id, it.attempt) }
-                if (reply is Reply.Answer) answered(machine, reply) else machine.mutedAt = book.clock.now()
+                if (reply is Reply.Answer) answered(machine, reply) else machine.mutedAt = sliceState.clock.now()
             }
         }
     }
@@ -77,10 +77,11 @@
      * Whether calling the machine would only hold a thread for seconds: it left a command unanswered since its last report,
      * or its report is overdue. A few dozen hung machines would otherwise hold up the commands to all others.
      */
-    private fun seemsAway(machine: Machine) = machine.mutedAt >= machine.lastHeardAt || book.clock.now() - machine.lastHeardAt > book.reportOverdueMs
+    private fun seemsAway(machine: Machine) =
+        machine.mutedAt >= machine.lastHeardAt || sliceState.clock.now() - machine.lastHeardAt > sliceState.reportOverdueMs
 
     private fun answered(machine: Machine, reply: Reply.Answer): Report? {
-        if (book.dropped || (reply.status != 200 && reply.status != 409)) return null
+        if (sliceState.dropped || (reply.status != 200 && reply.status != 409)) return null
         return try {
             Report.parse(reply.body).also { if (it.host == machine.name) take(machine, it) }
         } catch (e: MalformedException) {
@@ -97,35 +98,35 @@
      */
     fun greet(now: Long) {
         if (greetDue == 0L || now < greetDue || greeting) return
-        if (book.machines.values.none { toGreet(it) }) {
-            if (now - book.activeAt > GREET_FOR_MS) greetDue = 0L
+        if (sliceState.machines.values.none { toGreet(it) }) {
+            if (now - sliceState.activeAt > GREET_FOR_MS) greetDue = 0L
             return
         }
         greeting = true
         greetDue = now + GREET_EVERY_MS
         out.listHosts { hosts ->
             greeting = false
-            if (book.dropped) return@listHosts
+            if (sliceState.dropped) return@listHosts
             for (host in hosts.orEmpty()) {
-                val machine = book.machines[host.name]?.takeIf { toGreet(it) } ?: continue
-                greet(machine, host.addr ?: continue, machine.tenure, again = true)
+                val machine = sliceState.machines[host.name]?.takeIf { toGreet(it) } ?: continue
+                greet(machine, host.addr ?: continue, machine.session, again = true)
             }
         }
     }
 
     private fun toGreet(machine: Machine) = !machine.trusted && machine.retirement == null && machine.placements.isNotEmpty()
 
-    private fun greet(machine: Machine, addr: String, tenure: Long, again: Boolean) {
-        out.direct(addr, book.tokenFor(machine), tenure, emptyList()) { reply ->
+    private fun greet(machine: Machine, addr: String, session: Long, again: Boolean) {
+        out.direct(addr, sliceState.tokenFor(machine), session, emptyList()) { reply ->
             val report = (reply as? Reply.Answer)?.let { answered(machine, it) }
             // Refused for its session, which the answer tells.
-            if (report != null && again && report.baton < book.token) greet(machine, addr, report.tenure, again = false)
+            if (report != null && again && report.token < sliceState.token) greet(machine, addr, report.session, again = false)
         }
     }
 
     private companion object {
         const val MAX_DIRECT_CALLS = 3
-        const val MERCY_SLACK_S = 1.0
+        const val GRACE_SLACK_S = 1.0
         const val GREET_AFTER_MS = 2_500L
         const val GREET_EVERY_MS = 4_000L
         const val GREET_FOR_MS = 30_000L
--- a/src/main/kotlin/io/reedmast/workers/Roster.kt
+++ b/src/main/kotlin/io/reedmast/workers/HostDirectory.kt
@@ -14,8 +14,8 @@
     /** Whether the other nodes have not been told yet. */
     var changed = false
 
-    fun noteImage(bundle: String, sizeGb: Double, roomGb: Double) {
-        if (images.put(bundle, sizeGb) == null) changed = true
+    fun noteImage(image: String, imageGb: Double, roomGb: Double) {
+        if (images.put(image, imageGb) == null) changed = true
         if (roomGb <= 0.0) return
         val oldest = images.entries.iterator()
         var total = images.values.sum()
@@ -34,7 +34,7 @@
  *
  * A node that takes a slice over can so show its token to the workers at once, and place work where its images are.
  */
-class Roster {
+class HostDirectory {
     private val facts = HashMap<String, HostFacts>()
 
     fun of(host: String): HostFacts = facts.getOrPut(host) { HostFacts(host) }
@@ -63,7 +63,7 @@
             val mine = of(of.host)
             mine.addr = of.addr
             mine.images.clear()
-            of.images.forEach { (bundle, sizeGb) -> mine.images[bundle] = sizeGb }
+            of.images.forEach { (image, imageGb) -> mine.images[image] = imageGb }
             mine.changed = false
         }
     }
--- a/src/main/kotlin/io/reedmast/workers/Machine.kt
+++ b/src/main/kotlin/io/reedmast/workers/Machine.kt
@@ -1,12 +1,12 @@
 package io.reedmast.workers
 
 import io.reedmast.jobs.Placement
-import io.reedmast.wire.Flavor
+import io.reedmast.wire.MachineType
 import io.reedmast.wire.Report
 import io.reedmast.wire.TaskId
 
 /** A machine as the records of its slice name it. */
-data class HostRecord(val name: String, val build: String, val yard: String, val driftwood: Boolean)
+data class HostRecord(val name: String, val typeName: String, val zone: String, val spot: Boolean)
 
 /** Why a machine is to go. */
 enum class Retirement {
@@ -21,12 +21,12 @@
 }
 
 /** The worker's session and the token that a direct launch was sent under. */
-data class DirectLaunch(val tenure: Long, val token: Long)
+data class DirectLaunch(val session: Long, val token: Long)
 
 /** What the owner of a slice knows of one of its machines. */
 class Machine(
     val record: HostRecord,
-    var flavor: Flavor?,
+    var machineType: MachineType?,
     val firstSeenAt: Long,
     /** The lowest token that proves, once the worker has seen it, that no earlier owner's command can arrive any more. */
     var floor: Long,
@@ -42,9 +42,9 @@
 
     /** Since when: before, nothing could be placed here. */
     var trustedAt = 0L
-    var tenure = 0L
-    var tally = -1L
-    var baton = 0L
+    var session = 0L
+    var sequence = -1L
+    var seenToken = 0L
 
     /** When the last report came that proves the worker to be alive: only one that shows our token does. */
     var lastHeardAt = firstSeenAt
@@ -59,7 +59,7 @@
 
     /** When a direct command last went unanswered: no more are sent before the next report. */
     var mutedAt = 0L
-    var warningUntil = 0L
+    var noticeUntil = 0L
     var retirement: Retirement? = null
     var returning = false
 
@@ -70,7 +70,7 @@
     /** What reported tasks take that no placement accounts for. */
     var strayCpus = 0.0
     var strayGpus = 0.0
-    var strayMemGb = 0.0
+    var strayMemoryGb = 0.0
 
     /**
      * Direct launches by attempt, answered or not: the call, or one more copy of it, may arrive late and is carried out as
@@ -90,12 +90,12 @@
 
     private var usedCpus = 0.0
     private var usedGpus = 0.0
-    private var usedMemGb = 0.0
+    private var usedMemoryGb = 0.0
 
-    val freeCpus: Double get() = (flavor?.cpus ?: 0.0) - usedCpus - strayCpus
-    val freeGpus: Double get() = (flavor?.gpus ?: 0.0) - usedGpus - strayGpus
-    val freeMemGb: Double get() = (flavor?.memGb ?: 0.0) - usedMemGb - strayMemGb
-    val hourly: Double get() = flavor?.let { if (record.driftwood) it.lowPrice ?: it.hourly else it.hourly } ?: 0.0
+    val freeCpus: Double get() = (machineType?.cpus ?: 0.0) - usedCpus - strayCpus
+    val freeGpus: Double get() = (machineType?.gpus ?: 0.0) - usedGpus - strayGpus
+    val freeMemoryGb: Double get() = (machineType?.memoryGb ?: 0.0) - usedMemoryGb - strayMemoryGb
+    val hourlyPrice: Double get() = machineType?.let { if (record.spot) it.spotPrice ?: it.hourlyPrice else it.hourlyPrice } ?: 0.0
 
     private var services = 0
 
@@ -103,16 +103,16 @@
     val held: Boolean get() = services > 0
 
     /** An ordinary machine with services on it: where the next ones should go. */
-    val isServiceHome: Boolean get() = services > 0 && !record.driftwood
+    val isServiceHome: Boolean get() = services > 0 && !record.spot
 
     /** Whether work may be placed here. A machine that may not hear us gets no more of it. */
-    val usable: Boolean get() = trusted && retirement == null && !returning && flavor != null && unheeded < UNHEEDED_UNUSABLE
+    val usable: Boolean get() = trusted && retirement == null && !returning && machineType != null && unheeded < UNHEEDED_UNUSABLE
 
     fun add(placement: Placement) {
         placements[placement.id] = placement
         usedCpus += placement.job.spec.cpus
         usedGpus += placement.job.spec.gpus
-        usedMemGb += placement.job.spec.memGb
+        usedMemoryGb += placement.job.spec.memoryGb
         if (placement.job.spec.service) services++
     }
 
@@ -120,18 +120,19 @@
         if (placements.remove(placement.id, placement)) {
             usedCpus -= placement.job.spec.cpus
             usedGpus -= placement.job.spec.gpus
-            usedMemGb -= placement.job.spec.memGb
+            usedMemoryGb -= placement.job.spec.memoryGb
             if (placement.job.spec.service) services--
             if (placements.isEmpty()) {
                 // Sums of decimals drift; an empty machine is exactly empty.
                 usedCpus = 0.0
                 usedGpus = 0.0
-                usedMemGb = 0.0
+                usedMemoryGb = 0.0
             }
         }
     }
 
-    fun fits(cpus: Double, gpus: Double, memGb: Double): Boolean = cpus <= freeCpus + EPSILON && gpus <= freeGpus + EPSILON && memGb <= freeMemGb + EPSILON
+    fun fits(cpus: Double, gpus: Double, memoryGb: Double): Boolean =
+        cpus <= freeCpus + EPSILON && gpus <= freeGpus + EPSILON && memoryGb <= freeMemoryGb + EPSILON
 
     fun noteLaunch(id: TaskId, attempt: Long, launch: DirectLaunch) {
         launches[id to attempt] = launch
@@ -147,16 +148,16 @@
 
     /** Takes up what the newest report shows of session and token: earlier direct calls are refused from then on. */
     fun show(report: Report) {
-        if (report.tenure == tenure && report.baton <= baton) return
-        tenure = report.tenure
-        baton = maxOf(baton, report.baton)
-        launches.values.removeIf { it.tenure < tenure || it.token < baton }
+        if (report.session == session && report.token <= seenToken) return
+        session = report.session
+        seenToken = maxOf(seenToken, report.token)
+        launches.values.removeIf { it.session < session || it.token < seenToken }
     }
 
     /** Messages overtake each other; only the newest says what is on the machine. */
-    fun isNewer(report: Report): Boolean = report.tenure > tenure || (report.tenure == tenure && report.tally > tally)
+    fun isNewer(report: Report): Boolean = report.session > session || (report.session == session && report.sequence > sequence)
 
-    fun noteImage(bundle: String, sizeGb: Double) = facts.noteImage(bundle, sizeGb, flavor?.cacheGb ?: 0.0)
+    fun noteImage(image: String, imageGb: Double) = facts.noteImage(image, imageGb, machineType?.cacheGb ?: 0.0)
 
     companion object {
         const val EPSILON = 1e-9
--- a/src/main/kotlin/io/reedmast/workers/Upkeep.kt
+++ b/src/main/kotlin/io/reedmast/workers/MachineLifecycle.kt
@@ -1,17 +1,17 @@
 package io.reedmast.workers
 
-import io.reedmast.fleet.Wants
-import io.reedmast.jobs.SliceBook
+import io.reedmast.fleet.DemandEstimator
+import io.reedmast.jobs.SliceState
 import io.reedmast.jobs.StopReason
 import io.reedmast.ports.Gateway
 import org.slf4j.LoggerFactory
 
 /** Which machines of a slice stay, move or go. */
-class Upkeep(
-    private val book: SliceBook,
+class MachineLifecycle(
+    private val sliceState: SliceState,
     private val out: Gateway,
     private val commands: Commands,
-    private val wants: Wants,
+    private val demandEstimator: DemandEstimator,
     private val removeHosts: (Set<String>) -> Unit,
     private val handOver: (Collection<String>) -> Unit,
     private val requestTakeover: () -> Unit,
@@ -45,28 +45,28 @@
     }
 
     private fun watch(now: Long) {
-        if (!book.fresh()) {
+        if (!sliceState.fresh()) {
             // Workers are turned away during a long outage; after one, all of them would seem to have been silent.
             deafUntil = now
             return
         }
-        val silentAfter = (book.settings.workers.reportS * 1000 * SILENT_REPORTS).toLong()
+        val silentAfter = (sliceState.settings.workers.reportS * 1000 * SILENT_REPORTS).toLong()
         noticeLossOfWorkers(now)
         retireSilent(now, silentAfter)
         retireDeaf()
-        val spare = wants.spareCpus(now)
+        val spare = demandEstimator.spareCpus(now)
         val empty = ArrayList<String>()
-        for (machine in book.machines.values.toList()) {
-            val flavor = machine.flavor
-            if (!machine.everHeard && machine.retirement == null && flavor != null &&
-                now - machine.firstSeenAt > (flavor.startupS * LOST_BOOT_FACTOR + LOST_BOOT_S) * 1000
+        for (machine in sliceState.machines.values.toList()) {
+            val machineType = machine.machineType
+            if (!machine.everHeard && machine.retirement == null && machineType != null &&
+                now - machine.firstSeenAt > (machineType.bootS * LOST_BOOT_FACTOR + LOST_BOOT_S) * 1000
             ) {
                 log.info("{}: has not come up in {} s; it is replaced", machine.name, (now - machine.firstSeenAt) / 1000)
                 machine.retirement = Retirement.NEVER_CAME
             }
-            val warning = machine.warningUntil
-            if (warning != 0L) drain(machine, warning, now)
-            if (warning in 1..now && now - machine.lastHeardAt > book.reportOverdueMs && machine.retirement == null) {
+            val notice = machine.noticeUntil
+            if (notice != 0L) drain(machine, notice, now)
+            if (notice in 1..now && now - machine.lastHeardAt > sliceState.reportOverdueMs && machine.retirement == null) {
                 log.info("{}: taken by the cloud, as it said; it is replaced", machine.name)
                 machine.retirement = Retirement.SILENT
             }
@@ -93,9 +93,9 @@
      * hears the state service, so nobody else can tell as soon, and the workers' leases are short.
      */
     private fun noticeLossOfWorkers(now: Long) {
-        val overdueMs = book.reportOverdueMs
-        if (now < requestDue || now - maxOf(book.activeAt, deafUntil) < overdueMs * SETTLED_REPORTS) return
-        val heard = book.machines.values.filter { it.trusted && it.retirement == null }
+        val overdueMs = sliceState.reportOverdueMs
+        if (now < requestDue || now - maxOf(sliceState.activeAt, deafUntil) < overdueMs * SETTLED_REPORTS) return
+        val heard = sliceState.machines.values.filter { it.trusted && it.retirement == null }
         val overdue = heard.count { now - it.lastHeardAt > overdueMs }
         val newlySilent = heard.count { now - it.lastHeardAt in overdueMs..overdueMs * SETTLED_REPORTS }
         if (heard.size < FEWEST_TO_TELL || overdue < heard.size * NEARLY_ALL || newlySilent * 2 < heard.size) return
@@ -105,25 +105,25 @@
 
     private fun retireSilent(now: Long, silentAfter: Long) {
         // A machine that was up before we took the slice must show itself to us too, and may need a greeting for that.
-        val heard = book.machines.values.filter { it.everHeard || it.placements.isNotEmpty() }
-        val silent = heard.filter { now - maxOf(it.lastHeardAt, book.activeAt + silentAfter / 2, deafUntil + silentAfter) > silentAfter }
+        val heard = sliceState.machines.values.filter { it.everHeard || it.placements.isNotEmpty() }
+        val silent = heard.filter { now - maxOf(it.lastHeardAt, sliceState.activeAt + silentAfter / 2, deafUntil + silentAfter) > silentAfter }
         // If most machines are silent at once, it is rather this node that hears nothing.
-        val patience = if (silent.size * 2 > heard.size && heard.size > 1) (book.settings.workers.leaseS * 1000).toLong() else 0L
+        val patience = if (silent.size * 2 > heard.size && heard.size > 1) (sliceState.settings.workers.leaseS * 1000).toLong() else 0L
         for (machine in silent) {
             if (machine.retirement != null && machine.retirement != Retirement.MOVING) continue
-            if (now - maxOf(machine.lastHeardAt, book.activeAt) <= silentAfter + patience) continue
+            if (now - maxOf(machine.lastHeardAt, sliceState.activeAt) <= silentAfter + patience) continue
             log.info("{}: silent for {} s; it is replaced", machine.name, (now - machine.lastHeardAt) / 1000)
             machine.retirement = Retirement.SILENT
-            book.givenUp.getOrPut(machine.record.yard) { ArrayDeque() }.addLast(now)
+            sliceState.givenUp.getOrPut(machine.record.zone) { ArrayDeque() }.addLast(now)
         }
     }
 
     /** Machines that report and hear nothing. Several at once would rather be this node's own answers that get lost. */
     private fun retireDeaf() {
-        val deaf = book.machines.values.filter { it.unheeded >= Machine.DEAF_AFTER && it.retirement == null }
+        val deaf = sliceState.machines.values.filter { it.unheeded >= Machine.DEAF_AFTER && it.retirement == null }
         if (deaf.isEmpty()) return
-        if (deaf.size > maxOf(MOST_DEAF, book.machines.size / 4)) {
-            log.info("slice {}: {} machines seem to hear nothing; it is rather this node", book.index.value, deaf.size)
+        if (deaf.size > maxOf(MOST_DEAF, sliceState.machines.size / 4)) {
+            log.info("slice {}: {} machines seem to hear nothing; it is rather this node", sliceState.index.value, deaf.size)
             deaf.forEach { it.unheeded = 0 }
             return
         }
@@ -144,34 +144,34 @@
         for (placement in machine.placements.values.toList()) {
             val spec = placement.job.spec
             val ranS = if (placement.running) (now - placement.runningSince) / 1000.0 else 0.0
-            val endsSoon = !spec.service && placement.running && spec.guessS - ranS < ENDS_SOON_S && ranS < spec.guessS + ENDS_SOON_S
+            val endsSoon = !spec.service && placement.running && spec.estimateS - ranS < ENDS_SOON_S && ranS < spec.estimateS + ENDS_SOON_S
             if (!endsSoon) commands.stop(placement, StopReason.DRAINED)
         }
     }
 
-    private fun drain(machine: Machine, warningUntil: Long, now: Long) {
-        val left = (warningUntil - now) / 1000.0
+    private fun drain(machine: Machine, noticeUntil: Long, now: Long) {
+        val left = (noticeUntil - now) / 1000.0
         for (placement in machine.placements.values.toList()) {
             if (placement.stopReason != null) continue
             val spec = placement.job.spec
             val ranS = if (placement.running) (now - placement.runningSince) / 1000.0 else 0.0
-            val finishes = !spec.service && placement.running && spec.guessS - ranS < left - 1.0
-            val lastMoment = left < (if (spec.resumable) spec.stowS + DRAIN_SLACK_S else 0.0)
+            val finishes = !spec.service && placement.running && spec.estimateS - ranS < left - 1.0
+            val lastMoment = left < (if (spec.resumable) spec.saveS + DRAIN_SLACK_S else 0.0)
             if (spec.service || !placement.running || lastMoment || (!spec.resumable && !finishes)) commands.stop(placement, StopReason.DRAINED)
         }
     }
 
-    private fun idle(machine: Machine, now: Long, spare: Wants.Spare): Boolean {
+    private fun idle(machine: Machine, now: Long, spare: DemandEstimator.Spare): Boolean {
         if (machine.placements.isNotEmpty() || !machine.trusted) return false
         // A machine that has just booted has been empty for all of its boot: it was returned before anything could be placed.
         if (now - machine.trustedAt < JUST_UP_MS) return false
-        val patience = wants.patienceMs(machine)
+        val patience = demandEstimator.patienceMs(machine)
         // While this node heard nothing from the state service, nothing could be placed there.
-        return now - maxOf(machine.emptySince, deafUntil) > patience && now - book.activeAt > patience && !spare.needs(machine)
+        return now - maxOf(machine.emptySince, deafUntil) > patience && now - sliceState.activeAt > patience && !spare.needs(machine)
     }
 
-    private fun retireIdle(machine: Machine, spare: Wants.Spare) {
-        log.info("{}: empty for {} s; it is returned", machine.name, (book.clock.now() - machine.emptySince) / 1000)
+    private fun retireIdle(machine: Machine, spare: DemandEstimator.Spare) {
+        log.info("{}: empty for {} s; it is returned", machine.name, (sliceState.clock.now() - machine.emptySince) / 1000)
         spare.without(machine)
         machine.retirement = Retirement.IDLE
         giveBack(machine)
@@ -179,7 +179,7 @@
 
     /** Returns a machine. Only the cloud's answer is evidence that what was on it is gone. */
     private fun giveBack(machine: Machine) {
-        if (machine.returning || !book.fresh()) return
+        if (machine.returning || !sliceState.fresh()) return
         machine.returning = true
         toReturn.add(machine)
     }
@@ -191,13 +191,13 @@
      * cloud's limit.
      */
     private fun sendReturns() {
-        if (returnInFlight || toReturn.isEmpty() || !book.fresh()) return
+        if (returnInFlight || toReturn.isEmpty() || !sliceState.fresh()) return
         val leaving = toReturn.take(MOST_RETURNED)
         toReturn.removeAll(leaving.toSet())
         returnInFlight = true
         out.giveBack(leaving.map { it.name }) { confirmed ->
             returnInFlight = false
-            if (book.dropped) return@giveBack
+            if (sliceState.dropped) return@giveBack
             leaving.forEach { if (confirmed) returned(it) else it.returning = false }
         }
     }
@@ -206,12 +206,12 @@
     private fun returned(machine: Machine) {
         machine.placements.values.toList().forEach {
             log.info("{} try {}: gone with {}", it.id, it.attempt, machine.name)
-            book.finish(it, done = false)
+            sliceState.finish(it, done = false)
         }
-        book.jobs.values.forEach { it.failedOn.remove(machine) }
-        book.machines.remove(machine.name)
+        sliceState.jobs.values.forEach { it.failedOn.remove(machine) }
+        sliceState.machines.remove(machine.name)
         gone.add(machine.name)
-        removeDue = minOf(removeDue, book.clock.now() + REMOVE_SOON_MS)
+        removeDue = minOf(removeDue, sliceState.clock.now() + REMOVE_SOON_MS)
     }
 
     companion object {
--- a/src/main/kotlin/io/reedmast/workers/Reports.kt
+++ b/src/main/kotlin/io/reedmast/workers/Reports.kt
@@ -1,15 +1,15 @@
 package io.reedmast.workers
 
 import io.reedmast.jobs.Placement
-import io.reedmast.jobs.SliceBook
+import io.reedmast.jobs.SliceState
 import io.reedmast.jobs.StopReason
 import io.reedmast.ownership.Token
 import io.reedmast.wire.Cause
 import io.reedmast.wire.Order
-import io.reedmast.wire.PieceReport
-import io.reedmast.wire.PieceStage
 import io.reedmast.wire.Report
 import io.reedmast.wire.TaskId
+import io.reedmast.wire.TaskReport
+import io.reedmast.wire.TaskState
 import org.slf4j.LoggerFactory
 
 /**
@@ -17,12 +17,12 @@
  *
  * Only a report made under our token counts: an older owner's commands may reach the worker until it has seen ours.
  */
-class Reports(private val book: SliceBook, private val commands: Commands, private val renewToken: () -> Unit) {
+class Reports(private val sliceState: SliceState, private val commands: Commands, private val renewToken: () -> Unit) {
     private val log = LoggerFactory.getLogger("slice")
 
     /** Takes in a report and gives the commands for its answer. */
     fun checkin(report: Report): List<Order> {
-        val machine = book.machines[report.host] ?: return emptyList()
+        val machine = sliceState.machines[report.host] ?: return emptyList()
         val orders = ArrayList<Order>()
         return if (take(machine, report, checkin = true, orders)) orders else emptyList()
     }
@@ -34,27 +34,27 @@
 
     private fun take(machine: Machine, report: Report, checkin: Boolean, orders: MutableList<Order>): Boolean {
         if (!machine.isNewer(report)) return false
-        val now = book.clock.now()
-        if (report.tenure > machine.tenure && machine.everHeard) lostSession(machine, now)
+        val now = sliceState.clock.now()
+        if (report.session > machine.session && machine.everHeard) lostSession(machine, now)
         machine.addr = report.addr
         machine.show(report)
-        machine.tally = report.tally
-        machine.warningUntil = if (report.warningS == null) {
+        machine.sequence = report.sequence
+        machine.noticeUntil = if (report.noticeS == null) {
             0L
         } else {
-            if (machine.warningUntil == 0L) log.info("{}: the cloud takes it away in {} s", machine.name, report.warningS)
-            now + (report.warningS * 1000).toLong()
+            if (machine.noticeUntil == 0L) log.info("{}: the cloud takes it away in {} s", machine.name, report.noticeS)
+            now + (report.noticeS * 1000).toLong()
         }
-        if (report.baton > Token.last(book.token)) {
+        if (report.token > Token.last(sliceState.token)) {
             machine.trusted = false
             renewToken()
             return false
         }
         if (checkin) {
-            if (now - machine.answeredAt > book.settings.workers.leaseS * 1000 / 2) machine.regularSince = now
+            if (now - machine.answeredAt > sliceState.settings.workers.leaseS * 1000 / 2) machine.regularSince = now
             machine.answeredAt = now
         }
-        if (report.baton < machine.floor) {
+        if (report.token < machine.floor) {
             // It may be a late copy from before we owned the slice: it proves neither life nor what is on the machine.
             if (checkin) machine.unheeded++
             return true
@@ -65,25 +65,25 @@
             machine.trusted = true
             machine.trustedAt = now
             machine.unheeded = 0
-            book.placeWanted = true
+            sliceState.placeWanted = true
         }
         val listed = HashSet<TaskId>()
         machine.strayCpus = 0.0
         machine.strayGpus = 0.0
-        machine.strayMemGb = 0.0
-        for (piece in report.pieces) {
-            val placement = machine.placements[piece.id]
-            if (placement != null && placement.attempt == piece.attempt && placement.committed) {
-                listed.add(piece.id)
-                takePiece(machine, placement, piece, now, orders)
+        machine.strayMemoryGb = 0.0
+        for (reported in report.tasks) {
+            val placement = machine.placements[reported.id]
+            if (placement != null && placement.attempt == reported.attempt && placement.committed) {
+                listed.add(reported.id)
+                takeReported(machine, placement, reported, now, orders)
             } else {
-                takeStray(machine, piece, orders)
+                takeStray(machine, reported, orders)
             }
         }
         var ignored = false
         for (placement in machine.placements.values.toList()) {
             if (placement.id in listed || !placement.committed) continue
-            if (placement.launchesAnswered > 0 && book.fresh()) ignored = true
+            if (placement.launchesAnswered > 0 && sliceState.fresh()) ignored = true
             takeMissing(machine, placement, report, checkin, orders)
         }
         if (checkin && ignored) machine.unheeded++
@@ -96,36 +96,36 @@
      * A machine that hung, or was cut off, has sent nothing for a whole lease.
      */
     private fun lostSession(machine: Machine, now: Long) {
-        val leaseMs = book.settings.workers.leaseS * 1000
+        val leaseMs = sliceState.settings.workers.leaseS * 1000
         if (now - machine.answeredAt < leaseMs / 2 && now - machine.regularSince > leaseMs * MOST_OF_IT) {
             machine.unheeded = maxOf(machine.unheeded, Machine.DEAF_AFTER)
             log.info("{}: its lease ran out although its reports were answered", machine.name)
         }
     }
 
-    private fun takePiece(machine: Machine, placement: Placement, piece: PieceReport, now: Long, orders: MutableList<Order>) {
+    private fun takeReported(machine: Machine, placement: Placement, reported: TaskReport, now: Long, orders: MutableList<Order>) {
         placement.seen = true
-        placement.launchTenure = machine.tenure
+        placement.launchSession = machine.session
         if (placement.launchesAnswered > 0) {
             placement.launchesAnswered = 0
             machine.unheeded = 0
         }
-        when (piece.stage) {
-            PieceStage.FETCHING -> {}
+        when (reported.state) {
+            TaskState.FETCHING -> {}
 
-            PieceStage.RUNNING, PieceStage.SAVING -> {
+            TaskState.RUNNING, TaskState.SAVING -> {
                 if (!placement.running) {
                     placement.job.noteRunning(placement, now)
-                    machine.noteImage(placement.job.spec.bundle, placement.job.spec.sizeGb)
+                    machine.noteImage(placement.job.spec.image, placement.job.spec.imageGb)
                 }
             }
 
-            PieceStage.ENDED -> {
-                ended(machine, placement, piece.cause ?: Cause.ERROR, now)
+            TaskState.ENDED -> {
+                ended(machine, placement, reported.cause ?: Cause.ERROR, now)
                 return
             }
         }
-        if (placement.stopReason != null && (piece.stage != PieceStage.SAVING || placement.stopReason == StopReason.ABORTED)) {
+        if (placement.stopReason != null && (reported.state != TaskState.SAVING || placement.stopReason == StopReason.ABORTED)) {
             orders.add(commands.stopOrder(placement))
         }
     }
@@ -140,19 +140,19 @@
             Cause.DONE -> {
                 machine.failedJobs.clear()
                 job.failures = 0
-                machine.noteImage(job.spec.bundle, job.spec.sizeGb)
+                machine.noteImage(job.spec.image, job.spec.imageGb)
                 job.hasSucceeded = true
                 job.failedOn.forEach { retireIfSick(it) }
             }
 
             Cause.ERROR -> {
-                machine.failedJobs.add(job.spec.ref)
+                machine.failedJobs.add(job.spec.jobId)
                 // Several tasks that fail together on one machine say no more of the job than one does: counted each, they made
                 // a sick machine look like a job with a mistake, and the machine was kept.
                 if (job.failedOn.add(machine)) job.failures++
-                if (book.looksBad(job)) {
+                if (sliceState.looksBad(job)) {
                     // It fails wherever it runs: the job has a mistake, and the machines have not.
-                    job.failedOn.forEach { it.failedJobs.remove(job.spec.ref) }
+                    job.failedOn.forEach { it.failedJobs.remove(job.spec.jobId) }
                     job.failedOn.clear()
                     job.notBefore = now + minOf(MAX_RETRY_MS, FIRST_RETRY_MS shl minOf(5, job.failures / 4))
                 } else {
@@ -170,7 +170,7 @@
 
             Cause.HALTED -> {}
         }
-        book.finish(placement, done)
+        sliceState.finish(placement, done)
     }
 
     /**
@@ -179,9 +179,9 @@
      */
     private fun retireIfSick(machine: Machine) {
         if (machine.retirement != null || machine.failedJobs.size < JOBS_FAILED_BY_A_SICK_MACHINE) return
-        val now = book.clock.now()
-        val good = machine.failedJobs.any { ref ->
-            book.jobs[ref]?.let { job -> job.hasSucceeded || job.placements().any { it.running && now - it.runningSince > PROVES_A_JOB_MS } } == true
+        val now = sliceState.clock.now()
+        val good = machine.failedJobs.any { jobId ->
+            sliceState.jobs[jobId]?.let { job -> job.hasSucceeded || job.placements().any { it.running && now - it.runningSince > PROVES_A_JOB_MS } } == true
         }
         if (!good && machine.failedJobs.size < JOBS_FAILED_IN_ANY_CASE) return
         log.info("{}: every task fails there; it is replaced", machine.name)
@@ -189,21 +189,21 @@
     }
 
     /** A task on the machine that no placement accounts for. */
-    private fun takeStray(machine: Machine, piece: PieceReport, orders: MutableList<Order>) {
-        val job = book.jobs[piece.id.ref]
-        if (piece.stage == PieceStage.ENDED) {
+    private fun takeStray(machine: Machine, reported: TaskReport, orders: MutableList<Order>) {
+        val job = sliceState.jobs[reported.id.jobId]
+        if (reported.state == TaskState.ENDED) {
             // Once forgotten, the attempt would start again if its launch came late; and its result must be stored first.
-            val chunk = job?.takeIf { piece.id.task < it.spec.pieces }?.chunkOf(piece.id.task)
+            val chunk = job?.takeIf { reported.id.task < it.spec.taskCount }?.chunkOf(reported.id.task)
             val stored = job == null || (!job.ending && chunk != null && chunk.stored)
             if (!stored) return
-            if (machine.mayLaunch(piece.id, piece.attempt)) raiseToken(machine) else orders.add(Order.Forget(piece.id, piece.attempt))
+            if (machine.mayLaunch(reported.id, reported.attempt)) raiseToken(machine) else orders.add(Order.Forget(reported.id, reported.attempt))
             return
         }
-        orders.add(Order.Stop(piece.id, piece.attempt, 0.0))
+        orders.add(Order.Stop(reported.id, reported.attempt, 0.0))
         if (job != null) {
             machine.strayCpus += job.spec.cpus
             machine.strayGpus += job.spec.gpus
-            machine.strayMemGb += job.spec.memGb
+            machine.strayMemoryGb += job.spec.memoryGb
         }
     }
 
@@ -215,10 +215,10 @@
      * no more than once in half a lease, and no call of ours must be on its way that the new token would refuse.
      */
     private fun raiseToken(machine: Machine) {
-        val now = book.clock.now()
-        if (machine.directCalls > 0 || now - machine.raisedAt < book.settings.workers.leaseS * 500) return
-        val next = book.tokenFor(machine) + 1
-        if (next > Token.last(book.token)) return
+        val now = sliceState.clock.now()
+        if (machine.directCalls > 0 || now - machine.raisedAt < sliceState.settings.workers.leaseS * 500) return
+        val next = sliceState.tokenFor(machine) + 1
+        if (next > Token.last(sliceState.token)) return
         machine.raisedTo = next
         machine.raisedAt = now
     }
@@ -226,12 +226,12 @@
     /** A stored placement that the newest report does not list. */
     private fun takeMissing(machine: Machine, placement: Placement, report: Report, checkin: Boolean, orders: MutableList<Order>) {
         val mayLaunch = machine.mayLaunch(placement.id, placement.attempt)
-        val sentBefore = placement.launchTenure != 0L
-        if (sentBefore && placement.launchTenure < report.tenure && !mayLaunch) {
+        val sentBefore = placement.launchSession != 0L
+        if (sentBefore && placement.launchSession < report.session && !mayLaunch) {
             // A later session: everything of the earlier one was killed, and its launches are refused.
             log.info("{} try {}: lost with a session of {}", placement.id, placement.attempt, machine.name)
-            if (placement.stopReason != null || !machine.usable || machine.warningUntil != 0L) {
-                book.finish(placement, done = false)
+            if (placement.stopReason != null || !machine.usable || machine.noticeUntil != 0L) {
+                sliceState.finish(placement, done = false)
                 return
             }
             // The worker is back, and has the image. Placed anew, all tasks of a fleet waited for the state service's limit and for
@@ -241,23 +241,23 @@
         if (!checkin) return
         if (placement.stopReason == null) {
             // What runs is answered on through an outage, but nothing starts: its user may have been told that it is cancelled.
-            if (book.fresh()) launch(placement, report.tally, orders)
+            if (sliceState.fresh()) launch(placement, report.sequence, orders)
             return
         }
         if (mayLaunch && machine.directCalls > 0) return
         if (mayLaunch) {
             // A direct launch, or a copy of it, may still come. Launched and stopped here, the attempt is known to the worker as ended,
             // and the late launch has no effect.
-            launch(placement, report.tally, orders)
+            launch(placement, report.sequence, orders)
             orders.add(commands.stopOrder(placement))
-        } else if (!sentBefore || report.tally > placement.answeredTally) {
-            book.finish(placement, done = false)
+        } else if (!sentBefore || report.sequence > placement.answeredSequence) {
+            sliceState.finish(placement, done = false)
         }
     }
 
-    private fun launch(placement: Placement, tally: Long, orders: MutableList<Order>) {
-        placement.launchTenure = placement.machine.tenure
-        placement.answeredTally = tally
+    private fun launch(placement: Placement, sequence: Long, orders: MutableList<Order>) {
+        placement.launchSession = placement.machine.session
+        placement.answeredSequence = sequence
         placement.launchesAnswered++
         orders.add(Order.Launch(placement.id, placement.attempt))
     }
--- a/src/test/kotlin/io/reedmast/CountedWorkTest.kt
+++ b/src/test/kotlin/io/reedmast/CountedWorkTest.kt
@@ -9,9 +9,9 @@
 import io.reedmast.settings.TeamShare
 import io.reedmast.settings.WorkerRules
 import io.reedmast.sim.World
-import io.reedmast.state.Haste
 import io.reedmast.state.WriteBudget
-import io.reedmast.wire.Flavor
+import io.reedmast.state.WritePriority
+import io.reedmast.wire.MachineType
 import io.reedmast.wire.Tree
 import io.reedmast.workers.HostRecord
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -24,7 +24,7 @@
     private var machines = 300
     private var cpus = 800.0
     private var valueBytes = 8192
-    private val flavors = listOf(Flavor("m", 16.0, 0.0, 64.0, 50.0, 0.5, 1.0, 0.3, 30.0, listOf("x")))
+    private val machineTypes = listOf(MachineType("m", 16.0, 0.0, 64.0, 50.0, 0.5, 1.0, 0.3, 30.0, listOf("x")))
 
     private fun settings(node: Int) = Settings(
         label = "n$node",
@@ -45,7 +45,7 @@
 
     @Test
     fun `a fleet of hundreds stays within the limits, and what is stored follows the work`() {
-        val world = World(::settings, nodes, flavors)
+        val world = World(::settings, nodes, machineTypes)
         world.capacity = machines
         repeat(machines) { world.addWorker("m", "x", it % 2 == 0, 0) }
         world.nodes.forEach { it.start() }
@@ -62,15 +62,15 @@
                 "run" to "8",
                 "spot" to "true",
             )
-            val ref = "wk-%06d".format(i)
-            val spec = World.spec(ref, args)
-            world.jobs[ref] = World.SimJob(spec, 8_000, false)
-            world.nodes[i % nodes].ask(ref, { c, answer -> c.submit(spec, answer) })
+            val jobId = "wk-%06d".format(i)
+            val spec = World.spec(jobId, args)
+            world.jobs[jobId] = World.SimJob(spec, 8_000, false)
+            world.nodes[i % nodes].ask(jobId, { c, answer -> c.submit(spec, answer) })
         }
         world.runUntil(70_000)
         assertEquals(emptyList<String>(), world.broken)
-        assertEquals(60, world.told.keys.size.let { world.jobs.values.count { job -> job.completed.size == job.spec.pieces } }, "arrays that are over")
-        assertEquals(360, world.workers.values.sumOf { w -> w.onMachine().count { world.jobs.getValue(it.ref).spec.service } })
+        assertEquals(60, world.told.keys.size.let { world.jobs.values.count { job -> job.completed.size == job.spec.taskCount } }, "arrays that are over")
+        assertEquals(360, world.workers.values.sumOf { w -> w.onMachine().count { world.jobs.getValue(it.jobId).spec.service } })
         val seconds = 50
         val stored = world.state.changes - before
         // An acceptance for each job, two more for the end of each array; pages and totals at their own rate.
@@ -92,7 +92,7 @@
     fun `sixteen hundred machines take ten thousand tasks`() {
         machines = 1_600
         cpus = 6_000.0
-        val world = World(::settings, nodes, flavors)
+        val world = World(::settings, nodes, machineTypes)
         world.checked = false
         world.capacity = machines
         repeat(machines) { world.addWorker("m", "x", it % 2 == 0, 0) }
@@ -101,10 +101,10 @@
         val before = world.state.changes
         val messages = world.messages
         for (i in 0 until 100) {
-            val ref = "wk-%06d".format(i)
-            val spec = World.spec(ref, mapOf("crew" to "t${i % 6}", "pieces" to "100", "cpus" to "2", "run" to "5", "spot" to "true"))
-            world.jobs[ref] = World.SimJob(spec, 5_000, false)
-            world.nodes[i % nodes].ask(ref, { c, answer -> c.submit(spec, answer) })
+            val jobId = "wk-%06d".format(i)
+            val spec = World.spec(jobId, mapOf("crew" to "t${i % 6}", "pieces" to "100", "cpus" to "2", "run" to "5", "spot" to "true"))
+            world.jobs[jobId] = World.SimJob(spec, 5_000, false)
+            world.nodes[i % nodes].ask(jobId, { c, answer -> c.submit(spec, answer) })
         }
         world.runUntil(60_000)
         assertEquals(emptyList<String>(), world.broken)
@@ -125,16 +125,16 @@
     @Test
     fun `many jobs placed at one moment are stored in transactions that the service takes`() {
         valueBytes = 32 * 1024
-        val world = World(::settings, nodes, flavors)
+        val world = World(::settings, nodes, machineTypes)
         world.capacity = 20
         repeat(20) { world.addWorker("m", "x", false, 0) }
         world.nodes.forEach { it.start() }
         world.runUntil(8_000)
         for (i in 0 until 100) {
-            val ref = "wk-%06d".format(i)
-            val spec = World.spec(ref, mapOf("crew" to "t0", "pieces" to "1", "shape" to "service"))
-            world.jobs[ref] = World.SimJob(spec, 0, false)
-            world.nodes[0].ask(ref, { c, answer -> c.submit(spec, answer) })
+            val jobId = "wk-%06d".format(i)
+            val spec = World.spec(jobId, mapOf("crew" to "t0", "pieces" to "1", "shape" to "service"))
+            world.jobs[jobId] = World.SimJob(spec, 0, false)
+            world.nodes[0].ask(jobId, { c, answer -> c.submit(spec, answer) })
         }
         world.runUntil(60_000)
         assertEquals(emptyList<String>(), world.broken)
@@ -154,15 +154,15 @@
     fun `clean-up leaves part of the budget to what somebody waits for`() {
         var now = 0L
         val budget = WriteBudget(10.0) { now }
-        assertEquals(0L, budget.take(6, Haste.LAZY))
-        assertTrue(budget.take(1, Haste.LAZY) > 0)
-        assertEquals(0L, budget.take(4, Haste.PROMPT))
-        assertEquals(100L, budget.take(1, Haste.PROMPT))
+        assertEquals(0L, budget.take(6, WritePriority.LAZY))
+        assertTrue(budget.take(1, WritePriority.LAZY) > 0)
+        assertEquals(0L, budget.take(4, WritePriority.PROMPT))
+        assertEquals(100L, budget.take(1, WritePriority.PROMPT))
         now += 100
-        assertEquals(0L, budget.take(1, Haste.PROMPT))
+        assertEquals(0L, budget.take(1, WritePriority.PROMPT))
         // A transaction larger than a second's worth goes out once the bucket is full, and is paid for afterwards.
         now += 1_000
-        assertEquals(0L, budget.take(16, Haste.PROMPT))
-        assertTrue(budget.take(1, Haste.PROMPT) >= 700)
+        assertEquals(0L, budget.take(16, WritePriority.PROMPT))
+        assertTrue(budget.take(1, WritePriority.PROMPT) >= 700)
     }
 }
--- a/src/test/kotlin/io/reedmast/DeskTest.kt
+++ b/src/test/kotlin/io/reedmast/EventLoopTest.kt
@@ -1,6 +1,6 @@
 package io.reedmast
 
-import io.reedmast.app.Desk
+import io.reedmast.app.EventLoop
 import io.reedmast.app.Urgency
 import io.reedmast.app.WorkPool
 import io.reedmast.ports.Clock
@@ -19,21 +19,21 @@
 
 /** Who does the deciding, in which order, and on how many threads. */
 @Timeout(20)
-class DeskTest {
+class EventLoopTest {
     private object SteadyClock : Clock {
         override fun now(): Long = System.nanoTime() / 1_000_000
 
         override fun wall(): Long = System.currentTimeMillis()
     }
 
-    private fun desk(tickMs: Long, tick: () -> Unit) = Desk(SteadyClock, 2).also { desk ->
-        thread(isDaemon = true) { desk.run(tickMs, tickMs, tick) }
+    private fun eventLoop(tickMs: Long, tick: () -> Unit) = EventLoop(SteadyClock, 2).also { eventLoop ->
+        thread(isDaemon = true) { eventLoop.run(tickMs, tickMs, tick) }
     }
 
     /** Waits until a first tick is over, so that the next one is not due. */
-    private fun settled(tickMs: Long): Desk {
+    private fun settled(tickMs: Long): EventLoop {
         val ticked = CountDownLatch(1)
-        return desk(tickMs) { ticked.countDown() }.also {
+        return eventLoop(tickMs) { ticked.countDown() }.also {
             ticked.await()
             Thread.sleep(50)
         }
@@ -41,11 +41,11 @@
 
     @Test
     fun `a thread that finds the desk free decides itself, and the others wait by rank`() {
-        val desk = settled(60_000)
+        val eventLoop = settled(60_000)
         var by: Thread? = null
         // On a busy machine the first tick may take its time to be over.
         for (attempt in 1..100) {
-            assertTrue(desk.offer(Urgency.SUBMISSION) { by = Thread.currentThread() })
+            assertTrue(eventLoop.offer(Urgency.SUBMISSION) { by = Thread.currentThread() })
             if (by === Thread.currentThread()) break
             Thread.sleep(20)
         }
@@ -56,7 +56,7 @@
         val hold = CountDownLatch(1)
         val held = CountDownLatch(1)
         val holder = thread {
-            desk.post {
+            eventLoop.post {
                 held.countDown()
                 hold.await()
             }
@@ -66,11 +66,11 @@
             order.add(name)
             done.countDown()
         }
-        desk.offer(Urgency.SUBMISSION, note("submission"))
-        desk.post(note("decision"))
-        desk.offer(Urgency.REPORT, note("report"))
-        desk.offer(Urgency.REPORT, note("report"))
-        assertFalse(desk.offer(Urgency.REPORT, note("one too many")), "the queue is bounded")
+        eventLoop.offer(Urgency.SUBMISSION, note("submission"))
+        eventLoop.post(note("decision"))
+        eventLoop.offer(Urgency.REPORT, note("report"))
+        eventLoop.offer(Urgency.REPORT, note("report"))
+        assertFalse(eventLoop.offer(Urgency.REPORT, note("one too many")), "the queue is bounded")
         hold.countDown()
         done.await()
         holder.join()
@@ -80,11 +80,11 @@
     @Test
     fun `ticks go on after another thread has decided, and between messages that never cease`() {
         val ticks = AtomicInteger()
-        val desk = desk(20) { ticks.incrementAndGet() }
+        val eventLoop = eventLoop(20) { ticks.incrementAndGet() }
         // One at a time: with more reports than can be served, they come before ticks.
         repeat(50) {
             val done = CountDownLatch(1)
-            desk.offer(Urgency.REPORT) {
+            eventLoop.offer(Urgency.REPORT) {
                 Thread.sleep(5)
                 done.countDown()
             }
--- a/src/test/kotlin/io/reedmast/StormTest.kt
+++ b/src/test/kotlin/io/reedmast/RandomizedFaultTest.kt
@@ -12,7 +12,7 @@
  * All rules are checked throughout; once the troubles are over, every node answers about every job, no job is neglected, and
  * all that was accepted has run.
  */
-class StormTest {
+class RandomizedFaultTest {
     @TestFactory
     fun storms(): List<DynamicTest> = seeds().map { seed ->
         DynamicTest.dynamicTest("storm $seed") {
@@ -59,13 +59,13 @@
         private fun jobs() {
             for (i in 1..JOBS) {
                 val service = random.nextInt(3) == 0
-                val pieces = random.nextInt(1, 5)
+                val taskCount = random.nextInt(1, 5)
                 val zones = listOf("", "", "", " oneZone=true", " apart=true", " yard=x").random(random)
-                val rank = if (service) "urgent" else listOf("standard", "best_effort", "urgent").random(random)
+                val priority = if (service) "urgent" else listOf("standard", "best_effort", "urgent").random(random)
                 val shape = if (service) "shape=service" else "run=${random.nextInt(2, 40)}"
                 val spot = if (!service && random.nextBoolean()) " spot=true" else ""
                 val from = time(2.0, LAST - 20.0)
-                at(from, "submit wk-$i crew=${listOf("a", "b", "c").random(random)} pieces=$pieces $shape rank=$rank$zones$spot insist=true")
+                at(from, "submit wk-$i crew=${listOf("a", "b", "c").random(random)} pieces=$taskCount $shape rank=$priority$zones$spot insist=true")
                 when (random.nextInt(6)) {
                     0 -> at(time(from + 1.0, LAST), "abort wk-$i insist=true")
                     1 -> if (!service) at(from, "meet-end wk-$i")
--- a/src/test/kotlin/io/reedmast/SocketTest.kt
+++ b/src/test/kotlin/io/reedmast/SocketTest.kt
@@ -2,8 +2,8 @@
 
 import com.sun.net.httpserver.HttpServer
 import io.reedmast.app.Controller
-import io.reedmast.app.Desk
-import io.reedmast.app.FrontDoor
+import io.reedmast.app.EventLoop
+import io.reedmast.app.HttpApi
 import io.reedmast.app.NetworkGateway
 import io.reedmast.app.Node
 import io.reedmast.app.Timings
@@ -49,7 +49,7 @@
 
     private val stored = HashMap<String, Pair<Any?, Long>>()
     private val log = ArrayList<Map<*, *>>()
-    private var epoch = 1L
+    private var revision = 1L
 
     /** The next transaction that names this key is applied, and its answer lost. */
     @Volatile
@@ -91,15 +91,15 @@
             .replace("18391", front.toString()).replace("18392", freePort().toString())
             .replace("18393", backend.address.port.toString()).replace("18394", backend.address.port.toString())
         val settings = Settings.parse(Tree.readJson(text.toByteArray()))
-        val desk = Desk(SystemClock, 100)
+        val eventLoop = EventLoop(SystemClock, 100)
         val client = StateClient(settings.state, settings.stateLimits, 1, Caller(500, 1000))
-        val out = NetworkGateway(settings, desk, client)
+        val out = NetworkGateway(settings, eventLoop, client)
         val timings = Timings(SystemClock)
-        val node = Node(desk, Controller(settings, Tuning(), SystemClock, out, "test"), timings)
-        FrontDoor(settings, node, timings).start()
+        val node = Node(eventLoop, Controller(settings, Tuning(), SystemClock, out, "test"), timings)
+        HttpApi(settings, node, timings).start()
         out.start()
         Watches(client, SystemClock, node).start()
-        NetworkGateway.startThread("test-desk") { desk.run(50, 50, node::tick) }
+        NetworkGateway.startThread("test-desk") { eventLoop.run(50, 50, node::tick) }
         val patience = System.nanoTime() + 10_000_000_000L
         while (call("GET", "/healthz", null).first != 200 && System.nanoTime() < patience) Thread.sleep(50)
     }
@@ -114,13 +114,13 @@
     private fun commit(body: Fields): Pair<Int, Fields> {
         val guards = (body["when"] as List<*>).map { it as Map<*, *> }
         val failed = guards.filter { (stored[it["path"]]?.second ?: 0L) != (it["stamp"] as Number).toLong() }.map { it["path"] }
-        if (failed.isNotEmpty()) return 409 to mapOf("failed" to failed, "epoch" to epoch)
-        epoch++
+        if (failed.isNotEmpty()) return 409 to mapOf("failed" to failed, "epoch" to revision)
+        revision++
         for (write in (body["writes"] as List<*>).map { it as Map<*, *> }) {
-            if (write["put"] != null) stored[write["put"] as String] = write["v"] to epoch else stored.remove(write["delete"] as String)
-            log.add(write + ("stamp" to epoch))
+            if (write["put"] != null) stored[write["put"] as String] = write["v"] to revision else stored.remove(write["delete"] as String)
+            log.add(write + ("stamp" to revision))
         }
-        return 200 to mapOf("epoch" to epoch)
+        return 200 to mapOf("epoch" to revision)
     }
 
     private fun serve(method: String, path: String, query: String, body: Fields): Pair<Int, Fields> = when {
@@ -138,19 +138,19 @@
                 val news = log.filter { (it["stamp"] as Long) > after && ((it["put"] ?: it["delete"]) as String).startsWith(prefix) }
                 val gap = tooOld && prefix.startsWith("j")
                 if (gap) tooOld = false
-                if (gap) 410 to emptyMap() else 200 to mapOf("epoch" to epoch, "log" to news)
+                if (gap) 410 to emptyMap() else 200 to mapOf("epoch" to revision, "log" to news)
             }
         }
 
         path == "/kv" -> synchronized(this) {
             val prefix = query.substringAfter("prefix=").substringBefore('&')
             val pairs = stored.filterKeys { it.startsWith(prefix) }.map { mapOf("path" to it.key, "v" to it.value.first, "stamp" to it.value.second) }
-            200 to mapOf("pairs" to pairs, "more" to false, "epoch" to epoch)
+            200 to mapOf("pairs" to pairs, "more" to false, "epoch" to revision)
         }
 
         path.startsWith("/kv/") -> synchronized(this) {
             val key = path.removePrefix("/kv/")
-            stored[key]?.let { 200 to mapOf("path" to key, "v" to it.first, "stamp" to it.second) } ?: (404 to mapOf("epoch" to epoch))
+            stored[key]?.let { 200 to mapOf("path" to key, "v" to it.first, "stamp" to it.second) } ?: (404 to mapOf("epoch" to revision))
         }
 
         path == "/flavors" -> 200 to mapOf(
@@ -210,8 +210,8 @@
     fun `after a gap in the watch, jobs are read anew`() {
         synchronized(this) {
             // Accepted by another node, and no longer among the changes that are kept.
-            epoch++
-            stored["j/live/0/wk-000009"] = mapOf("spec" to job + ("ref" to "wk-000009"), "chunk" to 10, "at" to 1) to epoch
+            revision++
+            stored["j/live/0/wk-000009"] = mapOf("spec" to job + ("ref" to "wk-000009"), "chunk" to 10, "at" to 1) to revision
         }
         assertEquals(404, call("GET", "/submissions/wk-000009", null).first)
         tooOld = true
--- a/src/test/kotlin/io/reedmast/WireTest.kt
+++ b/src/test/kotlin/io/reedmast/WireTest.kt
@@ -70,8 +70,8 @@
                 assertThrows(MalformedException::class.java, { parse(job + (name to value)) }, "$name is $value")
             }
         }
-        for (ref in listOf("", "wk-", "wk-12x", "job-000001", "wk 000001", "WK-000001", "wk-000001/0", "wk-" + "1".repeat(19))) {
-            assertThrows(MalformedException::class.java, { parse(job + ("ref" to ref)) }, "ref is $ref")
+        for (jobId in listOf("", "wk-", "wk-12x", "job-000001", "wk 000001", "WK-000001", "wk-000001/0", "wk-" + "1".repeat(19))) {
+            assertThrows(MalformedException::class.java, { parse(job + ("ref" to jobId)) }, "ref is $jobId")
         }
     }
 
--- a/src/test/kotlin/io/reedmast/sim/Scenario.kt
+++ b/src/test/kotlin/io/reedmast/sim/Scenario.kt
@@ -11,7 +11,7 @@
 import io.reedmast.settings.StateLimits
 import io.reedmast.settings.TeamShare
 import io.reedmast.settings.WorkerRules
-import io.reedmast.wire.Flavor
+import io.reedmast.wire.MachineType
 import io.reedmast.wire.TaskId
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
@@ -28,8 +28,8 @@
     private val teams = given("team").map { TeamShare(it[1], it[2].toDouble(), it[3].toDouble(), 0.0, 0.0) }
     private val nodes = given("nodes").firstOrNull()?.get(1)?.toInt() ?: 3
     private val valueBytes = ((given("value-kb").firstOrNull()?.get(1)?.toDouble() ?: 8.0) * 1024).toInt()
-    private val flavors = given("flavor").map { Flavor(it[1], it[2].toDouble(), 0.0, 64.0, 50.0, 0.5, 1.0, 0.3, it[3].toDouble(), listOf("x", "y")) }
-    val world = World(::settings, nodes, flavors)
+    private val machineTypes = given("flavor").map { MachineType(it[1], it[2].toDouble(), 0.0, 64.0, 50.0, 0.5, 1.0, 0.3, it[3].toDouble(), listOf("x", "y")) }
+    val world = World(::settings, nodes, machineTypes)
 
     /** Where tasks of a job were, and under which attempts, when a line asked for it. */
     private val noted = HashMap<String, Map<TaskId, Pair<String, Long>>>()
@@ -73,11 +73,11 @@
     }
 
     /** As users do: the request is repeated, each time at another node, until it is answered or a minute is over. */
-    private fun insist(ref: String, question: (Controller, (UserAnswer) -> Unit) -> Unit, since: Long = world.now()) {
+    private fun insist(jobId: String, question: (Controller, (UserAnswer) -> Unit) -> Unit, since: Long = world.now()) {
         if (world.now() - since > 60_000) return
         var answered = false
-        world.nodes.filter { it.up }.randomOrNull(world.random)?.ask(ref, question) { if (it.status < 429) answered = true }
-        world.after(1_500) { if (!answered) insist(ref, question, since) }
+        world.nodes.filter { it.up }.randomOrNull(world.random)?.ask(jobId, question) { if (it.status < 429) answered = true }
+        world.after(1_500) { if (!answered) insist(jobId, question, since) }
     }
 
     private fun act(words: List<String>) {
@@ -86,7 +86,7 @@
         when (words[0]) {
             "submit" -> {
                 val spec = World.spec(words[1], args)
-                world.jobs.getOrPut(words[1]) { World.SimJob(spec, (spec.guessS * 1000).toLong(), args["fails"] == "true") }
+                world.jobs.getOrPut(words[1]) { World.SimJob(spec, (spec.estimateS * 1000).toLong(), args["fails"] == "true") }
                 if (args["insist"] == "true") {
                     insist(words[1], { c, answer -> c.submit(spec, answer) })
                     return
@@ -166,17 +166,17 @@
             }
 
             "running" -> {
-                val running = world.workers.values.sumOf { w -> w.onMachine().count { it.ref == words[1] } }
+                val running = world.workers.values.sumOf { w -> w.onMachine().count { it.jobId == words[1] } }
                 assertEquals(words[2].toInt(), running, at)
             }
 
             "running-in" -> {
-                val running = world.workers.values.filter { it.yard == words[1] }.sumOf { w -> w.onMachine().count { it.ref == words[2] } }
+                val running = world.workers.values.filter { it.zone == words[1] }.sumOf { w -> w.onMachine().count { it.jobId == words[2] } }
                 assertEquals(words[3].toInt(), running, at)
             }
 
             "running-at-least" -> {
-                val running = world.workers.values.sumOf { w -> w.onMachine().count { it.ref == words[1] } }
+                val running = world.workers.values.sumOf { w -> w.onMachine().count { it.jobId == words[1] } }
                 assertTrue(running >= words[2].toInt(), "$at: $running run")
             }
 
@@ -206,10 +206,10 @@
             // Every node answers about every job that was accepted.
             "answered" -> {
                 val open = HashSet<String>()
-                for (ref in world.told.keys) {
+                for (jobId in world.told.keys) {
                     for (asked in world.nodes.filter { it.up }) {
-                        open.add("$ref by ${asked.label}")
-                        asked.ask(ref, { c, answer -> c.poll(ref, answer) }) { if (it.status == 200) open.remove("$ref by ${asked.label}") }
+                        open.add("$jobId by ${asked.label}")
+                        asked.ask(jobId, { c, answer -> c.poll(jobId, answer) }) { if (it.status == 200) open.remove("$jobId by ${asked.label}") }
                     }
                 }
                 world.runUntil(world.now() + 2_000)
--- a/src/test/kotlin/io/reedmast/sim/SimState.kt
+++ b/src/test/kotlin/io/reedmast/sim/SimState.kt
@@ -12,13 +12,13 @@
 
 /** The state service of PROTOCOL: conditional transactions, stamps, leases. */
 class SimState(private val world: World) {
-    private class Entry(val value: Fields, val stamp: Long, val lease: Long?)
+    private class Entry(val value: Fields, val version: Long, val lease: Long?)
 
     private val entries = TreeMap<String, Entry>()
     private val log = ArrayList<Event>()
     private val leases = HashMap<Long, Long>()
     private var leaseCount = 0L
-    var epoch = 1L
+    var revision = 1L
         private set
     var up = true
         private set
@@ -33,17 +33,17 @@
 
     fun get(path: String): Item? {
         expire()
-        return entries[path]?.let { Item(path, it.value, it.stamp) }
+        return entries[path]?.let { Item(path, it.value, it.version) }
     }
 
     fun list(prefix: String): List<Item> {
         expire()
-        return entries.tailMap(prefix).entries.takeWhile { it.key.startsWith(prefix) }.map { Item(it.key, it.value.value, it.value.stamp) }
+        return entries.tailMap(prefix).entries.takeWhile { it.key.startsWith(prefix) }.map { Item(it.key, it.value.value, it.value.version) }
     }
 
     fun since(after: Long): List<Event> {
         expire()
-        return log.filter { it.stamp > after }
+        return log.filter { it.version > after }
     }
 
     /** Puts and deletes applied, each of which counts against the service's limit. */
@@ -52,9 +52,9 @@
 
     /** The form of [Tree] values as another version, or nobody, would write them. */
     fun spoil(path: String) {
-        epoch++
-        entries[path] = Entry(mapOf("form" to 0L), epoch, null)
-        log.add(Event(path, mapOf("form" to 0L), epoch))
+        revision++
+        entries[path] = Entry(mapOf("form" to 0L), revision, null)
+        log.add(Event(path, mapOf("form" to 0L), revision))
     }
 
     /** What the service would not take is a mistake of ours, whatever becomes of it. */
@@ -71,10 +71,10 @@
     fun commit(change: Change): Outcome {
         expire()
         checkLimits(change)
-        val failed = change.guards.filter { (entries[it.path]?.stamp ?: 0L) != it.stamp }.mapTo(HashSet()) { it.path }
+        val failed = change.guards.filter { (entries[it.path]?.version ?: 0L) != it.version }.mapTo(HashSet()) { it.path }
         if (failed.isNotEmpty()) return Outcome.Conflict(failed)
         if (change.writes.any { it is Write.Put && it.lease != null && it.lease !in leases }) return Outcome.Refused("no such lease")
-        epoch++
+        revision++
         changes += change.writes.size
         for (write in change.writes) {
             when (write) {
@@ -82,7 +82,7 @@
                 is Write.Delete -> remove(write.path)
             }
         }
-        return Outcome.Applied(epoch)
+        return Outcome.Applied(revision)
     }
 
     /** When a change that got no answer had been applied, 0 if it was not: what a committer finds out by reading. */
@@ -90,7 +90,7 @@
         val write = change.writes.firstOrNull { it is Write.Put } ?: change.writes.first()
         val now = entries[write.path]
         return when {
-            write is Write.Put -> if (now != null && sameValue(write.value, now.value)) now.stamp else 0L
+            write is Write.Put -> if (now != null && sameValue(write.value, now.value)) now.version else 0L
             else -> if (now == null) 1L else 0L
         }
     }
@@ -98,12 +98,12 @@
     private fun put(write: Write.Put) {
         // Through the wire and back, as the real service would give it.
         val value = Tree.readCbor(Tree.writeCbor(write.value))
-        entries[write.path] = Entry(value, epoch, write.lease)
-        log.add(Event(write.path, value, epoch))
+        entries[write.path] = Entry(value, revision, write.lease)
+        log.add(Event(write.path, value, revision))
     }
 
     private fun remove(path: String) {
-        if (entries.remove(path) != null) log.add(Event(path, null, epoch))
+        if (entries.remove(path) != null) log.add(Event(path, null, revision))
     }
 
     fun lease(lifeMs: Long): Long {
@@ -122,7 +122,7 @@
         for (lease in over) {
             leases.remove(lease)
             val paths = entries.filterValues { it.lease == lease }.keys.toList()
-            if (paths.isNotEmpty()) epoch++
+            if (paths.isNotEmpty()) revision++
             paths.forEach { remove(it) }
         }
     }
--- a/src/test/kotlin/io/reedmast/sim/SimWorker.kt
+++ b/src/test/kotlin/io/reedmast/sim/SimWorker.kt
@@ -2,18 +2,18 @@
 
 import io.reedmast.app.WorkerAnswer
 import io.reedmast.wire.Cause
-import io.reedmast.wire.Flavor
+import io.reedmast.wire.MachineType
 import io.reedmast.wire.Order
-import io.reedmast.wire.PieceReport
-import io.reedmast.wire.PieceStage
 import io.reedmast.wire.Reply
 import io.reedmast.wire.Report
 import io.reedmast.wire.TaskId
+import io.reedmast.wire.TaskReport
+import io.reedmast.wire.TaskState
 
 /** A worker of PROTOCOL: tokens, sessions, leases, images, and the commands' effects. */
-class SimWorker(private val world: World, val name: String, val flavor: Flavor, val yard: String, val spot: Boolean, private val rentedAt: Long) {
+class SimWorker(private val world: World, val name: String, val machineType: MachineType, val zone: String, val spot: Boolean, private val rentedAt: Long) {
     private class Task(val id: TaskId, val attempt: Long) {
-        var stage = PieceStage.FETCHING
+        var state = TaskState.FETCHING
         var cause: Cause? = null
     }
 
@@ -22,9 +22,9 @@
     private val images = HashSet<String>()
     private val resumed = ArrayList<() -> Unit>()
     private var node = 0
-    private var tenure = 1L
-    private var tally = 0L
-    private var baton = 0L
+    private var session = 1L
+    private var sequence = 0L
+    private var seenToken = 0L
     private var leaseFrom = 0L
     private var gone = false
     private var inFlight = false
@@ -54,18 +54,18 @@
         private set
 
     fun onMachine(): List<TaskId> =
-        if (gone) emptyList() else tasks.values.filter { it.stage == PieceStage.RUNNING || it.stage == PieceStage.SAVING }.map { it.id }
+        if (gone) emptyList() else tasks.values.filter { it.state == TaskState.RUNNING || it.state == TaskState.SAVING }.map { it.id }
 
     /** Up, and nothing wrong with it. */
     val alive: Boolean get() = started && !gone && !hung && !cut && !deaf && !mute && !sick
 
     /** Tasks that take room here, whether they have begun to run or not. */
-    fun held(): List<TaskId> = if (gone) emptyList() else tasks.values.filter { it.stage != PieceStage.ENDED }.map { it.id }
+    fun held(): List<TaskId> = if (gone) emptyList() else tasks.values.filter { it.state != TaskState.ENDED }.map { it.id }
 
     /** The attempts that are on the machine. */
-    fun attempts(): Map<TaskId, Long> = if (gone) emptyMap() else tasks.values.filter { it.stage != PieceStage.ENDED }.associate { it.id to it.attempt }
+    fun attempts(): Map<TaskId, Long> = if (gone) emptyMap() else tasks.values.filter { it.state != TaskState.ENDED }.associate { it.id to it.attempt }
 
-    fun freeCpus(): Double = flavor.cpus - held().sumOf { world.jobs[it.ref]?.spec?.cpus ?: 0.0 }
+    fun freeCpus(): Double = machineType.cpus - held().sumOf { world.jobs[it.jobId]?.spec?.cpus ?: 0.0 }
 
     fun start() {
         if (gone) return
@@ -105,7 +105,7 @@
     private fun checkLease() {
         if (world.now() - leaseFrom > world.settings.workers.leaseS * 1000) {
             tasks.clear()
-            tenure++
+            session++
             leaseFrom = world.now()
             changed()
         }
@@ -116,15 +116,20 @@
     }
 
     private fun report(): Report {
-        tally++
-        return Report(name, addr, flavor.label, yard, spot, tenure, tally, baton, null, tasks.values.map { PieceReport(it.id, it.attempt, it.stage, it.cause) })
+        sequence++
+        return Report(
+            name, addr, machineType.label, zone, spot, session, sequence, seenToken, null,
+            tasks.values.map {
+                TaskReport(it.id, it.attempt, it.state, it.cause)
+            },
+        )
     }
 
     private fun send() {
         inFlight = true
         lastSent = world.now()
         val sentAt = world.now()
-        val sentIn = tenure
+        val sentIn = session
         reportDue = world.now() + 3_000
         val report = report()
         val target = world.nodes[node]
@@ -155,9 +160,9 @@
         inFlight = false
         when (answer) {
             is WorkerAnswer.Orders -> {
-                if (answer.baton < baton || sentIn != tenure) return
-                if (answer.baton > baton) {
-                    baton = answer.baton
+                if (answer.token < seenToken || sentIn != session) return
+                if (answer.token > seenToken) {
+                    seenToken = answer.token
                     changed()
                 }
                 leaseFrom = sentAt
@@ -180,11 +185,11 @@
         }
     }
 
-    fun direct(token: Long, session: Long, orders: List<Order>): Reply {
+    fun direct(token: Long, ofSession: Long, orders: List<Order>): Reply {
         if (gone || !started) return Reply.Unanswered("gone")
-        if (token < baton || session != tenure) return Reply.Answer(409, fields(report()))
-        if (token > baton) {
-            baton = token
+        if (token < seenToken || ofSession != session) return Reply.Answer(409, fields(report()))
+        if (token > seenToken) {
+            seenToken = token
             changed()
         }
         orders.forEach { execute(it) }
@@ -200,37 +205,37 @@
             }
 
             is Order.Stop -> {
-                if (task != null && task.stage != PieceStage.ENDED) end(task, Cause.HALTED)
+                if (task != null && task.state != TaskState.ENDED) end(task, Cause.HALTED)
             }
 
             is Order.Forget -> {
-                if (task?.stage == PieceStage.ENDED) tasks.remove(key)
+                if (task?.state == TaskState.ENDED) tasks.remove(key)
             }
         }
     }
 
     private fun launch(order: Order.Launch) {
         val task = Task(order.id, order.attempt)
-        val job = world.jobs[order.id.ref]
-        val busy = tasks.values.any { it.id == order.id && it.stage != PieceStage.ENDED }
+        val job = world.jobs[order.id.jobId]
+        val busy = tasks.values.any { it.id == order.id && it.state != TaskState.ENDED }
         tasks[order.id to order.attempt] = task
         changed()
         if (busy || job == null) {
             end(task, if (busy) Cause.BUSY else Cause.UNKNOWN)
             return
         }
-        val used = tasks.values.filter { it.stage != PieceStage.ENDED }.sumOf { world.jobs.getValue(it.id.ref).spec.cpus }
-        if (used > flavor.cpus + 1e-6) {
+        val used = tasks.values.filter { it.state != TaskState.ENDED }.sumOf { world.jobs.getValue(it.id.jobId).spec.cpus }
+        if (used > machineType.cpus + 1e-6) {
             end(task, Cause.NO_ROOM)
             return
         }
-        val fetchMs = if (job.spec.bundle in images) 0L else (job.spec.sizeGb / flavor.pullGbPerS * 1000).toLong()
+        val fetchMs = if (job.spec.image in images) 0L else (job.spec.imageGb / machineType.fetchGbPerS * 1000).toLong()
         later(fetchMs, task) { run(task, job) }
     }
 
     private fun run(task: Task, job: World.SimJob) {
-        images.add(job.spec.bundle)
-        task.stage = PieceStage.RUNNING
+        images.add(job.spec.image)
+        task.state = TaskState.RUNNING
         changed()
         world.started(this, task.id)
         when {
@@ -246,13 +251,13 @@
     /** A task's own time: it stands still while the machine hangs, and ends with the task. */
     private fun later(ms: Long, task: Task, work: () -> Unit) {
         world.after(ms) {
-            if (gone || tasks[task.id to task.attempt] !== task || task.stage == PieceStage.ENDED) return@after
+            if (gone || tasks[task.id to task.attempt] !== task || task.state == TaskState.ENDED) return@after
             if (hung) whenResumed { later(1, task, work) } else work()
         }
     }
 
     private fun end(task: Task, cause: Cause) {
-        task.stage = PieceStage.ENDED
+        task.state = TaskState.ENDED
         task.cause = cause
         changed()
     }
@@ -260,12 +265,12 @@
     private fun fields(report: Report): Map<String, Any?> = mapOf(
         "host" to report.host,
         "addr" to report.addr,
-        "build" to report.build,
-        "yard" to report.yard,
-        "driftwood" to report.driftwood,
-        "tenure" to report.tenure,
-        "tally" to report.tally,
-        "baton" to report.baton,
-        "pieces" to report.pieces.map { mapOf("piece" to it.id.toString(), "try" to it.attempt, "stage" to it.stage.wire, "cause" to it.cause?.wire) },
+        "build" to report.typeName,
+        "yard" to report.zone,
+        "driftwood" to report.spot,
+        "tenure" to report.session,
+        "tally" to report.sequence,
+        "baton" to report.token,
+        "pieces" to report.tasks.map { mapOf("piece" to it.id.toString(), "try" to it.attempt, "stage" to it.state.wire, "cause" to it.cause?.wire) },
     )
 }
--- a/src/test/kotlin/io/reedmast/sim/World.kt
+++ b/src/test/kotlin/io/reedmast/sim/World.kt
@@ -17,11 +17,11 @@
 import io.reedmast.state.Fetched
 import io.reedmast.state.Item
 import io.reedmast.state.Outcome
-import io.reedmast.wire.Flavor
 import io.reedmast.wire.JobSpec
 import io.reedmast.wire.ListedHost
+import io.reedmast.wire.MachineType
 import io.reedmast.wire.Order
-import io.reedmast.wire.Rank
+import io.reedmast.wire.Priority
 import io.reedmast.wire.Reply
 import io.reedmast.wire.Report
 import io.reedmast.wire.TaskId
@@ -30,7 +30,7 @@
 import kotlin.random.Random
 
 /** A deterministic world: simulated time, a state service, a cloud, workers and users, around real controllers. */
-class World(private val settingsOf: (Int) -> Settings, nodes: Int, val flavors: List<Flavor>, private val tuning: Tuning = Tuning()) : Clock {
+class World(private val settingsOf: (Int) -> Settings, nodes: Int, val machineTypes: List<MachineType>, private val tuning: Tuning = Tuning()) : Clock {
     private class Event(val at: Long, val order: Long, val work: () -> Unit)
 
     private var time = 1_000L
@@ -46,7 +46,7 @@
 
     /** How often tasks of a job have started. */
     val starts = HashMap<String, Int>()
-    private val charters = HashMap<String, List<String>>()
+    private val requests = HashMap<String, List<String>>()
     private var hosts = 0
     var capacity = Int.MAX_VALUE
 
@@ -91,11 +91,11 @@
         time = maxOf(time, ms)
     }
 
-    fun addWorker(build: String, yard: String, spot: Boolean, bootMs: Long): SimWorker {
+    fun addWorker(typeName: String, zone: String, spot: Boolean, bootMs: Long): SimWorker {
         val name = "host-%06d".format(hosts++)
-        val worker = SimWorker(this, name, flavors.first { it.label == build }, yard, spot, time)
+        val worker = SimWorker(this, name, machineTypes.first { it.label == typeName }, zone, spot, time)
         workers[name] = worker
-        worker.cut = yard in dark
+        worker.cut = zone in dark
         workersByAddr[worker.addr] = worker
         after(bootMs) { worker.start() }
         return worker
@@ -106,9 +106,9 @@
 
     private val dark = HashSet<String>()
 
-    fun darken(yard: String, on: Boolean) {
-        if (on) dark.add(yard) else dark.remove(yard)
-        workers.values.filter { it.yard == yard }.forEach { it.cut = on }
+    fun darken(zone: String, on: Boolean) {
+        if (on) dark.add(zone) else dark.remove(zone)
+        workers.values.filter { it.zone == zone }.forEach { it.cut = on }
     }
 
     fun breach(what: String) {
@@ -125,31 +125,31 @@
         var neglectedSince = 0L
 
         fun complete(task: Int) {
-            if (completed.add(task) && completed.size == spec.pieces) atEnd?.invoke()
+            if (completed.add(task) && completed.size == spec.taskCount) atEnd?.invoke()
         }
     }
 
     /** Where each task of the job is, and under which attempt. */
-    fun attempts(ref: String): Map<TaskId, Pair<String, Long>> =
-        workers.values.flatMap { w -> w.attempts().filterKeys { it.ref == ref }.map { (id, attempt) -> id to (w.name to attempt) } }.toMap()
+    fun attempts(jobId: String): Map<TaskId, Pair<String, Long>> =
+        workers.values.flatMap { w -> w.attempts().filterKeys { it.jobId == jobId }.map { (id, attempt) -> id to (w.name to attempt) } }.toMap()
 
-    fun atEndOf(ref: String, work: () -> Unit) {
-        jobs.getValue(ref).atEnd = work
+    fun atEndOf(jobId: String, work: () -> Unit) {
+        jobs.getValue(jobId).atEnd = work
     }
 
     /** Once the troubles are over, no job waits 90 s while a machine that fits has room and its team is under its limit. */
     fun checkNeglected() {
         if (time < calmSince) return
-        for ((ref, job) in jobs) {
+        for ((jobId, job) in jobs) {
             val spec = job.spec
-            val waits = ref in told && told[ref] !in FINAL && !job.fails && (spec.service || job.completed.size < spec.pieces) &&
-                workers.values.none { w -> w.held().any { it.ref == ref } }
+            val waits = jobId in told && told[jobId] !in FINAL && !job.fails && (spec.service || job.completed.size < spec.taskCount) &&
+                workers.values.none { w -> w.held().any { it.jobId == jobId } }
             val room = waits && underLimit(job) &&
-                workers.values.any { it.alive && it.freeCpus() + 1e-6 >= spec.cpus && allows(spec, it.flavor.label, it.yard, it.spot) }
+                workers.values.any { it.alive && it.freeCpus() + 1e-6 >= spec.cpus && allows(spec, it.machineType.label, it.zone, it.spot) }
             if (!room) {
                 job.neglectedSince = time
             } else if (time - maxOf(job.neglectedSince, calmSince) > NEGLECT_MS) {
-                breach("neglected $ref")
+                breach("neglected $jobId")
                 job.neglectedSince = time
             }
         }
@@ -157,20 +157,20 @@
 
     /** Whether the team's limit leaves room for one more task of the job. */
     private fun underLimit(job: SimJob): Boolean {
-        val max = settings.teams.first { it.name == job.spec.crew }.maxCpus
-        val used = workers.values.sumOf { w -> w.held().mapNotNull { jobs[it.ref]?.spec }.filter { it.crew == job.spec.crew }.sumOf { it.cpus } }
+        val max = settings.teams.first { it.name == job.spec.teamName }.maxCpus
+        val used = workers.values.sumOf { w -> w.held().mapNotNull { jobs[it.jobId]?.spec }.filter { it.teamName == job.spec.teamName }.sumOf { it.cpus } }
         return max == 0.0 || used + job.spec.cpus <= max + 1e-6
     }
 
     /** Accepted jobs that have not got what they were promised. */
-    fun unsettled(): List<String> = told.keys.sorted().mapNotNull { ref ->
-        val job = jobs.getValue(ref)
-        val running = workers.values.sumOf { w -> w.onMachine().count { it.ref == ref } }
+    fun unsettled(): List<String> = told.keys.sorted().mapNotNull { jobId ->
+        val job = jobs.getValue(jobId)
+        val running = workers.values.sumOf { w -> w.onMachine().count { it.jobId == jobId } }
         when {
-            told[ref] == "aborted" -> if (running > 0) "$ref is cancelled and runs" else null
+            told[jobId] == "aborted" -> if (running > 0) "$jobId is cancelled and runs" else null
             job.fails || !underLimit(job) -> null
-            job.spec.service -> if (running != job.spec.pieces) "$ref: $running of ${job.spec.pieces} run" else null
-            else -> if (job.completed.size < job.spec.pieces) "$ref: ${job.completed.size} of ${job.spec.pieces} done" else null
+            job.spec.service -> if (running != job.spec.taskCount) "$jobId: $running of ${job.spec.taskCount} run" else null
+            else -> if (job.completed.size < job.spec.taskCount) "$jobId: ${job.completed.size} of ${job.spec.taskCount} done" else null
         }
     }
 
@@ -179,41 +179,41 @@
 
     /** Checks, when a task starts, that the rules hold. */
     fun started(worker: SimWorker, id: TaskId) {
-        starts.merge(id.ref, 1, Int::plus)
+        starts.merge(id.jobId, 1, Int::plus)
         if (!checked) return
-        val job = jobs.getValue(id.ref)
+        val job = jobs.getValue(id.jobId)
         val everywhere = workers.values.flatMap { w -> w.onMachine().map { w to it } }
         if (everywhere.count { it.second == id } > 1) breach("ran_twice $id on ${everywhere.filter { it.second == id }.map { it.first.name }}")
-        val team = settings.teams.first { it.name == job.spec.crew }
-        val used = everywhere.filter { jobs.getValue(it.second.ref).spec.crew == team.name }.sumOf { jobs.getValue(it.second.ref).spec.cpus }
+        val team = settings.teams.first { it.name == job.spec.teamName }
+        val used = everywhere.filter { jobs.getValue(it.second.jobId).spec.teamName == team.name }.sumOf { jobs.getValue(it.second.jobId).spec.cpus }
         if (team.maxCpus > 0 && used > team.maxCpus + 1e-6) breach("quota of ${team.name}: $used")
         val spec = job.spec
-        val mine = everywhere.filter { it.second.ref == id.ref }
+        val mine = everywhere.filter { it.second.jobId == id.jobId }
         val wrong =
-            (worker.spot && !spec.driftwood) || (spec.yard != null && spec.yard != worker.yard) ||
-                (spec.builds != null && worker.flavor.label !in spec.builds.orEmpty()) ||
-                (spec.oneZone && mine.any { it.first.yard != worker.yard }) ||
-                (spec.apart && mine.count { it.first.yard == worker.yard } > (spec.pieces + 1) / 2)
-        if (wrong) breach("wrong_place $id on ${worker.name} in ${worker.yard}")
+            (worker.spot && !spec.spot) || (spec.zone != null && spec.zone != worker.zone) ||
+                (spec.allowedTypes != null && worker.machineType.label !in spec.allowedTypes.orEmpty()) ||
+                (spec.oneZone && mine.any { it.first.zone != worker.zone }) ||
+                (spec.spread && mine.count { it.first.zone == worker.zone } > (spec.taskCount + 1) / 2)
+        if (wrong) breach("wrong_place $id on ${worker.name} in ${worker.zone}")
         checkCancelled()
     }
 
     fun checkCancelled() {
-        for ((ref, job) in jobs) {
+        for ((jobId, job) in jobs) {
             if (job.abortedAt == 0L || time - job.abortedAt <= settings.workers.cancelS * 1000) continue
-            workers.values.forEach { w -> w.onMachine().filter { it.ref == ref }.forEach { breach("ran_cancelled $it on ${w.name}") } }
+            workers.values.forEach { w -> w.onMachine().filter { it.jobId == jobId }.forEach { breach("ran_cancelled $it on ${w.name}") } }
         }
     }
 
-    fun answered(ref: String, answer: UserAnswer, known: Boolean) {
-        if (known && answer.status in setOf(400, 404, 422)) breach("forgotten $ref: ${answer.status}")
+    fun answered(jobId: String, answer: UserAnswer, known: Boolean) {
+        if (known && answer.status in setOf(400, 404, 422)) breach("forgotten $jobId: ${answer.status}")
         val stage = answer.body["stage"] as? String ?: return
-        val job = jobs[ref]
-        if (job == null) breach("invented $ref")
-        val before = told[ref]
-        if (before in FINAL && stage != before) breach("went_back $ref from $before to $stage")
-        if (stage == "done" && job != null && job.completed.size < job.spec.pieces) breach("not_done $ref")
-        told[ref] = stage
+        val job = jobs[jobId]
+        if (job == null) breach("invented $jobId")
+        val before = told[jobId]
+        if (before in FINAL && stage != before) breach("went_back $jobId from $before to $stage")
+        if (stage == "done" && job != null && job.completed.size < job.spec.taskCount) breach("not_done $jobId")
+        told[jobId] = stage
         if (stage == "aborted" && job != null && job.abortedAt == 0L) job.abortedAt = time
     }
 
@@ -284,31 +284,31 @@
                 val c = controller ?: return
                 if (!loaded) {
                     loaded = true
-                    watchedTo = state.epoch
+                    watchedTo = state.revision
                     c.cluster.snapshot(state.list("c/"), now())
                     jobsWatchedTo = watchedTo
                     c.cluster.jobsSnapshot(state.list("j/live/"), watchedTo, now())
                 } else {
                     val news = state.since(watchedTo)
-                    watchedTo = state.epoch
+                    watchedTo = state.revision
                     c.cluster.clusterEvents(news.filter { it.path.startsWith("c/") }, now())
                     if (now() >= jobsDue) {
                         jobsDue = now() + jobsLagMs
                         c.cluster.jobEvents(state.since(jobsWatchedTo).filter { it.path.startsWith("j/") }, now())
-                        jobsWatchedTo = state.epoch
+                        jobsWatchedTo = state.revision
                     }
                 }
             }
             later(40 * stateSlow) { watch(of) }
         }
 
-        fun ask(ref: String, question: (Controller, (UserAnswer) -> Unit) -> Unit, done: (UserAnswer) -> Unit = {}) {
+        fun ask(jobId: String, question: (Controller, (UserAnswer) -> Unit) -> Unit, done: (UserAnswer) -> Unit = {}) {
             val asked = life
-            val known = ref in told
+            val known = jobId in told
             later(0) {
                 val c = controller?.takeIf { life == asked } ?: return@later
                 question(c) {
-                    answered(ref, it, known)
+                    answered(jobId, it, known)
                     done(it)
                 }
             }
@@ -378,7 +378,7 @@
                 if (!peersCut && !to.peersCut) to.receive(message)
             }
 
-            override fun direct(addr: String, baton: Long, tenure: Long, orders: List<Order>, done: (Reply) -> Unit) {
+            override fun direct(addr: String, token: Long, session: Long, orders: List<Order>, done: (Reply) -> Unit) {
                 messages++
                 val worker = workersByAddr[addr]
                 val late = lateDirectMs
@@ -393,20 +393,20 @@
                     }
 
                     late > 0L -> {
-                        after(late) { worker.direct(baton, tenure, orders) }
+                        after(late) { worker.direct(token, session, orders) }
                         reply(2500, done) { Reply.Unanswered("late") }
                     }
 
                     worker.hung -> {
-                        worker.whenResumed { worker.direct(baton, tenure, orders) }
+                        worker.whenResumed { worker.direct(token, session, orders) }
                         reply(2500, done) { Reply.Unanswered("hung") }
                     }
 
                     else -> {
                         later(2) {
                             if (life != of) return@later
-                            val answer = worker.direct(baton, tenure, orders)
-                            if (repeatDirectMs > 0L) after(repeatDirectMs) { worker.direct(baton, tenure, orders) }
+                            val answer = worker.direct(token, session, orders)
+                            if (repeatDirectMs > 0L) after(repeatDirectMs) { worker.direct(token, session, orders) }
                             reply(2, done) { answer }
                         }
                     }
@@ -415,10 +415,10 @@
 
             override fun rent(rental: Rental, done: (Rented) -> Unit) = reply(200, done) {
                 val names =
-                    charters.getOrPut(rental.charter) {
+                    requests.getOrPut(rental.requestName) {
                         if (cloudOut) return@reply Rented.Failed
                         val n = minOf(rental.count, capacity - workers.size).coerceAtLeast(0)
-                        (0 until n).map { addWorker(rental.build, rental.yard, rental.driftwood, bootMs(rental.build)).name }
+                        (0 until n).map { addWorker(rental.typeName, rental.zone, rental.spot, bootMs(rental.typeName)).name }
                     }
                 if (names.isEmpty()) Rented.NoCapacity else Rented.Hosts(names)
             }
@@ -437,16 +437,16 @@
             }
 
             override fun listHosts(done: (List<ListedHost>?) -> Unit) = reply(200, done) {
-                workers.values.map { ListedHost(it.name, it.addr, it.flavor.label, it.yard, it.spot, "running", 0.0) }
+                workers.values.map { ListedHost(it.name, it.addr, it.machineType.label, it.zone, it.spot, "running", 0.0) }
             }
 
-            override fun flavors(done: (List<Flavor>?) -> Unit) = reply(100, done) { flavors }
+            override fun machineTypes(done: (List<MachineType>?) -> Unit) = reply(100, done) { machineTypes }
 
             override fun extendLease(lease: Long?, lifeMs: Long, done: (LeaseState) -> Unit) = reply(4, done) {
                 when {
                     !reachable -> LeaseState.Unknown
-                    lease == null -> LeaseState.Held(state.lease(lifeMs), true)
-                    state.extend(lease, lifeMs) -> LeaseState.Held(lease, false)
+                    lease == null -> LeaseState.StoredRecord(state.lease(lifeMs), true)
+                    state.extend(lease, lifeMs) -> LeaseState.StoredRecord(lease, false)
                     else -> LeaseState.Lost
                 }
             }
@@ -457,7 +457,7 @@
         }
     }
 
-    private fun bootMs(build: String) = (flavors.first { it.label == build }.startupS * 1000).toLong()
+    private fun bootMs(typeName: String) = (machineTypes.first { it.label == typeName }.bootS * 1000).toLong()
 
     companion object {
         private val FINAL = setOf("done", "aborted")
@@ -466,27 +466,27 @@
 
         fun address(node: Int, port: Int) = InetSocketAddress("10.0.0.${node + 1}", port)
 
-        fun spec(ref: String, args: Map<String, String>) = JobSpec(
-            ref = ref,
-            lot = args["lot"] ?: "lot",
-            crew = args["crew"] ?: "a",
+        fun spec(jobId: String, args: Map<String, String>) = JobSpec(
+            jobId = jobId,
+            jobClass = args["lot"] ?: "lot",
+            teamName = args["crew"] ?: "a",
             service = args["shape"] == "service",
-            rank = Rank.of(args["rank"] ?: "standard"),
-            pieces = args["pieces"]?.toInt() ?: 1,
+            priority = Priority.of(args["rank"] ?: "standard"),
+            taskCount = args["pieces"]?.toInt() ?: 1,
             cpus = args["cpus"]?.toDouble() ?: 1.0,
             gpus = 0.0,
-            memGb = 1.0,
-            bundle = args["bundle"] ?: "img",
-            sizeGb = args["sizeGb"]?.toDouble() ?: 0.1,
-            builds = null,
-            yard = args["yard"],
+            memoryGb = 1.0,
+            image = args["bundle"] ?: "img",
+            imageGb = args["sizeGb"]?.toDouble() ?: 0.1,
+            allowedTypes = null,
+            zone = args["yard"],
             oneZone = args["oneZone"] == "true",
-            apart = args["apart"] == "true",
-            driftwood = args["spot"] == "true",
-            guessS = args["run"]?.toDouble() ?: 10.0,
-            markS = args["mark"]?.toDouble() ?: 0.0,
-            stowS = 1.0,
-            dueS = null,
+            spread = args["apart"] == "true",
+            spot = args["spot"] == "true",
+            estimateS = args["run"]?.toDouble() ?: 10.0,
+            checkpointS = args["mark"]?.toDouble() ?: 0.0,
+            saveS = 1.0,
+            deadlineS = null,
         )
     }
 
