--- a/src/main/kotlin/io/reedmast/app/HttpApi.kt
+++ b/src/main/kotlin/io/reedmast/app/HttpApi.kt
@@ -1,13 +1,14 @@
 package io.reedmast.app
 
 import com.sun.net.httpserver.HttpServer
-import io.reedmast.jobs.UserAnswer
 import io.reedmast.settings.Settings
 import io.reedmast.wire.Fields
 import io.reedmast.wire.JobSpec
 import io.reedmast.wire.MalformedException
 import io.reedmast.wire.Report
 import io.reedmast.wire.Tree
+import io.reedmast.wire.UserAnswer
+import io.reedmast.wire.WorkerReplies
 import org.http4k.core.Body
 import org.http4k.core.HttpHandler
 import org.http4k.core.Method
@@ -68,8 +69,8 @@
         val answer = await(WORKER_PATIENCE_MS) { node.checkin(report, it) }
         when (answer) {
             null, WorkerAnswer.Unavailable -> Response(Status.SERVICE_UNAVAILABLE)
-            is WorkerAnswer.Orders -> cbor(Status.OK, mapOf("baton" to answer.token, "orders" to answer.orders.map { it.toFields() }))
-            is WorkerAnswer.Elsewhere -> cbor(MISDIRECTED, mapOf("steward" to answer.label))
+            is WorkerAnswer.Orders -> cbor(Status.OK, WorkerReplies.commands(answer.token, answer.orders))
+            is WorkerAnswer.Elsewhere -> cbor(MISDIRECTED, WorkerReplies.redirect(answer.label))
         }
     }
 
@@ -98,7 +99,7 @@
 
     private fun user(answer: UserAnswer?): Response {
         if (answer == null) return Response(Status.GATEWAY_TIMEOUT).header("Retry-After", "1")
-        val response = cbor(Status(answer.status, ""), answer.body)
+        val response = cbor(Status(answer.status, ""), answer.toFields())
         return if (answer.retryAfterS == null) response else response.header("Retry-After", answer.retryAfterS.toString())
     }
 
@@ -123,7 +124,7 @@
         return try {
             use(Tree.readCbor(bytes))
         } catch (e: MalformedException) {
-            cbor(Status.BAD_REQUEST, mapOf("error" to e.message))
+            cbor(Status.BAD_REQUEST, UserAnswer(Status.BAD_REQUEST.code, error = e.message).toFields())
         }
     }
 
--- a/src/main/kotlin/io/reedmast/app/NetworkGateway.kt
+++ b/src/main/kotlin/io/reedmast/app/NetworkGateway.kt
@@ -16,14 +16,13 @@
 import io.reedmast.state.Item
 import io.reedmast.state.StateClient
 import io.reedmast.wire.Caller
+import io.reedmast.wire.CloudMessages
 import io.reedmast.wire.ListedHost
 import io.reedmast.wire.MachineType
 import io.reedmast.wire.MalformedException
 import io.reedmast.wire.Order
 import io.reedmast.wire.Reply
-import io.reedmast.wire.flag
-import io.reedmast.wire.maps
-import io.reedmast.wire.optionalTexts
+import io.reedmast.wire.WorkerReplies
 import org.slf4j.LoggerFactory
 import java.util.concurrent.RejectedExecutionException
 import java.util.concurrent.TimeUnit
@@ -76,27 +75,20 @@
     }
 
     override fun direct(addr: String, token: Long, session: Long, orders: List<Order>, done: (Reply) -> Unit) {
-        val body = mapOf("baton" to token, "tenure" to session, "orders" to orders.map { it.toFields() })
+        val body = WorkerReplies.direct(token, session, orders)
         call(directs, { workerCaller.call("POST", addr, "/do", body) }, Reply.NotSent("too many calls"), done, STALE_DIRECT_MS)
     }
 
     override fun rent(rental: Rental, done: (Rented) -> Unit) {
-        val body =
-            mapOf(
-                "charter" to rental.requestName,
-                "build" to rental.typeName,
-                "yard" to rental.zone,
-                "driftwood" to rental.spot,
-                "count" to rental.count,
-            )
+        val body = CloudMessages.rental(rental.requestName, rental.typeName, rental.zone, rental.spot, rental.count)
         call(cloudCalls, { rented(cloud("POST", "/machines", body)) }, Rented.Failed, done)
     }
 
     private fun rented(reply: Reply): Rented {
         if (reply !is Reply.Answer) return Rented.Failed
         return when (reply.status) {
-            200 -> reading { Rented.Hosts(reply.body.optionalTexts("hosts").orEmpty()) } ?: Rented.Failed
-            503 -> if (reply.body["error"] == "no capacity") Rented.NoCapacity else Rented.Failed
+            200 -> reading { Rented.Hosts(CloudMessages.rentedHosts(reply.body)) } ?: Rented.Failed
+            503 -> if (CloudMessages.isOutOfCapacity(reply.body)) Rented.NoCapacity else Rented.Failed
             400 -> Rented.NoCapacity
             else -> Rented.Failed
         }
@@ -104,7 +96,7 @@
 
     override fun giveBack(hosts: List<String>, done: (Boolean) -> Unit) = call(
         cloudCalls,
-        { (cloud("POST", "/machines/return", mapOf("hosts" to hosts)) as? Reply.Answer)?.status == 200 },
+        { (cloud("POST", "/machines/return", CloudMessages.returnOf(hosts)) as? Reply.Answer)?.status == 200 },
         false,
         done,
         STALE_RETURN_MS,
@@ -120,8 +112,8 @@
             if (reply.status != 200) return null
             val more =
                 reading {
-                    hosts.addAll(reply.body.maps("hosts").map { ListedHost.parse(it) })
-                    reply.body.flag("more")
+                    hosts.addAll(CloudMessages.listedHosts(reply.body))
+                    CloudMessages.hasMore(reply.body)
                 } ?: return null
             if (!more) return hosts
         }
--- a/src/main/kotlin/io/reedmast/app/Node.kt
+++ b/src/main/kotlin/io/reedmast/app/Node.kt
@@ -2,7 +2,6 @@
 
 import io.reedmast.fleet.Leader
 import io.reedmast.jobs.JobRequests
-import io.reedmast.jobs.UserAnswer
 import io.reedmast.ownership.Cluster
 import io.reedmast.ownership.Token
 import io.reedmast.peers.PeerMessage
@@ -16,6 +15,7 @@
 import io.reedmast.wire.MachineType
 import io.reedmast.wire.Order
 import io.reedmast.wire.Report
+import io.reedmast.wire.UserAnswer
 import org.slf4j.LoggerFactory
 
 /** The answer to a worker's report. */
--- a/src/main/kotlin/io/reedmast/fleet/Demand.kt
+++ b/src/main/kotlin/io/reedmast/fleet/Demand.kt
@@ -32,13 +32,13 @@
     fun toFields(): Fields = mapOf(
         "cpus" to cpus,
         "gpus" to gpus,
-        "memGb" to memoryGb,
+        "memoryGb" to memoryGb,
         "maxCpus" to maxCpus,
         "maxGpus" to maxGpus,
-        "maxMemGb" to maxMemoryGb,
+        "maxMemoryGb" to maxMemoryGb,
         "spot" to spot,
-        "builds" to allowedTypes,
-        "yard" to zone,
+        "allowedTypes" to allowedTypes,
+        "zone" to zone,
         "late" to late,
         "count" to count,
     )
@@ -82,13 +82,13 @@
         fun parse(fields: Fields) = Demand(
             fields.amount("cpus"),
             fields.amount("gpus"),
-            fields.amount("memGb"),
+            fields.amount("memoryGb"),
             fields.amount("maxCpus"),
             fields.amount("maxGpus"),
-            fields.amount("maxMemGb"),
+            fields.amount("maxMemoryGb"),
             fields.flag("spot"),
-            fields.optionalTexts("builds"),
-            fields.optionalText("yard"),
+            fields.optionalTexts("allowedTypes"),
+            fields.optionalText("zone"),
             fields.flag("late"),
             fields.count("count").toInt(),
         )
@@ -104,5 +104,5 @@
     }
 }
 
-/** A request to the cloud. The charter's name is never used for another request, by any node. */
+/** A request to the cloud. The request name is never used for another request, by any node. */
 data class Rental(val requestName: String, val typeName: String, val zone: String, val spot: Boolean, val count: Int)
--- a/src/main/kotlin/io/reedmast/fleet/Leader.kt
+++ b/src/main/kotlin/io/reedmast/fleet/Leader.kt
@@ -23,7 +23,7 @@
 import io.reedmast.workers.HostRecord
 import org.slf4j.LoggerFactory
 
-/** What an owner last wrote of its slice; [hosts] is the stamp of the newest change to its machines that it knew. */
+/** What an owner last wrote of its slice; [hosts] is the version of the newest change to its machines that it knew. */
 private class Totals(
     val slice: SliceIndex,
     val hosts: Long,
@@ -46,7 +46,7 @@
     private val out: Gateway,
     private val cluster: Cluster,
     private val machineTypes: () -> Map<String, MachineType>,
-    /** Part of every charter's name: never the same twice, over all nodes and restarts. */
+    /** Part of every request name: never the same twice, over all nodes and restarts. */
     private val requestPrefix: String,
 ) {
     private val log = LoggerFactory.getLogger("fleet")
--- a/src/main/kotlin/io/reedmast/jobs/JobIndex.kt
+++ b/src/main/kotlin/io/reedmast/jobs/JobIndex.kt
@@ -10,17 +10,12 @@
 import io.reedmast.state.Unreadable
 import io.reedmast.wire.Fields
 import io.reedmast.wire.JobSpec
+import io.reedmast.wire.JobState
 import io.reedmast.wire.MalformedException
 import io.reedmast.wire.count
 import io.reedmast.wire.map
 import io.reedmast.wire.optionalFlag
 
-/** How a job ended. */
-enum class FinalState(val wire: String) {
-    DONE("done"),
-    ABORTED("aborted"),
-}
-
 /** The record of an unfinished job, under its slice. Whoever cancels the job rewrites it. */
 class LiveRecord(val spec: JobSpec, val chunkSize: Int, val acceptedAtMs: Long, val aborted: Boolean) {
     fun toFields(): Fields {
@@ -37,13 +32,13 @@
 }
 
 /** The record of a job that is over, kept for good. */
-class EndRecord(val stage: FinalState, val taskCount: Int) {
-    fun toFields(): Fields = mapOf("stage" to stage.wire, "pieces" to taskCount)
+class EndRecord(val state: JobState, val taskCount: Int) {
+    fun toFields(): Fields = mapOf("state" to state.wire, "tasks" to taskCount)
 
     companion object {
         fun parse(fields: Fields) = EndRecord(
-            FinalState.entries.firstOrNull { it.wire == fields["stage"] } ?: throw MalformedException("stage is unknown"),
-            fields.count("pieces").toInt(),
+            JobState.entries.firstOrNull { it.isFinal && it.wire == fields["state"] } ?: throw MalformedException("state is unknown"),
+            fields.count("tasks").toInt(),
         )
     }
 }
--- a/src/main/kotlin/io/reedmast/jobs/JobRequests.kt
+++ b/src/main/kotlin/io/reedmast/jobs/JobRequests.kt
@@ -10,15 +10,14 @@
 import io.reedmast.state.Keys
 import io.reedmast.state.Outcome
 import io.reedmast.state.Write
-import io.reedmast.wire.Fields
 import io.reedmast.wire.JobSpec
+import io.reedmast.wire.JobState
+import io.reedmast.wire.JobStatus
 import io.reedmast.wire.MachineType
 import io.reedmast.wire.MalformedException
+import io.reedmast.wire.UserAnswer
 import org.slf4j.LoggerFactory
 
-/** The answer to a user. */
-data class UserAnswer(val status: Int, val body: Fields, val retryAfterS: Int? = null)
-
 /**
  * Submissions, polls and cancellations, on any node.
  *
@@ -48,7 +47,7 @@
         val team = settings.teamsByName[spec.teamName]
         val refusal = if (team == null) "unknown team" else refusal(spec, settings.teams[team.value].maxCpus, settings.teams[team.value].maxGpus)
         if (team == null || refusal != null) {
-            answer(UserAnswer(422, mapOf("error" to refusal)))
+            answer(UserAnswer(422, error = refusal))
             return
         }
         if (!cluster.ready || machineTypes().isEmpty() || !out.stateAnswers) {
@@ -56,7 +55,7 @@
             return
         }
         if (fitsNowhere(spec)) {
-            answer(UserAnswer(422, mapOf("error" to "a task fits no allowed machine type")))
+            answer(UserAnswer(422, error = "a task fits no allowed machine type"))
             return
         }
         val slice = settings.sliceOf(team).value
@@ -68,16 +67,16 @@
                 when (outcome) {
                     is Outcome.Applied -> {
                         log.info("{}: accepted, {} tasks of {} for {}", spec.jobId, spec.taskCount, spec.jobClass, spec.teamName)
-                        answer(UserAnswer(201, mapOf("ref" to spec.jobId, "stage" to "queued")))
+                        answer(UserAnswer(201, JobStatus(spec.jobId, JobState.QUEUED)))
                         jobs.see(path, record, outcome.revision)
                     }
 
                     is Outcome.Conflict -> poll(spec.jobId) { answer(if (it.status == 404) later() else it) }
 
-                    is Outcome.Refused -> answer(UserAnswer(413, mapOf("error" to "the job's description is too large")))
+                    is Outcome.Refused -> answer(UserAnswer(413, error = "the job's description is too large"))
                 }
             }
-        if (!out.commit(change, refusable = true)) answer(UserAnswer(429, mapOf("error" to "overloaded"), RETRY_AFTER_S))
+        if (!out.commit(change, refusable = true)) answer(UserAnswer(429, error = "overloaded", retryAfterS = RETRY_AFTER_S))
     }
 
     private fun refusal(spec: JobSpec, maxCpus: Double, maxGpus: Double): String? {
@@ -93,18 +92,18 @@
                     (spec.zone == null || machineType.zones.isEmpty() || spec.zone in machineType.zones)
             }
 
-    private fun later() = UserAnswer(503, mapOf("error" to "cannot decide yet"), RETRY_AFTER_S)
+    private fun later() = UserAnswer(503, error = "cannot decide yet", retryAfterS = RETRY_AFTER_S)
 
     private fun ended(jobId: String, end: EndRecord): UserAnswer {
-        val done = if (end.stage == FinalState.DONE) end.taskCount else 0
-        return UserAnswer(200, mapOf("ref" to jobId, "stage" to end.stage.wire, "done" to done, "running" to 0))
+        val done = if (end.state == JobState.DONE) end.taskCount else 0
+        return UserAnswer(200, JobStatus(jobId, end.state, done, running = 0))
     }
 
-    private fun aborted(jobId: String) = ended(jobId, EndRecord(FinalState.ABORTED, 0))
+    private fun aborted(jobId: String) = ended(jobId, EndRecord(JobState.ABORTED, 0))
 
     /** Counts are for display; a job of which no owner has told is shown as queued, which is never too new. */
     private fun unfinished(jobId: String, job: LiveJob) =
-        UserAnswer(200, mapOf("ref" to jobId, "stage" to if (job.running > 0) "running" else "queued", "done" to job.done, "running" to job.running))
+        UserAnswer(200, JobStatus(jobId, if (job.running > 0) JobState.RUNNING else JobState.QUEUED, job.done, job.running))
 
     fun poll(jobId: String, answer: (UserAnswer) -> Unit) = find(jobId, answer) { job ->
         answer(if (job.record.aborted) aborted(jobId) else unfinished(jobId, job))
@@ -181,7 +180,7 @@
     }
 
     private companion object {
-        val UNKNOWN = UserAnswer(404, mapOf("error" to "no such job"))
+        val UNKNOWN = UserAnswer(404, error = "no such job")
         const val RETRY_AFTER_S = 1
         const val ABORT_TRIES = 4
         const val SLACK = 1e-9
--- a/src/main/kotlin/io/reedmast/jobs/ProgressPage.kt
+++ b/src/main/kotlin/io/reedmast/jobs/ProgressPage.kt
@@ -42,7 +42,7 @@
         "chunks" to
             chunks.filter { it.placements.isNotEmpty() || !it.done.isEmpty }.map { chunk ->
                 mapOf(
-                    "ref" to chunk.job.spec.jobId,
+                    "job" to chunk.job.spec.jobId,
                     "first" to chunk.first,
                     "done" to HexFormat.of().formatHex(chunk.done.toByteArray()),
                     "on" to chunk.placements.values.filter { it !in left }.flatMap { listOf(it.task, it.attempt, it.machine.name) },
@@ -73,7 +73,7 @@
                     } catch (e: IllegalArgumentException) {
                         throw MalformedException("done is no bit set: ${e.message}")
                     }
-                return StoredChunk(fields.text("ref"), fields.count("first").toInt(), done, on)
+                return StoredChunk(fields.text("job"), fields.count("first").toInt(), done, on)
             }
         }
     }
--- a/src/main/kotlin/io/reedmast/jobs/ProgressStore.kt
+++ b/src/main/kotlin/io/reedmast/jobs/ProgressStore.kt
@@ -9,6 +9,7 @@
 import io.reedmast.state.Outcome
 import io.reedmast.state.Write
 import io.reedmast.state.WritePriority
+import io.reedmast.wire.JobState
 import io.reedmast.wire.MalformedException
 import io.reedmast.wire.maps
 import org.slf4j.LoggerFactory
@@ -181,7 +182,7 @@
         endings++
         val jobId = job.spec.jobId
         val live = Keys.live(slice, jobId)
-        val end = EndRecord(if (job.aborted) FinalState.ABORTED else FinalState.DONE, job.spec.taskCount)
+        val end = EndRecord(if (job.aborted) JobState.ABORTED else JobState.DONE, job.spec.taskCount)
         val guards = listOf(sliceState.termGuard, Guard(live, job.version), Guard(Keys.end(jobId), 0))
         val writes = listOf(Write.Put(Keys.end(jobId), end.toFields()), Write.Delete(live))
         out.commit(
--- a/src/main/kotlin/io/reedmast/ownership/MachineAssignment.kt
+++ b/src/main/kotlin/io/reedmast/ownership/MachineAssignment.kt
@@ -17,7 +17,7 @@
  * The changes to the records of slices' machines: a leader gives machines and marks those that are to move, an owner hands
  * them over and removes those that are gone.
  *
- * Each change has the record's own stamp as a condition, and the key that entitles this node to it.
+ * Each change has the record's own version as a condition, and the key that entitles this node to it.
  */
 class MachineAssignment(
     private val settings: Settings,
--- a/src/main/kotlin/io/reedmast/ownership/MachineTable.kt
+++ b/src/main/kotlin/io/reedmast/ownership/MachineTable.kt
@@ -9,7 +9,7 @@
 import io.reedmast.workers.HostRecord
 import java.util.TreeMap
 
-/** Some of a slice's machines as last seen, with the stamp of their record. */
+/** Some of a slice's machines as last seen, with the version of their record. */
 data class StoredPart(val part: HostPart, val version: Long)
 
 /** Which machines belong to which slice, as last seen in the state service or in answers to this node's changes. */
--- a/src/main/kotlin/io/reedmast/ownership/SliceRecord.kt
+++ b/src/main/kotlin/io/reedmast/ownership/SliceRecord.kt
@@ -12,7 +12,7 @@
 import io.reedmast.workers.HostRecord
 
 /**
- * Who owns a slice, and under which token. The record's stamp is the term: every write of an owner is conditional on it.
+ * Who owns a slice, and under which token. The record's version is the term: every write of an owner is conditional on it.
  *
  * Its machines are kept apart, in [HostPart]s: with them in here, the term moved with each machine that came or went and
  * put every write in flight in conflict, and a few hundred of them did not fit into one value.
@@ -34,7 +34,7 @@
     fun toFields(): Fields = mapOf(
         "kinds" to
             hosts.groupBy { Triple(it.typeName, it.zone, it.spot) }.map { (kind, of) ->
-                mapOf("build" to kind.first, "yard" to kind.second, "spot" to kind.third, "hosts" to of.map { it.name })
+                mapOf("typeName" to kind.first, "zone" to kind.second, "spot" to kind.third, "hosts" to of.map { it.name })
             },
         "leaving" to leaving,
     )
@@ -61,7 +61,7 @@
         fun parse(fields: Fields) = HostPart(
             fields.maps("kinds").flatMap { kind ->
                 kind.list("hosts").map {
-                    HostRecord(it as? String ?: throw MalformedException("hosts holds no name"), kind.text("build"), kind.text("yard"), kind.flag("spot"))
+                    HostRecord(it as? String ?: throw MalformedException("hosts holds no name"), kind.text("typeName"), kind.text("zone"), kind.flag("spot"))
                 }
             },
             fields.map("leaving").mapValues { (_, v) -> (v as? Long)?.toInt() ?: throw MalformedException("leaving names no slice") },
--- a/src/main/kotlin/io/reedmast/ownership/SliceTable.kt
+++ b/src/main/kotlin/io/reedmast/ownership/SliceTable.kt
@@ -7,7 +7,7 @@
 import io.reedmast.wire.Fields
 import io.reedmast.wire.count
 
-/** A slice record as last seen, with its stamp. */
+/** A slice record as last seen, with its version. */
 data class StoredRecord(val record: SliceRecord, val version: Long)
 
 /** The slices' records and the token counter, as last seen in the state service or in answers to this node's changes. */
@@ -19,7 +19,7 @@
 ) {
     val records = arrayOfNulls<StoredRecord>(slices)
 
-    /** The highest token given so far, and the stamp of the counter. */
+    /** The highest token given so far, and the version of the counter. */
     var token = 0L
         private set
     var tokenVersion = 0L
--- a/src/main/kotlin/io/reedmast/peers/PeerMessage.kt
+++ b/src/main/kotlin/io/reedmast/peers/PeerMessage.kt
@@ -7,7 +7,7 @@
 /** How far a job is, as its slice's owner knows it. */
 data class JobProgress(val jobId: String, val done: Int, val running: Int)
 
-/** A job that its user has cancelled and that is not over yet, with the stamp of the record that says so. */
+/** A job that its user has cancelled and that is not over yet, with the version of the record that says so. */
 data class Cancellation(val jobId: String, val version: Long)
 
 /** A message between controllers. Every one of them may be lost, delayed or repeated without harm. */
--- a/src/main/kotlin/io/reedmast/state/Change.kt
+++ b/src/main/kotlin/io/reedmast/state/Change.kt
@@ -3,7 +3,7 @@
 import io.reedmast.wire.Fields
 import java.math.BigInteger
 
-/** The condition that a key still has this stamp; 0: that it does not exist. */
+/** The condition that a key still has this version; 0: that it does not exist. */
 data class Guard(val path: String, val version: Long)
 
 sealed interface Write {
@@ -15,7 +15,7 @@
 }
 
 sealed interface Outcome {
-    /** Applied; [revision] is the new stamp of everything written. */
+    /** Applied; [revision] is the new version of everything written. */
     data class Applied(val revision: Long) : Outcome
 
     /** Not applied and never will be: these keys had moved on. */
@@ -37,7 +37,7 @@
 /**
  * Writes that are applied together or not at all.
  *
- * Every key written must be guarded by its own stamp: a transaction that got no answer may be applied minutes later,
+ * Every key written must be guarded by its own version: a transaction that got no answer may be applied minutes later,
  * and it must then find that its keys have moved on.
  */
 class Change(val guards: List<Guard>, val writes: List<Write>, val writePriority: WritePriority = WritePriority.PROMPT, val done: (Outcome) -> Unit) {
--- a/src/main/kotlin/io/reedmast/state/Committer.kt
+++ b/src/main/kotlin/io/reedmast/state/Committer.kt
@@ -164,9 +164,9 @@
         }
     }
 
-    /** After a missing answer and a failed repeat: the epoch of the first copy, 0 if it was not applied, null if unknown. */
+    /** After a missing answer and a failed repeat: the revision of the first copy, 0 if it was not applied, null if unknown. */
     private fun appliedBefore(batch: List<Change>): Long? {
-        // A put shows by its stamp when it was applied; a deletion only shows that it was.
+        // A put shows by its version when it was applied; a deletion only shows that it was.
         val writes = batch.flatMap { it.writes }
         val write = writes.firstOrNull { it is Write.Put } ?: writes.first()
         return when (val now = client.get(write.path)) {
--- a/src/main/kotlin/io/reedmast/state/StateClient.kt
+++ b/src/main/kotlin/io/reedmast/state/StateClient.kt
@@ -4,15 +4,10 @@
 import io.reedmast.settings.StateLimits
 import io.reedmast.wire.Caller
 import io.reedmast.wire.Fields
+import io.reedmast.wire.KeyedValue
 import io.reedmast.wire.MalformedException
 import io.reedmast.wire.Reply
-import io.reedmast.wire.asFields
-import io.reedmast.wire.count
-import io.reedmast.wire.flag
-import io.reedmast.wire.map
-import io.reedmast.wire.maps
-import io.reedmast.wire.optionalTexts
-import io.reedmast.wire.text
+import io.reedmast.wire.StateMessages
 import org.slf4j.LoggerFactory
 import java.net.URLEncoder
 import java.util.concurrent.TimeUnit
@@ -63,14 +58,14 @@
         if (reply !is Reply.Answer) return Fetched.Failed
         return reading(Fetched.Failed) {
             when (reply.status) {
-                200 -> Fetched.Found(Item(reply.body.text("path"), reply.body.map("v"), reply.body.count("stamp")))
+                200 -> Fetched.Found(item(StateMessages.item(reply.body)))
                 404 -> Fetched.Missing
                 else -> Fetched.Failed
             }
         }
     }
 
-    /** All keys with the prefix and the epoch of the first page, or null if they could not be read. */
+    /** All keys with the prefix and the revision of the first page, or null if they could not be read. */
     fun list(prefix: String): Pair<List<Item>, Long>? {
         val items = ArrayList<Item>()
         var revision = -1L
@@ -81,9 +76,9 @@
             if (reply.status != 200) return null
             val more =
                 reading(null) {
-                    reply.body.maps("pairs").forEach { items.add(Item(it.text("path"), it.map("v"), it.count("stamp"))) }
-                    if (revision < 0) revision = reply.body.count("epoch")
-                    reply.body.flag("more")
+                    StateMessages.page(reply.body).mapTo(items) { item(it) }
+                    if (revision < 0) revision = StateMessages.revision(reply.body)
+                    StateMessages.hasMore(reply.body)
                 } ?: return null
             if (!more) return items to revision
             after = items.lastOrNull()?.path ?: return null
@@ -91,26 +86,17 @@
     }
 
     fun commit(guards: Collection<Guard>, writes: List<Write>): CommitReply {
-        val body =
-            mapOf(
-                "when" to guards.map { mapOf("path" to it.path, "stamp" to it.version) },
-                "writes" to
-                    writes.map {
-                        when (it) {
-                            is Write.Put -> mapOf("put" to it.path, "v" to it.value) + if (it.lease == null) emptyMap() else mapOf("holding" to it.lease)
-                            is Write.Delete -> mapOf("delete" to it.path)
-                        }
-                    },
-            )
+        val conditions = guards.map { StateMessages.condition(it.path, it.version) }
+        val body = StateMessages.transaction(conditions, writes.map { encoded(it) })
         return when (val reply = ask("POST", "/commit", body)) {
             is Reply.NotSent -> CommitReply.NotExecuted
             is Reply.Unanswered -> CommitReply.Unknown
             is Reply.Answer ->
                 reading<CommitReply>(CommitReply.Unknown) {
                     when (reply.status) {
-                        200 -> CommitReply.Applied(reply.body.count("epoch"))
-                        409 -> CommitReply.Failed(reply.body.optionalTexts("failed").orEmpty().toSet())
-                        400 -> CommitReply.Bad(reply.body["error"].toString())
+                        200 -> CommitReply.Applied(StateMessages.revision(reply.body))
+                        409 -> CommitReply.Failed(StateMessages.failedKeys(reply.body))
+                        400 -> CommitReply.Bad(StateMessages.error(reply.body))
                         429 -> CommitReply.Limited
                         503 -> CommitReply.NotExecuted
                         else -> CommitReply.Unknown
@@ -121,8 +107,8 @@
 
     /** A new lease, or null. */
     fun lease(lifeMs: Long): Long? {
-        val reply = ask("POST", "/leases", mapOf("lifeMs" to lifeMs)) as? Reply.Answer ?: return null
-        return if (reply.status == 200) reading(null) { reply.body.count("holding") } else null
+        val reply = ask("POST", "/leases", StateMessages.leaseRequest(lifeMs)) as? Reply.Answer ?: return null
+        return if (reply.status == 200) reading(null) { StateMessages.lease(reply.body) } else null
     }
 
     /** True: renewed. False: the lease has ended. Null: not known. */
@@ -142,8 +128,8 @@
             when (reply.status) {
                 200 ->
                     Watched.Events(
-                        reply.body.count("epoch"),
-                        (reply.body["log"] as? List<*>).orEmpty().map { entry(asFields(it)) },
+                        StateMessages.revision(reply.body),
+                        StateMessages.changes(reply.body).map { Event(it.key, it.value, it.version) },
                     )
                 410 -> Watched.TooOld
                 else -> Watched.Failed
@@ -151,15 +137,13 @@
         }
     }
 
-    private fun entry(fields: Fields): Event {
-        val put = fields["put"]
-        return if (put != null) {
-            Event(fields.text("put"), fields.map("v"), fields.count("stamp"))
-        } else {
-            Event(fields.text("delete"), null, fields.count("stamp"))
-        }
+    private fun encoded(write: Write): Fields = when (write) {
+        is Write.Put -> StateMessages.put(write.path, write.value, write.lease)
+        is Write.Delete -> StateMessages.delete(write.path)
     }
 
+    private fun item(of: KeyedValue) = Item(of.key, of.value.orEmpty(), of.version)
+
     private fun ask(method: String, path: String, body: Fields? = null, patienceMs: Int? = null): Reply {
         if (!requests.tryAcquire(PATIENCE_MS, TimeUnit.MILLISECONDS)) return Reply.NotSent("over this node's part of the limit")
         val reply =
--- a/src/main/kotlin/io/reedmast/wire/CloudMessages.kt
+++ b/src/main/kotlin/io/reedmast/wire/CloudMessages.kt
@@ -54,3 +54,21 @@
         )
     }
 }
+
+/** The bodies that the cloud takes and gives. */
+object CloudMessages {
+    private const val NO_CAPACITY = "no capacity"
+
+    fun rental(requestName: String, typeName: String, zone: String, spot: Boolean, count: Int): Fields =
+        mapOf("charter" to requestName, "build" to typeName, "yard" to zone, "driftwood" to spot, "count" to count)
+
+    fun rentedHosts(body: Fields): List<String> = body.optionalTexts("hosts").orEmpty()
+
+    fun isOutOfCapacity(body: Fields): Boolean = body["error"] == NO_CAPACITY
+
+    fun returnOf(hosts: List<String>): Fields = mapOf("hosts" to hosts)
+
+    fun listedHosts(body: Fields): List<ListedHost> = body.maps("hosts").map { ListedHost.parse(it) }
+
+    fun hasMore(body: Fields): Boolean = body.flag("more")
+}
--- a/src/main/kotlin/io/reedmast/wire/WorkerMessages.kt
+++ b/src/main/kotlin/io/reedmast/wire/WorkerMessages.kt
@@ -77,6 +77,18 @@
     }
 }
 
+/** The bodies that workers are sent. */
+object WorkerReplies {
+    /** The answer to a report: commands under a token. */
+    fun commands(token: Long, orders: List<Order>): Fields = mapOf("baton" to token, "orders" to orders.map { it.toFields() })
+
+    /** The answer to a report that another controller should get; null: nobody knows which. */
+    fun redirect(owner: String?): Fields = mapOf("steward" to owner)
+
+    /** A direct call. */
+    fun direct(token: Long, session: Long, orders: List<Order>): Fields = commands(token, orders) + ("tenure" to session)
+}
+
 /** A command to a worker. */
 sealed interface Order {
     val id: TaskId
--- a/src/test/kotlin/io/reedmast/sim/Scenario.kt
+++ b/src/test/kotlin/io/reedmast/sim/Scenario.kt
@@ -1,7 +1,6 @@
 package io.reedmast.sim
 
 import io.reedmast.app.Controller
-import io.reedmast.jobs.UserAnswer
 import io.reedmast.ownership.Token
 import io.reedmast.settings.CloudLimits
 import io.reedmast.settings.Member
@@ -13,6 +12,7 @@
 import io.reedmast.settings.WorkerRules
 import io.reedmast.wire.MachineType
 import io.reedmast.wire.TaskId
+import io.reedmast.wire.UserAnswer
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import kotlin.random.Random
@@ -157,7 +157,7 @@
                 val asked = world.nodes.filter { it.up && (args["via"] == null || it.label == args["via"]) }
                 val said = ArrayList<String>()
                 asked.forEach { node ->
-                    node.ask(words[1], { c, answer -> c.poll(words[1], answer) }) { said.add((it.body["stage"] ?: it.status).toString()) }
+                    node.ask(words[1], { c, answer -> c.poll(words[1], answer) }) { said.add((it.job?.state?.wire ?: it.status).toString()) }
                 }
                 // Users wait two seconds for an answer.
                 val patience = world.now() + 2_000
--- a/src/test/kotlin/io/reedmast/sim/World.kt
+++ b/src/test/kotlin/io/reedmast/sim/World.kt
@@ -3,7 +3,6 @@
 import io.reedmast.app.Controller
 import io.reedmast.app.WorkerAnswer
 import io.reedmast.fleet.Rental
-import io.reedmast.jobs.UserAnswer
 import io.reedmast.peers.PeerMessage
 import io.reedmast.placement.allows
 import io.reedmast.ports.Clock
@@ -25,6 +24,7 @@
 import io.reedmast.wire.Reply
 import io.reedmast.wire.Report
 import io.reedmast.wire.TaskId
+import io.reedmast.wire.UserAnswer
 import java.net.InetSocketAddress
 import java.util.PriorityQueue
 import kotlin.random.Random
@@ -207,7 +207,7 @@
 
     fun answered(jobId: String, answer: UserAnswer, known: Boolean) {
         if (known && answer.status in setOf(400, 404, 422)) breach("forgotten $jobId: ${answer.status}")
-        val stage = answer.body["stage"] as? String ?: return
+        val stage = answer.job?.state?.wire ?: return
         val job = jobs[jobId]
         if (job == null) breach("invented $jobId")
         val before = told[jobId]
