--- a/src/test/kotlin/io/reedmast/RandomizedFaultTest.kt
+++ b/src/test/kotlin/io/reedmast/RandomizedFaultTest.kt
@@ -14,24 +14,24 @@
  */
 class RandomizedFaultTest {
     @TestFactory
-    fun storms(): List<DynamicTest> = seeds().map { seed ->
-        DynamicTest.dynamicTest("storm $seed") {
-            val day = Storm(seed).lines()
+    fun days(): List<DynamicTest> = seeds().map { seed ->
+        DynamicTest.dynamicTest("day $seed") {
+            val day = RandomDay(seed).lines()
             try {
                 Scenario(day).run()
             } catch (e: AssertionError) {
-                throw AssertionError("storm $seed: ${e.message}\n${day.joinToString("\n")}", e)
+                throw AssertionError("day $seed: ${e.message}\n${day.joinToString("\n")}", e)
             }
         }
     }
 
-    /** The days that are always played, or, to look for more, those that the variable STORMS names (as in 100-2000). */
+    /** The days that are always played, or, to look for more, those that the variable FAULT_SEEDS names (as in 100-2000). */
     private fun seeds(): LongRange {
-        val (from, to) = (System.getenv("STORMS") ?: return 1L..DAYS).split('-').map { it.toLong() }
+        val (from, to) = (System.getenv("FAULT_SEEDS") ?: return 1L..DAYS).split('-').map { it.toLong() }
         return from..to
     }
 
-    private class Storm(private val seed: Long) {
+    private class RandomDay(private val seed: Long) {
         private val random = Random(seed)
         private val events = ArrayList<Pair<Double, String>>()
 
