--- a/src/test/kotlin/io/reedmast/peers/PeerCodecTest.kt
+++ b/src/test/kotlin/io/reedmast/peers/PeerCodecTest.kt
@@ -1,6 +1,7 @@
 package io.reedmast.peers
 
 import io.reedmast.settings.NodeIndex
+import io.reedmast.settings.SliceIndex
 import okio.Buffer
 import okio.IOException
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -16,11 +17,12 @@
     }
 
     @Test
-    fun `queries and reports come through`() {
+    fun `messages of every type come through`() {
         val query = PeerMessage.StatusQuery(NodeIndex(2), "n2-abc-1", 7)
         val full = (0 until PeerMessage.MAX_CANCELLATIONS).map { Cancellation("wk-%018d".format(it), Long.MAX_VALUE - it) }
         val reports = listOf(full, emptyList(), null).map { PeerMessage.StatusReport(NodeIndex(0), "n2-abc-1", 7, 123_456, 0, it) }
-        for (message in reports + reports[1].copy(stateAgeMs = null) + query) assertEquals(message, through(message))
+        val others = listOf(query, PeerMessage.TakeoverRequest(SliceIndex(1), Long.MAX_VALUE))
+        for (message in reports + reports[1].copy(stateAgeMs = null) + others) assertEquals(message, through(message))
     }
 
     @Test
