--- a/src/main/kotlin/io/reedmast/ownership/Freshness.kt
+++ b/src/main/kotlin/io/reedmast/ownership/Freshness.kt
@@ -91,9 +91,6 @@
         const val FRESH_MS = 6_000L
         const val WAIT_MS = 1_500L
         const val MAX_WAITERS = 1_000
-
-        /** Twice the protocol's bound on the drift between two machines' clocks. */
-        const val CLOCK_DRIFT = 0.001
         const val FENCE_SLACK_S = 2.0
         const val LEAST_FENCE_S = 1.0
     }
--- a/src/main/kotlin/io/reedmast/ownership/PeerStatuses.kt
+++ b/src/main/kotlin/io/reedmast/ownership/PeerStatuses.kt
@@ -74,8 +74,5 @@
 
         /** The watches of a controller in touch complete an answer every one and a half seconds. */
         const val OUT_OF_TOUCH_MS = 4_500L
-
-        /** Twice the protocol's bound on the drift between two machines' clocks. */
-        const val CLOCK_DRIFT = 0.001
     }
 }
--- a/src/test/kotlin/io/reedmast/CountedWorkTest.kt
+++ b/src/test/kotlin/io/reedmast/CountedWorkTest.kt
@@ -56,9 +56,9 @@
             world.runUntil(20_000 + i * 100L)
             val service = i % 4 != 0
             val args = mapOf(
-                "crew" to "t${i % 6}",
-                "pieces" to if (service) "2" else "60",
-                "shape" to if (service) "service" else "array",
+                "team" to "t${i % 6}",
+                "tasks" to if (service) "2" else "60",
+                "kind" to if (service) "service" else "array",
                 "run" to "8",
                 "spot" to "true",
             )
@@ -102,7 +102,7 @@
         val messages = world.messages
         for (i in 0 until 100) {
             val jobId = "wk-%06d".format(i)
-            val spec = World.spec(jobId, mapOf("crew" to "t${i % 6}", "pieces" to "100", "cpus" to "2", "run" to "5", "spot" to "true"))
+            val spec = World.spec(jobId, mapOf("team" to "t${i % 6}", "tasks" to "100", "cpus" to "2", "run" to "5", "spot" to "true"))
             world.jobs[jobId] = World.SimJob(spec, 5_000, false)
             world.nodes[i % nodes].ask(jobId, { c, answer -> c.submit(spec, answer) })
         }
@@ -132,7 +132,7 @@
         world.runUntil(8_000)
         for (i in 0 until 100) {
             val jobId = "wk-%06d".format(i)
-            val spec = World.spec(jobId, mapOf("crew" to "t0", "pieces" to "1", "shape" to "service"))
+            val spec = World.spec(jobId, mapOf("team" to "t0", "tasks" to "1", "kind" to "service"))
             world.jobs[jobId] = World.SimJob(spec, 0, false)
             world.nodes[0].ask(jobId, { c, answer -> c.submit(spec, answer) })
         }
--- a/src/test/kotlin/io/reedmast/RandomizedFaultTest.kt
+++ b/src/test/kotlin/io/reedmast/RandomizedFaultTest.kt
@@ -51,7 +51,7 @@
             at(LAST + 60, "expect answered")
             at(LAST + 220, "expect settled")
             at(LAST + 221, "expect answered")
-            val head = listOf("seed $seed", "capacity ${MACHINES + random.nextInt(1, 6)}", "team a 8 12", "team b 8 12", "team c 0 0", "flavor m 4 5") +
+            val head = listOf("seed $seed", "capacity ${MACHINES + random.nextInt(1, 6)}", "team a 8 12", "team b 8 12", "team c 0 0", "machine-type m 4 5") +
                 (0 until MACHINES).map { "machine m ${if (it % 2 == 0) "x" else "y"}${if (it % 4 == 3) " spot" else ""}" }
             return head + events.sortedBy { it.first }.map { "at ${it.first} ${it.second}" }
         }
@@ -60,12 +60,12 @@
             for (i in 1..JOBS) {
                 val service = random.nextInt(3) == 0
                 val taskCount = random.nextInt(1, 5)
-                val zones = listOf("", "", "", " oneZone=true", " apart=true", " yard=x").random(random)
+                val zones = listOf("", "", "", " oneZone=true", " spread=true", " zone=x").random(random)
                 val priority = if (service) "urgent" else listOf("standard", "best_effort", "urgent").random(random)
-                val shape = if (service) "shape=service" else "run=${random.nextInt(2, 40)}"
+                val shape = if (service) "kind=service" else "run=${random.nextInt(2, 40)}"
                 val spot = if (!service && random.nextBoolean()) " spot=true" else ""
                 val from = time(2.0, LAST - 20.0)
-                at(from, "submit wk-$i crew=${listOf("a", "b", "c").random(random)} pieces=$taskCount $shape rank=$priority$zones$spot insist=true")
+                at(from, "submit wk-$i team=${listOf("a", "b", "c").random(random)} tasks=$taskCount $shape priority=$priority$zones$spot insist=true")
                 when (random.nextInt(6)) {
                     0 -> at(time(from + 1.0, LAST), "abort wk-$i insist=true")
                     1 -> if (!service) at(from, "meet-end wk-$i")
--- a/src/test/kotlin/io/reedmast/sim/Scenario.kt
+++ b/src/test/kotlin/io/reedmast/sim/Scenario.kt
@@ -19,7 +19,7 @@
 
 /**
  * Plays a day in the stand-in world. A line is `at SECONDS VERB ARGUMENTS`, in order of time; before them
- * `nodes N`, `value-kb N`, `team NAME CPUS MAX`, `flavor NAME CPUS STARTUP_S`, `machine FLAVOR ZONE [spot]`, `capacity N`,
+ * `nodes N`, `value-kb N`, `team NAME CPUS MAX`, `machine-type NAME CPUS BOOT_S`, `machine TYPE ZONE [spot]`, `capacity N`,
  * `seed N`. The rules of the protocol, with those that its users added, are checked throughout; `expect` lines say what else
  * must hold.
  */
@@ -28,7 +28,9 @@
     private val teams = given("team").map { TeamShare(it[1], it[2].toDouble(), it[3].toDouble(), 0.0, 0.0) }
     private val nodes = given("nodes").firstOrNull()?.get(1)?.toInt() ?: 3
     private val valueBytes = ((given("value-kb").firstOrNull()?.get(1)?.toDouble() ?: 8.0) * 1024).toInt()
-    private val machineTypes = given("flavor").map { MachineType(it[1], it[2].toDouble(), 0.0, 64.0, 50.0, 0.5, 1.0, 0.3, it[3].toDouble(), listOf("x", "y")) }
+    private val machineTypes = given("machine-type").map {
+        MachineType(it[1], it[2].toDouble(), 0.0, 64.0, 50.0, 0.5, 1.0, 0.3, it[3].toDouble(), listOf("x", "y"))
+    }
     val world = World(::settings, nodes, machineTypes)
 
     /** Where tasks of a job were, and under which attempts, when a line asked for it. */
