--- a/src/main/kotlin/io/reedmast/app/Node.kt
+++ b/src/main/kotlin/io/reedmast/app/Node.kt
@@ -153,9 +153,13 @@
         noteWaiting()
     }
 
-    /** No rule depends on the arrival of a peer's message: it is dropped while there is too much to do. */
+    /**
+     * No rule depends on the arrival of a peer's message. News for display wait behind the questions of users; what controllers
+     * confirm to each other must not, or many questions would end all work in an outage.
+     */
     fun peerSent(message: PeerMessage) {
-        eventLoop.offer(Urgency.SUBMISSION) { controller.peerSent(message) }
+        val urgency = if (message is PeerMessage.SliceNews) Urgency.SUBMISSION else Urgency.DECISION
+        eventLoop.offer(urgency) { controller.peerSent(message) }
     }
 
     fun snapshot(items: List<Item>, askedAt: Long) = eventLoop.post { controller.cluster.snapshot(items, askedAt) }
--- a/src/main/kotlin/io/reedmast/peers/PeerClient.kt
+++ b/src/main/kotlin/io/reedmast/peers/PeerClient.kt
@@ -5,33 +5,59 @@
 import okio.sink
 import java.net.InetSocketAddress
 import java.net.Socket
+import java.util.concurrent.TimeUnit
 
-/** A connection to one other controller, opened when first needed and again after it broke. */
+/**
+ * Sends messages to one other controller.
+ *
+ * News share a connection, which is opened anew now and then. All other messages get one of their own: a controller that lost its
+ * power and came back leaves the old connection open here, and what is written to it is lost without an error.
+ */
 class PeerClient(private val address: InetSocketAddress) {
-    private class Open(val socket: Socket) {
-        val sink = socket.sink().buffer()
+    private class Connection(val socket: Socket) {
+        val openedAt: Long = System.nanoTime()
+        val sink = socket.sink().apply { timeout().timeout(WRITE_MS, TimeUnit.MILLISECONDS) }.buffer()
+        val isOld: Boolean get() = System.nanoTime() - openedAt > TimeUnit.MILLISECONDS.toNanos(REOPEN_MS)
     }
 
-    private var open: Open? = null
+    private var shared: Connection? = null
 
     /** Sends [message]; false if the other controller cannot be reached now. */
     @Synchronized
     fun send(message: PeerMessage): Boolean = try {
-        val link = open ?: connect().also { open = it }
-        PeerCodec.write(link.sink, message)
+        if (message is PeerMessage.SliceNews) sendShared(message) else sendAlone(message)
         true
     } catch (e: IOException) {
-        open?.socket?.close()
-        open = null
         false
     }
 
-    private fun connect(): Open {
+    private fun sendShared(message: PeerMessage) {
+        if (shared?.isOld == true) closeShared()
+        val connection = shared ?: connect().also { shared = it }
+        try {
+            PeerCodec.write(connection.sink, message)
+        } catch (e: IOException) {
+            closeShared()
+            throw e
+        }
+    }
+
+    private fun sendAlone(message: PeerMessage) {
+        val connection = connect()
+        connection.socket.use { PeerCodec.write(connection.sink, message) }
+    }
+
+    private fun closeShared() {
+        shared?.socket?.close()
+        shared = null
+    }
+
+    private fun connect(): Connection {
         val socket = Socket()
         try {
             socket.connect(address, CONNECT_MS)
             socket.tcpNoDelay = true
-            return Open(socket)
+            return Connection(socket)
         } catch (e: IOException) {
             socket.close()
             throw e
@@ -40,5 +66,7 @@
 
     private companion object {
         const val CONNECT_MS = 300
+        const val WRITE_MS = 1_000L
+        const val REOPEN_MS = 15_000L
     }
 }
