--- a/src/test/kotlin/io/reedmast/LargeFaultTest.kt
+++ b/src/test/kotlin/io/reedmast/LargeFaultTest.kt
@@ -1,9 +1,9 @@
 package io.reedmast
 
+import io.reedmast.sim.LargeDay
 import io.reedmast.sim.Scenario
 import org.junit.jupiter.api.DynamicTest
 import org.junit.jupiter.api.TestFactory
-import kotlin.random.Random
 
 /**
  * Days by chance at production size: hundreds of machines and jobs, the state service's true limits, records that fill many
@@ -43,167 +43,10 @@
         return from..to
     }
 
-    private class LargeDay(
-        private val seed: Long,
-        private val upgrade: Boolean = false,
-        private val rollout: Boolean = false,
-        machines: Int? = null,
-        jobs: Int? = null,
-    ) {
-        private val random = Random(seed)
-        private val machines = machines ?: if (seed % LARGEST_EACH == 0L) LARGEST else random.nextInt(150, 500)
-        private val jobs = jobs ?: if (seed % LARGEST_EACH == 0L) 900 else random.nextInt(200, 400)
-        private val events = ArrayList<Pair<Double, String>>()
-        private val troubles = ArrayList<Pair<Double, String>>()
-
-        private fun time(from: Double, to: Double) = Math.round(random.nextDouble(from, to) * 100) / 100.0
-
-        private fun node() = "n${random.nextInt(NODES)}"
-
-        private fun machine() = "host-%06d".format(random.nextInt(machines))
-
-        fun troubles(): List<String> = troubles.sortedBy { it.first }.map { "at ${it.first} ${it.second}" }
-
-        fun lines(): List<String> {
-            repeat(jobs) { job(it) }
-            repeat(random.nextInt(5, 12)) { trouble(time(12.0, LAST - 25.0)) }
-            if (upgrade) addUpgrade(Random(-seed))
-            if (rollout) addRollout(Random(seed xor ROLLOUT_SEED))
-            val ends = listOf(
-                2.0 to "poll-all 5",
-                LAST to "calm",
-                LAST + 60 to "expect answered",
-                LAST + 60 to "expect leader",
-                LAST + 200 to "expect settled",
-                LAST + 201 to "expect answered",
-            )
-            val zone = machines / 2
-            val head = listOf(
-                "seed $seed",
-                "capacity ${machines + machines / 4}",
-                "value-kb 8",
-                "limits 60 40 400",
-                "machine-type m 8 5",
-                "machines $zone m x",
-                "machines ${machines - zone - zone / 2} m y",
-                "machines ${zone / 2} m y spot",
-            ) + (if (upgrade) listOf("next-limits 2 5", "old n0 n1 n2") else emptyList()) + (0 until TEAMS).map { "team t$it ${machines / 2} ${machines * 2}" }
-            return head + (events + troubles + ends).sortedBy { it.first }.map { "at ${it.first} ${it.second}" }
-        }
-
-        private fun job(index: Int) {
-            val service = random.nextInt(3) == 0
-            val taskCount = if (service) random.nextInt(1, 5) else listOf(1, 1, 1, random.nextInt(2, 40), random.nextInt(40, 150)).random(random)
-            val shape = if (service) "kind=service priority=urgent" else "run=${random.nextInt(2, 25)} spot=${random.nextBoolean()}"
-            val zones = listOf("", "", "", "", " zone=x", " oneZone=true").random(random)
-            // Half of all jobs come in bursts, as users do once a trouble is over.
-            val from = if (random.nextBoolean()) time(3.0, LAST - 15.0) else random.nextInt(1, 6) * 15.0 + time(0.0, 0.3)
-            val team = "t${random.nextInt(TEAMS)}"
-            events.add(from to "submit wk-$index team=$team tasks=$taskCount $shape$zones insist=true")
-            when (random.nextInt(6)) {
-                0 -> events.add(time(from + 0.5, LAST) to "abort-everywhere wk-$index")
-                1 -> events.add(time(from + 0.05, from + 4.0) to "abort-everywhere wk-$index")
-                2 -> if (!service && taskCount < 20) events.add(from to "meet-end wk-$index")
-            }
-        }
-
-        private fun addUpgrade(chance: Random) {
-            var turn = chance.nextDouble(10.0, 25.0)
-            for (node in (0 until NODES).shuffled(chance)) {
-                at(turn, "upgrade n$node")
-                at(turn + chance.nextDouble(0.5, 5.0), "start n$node")
-                turn += chance.nextDouble(1.0, 12.0)
-            }
-            at(turn + chance.nextDouble(0.0, 20.0), "lower-limits")
-            for (i in 1..jobs / GANGS_PART) {
-                val from = Math.round(chance.nextDouble(turn, LAST - 15.0) * 100) / 100.0
-                val zones = if (chance.nextBoolean()) " oneZone=true" else ""
-                val team = "t${chance.nextInt(TEAMS)}"
-                events.add(
-                    from to "submit wk-${1_000_000 + i} kind=gang team=$team tasks=${chance.nextInt(2, 40)} run=${chance.nextInt(2, 25)}$zones insist=true",
-                )
-            }
-        }
-
-        private fun addRollout(chance: Random) {
-            val features = listOf("fenced-tokens", "dense-pages")
-            for (feature in features) at(Math.round(chance.nextDouble(20.0, 45.0) * 10) / 10.0, "operator enable $feature perhaps")
-            at(Math.round(chance.nextDouble(50.0, LAST) * 10) / 10.0, "operator revert dense-pages perhaps")
-            for (feature in features) {
-                at(LAST + 5, "operator enable $feature")
-                at(LAST + 199, "expect gate $feature enabled")
-            }
-        }
-
-        private fun at(seconds: Double, what: String) = troubles.add(seconds to what)
-
-        private fun switch(what: String, from: Double, until: Double, off: String = "off") {
-            at(from, "$what on")
-            at(until, "$what $off")
-        }
-
-        private fun trouble(from: Double) {
-            val long = time(from + 5.0, LAST)
-            val short = time(from + 1.0, minOf(from + 20.0, LAST))
-            val node = node()
-            when (random.nextInt(17)) {
-                0, 1 -> {
-                    at(from, "late-writes ${listOf(0.1, 0.2, 0.3).random(random)}")
-                    at(long, "late-writes 0")
-                }
-
-                2, 3 -> {
-                    at(from, "lost-answers ${listOf(0.1, 0.2, 0.3).random(random)}")
-                    at(long, "lost-answers 0")
-                }
-
-                4, 5 -> {
-                    at(from, "slow-state ${random.nextInt(5, 40)}")
-                    at(long, "slow-state 1")
-                }
-
-                6 -> at(from, "outage ${short - from}")
-                7 -> at(from, "outage ${time(20.0, 60.0)}")
-                8, 9 -> {
-                    at(from, "crash $node")
-                    at(time(from + 0.1, from + 1.0), "start $node")
-                }
-
-                10 -> {
-                    at(from, "crash n0 n1 n2")
-                    for (i in 0 until NODES) at(time(from + 0.2, short), "start n$i")
-                }
-
-                11 -> switch("cut-state $node", from, long)
-                12 -> switch("cut-workers $node", from, long)
-                13 -> at(from, "stand-still $node ${short - from}")
-                14 -> repeat(random.nextInt(3, 30)) { at(from, "hang ${machine()} ${short - from}") }
-                15 -> repeat(random.nextInt(3, 30)) {
-                    val machine = machine()
-                    at(from, "copies $machine ${random.nextInt(2, 40)}")
-                    at(long, "copies $machine 0")
-                }
-
-                16 -> {
-                    at(from, "repeat-direct ${random.nextInt(2, 30)}")
-                    at(long, "repeat-direct 0")
-                    repeat(random.nextInt(1, 10)) { at(from, "kill-machine ${machine()}") }
-                }
-            }
-        }
-    }
-
     private companion object {
         const val DAYS = 8L
         const val UPGRADE_DAYS = 4L
         const val ROLLOUT_DAYS = 3L
-        const val ROLLOUT_SEED = 0x6a7eL
-        const val GANGS_PART = 10
-        const val NODES = 3
-        const val TEAMS = 6
-        const val LAST = 110.0
-        const val LARGEST = 1_500
-        const val LARGEST_EACH = 8L
         const val MOST_SHOWN = 4_000
     }
 }
--- /dev/null
+++ b/src/test/kotlin/io/reedmast/sim/OutputRecorder.kt
@@ -0,0 +1,49 @@
+package io.reedmast.sim
+
+import io.reedmast.peers.PeerCodec
+import io.reedmast.peers.PeerMessage
+import io.reedmast.wire.Fields
+import io.reedmast.wire.Tree
+import okio.Buffer
+import java.security.MessageDigest
+
+/**
+ * A digest over everything that leaves the controllers of a [World], in order and with simulated times: answers to users and workers,
+ * commands, store transactions and reads, cloud calls and messages to peers. Log lines are no part of it.
+ *
+ * Everything is recorded in its encoded form, so that renamed classes and fields leave the digest as it is.
+ */
+class OutputRecorder(
+    /** Receives one line for each message, to find where two digests part; null if nobody asks. */
+    private val transcript: Appendable? = null,
+) {
+    private val digest = MessageDigest.getInstance("SHA-256")
+
+    /** How many messages were recorded. */
+    var count = 0
+        private set
+
+    /** The digest of all that was recorded, in hexadecimal; nothing may be recorded after it. */
+    fun result(): String = digest.digest().take(DIGEST_BYTES).joinToString("") { "%02x".format(it) }
+
+    fun record(atMs: Long, node: String, kind: String, body: Fields) = record(atMs, node, kind, Tree.writeJson(body))
+
+    fun record(atMs: Long, node: String, message: PeerMessage) {
+        val frames = Buffer().also { PeerCodec.write(it, message) }
+        record(atMs, node, "peer", frames.readByteArray())
+    }
+
+    private fun record(atMs: Long, node: String, kind: String, body: ByteArray) {
+        count++
+        val header = "$atMs $node $kind "
+        digest.update(header.toByteArray())
+        digest.update(body)
+        digest.update(END_OF_MESSAGE)
+        transcript?.append(header)?.append(String(body, Charsets.ISO_8859_1))?.append('\n')
+    }
+
+    private companion object {
+        const val DIGEST_BYTES = 16
+        const val END_OF_MESSAGE: Byte = 10
+    }
+}
--- /dev/null
+++ b/src/test/kotlin/io/reedmast/sim/RandomDay.kt
@@ -0,0 +1,249 @@
+package io.reedmast.sim
+
+import kotlin.random.Random
+
+/**
+ * A day of a few machines on which troubles meet as chance has it, made from its seed.
+ *
+ * @property gangs whether gangs come beside the other jobs
+ * @property upgrade whether controllers are upgraded one after the other
+ * @property rollout whether features are rolled out and taken back
+ */
+class RandomDay(private val seed: Long, private val gangs: Boolean = false, private val upgrade: Boolean = false, private val rollout: Boolean = false) {
+    private val random = Random(seed)
+    private val events = ArrayList<Pair<Double, String>>()
+
+    private fun at(seconds: Double, what: String) = events.add(seconds to what)
+
+    private fun time(from: Double, to: Double) = Math.round(random.nextDouble(from, to) * 10) / 10.0
+
+    private fun node() = "n${random.nextInt(NODES)}"
+
+    private fun machine() = "host-%06d".format(random.nextInt(MACHINES + 4))
+
+    fun lines(): List<String> {
+        jobs()
+        repeat(random.nextInt(3, 9)) { trouble(time(12.0, LAST - 30.0)) }
+        outageBesideTroubleOfPeers()
+        val allNewAt = if (upgrade) addUpgrade(Random(seed xor UPGRADE_SEED)) else 0.0
+        if (gangs) addGangs(Random(-seed), allNewAt)
+        if (rollout) addRollout(Random(seed xor ROLLOUT_SEED))
+        at(LAST, "calm")
+        at(LAST + 60, "expect answered")
+        at(LAST + 220, "expect settled")
+        at(LAST + 221, "expect answered")
+        val head =
+            listOf(
+                "seed $seed",
+                "capacity ${MACHINES + random.nextInt(1, 6) + if (gangs) ROOM_FOR_GANGS else 0}",
+                "team a 8 12",
+                "team b 8 12",
+                "team c 0 0",
+                "machine-type m 4 5",
+            ) +
+                (0 until MACHINES).map { "machine m ${if (it % 2 == 0) "x" else "y"}${if (it % 4 == 3) " spot" else ""}" }
+        return head + (if (upgrade) listOf("value-kb 8", "next-limits 1 5", "old n0 n1 n2") else emptyList()) +
+            (if (rollout) listOf("versions n0=${seed % 4} n1=${seed / 4 % 4} n2=${seed / 16 % 4}") else emptyList()) +
+            events.sortedBy { it.first }.map { "at ${it.first} ${it.second}" }
+    }
+
+    private fun jobs() {
+        for (i in 1..JOBS) {
+            val service = random.nextInt(3) == 0
+            val taskCount = random.nextInt(1, 5)
+            val zones = listOf("", "", "", " oneZone=true", " spread=true", " zone=x").random(random)
+            val priority = if (service) "urgent" else listOf("standard", "best_effort", "urgent").random(random)
+            val shape = if (service) "kind=service" else "run=${random.nextInt(2, 40)}"
+            val spot = if (!service && random.nextBoolean()) " spot=true" else ""
+            val from = time(2.0, LAST - 20.0)
+            at(from, "submit wk-$i team=${listOf("a", "b", "c").random(random)} tasks=$taskCount $shape priority=$priority$zones$spot insist=true")
+            when (random.nextInt(6)) {
+                0 -> at(time(from + 1.0, LAST), "abort wk-$i insist=true")
+                1 -> if (!service) at(from, "meet-end wk-$i")
+            }
+            repeat(3) { at(time(from, LAST), "ask wk-$i via=${node()}") }
+        }
+    }
+
+    /** Returns when all controllers are new. Arrays whose progress is stored in large parts are there before. */
+    private fun addUpgrade(chance: Random): Double {
+        for (i in 1..ARRAYS) {
+            val from = Math.round(chance.nextDouble(2.0, LAST - 40.0) * 10) / 10.0
+            val jobId = "wk-${200 + i}"
+            val team = listOf("a", "b", "c").random(chance)
+            at(from, "submit $jobId team=$team tasks=${chance.nextInt(15, 40)} run=${chance.nextInt(1, 5)} spot=${chance.nextBoolean()} insist=true")
+            if (chance.nextInt(5) == 0) at(from + chance.nextInt(1, 30), "abort $jobId insist=true")
+        }
+        var turn = chance.nextDouble(8.0, 30.0)
+        for (node in (0 until NODES).shuffled(chance)) {
+            at(turn, "upgrade n$node")
+            at(turn + chance.nextDouble(0.2, 6.0), "start n$node")
+            turn += chance.nextDouble(0.1, 15.0)
+        }
+        at(turn + chance.nextDouble(0.0, if (chance.nextBoolean()) 3.0 else 25.0), "lower-limits")
+        return turn
+    }
+
+    /**
+     * Controllers change their versions in any order, also back at the wrong moment; a process that does not fit ends by itself. In the
+     * end all are new, and the gates come to what was wished last.
+     */
+    private fun addRollout(chance: Random) {
+        fun moment(from: Double, to: Double) = Math.round(chance.nextDouble(from, to) * 10) / 10.0
+        val features = listOf("fenced-tokens", "dense-pages")
+        repeat(chance.nextInt(2, 7)) {
+            val wish = listOf("enable", "enable", "revert").random(chance)
+            at(moment(5.0, LAST), "operator $wish ${features.random(chance)} by=${it % 2} perhaps")
+        }
+        repeat(chance.nextInt(1, 6)) {
+            val node = "n${chance.nextInt(NODES)}"
+            val from = moment(8.0, LAST - 10.0)
+            at(from, "version $node ${chance.nextInt(0, 4)}")
+            at(moment(from + 0.1, from + if (chance.nextBoolean()) 0.6 else 20.0), "start $node")
+        }
+        if (chance.nextBoolean()) at(moment(20.0, LAST), "operator exclude n${chance.nextInt(NODES)} perhaps")
+        if (chance.nextBoolean()) at(moment(10.0, LAST), "operator drain n${chance.nextInt(NODES)} perhaps")
+        for (i in 0 until NODES) {
+            at(LAST - 0.2, "version n$i 3")
+            at(LAST - 0.1 + i * 0.1, "start n$i")
+        }
+        val enabled = chance.nextBoolean()
+        for (feature in if (enabled) features else features.reversed()) {
+            // A dependency is taken back only after what depends on it.
+            val wishes = if (enabled || feature == "dense-pages") listOf(LAST + 3.0) else listOf(LAST + 60.0)
+            wishes.forEach { at(it, "operator ${if (enabled) "enable" else "revert"} $feature perhaps") }
+            at(LAST + 215, "expect gate $feature ${if (enabled) "enabled" else "taken-back"}")
+        }
+        at(LAST + 216, "expect form token ${if (enabled) "fenced" else "open"}")
+    }
+
+    /** Gangs among the other jobs of the day, which are the same without them. */
+    private fun addGangs(chance: Random, notBefore: Double) {
+        for (i in 1..GANGS) {
+            val jobId = "wk-${100 + i}"
+            val taskCount = chance.nextInt(2, 9)
+            val zones = listOf("", " oneZone=true", " oneZone=true", " spread=true", " zone=y").random(chance)
+            val priority = listOf("standard", "best_effort", "urgent").random(chance)
+            val saves = if (chance.nextBoolean()) " checkpoint=${chance.nextInt(2, 20)}" else ""
+            val from = Math.round(chance.nextDouble(maxOf(2.0, notBefore), LAST - 20.0) * 10) / 10.0
+            val team = listOf("a", "b", "c").random(chance)
+            val image = if (chance.nextBoolean()) " imageGb=${chance.nextInt(1, 6)}" else ""
+            at(from, "submit $jobId kind=gang team=$team tasks=$taskCount run=${chance.nextInt(2, 40)} priority=$priority$zones$saves$image insist=true")
+            when (chance.nextInt(6)) {
+                0 -> at(from + chance.nextInt(1, 30), "abort $jobId insist=true")
+                1 -> at(from, "meet-end $jobId")
+            }
+        }
+    }
+
+    /** On some days an outage meets controllers that do not reach each other, or one that ends within it. */
+    private fun outageBesideTroubleOfPeers() {
+        val kind = random.nextInt(6)
+        if (kind > 2) return
+        val from = time(15.0, 50.0)
+        val node = node()
+        at(from, "outage ${time(10.0, 60.0)}")
+        val then = time(from - 3.0, from + 8.0)
+        when (kind) {
+            0 -> {
+                at(then, "cut-peers $node on")
+                at(time(then + 1.0, LAST), "cut-peers $node off")
+            }
+
+            1 -> {
+                at(then, "crash $node")
+                at(time(then + 0.1, then + 1.0), "start $node")
+            }
+
+            else -> {
+                at(time(from - 8.0, from), "cut-state $node on")
+                at(time(from + 1.0, LAST), "cut-state $node off")
+            }
+        }
+    }
+
+    private fun trouble(from: Double) {
+        val long = time(from + 1.0, LAST)
+        val short = time(from + 1.0, minOf(from + 20.0, LAST))
+        fun switch(what: String, until: Double) {
+            at(from, "$what on")
+            at(until, "$what off")
+        }
+        val node = node()
+        val machine = machine()
+        when (random.nextInt(24)) {
+            0 -> at(from, "outage ${short - from}")
+            1 -> at(from, "outage ${long - from}")
+            2 -> switch("cut-state $node", long)
+            3 -> {
+                switch("cut-state $node", long)
+                switch("cut-peers $node", long)
+            }
+            4 -> switch("cut-workers $node", long)
+            5 -> {
+                at(from, "crash $node")
+                at(time(from + 0.1, from + 1.0), "start $node")
+            }
+            6 -> {
+                at(from, "crash $node")
+                at(long, "start $node")
+            }
+            7 -> {
+                at(from, "crash n0 n1 n2")
+                for (i in 0 until NODES) at(time(from + 0.2, short), "start n$i")
+            }
+            8 -> at(from, "stand-still $node ${short - from}")
+            9 -> at(from, "hang $machine ${short - from}")
+            10 -> switch("cut-machine $machine", long)
+            11 -> switch("deafen $machine", long)
+            12 -> switch("mute $machine", long)
+            13 -> {
+                at(from, "late-writes 0.2")
+                at(long, "late-writes 0")
+            }
+            14 -> {
+                at(from, "copies $machine ${random.nextInt(2, 40)}")
+                at(long, "copies $machine 0")
+            }
+            15 -> {
+                at(from, "repeat-direct ${random.nextInt(2, 30)}")
+                at(long, "repeat-direct 0")
+            }
+            17 -> at(from, "late-direct ${random.nextInt(2, 40)}")
+
+            18 -> {
+                at(from, "lag-jobs $node ${random.nextInt(2, 60)}")
+                at(long, "lag-jobs $node 0")
+            }
+
+            19 -> {
+                at(from, "slow-state ${random.nextInt(5, 40)}")
+                at(long, "slow-state 1")
+            }
+
+            20 -> at(from, "kill-machine $machine")
+
+            21 -> switch("sicken $machine", long)
+
+            22 -> switch("cloud-out", long)
+
+            23 -> switch("lose-answers $machine", long)
+
+            16 -> switch("darken ${if (random.nextBoolean()) "x" else "y"}", long)
+        }
+    }
+
+    private companion object {
+        const val NODES = 3
+        const val MACHINES = 6
+        const val JOBS = 12
+        const val GANGS = 6
+        const val ARRAYS = 5
+        const val UPGRADE_SEED = 0x5eedL
+        const val ROLLOUT_SEED = 0x6a7eL
+
+        /** Gangs start whole or not at all: enough machines that the largest ones fit beside all services. */
+        const val ROOM_FOR_GANGS = 6
+        const val LAST = 110.0
+    }
+}
--- a/src/test/kotlin/io/reedmast/sim/SimGateway.kt
+++ b/src/test/kotlin/io/reedmast/sim/SimGateway.kt
@@ -19,10 +19,14 @@
 import io.reedmast.state.TransactionIds
 import io.reedmast.state.Write
 import io.reedmast.state.WriteBudget
+import io.reedmast.wire.CloudMessages
+import io.reedmast.wire.Fields
 import io.reedmast.wire.ListedHost
 import io.reedmast.wire.MachineType
 import io.reedmast.wire.Order
 import io.reedmast.wire.Reply
+import io.reedmast.wire.StateMessages
+import io.reedmast.wire.WorkerReplies
 import kotlin.random.Random
 
 /** All I/O of one process of a [SimNode], its life number [life]: what it gets back depends on the world's troubles. */
@@ -42,6 +46,10 @@
 
     private val reachable: Boolean get() = node.hearsState && node.life == life
 
+    private fun record(kind: String, body: Fields) {
+        world.recorder?.record(world.now(), node.label, kind, body)
+    }
+
     private fun <T> reply(ms: Long, done: (T) -> Unit, make: () -> T) = world.after(ms) {
         // What was answered while the process stood still is as old as the answer.
         if (node.life == life) make().let { made -> node.later(0) { if (node.life == life) done(made) } }
@@ -117,7 +125,19 @@
         }
     }
 
+    private fun record(transaction: Transaction) {
+        val conditions = transaction.guards.map { StateMessages.condition(it.path, it.version) }
+        val writes = transaction.writes.map {
+            when (it) {
+                is Write.Put -> StateMessages.put(it.path, it.value, it.lease, transaction.id)
+                is Write.Delete -> StateMessages.delete(it.path)
+            }
+        }
+        record("commit", StateMessages.transaction(conditions, writes))
+    }
+
     private fun send(transaction: Transaction, done: (CommitReply) -> Unit) {
+        record(transaction)
         val late = node.lateCommitMs
         if (late > 0L && transaction.writes.any { node.lateCommitOf in it.path }) {
             node.lateCommitMs = 0L
@@ -158,22 +178,29 @@
         }
     }
 
-    override fun get(path: String, done: (Fetched) -> Unit) = reply(GET_MS * slow, done) {
-        if (!reachable) Fetched.Failed else state.get(path)?.let { Fetched.Found(node.visible(it)) } ?: Fetched.Missing
+    override fun get(path: String, done: (Fetched) -> Unit) {
+        record("get $path", emptyMap())
+        reply(GET_MS * slow, done) {
+            if (!reachable) Fetched.Failed else state.get(path)?.let { Fetched.Found(node.visible(it)) } ?: Fetched.Missing
+        }
     }
 
-    override fun list(prefix: String, done: (List<Item>?) -> Unit) = reply(LIST_MS * slow, { _: Unit ->
-        node.list(life, prefix) { items, _ -> done(items) }
-    }) {}
+    override fun list(prefix: String, done: (List<Item>?) -> Unit) {
+        record("list $prefix", emptyMap())
+        reply(LIST_MS * slow, { _: Unit -> node.list(life, prefix) { items, _ -> done(items) } }) {}
+    }
 
     override fun writeFullness(): Double = budget.fullness()
 
-    override fun extendLease(lease: Long?, lifeMs: Long, done: (LeaseState) -> Unit) = reply(GET_MS, done) {
-        when {
-            !reachable -> LeaseState.Unknown
-            lease == null -> LeaseState.StoredRecord(state.lease(lifeMs), true)
-            state.extend(lease, lifeMs) -> LeaseState.StoredRecord(lease, false)
-            else -> LeaseState.Lost
+    override fun extendLease(lease: Long?, lifeMs: Long, done: (LeaseState) -> Unit) {
+        record("lease $lease", StateMessages.leaseRequest(lifeMs))
+        reply(GET_MS, done) {
+            when {
+                !reachable -> LeaseState.Unknown
+                lease == null -> LeaseState.StoredRecord(state.lease(lifeMs), true)
+                state.extend(lease, lifeMs) -> LeaseState.StoredRecord(lease, false)
+                else -> LeaseState.Lost
+            }
         }
     }
 
@@ -187,11 +214,13 @@
 
     override fun sendToPeer(peer: NodeIndex, message: PeerMessage) {
         val to = world.nodes[peer.value]
+        world.recorder?.record(world.now(), "${node.label} to ${to.label}", message)
         if (!node.peersCut && !to.peersCut) to.receive(message)
     }
 
     override fun direct(addr: String, token: Long, session: Long, orders: List<Order>, done: (Reply) -> Unit) {
         world.messages++
+        record("direct $addr", WorkerReplies.direct(token, session, orders))
         val worker = world.workerAt(addr)
         val late = node.lateDirectMs
         node.lateDirectMs = 0L
@@ -219,24 +248,39 @@
         }
     }
 
-    override fun endProcess(reason: String) = node.endUnfit(reason)
+    override fun endProcess(reason: String) {
+        record("end", emptyMap())
+        node.endUnfit(reason)
+    }
 
     override fun expectMachines(count: Int) = Unit
 
     // ---- the cloud ----------------------------------------------------------------------------------------------------
 
-    override fun rent(rental: Rental, done: (Rented) -> Unit) = reply(CLOUD_MS, done) { world.rent(rental) }
+    override fun rent(rental: Rental, done: (Rented) -> Unit) {
+        record("rent", CloudMessages.rental(rental.requestName, rental.typeName, rental.zone, rental.spot, rental.count))
+        reply(CLOUD_MS, done) { world.rent(rental) }
+    }
 
-    override fun giveBack(hosts: List<String>, done: (Boolean) -> Unit) = world.after(CLOUD_MS) {
-        val confirmed = world.giveBack(hosts)
-        reply(1, done) { confirmed }
+    override fun giveBack(hosts: List<String>, done: (Boolean) -> Unit) {
+        record("return", CloudMessages.returnOf(hosts))
+        world.after(CLOUD_MS) {
+            val confirmed = world.giveBack(hosts)
+            reply(1, done) { confirmed }
+        }
     }
 
-    override fun listHosts(done: (List<ListedHost>?) -> Unit) = reply(CLOUD_MS, done) {
-        world.workers.values.map { ListedHost(it.name, it.addr, it.machineType.label, it.zone, it.spot, "running", 0.0) }
+    override fun listHosts(done: (List<ListedHost>?) -> Unit) {
+        record("machines", emptyMap())
+        reply(CLOUD_MS, done) {
+            world.workers.values.map { ListedHost(it.name, it.addr, it.machineType.label, it.zone, it.spot, "running", 0.0) }
+        }
     }
 
-    override fun machineTypes(done: (List<MachineType>?) -> Unit) = reply(TYPES_MS, done) { world.machineTypes }
+    override fun machineTypes(done: (List<MachineType>?) -> Unit) {
+        record("flavors", emptyMap())
+        reply(TYPES_MS, done) { world.machineTypes }
+    }
 
     private companion object {
         const val COMMITTERS = 3
--- a/src/test/kotlin/io/reedmast/sim/SimNode.kt
+++ b/src/test/kotlin/io/reedmast/sim/SimNode.kt
@@ -126,9 +126,19 @@
     private fun tick(of: Int) {
         if (life != of) return
         controller?.tick()
+        recordHealth()
         later(TICK_MS) { tick(of) }
     }
 
+    private var recordedHealth = false
+
+    private fun recordHealth() {
+        val recorder = world.recorder ?: return
+        val healthy = controller?.healthy() ?: false
+        if (healthy != recordedHealth) recorder.record(world.now(), label, "health", mapOf("healthy" to healthy))
+        recordedHealth = healthy
+    }
+
     private fun watch(of: Int) {
         if (life != of) return
         val c = controller ?: return
@@ -213,6 +223,7 @@
         later(0) {
             val c = controller?.takeIf { life == asked } ?: return@later
             question(c) {
+                world.recorder?.record(world.now(), label, "user $jobId ${it.status} ${it.retryAfterS}", it.toFields())
                 world.rules.answered(jobId, it, known)
                 done(it)
             }
--- a/src/test/kotlin/io/reedmast/sim/World.kt
+++ b/src/test/kotlin/io/reedmast/sim/World.kt
@@ -26,6 +26,7 @@
 import io.reedmast.wire.Report
 import io.reedmast.wire.TaskId
 import io.reedmast.wire.UserAnswer
+import io.reedmast.wire.WorkerReplies
 import java.net.InetSocketAddress
 import java.util.PriorityQueue
 import kotlin.random.Random
@@ -45,6 +46,9 @@
     val rules = RuleChecker(this)
     val rolloutRules = RolloutRules(this)
 
+    /** Records what leaves the controllers, if anybody wants to know. */
+    var recorder: OutputRecorder? = null
+
     /** How often a worker's lease ended with tasks on it. */
     var leasesLost = 0
     private val requests = HashMap<String, List<String>>()
@@ -201,6 +205,15 @@
             node.later(0) { node.controller?.checkin(report) }
             return null
         }
-        return node.controller?.checkin(report)
+        return node.controller?.checkin(report)?.also { record(node, report, it) }
+    }
+
+    private fun record(node: SimNode, report: Report, answer: WorkerAnswer) {
+        val body = when (answer) {
+            is WorkerAnswer.Orders -> WorkerReplies.commands(answer.token, answer.orders)
+            is WorkerAnswer.Elsewhere -> WorkerReplies.redirect(answer.label)
+            WorkerAnswer.Unavailable -> emptyMap()
+        }
+        recorder?.record(time, node.label, "worker ${report.host} ${report.session}/${report.sequence}", body)
     }
 }
