--- a/src/main/kotlin/io/reedmast/app/Main.kt
+++ b/src/main/kotlin/io/reedmast/app/Main.kt
@@ -49,7 +49,7 @@
     private val config by option(help = "Settings file (JSON) of this controller", metavar = "FILE").required()
     private val window by seconds("window", Tuning().windowS, "Sliding window over which charged use is counted")
     private val protectCap by seconds("protect-cap", Tuning().protectCapS, "Longest protected minimum run time")
-    private val resize by seconds("resize", Tuning().resizeS, "How often slices are resized")
+    private val resize by seconds("resize", Tuning().resizeS, "How often shards are resized")
     private val totals by seconds("totals", Tuning().totalsS, "How often team totals are written")
     private val idle by option(
         "--idle-s",
--- a/src/main/kotlin/io/reedmast/app/NetworkGateway.kt
+++ b/src/main/kotlin/io/reedmast/app/NetworkGateway.kt
@@ -7,8 +7,8 @@
 import io.reedmast.ports.Gateway
 import io.reedmast.ports.LeaseState
 import io.reedmast.ports.Rented
+import io.reedmast.settings.ControllerId
 import io.reedmast.settings.Member
-import io.reedmast.settings.NodeIndex
 import io.reedmast.settings.Settings
 import io.reedmast.state.Change
 import io.reedmast.state.Committer
@@ -76,12 +76,12 @@
 
     override fun sendToPeers(message: PeerMessage) = peers.keys.forEach { sendToPeer(it, message) }
 
-    override fun sendToPeer(peer: NodeIndex, message: PeerMessage) {
+    override fun sendToPeer(peer: ControllerId, message: PeerMessage) {
         val to = peers[peer] ?: return
         call(to.calls, { to.client.send(message) }, false, {})
     }
 
-    private fun otherMembers() = settings.members.indices.map { NodeIndex(it) }.filter { it != settings.self }
+    private fun otherMembers() = settings.members.indices.map { ControllerId(it) }.filter { it != settings.self }
 
     /** The connection to one other controller, with a thread of its own: one that hangs holds up no messages to others. */
     private class Peer(member: Member) {
--- a/src/main/kotlin/io/reedmast/app/Node.kt
+++ b/src/main/kotlin/io/reedmast/app/Node.kt
@@ -82,18 +82,18 @@
     fun checkin(report: Report): WorkerAnswer {
         cluster.workerHeard()
         if (!cluster.mayAnswerWorkers()) return WorkerAnswer.Unavailable
-        val slice = cluster.sliceOfHost(report.host)
-        if (slice == null) {
+        val shard = cluster.shardOfHost(report.host)
+        if (shard == null) {
             if (!cluster.leading) return WorkerAnswer.Elsewhere(cluster.leader)
             leader.stranger(report)
-            return WorkerAnswer.Elsewhere(cluster.sliceOfHost(report.host)?.let { cluster.ownerOf(it) })
+            return WorkerAnswer.Elsewhere(cluster.shardOfHost(report.host)?.let { cluster.ownerOf(it) })
         }
-        val owner = cluster.owners[slice.value]
-        if (owner == null || owner.dropped) return WorkerAnswer.Elsewhere(cluster.sendOn(slice, report.host, report.addr))
-        // While the slice is still being read, the answer shows the worker our token and renews its lease.
-        if (!owner.active) return WorkerAnswer.Orders(cluster.records[slice.value]?.record?.token ?: 0L, emptyList())
+        val owner = cluster.owners[shard.value]
+        if (owner == null || owner.dropped) return WorkerAnswer.Elsewhere(cluster.sendOn(shard, report.host, report.addr))
+        // While the shard is still being read, the answer shows the worker our token and renews its lease.
+        if (!owner.active) return WorkerAnswer.Orders(cluster.records[shard.value]?.record?.token ?: 0L, emptyList())
         val orders = owner.checkin(report)
-        // The worker would drop our answer and stay here until its lease is over: it must look for the slice's new owner.
+        // The worker would drop our answer and stay here until its lease is over: it must look for the shard's new owner.
         if (report.token > Token.last(owner.token)) return WorkerAnswer.Elsewhere(null)
         return WorkerAnswer.Orders(owner.tokenFor(report.host), orders)
     }
@@ -169,7 +169,7 @@
      * confirm to each other must not, or many questions would end all work in an outage.
      */
     fun peerSent(message: PeerMessage) {
-        val urgency = if (message is PeerMessage.SliceNews) Urgency.SUBMISSION else Urgency.DECISION
+        val urgency = if (message is PeerMessage.ShardStatusUpdate) Urgency.SUBMISSION else Urgency.DECISION
         eventLoop.offer(urgency) { controller.peerSent(message) }
     }
 
--- a/src/main/kotlin/io/reedmast/app/RolloutCommand.kt
+++ b/src/main/kotlin/io/reedmast/app/RolloutCommand.kt
@@ -36,8 +36,8 @@
             WishCommand("revert", Target.DORMANT, "Take a feature back: migrated records get their old form again"),
             ControllerCommand("exclude", "Do not count a controller that is silent") { name, act, done -> exclude(name, act, done) },
             ControllerCommand("include", "Count an excluded controller again") { name, act, done -> include(name, act, done) },
-            ControllerCommand("drain", "Have a controller give its slices up before it is stopped") { name, act, done -> drain(name, act, done) },
-            ControllerCommand("undrain", "Have a drained controller take slices again") { name, _, done -> endDrain(name, done) },
+            ControllerCommand("drain", "Have a controller give its shards up before it is stopped") { name, act, done -> drain(name, act, done) },
+            ControllerCommand("undrain", "Have a drained controller take shards again") { name, _, done -> endDrain(name, done) },
             ReadyCommand(),
         )
     }
@@ -56,7 +56,7 @@
     protected fun administration(): RolloutAdministration {
         val incarnation = "operator-${java.lang.Long.toString(System.currentTimeMillis(), RADIX)}-${ProcessHandle.current().pid()}"
         val configured = settings.members.mapTo(HashSet()) { it.label }
-        val records = StoredClusterRecords(settings.slices)
+        val records = StoredClusterRecords(settings.shardCount)
         return RolloutAdministration(ClusterFeatures.registry, configured, records, System::currentTimeMillis, DirectStore(settings, incarnation))
     }
 
@@ -98,10 +98,10 @@
 
     private fun controllers(status: RolloutStatus): List<String> = status.picture.configured.sorted().map { label ->
         val versions = status.picture.present[label]?.versions
-        val slices = status.picture.slices.withIndex().filter { it.value?.owner == label }.map { it.index }
+        val shards = status.picture.shards.withIndex().filter { it.value?.owner == label }.map { it.index }
         val excluded = status.view.gates.record.excluded[label]?.let { ", excluded by ${it.by}: ${it.why}" }.orEmpty()
         val drain = if (status.isDraining(label)) ", draining" else ""
-        "controller $label: ${versions?.let { "versions ${it.range}" } ?: "silent"}, slices $slices$drain$excluded"
+        "controller $label: ${versions?.let { "versions ${it.range}" } ?: "silent"}, shards $shards$drain$excluded"
     }
 
     private fun history(status: RolloutStatus): List<String> =
--- a/src/main/kotlin/io/reedmast/fairshare/Usage.kt
+++ b/src/main/kotlin/io/reedmast/fairshare/Usage.kt
@@ -1,6 +1,6 @@
 package io.reedmast.fairshare
 
-import io.reedmast.settings.TeamIndex
+import io.reedmast.settings.TeamId
 import io.reedmast.wire.Fields
 import io.reedmast.wire.MalformedException
 import io.reedmast.wire.Priority
@@ -8,21 +8,21 @@
 import kotlin.math.roundToLong
 
 /**
- * Charged use of the teams of a slice over a sliding window, in buckets of time of day.
+ * Charged use of the teams of a shard over a sliding window, in buckets of time of day.
  *
  * A task is charged, for each second, its largest share of its machine. Best-effort work has no protected minimum and is
  * not charged.
  */
 class Usage(private val windowMs: Long) {
     private val bucketMs = maxOf(1L, windowMs / BUCKETS)
-    private val charged = HashMap<TeamIndex, TreeMap<Long, Double>>()
+    private val charged = HashMap<TeamId, TreeMap<Long, Double>>()
 
-    fun charge(team: TeamIndex, machineSeconds: Double, nowMs: Long) {
+    fun charge(team: TeamId, machineSeconds: Double, nowMs: Long) {
         charged.getOrPut(team) { TreeMap() }.merge(nowMs / bucketMs, machineSeconds, Double::plus)
     }
 
     /** Machine seconds charged to [team] within the window; the oldest bucket counts by the part still inside. */
-    fun within(team: TeamIndex, nowMs: Long): Double {
+    fun within(team: TeamId, nowMs: Long): Double {
         val buckets = charged[team] ?: return 0.0
         val edge = nowMs - windowMs
         buckets.headMap(Math.floorDiv(edge, bucketMs)).clear()
@@ -35,7 +35,7 @@
     }
 
     /** At most [mostBuckets] of each team: the oldest are added to the next ones, which a small record has room for. */
-    fun toFields(teams: Collection<TeamIndex>, mostBuckets: Int = BUCKETS + 1): Fields = teams.filter { it in charged }.associate { team ->
+    fun toFields(teams: Collection<TeamId>, mostBuckets: Int = BUCKETS + 1): Fields = teams.filter { it in charged }.associate { team ->
         val buckets = charged.getValue(team)
         val kept = buckets.entries.drop(maxOf(0, buckets.size - mostBuckets))
         val older = buckets.entries.take(buckets.size - kept.size).sumOf { it.value }
@@ -52,7 +52,7 @@
                 val bucket = numbers[i] as? Long ?: throw MalformedException("usage of team $team names no bucket")
                 buckets[bucket] = (numbers[i + 1] as? Number)?.toDouble() ?: throw MalformedException("usage of team $team is no number")
             }
-            charged[TeamIndex(index)] = buckets
+            charged[TeamId(index)] = buckets
         }
     }
 
--- a/src/main/kotlin/io/reedmast/fleet/ArrivalRates.kt
+++ b/src/main/kotlin/io/reedmast/fleet/ArrivalRates.kt
@@ -1,24 +1,24 @@
 package io.reedmast.fleet
 
-import io.reedmast.jobs.SliceState
+import io.reedmast.jobs.ShardState
 import kotlin.math.sqrt
 
-/** What work is expected to arrive at a slice, by what has arrived lately. */
-class ArrivalRates(private val sliceState: SliceState) {
+/** What work is expected to arrive at a shard, by what has arrived lately. */
+class ArrivalRates(private val shardState: ShardState) {
     /** Expected CPUs of the services that arrive within [seconds], with two deviations on top. */
     fun serviceCpus(now: Long, seconds: Double): Double {
-        val arrivals = sliceState.arrivals.since(now - ARRIVALS_WINDOW_MS)
+        val arrivals = shardState.arrivals.since(now - ARRIVALS_WINDOW_MS)
         // With the last service gone, nothing says that more will come.
-        if (arrivals.isEmpty() || sliceState.jobs.values.none { it.spec.service || it.spec.gang }) return 0.0
+        if (arrivals.isEmpty() || shardState.jobs.values.none { it.spec.service || it.spec.gang }) return 0.0
         val part = seconds * 1000.0 / ARRIVALS_WINDOW_MS
         return arrivals.sumOf { it.cpus } * part + 2 * sqrt(arrivals.sumOf { it.cpus * it.cpus } * part)
     }
 
-    private fun ArrayDeque<SliceState.Arrival>.since(at: Long) = apply { while (isNotEmpty() && first().at < at) removeFirst() }
+    private fun ArrayDeque<ShardState.Arrival>.since(at: Long) = apply { while (isNotEmpty() && first().at < at) removeFirst() }
 
     /** Array work that arrives in a second, in CPU seconds, as far as it is sure: below the mean by one deviation and a half. */
     fun arrayCpuSecondsPerS(): Double {
-        val arrivals = sliceState.arrayArrivals.since(sliceState.clock.now() - ARRAYS_WINDOW_MS)
+        val arrivals = shardState.arrayArrivals.since(shardState.clock.now() - ARRAYS_WINDOW_MS)
         return maxOf(0.0, arrivals.sumOf { it.cpus } - RATE_DEVIATIONS * sqrt(arrivals.sumOf { it.cpus * it.cpus })) * 1000.0 / ARRAYS_WINDOW_MS
     }
 
--- a/src/main/kotlin/io/reedmast/fleet/Demand.kt
+++ b/src/main/kotlin/io/reedmast/fleet/Demand.kt
@@ -11,7 +11,7 @@
 import io.reedmast.wire.optionalTexts
 
 /**
- * Tasks for which a slice has no room, neither now nor on machines that are on their way: all that may run on the same
+ * Tasks for which a shard has no room, neither now nor on machines that are on their way: all that may run on the same
  * machines, taken together. A shape for each job would not fit a record, nor the calls that the cloud takes.
  */
 data class Demand(
--- a/src/main/kotlin/io/reedmast/fleet/DemandEstimator.kt
+++ b/src/main/kotlin/io/reedmast/fleet/DemandEstimator.kt
@@ -1,31 +1,31 @@
 package io.reedmast.fleet
 
 import io.reedmast.jobs.Job
-import io.reedmast.jobs.SliceState
+import io.reedmast.jobs.ShardState
 import io.reedmast.placement.zonesOpen
-import io.reedmast.settings.TeamIndex
+import io.reedmast.settings.TeamId
 import io.reedmast.workers.Machine
 import kotlin.math.ceil
 
-/** What a slice needs beyond the machines that it has. */
-class DemandEstimator(private val sliceState: SliceState, private val arrivals: ArrivalRates) {
+/** What a shard needs beyond the machines that it has. */
+class DemandEstimator(private val shardState: ShardState, private val arrivals: ArrivalRates) {
     /**
-     * The room of machines that have not come up yet, or have not reported to us yet since we took the slice.
+     * The room of machines that have not come up yet, or have not reported to us yet since we took the shard.
      *
      * One that was up before and does not report is rather dead than booting: its room must not hide what is wanted.
      */
     fun coming(): List<Room> {
-        val justTaken = sliceState.clock.now() - sliceState.activeAt < sliceState.settings.workers.reportS * 1000 * REPORTS_TO_SHOW_UP
-        return sliceState.machines.values
+        val justTaken = shardState.clock.now() - shardState.activeAt < shardState.settings.workers.reportS * 1000 * REPORTS_TO_SHOW_UP
+        return shardState.machines.values
             .filter { !it.trusted && it.retirement == null && it.machineType != null && (justTaken || !it.everHeard) }
             .map { Room(it.record, it.freeCpus, it.freeGpus, it.freeMemoryGb) }
     }
 
     /** What a task of each job takes of which nothing has run for long, and since how many seconds, the longest first. */
-    fun starving(now: Long): List<Starving> = sliceState.jobs.values
-        .filter { sliceState.hungry(it) && !it.ending && sliceState.allowance(it) >= tasksAtOnce(it) }
-        .sortedBy { sliceState.hungrySince(it) }.take(MAX_STARVING)
-        .map { Starving(Demand.of(it.spec, true, tasksAtOnce(it), onlyZone(it)), (now - sliceState.hungrySince(it)) / 1000.0) }
+    fun starving(now: Long): List<Starving> = shardState.jobs.values
+        .filter { shardState.hungry(it) && !it.ending && shardState.allowance(it) >= tasksAtOnce(it) }
+        .sortedBy { shardState.hungrySince(it) }.take(MAX_STARVING)
+        .map { Starving(Demand.of(it.spec, true, tasksAtOnce(it), onlyZone(it)), (now - shardState.hungrySince(it)) / 1000.0) }
 
     /** The zone in which new room for the job must be, if its other tasks or its user leave only one. */
     private fun onlyZone(job: Job): String? = zonesOpen(job, zones())?.singleOrNull() ?: zoneForGang(job)
@@ -41,12 +41,12 @@
         if (!job.spec.gang || !job.spec.oneZone || job.spec.zone != null) return job.spec.zone
         val zones = zonesByFreeRoom()
         if (zones.isEmpty()) return null
-        return zones[((sliceState.clock.now() - job.waitsSince) / ZONE_TRIED_MS % zones.size).toInt()]
+        return zones[((shardState.clock.now() - job.waitsSince) / ZONE_TRIED_MS % zones.size).toInt()]
     }
 
-    private fun machinesIn(zone: String) = sliceState.machines.values.count { it.record.zone == zone }
+    private fun machinesIn(zone: String) = shardState.machines.values.count { it.record.zone == zone }
 
-    private fun zones() = sliceState.machineTypes.flatMapTo(LinkedHashSet()) { it.zones }
+    private fun zones() = shardState.machineTypes.flatMapTo(LinkedHashSet()) { it.zones }
 
     /** A gang that is to be spread needs room in several zones at once: machines in one zone alone would stay empty and go again. */
     private fun demandOfSpreadGang(job: Job): List<Demand> {
@@ -57,54 +57,54 @@
         for (zone in zonesByFreeRoom()) {
             if (left <= 0) break
             val tasks = minOf(left, inOneZone)
-            demands.add(Demand.of(spec, sliceState.late(job), tasks, zone))
+            demands.add(Demand.of(spec, shardState.late(job), tasks, zone))
             left -= tasks
         }
         return demands
     }
 
     private fun zonesByFreeRoom(): List<String> =
-        zones().sortedByDescending { zone -> sliceState.machines.values.sumOf { if (it.record.zone == zone && it.usable) it.freeCpus else 0.0 } }
+        zones().sortedByDescending { zone -> shardState.machines.values.sumOf { if (it.record.zone == zone && it.usable) it.freeCpus else 0.0 } }
 
     fun demand(): List<Demand> {
         val rooms = coming()
         val kinds = LinkedHashMap<Any, Demand>()
-        val left = HashMap<TeamIndex, Double>()
+        val left = HashMap<TeamId, Double>()
         val pace = Pace(rooms)
-        val now = sliceState.clock.wall()
+        val now = shardState.clock.wall()
         val zones = zones()
-        val waiting = sliceState.jobs.values.filter { it.waitingCount > 0 && !it.ending && !sliceState.looksBad(it) }
-        for (job in waiting.sortedWith(compareBy({ !it.spec.service }, { it.spec.priority }, { sliceState.dueMs(it) }))) {
+        val waiting = shardState.jobs.values.filter { it.waitingCount > 0 && !it.ending && !shardState.looksBad(it) }
+        for (job in waiting.sortedWith(compareBy({ !it.spec.service }, { it.spec.priority }, { shardState.dueMs(it) }))) {
             val spec = job.spec
-            var tasks = minOf(job.waitingCount, sliceState.allowance(job))
-            val share = sliceState.settings.teams[job.team.value]
+            var tasks = minOf(job.waitingCount, shardState.allowance(job))
+            val share = shardState.settings.teams[job.team.value]
             if (tasks < tasksAtOnce(job)) continue
             if (share.maxCpus > 0 && spec.cpus > 0) {
-                val cpus = left.getOrPut(job.team) { share.maxCpus - sliceState.usedCpus(job.team) }
+                val cpus = left.getOrPut(job.team) { share.maxCpus - shardState.usedCpus(job.team) }
                 tasks = minOf(tasks, (cpus / spec.cpus + Machine.EPSILON).toInt())
                 if (tasks < tasksAtOnce(job)) continue
                 left[job.team] = cpus - tasks * spec.cpus
             }
             val open = zonesOpen(job, zones) ?: if (spec.gang) zoneForGang(job)?.let { setOf(it) } else null
             tasks = countWithoutRoom(spec, tasks, if (open == null) rooms else rooms.filter { it.host.zone in open })
-            // The pace takes any room of the slice for room of the job. Where it is in another zone, say, the job would wait for ever.
-            if (!spec.service && !spec.gang) tasks = minOf(tasks, maxOf(pace.tasksToRentFor(job, tasks, now), if (sliceState.starves(job)) 1 else 0))
+            // The pace takes any room of the shard for room of the job. Where it is in another zone, say, the job would wait for ever.
+            if (!spec.service && !spec.gang) tasks = minOf(tasks, maxOf(pace.tasksToRentFor(job, tasks, now), if (shardState.starves(job)) 1 else 0))
             if (tasks <= 0 || open?.isEmpty() == true) continue
             val zone = if (open == null || open.size == zones.size) spec.zone else open.minBy { machinesIn(it) }
-            val wanted = if (spec.gang && spec.spread) demandOfSpreadGang(job) else listOf(Demand.of(spec, sliceState.late(job), tasks, zone))
+            val wanted = if (spec.gang && spec.spread) demandOfSpreadGang(job) else listOf(Demand.of(spec, shardState.late(job), tasks, zone))
             wanted.forEach { kinds.merge(it.kind(), it, Demand::plus) }
         }
         return kinds.values.toList()
     }
 
     /**
-     * How fast the slice gets through its array work, in the order it is due, and what it lacks to be in time.
+     * How fast the shard gets through its array work, in the order it is due, and what it lacks to be in time.
      *
      * Run times are the owners' estimates. Work that the machines at hand get through by its due time needs no more of them,
      * and no new machine is up in time for what is due before it has booted.
      */
     private inner class Pace(rooms: List<Room>) {
-        private val bootS = sliceState.shortestBootS() ?: 0.0
+        private val bootS = shardState.shortestBootS() ?: 0.0
         private var cpus = 0.0
         private var work = 0.0
 
@@ -112,9 +112,9 @@
         private val arriving = arrivals.arrayCpuSecondsPerS()
 
         init {
-            for (machine in sliceState.machines.values) if (machine.usable) cpus += machine.freeCpus
+            for (machine in shardState.machines.values) if (machine.usable) cpus += machine.freeCpus
             cpus += rooms.sumOf { it.freeCpus }
-            for (job in sliceState.jobs.values) {
+            for (job in shardState.jobs.values) {
                 if (job.spec.service || job.spec.gang) continue
                 val running = job.placedCount * job.spec.cpus
                 cpus += running
@@ -125,7 +125,7 @@
         fun tasksToRentFor(job: Job, tasks: Int, now: Long): Int {
             val spec = job.spec
             work += job.waitingCount * spec.cpus * spec.estimateS
-            val leftS = (sliceState.dueMs(job) - now) / 1000.0 - spec.estimateS
+            val leftS = (shardState.dueMs(job) - now) / 1000.0 - spec.estimateS
             val seconds = maxOf(leftS, bootS * LATEST_BOOTS)
             val lacking = maxOf(work * ESTIMATE_SLACK / seconds, arriving) - cpus
             if (lacking <= 0.0) return 0
@@ -136,7 +136,7 @@
     }
 
     /** Whether machines that are on their way have room for all that [job] may still start. */
-    fun comingHolds(job: Job, rooms: List<Room>): Boolean = countWithoutRoom(job.spec, minOf(job.waitingCount, sliceState.allowance(job)), rooms) == 0
+    fun comingHolds(job: Job, rooms: List<Room>): Boolean = countWithoutRoom(job.spec, minOf(job.waitingCount, shardState.allowance(job)), rooms) == 0
 
     private companion object {
         const val ESTIMATE_SLACK = 1.5
--- a/src/main/kotlin/io/reedmast/fleet/Leader.kt
+++ b/src/main/kotlin/io/reedmast/fleet/Leader.kt
@@ -4,7 +4,7 @@
 import io.reedmast.ports.Clock
 import io.reedmast.ports.Gateway
 import io.reedmast.settings.Settings
-import io.reedmast.settings.SliceIndex
+import io.reedmast.settings.ShardId
 import io.reedmast.settings.Tuning
 import io.reedmast.state.Item
 import io.reedmast.state.Keys
@@ -14,7 +14,7 @@
 import io.reedmast.wire.Report
 import org.slf4j.LoggerFactory
 
-/** The leader's duties and when each is due: renting for what slices ask, resizing slices, taking in machines of no slice. */
+/** The leader's duties and when each is due: renting for what shards ask, resizing shards, taking in machines of no shard. */
 class Leader(
     private val settings: Settings,
     private val tuning: Tuning,
@@ -29,7 +29,7 @@
     private val unreadable = Unreadable()
     private val intake = MachineIntake(settings, clock, out, cluster, machineTypes)
     private val renter = MachineRenter(clock, out, cluster, machineTypes, intake, incarnation)
-    private val resizer = SliceResizer(clock, cluster, machineTypes)
+    private val resizer = ShardRebalancer(clock, cluster, machineTypes)
     private var wasLeading = false
     private var totalsAsked = false
     private var totalsDue = 0L
@@ -77,18 +77,18 @@
         }
     }
 
-    private fun parse(item: Item): SliceTotals? = try {
-        SliceTotals.parse(SliceIndex(item.path.removePrefix(Keys.TOTALS).toInt()), item.value)
+    private fun parse(item: Item): ShardUsageSummary? = try {
+        ShardUsageSummary.parse(ShardId(item.path.removePrefix(Keys.TOTALS).toInt()), item.value)
     } catch (e: MalformedException) {
         unreadable.note(item.path, e.message)
         null
     } catch (e: NumberFormatException) {
-        unreadable.note(item.path, "it belongs to no slice")
+        unreadable.note(item.path, "it belongs to no shard")
         null
     }
 
-    /** Slices further below their share come first, for idle machines of other slices and for rented ones. */
-    private fun serve(totals: List<SliceTotals>) {
+    /** Shards further below their share come first, for idle machines of other shards and for rented ones. */
+    private fun serve(totals: List<ShardUsageSummary>) {
         val now = clock.now()
         resizer.tick(now)
         val wanting = totals.filter { it.demand.isNotEmpty() && isSettled(it) }.sortedBy { it.ratio }
@@ -98,14 +98,14 @@
         }
         val darkZones = totals.flatMapTo(HashSet()) { it.darkZones }
         resizer.relieve(totals, now)
-        renter.rent(wanting.filter { !resizer.isMovingTo(it.slice) }, darkZones, now)
+        renter.rent(wanting.filter { !resizer.isMovingTo(it.shard) }, darkZones, now)
     }
 
-    /** Whether the totals show all machines that are on their way to the slice: else more would come than it wants. */
-    private fun isSettled(totals: SliceTotals): Boolean =
-        intake.isCurrent(totals) && !renter.isRentingFor(totals.slice) && !resizer.isMovingTo(totals.slice) && !intake.awaits(totals.slice)
+    /** Whether the totals show all machines that are on their way to the shard: else more would come than it wants. */
+    private fun isSettled(totals: ShardUsageSummary): Boolean =
+        intake.isCurrent(totals) && !renter.isRentingFor(totals.shard) && !resizer.isMovingTo(totals.shard) && !intake.awaits(totals.shard)
 
-    /** A worker of no slice reports. */
+    /** A worker of no shard reports. */
     fun stranger(report: Report) = intake.stranger(report)
 
     private companion object {
--- a/src/main/kotlin/io/reedmast/fleet/MachineIntake.kt
+++ b/src/main/kotlin/io/reedmast/fleet/MachineIntake.kt
@@ -4,7 +4,7 @@
 import io.reedmast.ports.Clock
 import io.reedmast.ports.Gateway
 import io.reedmast.settings.Settings
-import io.reedmast.settings.SliceIndex
+import io.reedmast.settings.ShardId
 import io.reedmast.wire.ListedHost
 import io.reedmast.wire.MachineType
 import io.reedmast.wire.MalformedException
@@ -13,7 +13,7 @@
 import io.reedmast.workers.HostRecord
 import org.slf4j.LoggerFactory
 
-/** Gives machines that belong to no slice to one, whether they were rented or nobody expected them, and returns those that only cost. */
+/** Gives machines that belong to no shard to one, whether they were rented or nobody expected them, and returns those that only cost. */
 class MachineIntake(
     private val settings: Settings,
     private val clock: Clock,
@@ -21,46 +21,46 @@
     private val cluster: Cluster,
     private val machineTypes: () -> Map<String, MachineType>,
 ) {
-    /** The slice that a machine is meant for, and the highest token that its worker has seen. */
-    private data class Destination(val slice: SliceIndex, val seen: Long)
+    /** The shard that a machine is meant for, and the highest token that its worker has seen. */
+    private data class Destination(val shard: ShardId, val seen: Long)
 
     private val log = LoggerFactory.getLogger("fleet")
 
-    /** Stamps of the last change made here to slices' machines: older totals do not know of it yet. */
-    private val outdated = HashMap<SliceIndex, Long>()
+    /** Stamps of the last change made here to shards' machines: older totals do not know of it yet. */
+    private val outdated = HashMap<ShardId, Long>()
 
-    /** Not yet given to a slice. */
+    /** Not yet given to a shard. */
     private val unassigned = LinkedHashMap<HostRecord, Destination>()
     private val strangers = HashMap<String, Long>()
     private val returning = HashSet<String>()
-    private val assigning = HashSet<SliceIndex>()
+    private val assigning = HashSet<ShardId>()
     private val calling = HashSet<String>()
 
-    /** Another node has led before: what it knew of machines of no slice is not known here. */
+    /** Another node has led before: what it knew of machines of no shard is not known here. */
     fun startLeading() = strangers.clear()
 
-    /** Whether machines wait to be given to the slice. */
-    fun awaits(slice: SliceIndex): Boolean = unassigned.values.any { it.slice == slice }
+    /** Whether machines wait to be given to the shard. */
+    fun awaits(shard: ShardId): Boolean = unassigned.values.any { it.shard == shard }
 
-    /** Whether the totals were written in knowledge of all machines that were given to their slice from here. */
-    fun isCurrent(totals: SliceTotals): Boolean = totals.hostsVersion >= (outdated[totals.slice] ?: 0L)
+    /** Whether the totals were written in knowledge of all machines that were given to their shard from here. */
+    fun isCurrent(totals: ShardUsageSummary): Boolean = totals.hostsVersion >= (outdated[totals.shard] ?: 0L)
 
-    /** A machine is to be given to [slice]; [seenToken] is the highest token that its worker has seen. */
-    fun add(host: HostRecord, slice: SliceIndex, seenToken: Long) {
-        unassigned[host] = Destination(slice, seenToken)
+    /** A machine is to be given to [shard]; [seenToken] is the highest token that its worker has seen. */
+    fun add(host: HostRecord, shard: ShardId, seenToken: Long) {
+        unassigned[host] = Destination(shard, seenToken)
     }
 
-    /** Gives machines that wait for it to their slices. */
+    /** Gives machines that wait for it to their shards. */
     fun assign() {
         if (unassigned.isEmpty()) return
-        unassigned.keys.removeIf { cluster.sliceOfHost(it.name) != null }
-        for ((slice, hosts) in unassigned.entries.groupBy { it.value.slice }) {
+        unassigned.keys.removeIf { cluster.shardOfHost(it.name) != null }
+        for ((shard, hosts) in unassigned.entries.groupBy { it.value.shard }) {
             val records = hosts.map { it.key }
-            if (!assigning.add(slice)) continue
-            cluster.addHosts(slice, records, hosts.maxOf { it.value.seen }) { added ->
-                assigning.remove(slice)
+            if (!assigning.add(shard)) continue
+            cluster.addHosts(shard, records, hosts.maxOf { it.value.seen }) { added ->
+                assigning.remove(shard)
                 if (added.isNotEmpty()) {
-                    outdated[slice] = cluster.machinesVersion(slice)
+                    outdated[shard] = cluster.machinesVersion(shard)
                     unassigned.keys.removeIf { it.name in added }
                 }
             }
@@ -68,14 +68,14 @@
     }
 
     /**
-     * A worker nobody has given to a slice reports: once it has answered a call, it is used.
+     * A worker nobody has given to a shard reports: once it has answered a call, it is used.
      *
      * The report alone proves nothing: it may be a late copy from a machine that was returned, and such a machine must not
-     * come back into a slice; and a machine that hears nothing is of no use.
+     * come back into a shard; and a machine that hears nothing is of no use.
      */
     fun stranger(report: Report) {
         if (!cluster.leading || !cluster.fresh() || report.host in returning || cluster.departedLately(report.host)) return
-        // At a first start the slices appear one by one; waiting for all of them spreads the machines evenly.
+        // At a first start the shards appear one by one; waiting for all of them spreads the machines evenly.
         if (cluster.records.any { it == null }) return
         if (unassigned.keys.any { it.name == report.host } || calling.size >= MOST_CALLED || !calling.add(report.host)) return
         // Neither token nor session are the worker's: nothing is executed, and the refusal is its newest report.
@@ -92,20 +92,20 @@
     }
 
     private fun accept(report: Report) {
-        if (cluster.sliceOfHost(report.host) != null || report.host in returning || cluster.departedLately(report.host)) return
+        if (cluster.shardOfHost(report.host) != null || report.host in returning || cluster.departedLately(report.host)) return
         val host = HostRecord(report.host, report.typeName, report.zone, report.spot)
-        val slice = emptiest()
-        log.info("{}: a worker of no slice reports; it goes to slice {}", report.host, slice.value)
-        add(host, slice, report.token)
+        val shard = emptiest()
+        log.info("{}: a worker of no shard reports; it goes to shard {}", report.host, shard.value)
+        add(host, shard, report.token)
         assign()
     }
 
-    /** The slice with the fewest CPUs, so that machines found at the start are spread evenly. */
-    private fun emptiest(): SliceIndex {
+    /** The shard with the fewest CPUs, so that machines found at the start are spread evenly. */
+    private fun emptiest(): ShardId {
         val cpus = DoubleArray(cluster.records.size)
-        for (slice in cpus.indices) cpus[slice] = cluster.hostsOf(SliceIndex(slice)).sumOf { machineTypes()[it.typeName]?.cpus ?: 1.0 }
-        for ((host, to) in unassigned) cpus[to.slice.value] += machineTypes()[host.typeName]?.cpus ?: 1.0
-        return SliceIndex(cpus.indices.minByOrNull { cpus[it] } ?: 0)
+        for (shard in cpus.indices) cpus[shard] = cluster.hostsOf(ShardId(shard)).sumOf { machineTypes()[it.typeName]?.cpus ?: 1.0 }
+        for ((host, to) in unassigned) cpus[to.shard.value] += machineTypes()[host.typeName]?.cpus ?: 1.0
+        return ShardId(cpus.indices.minByOrNull { cpus[it] } ?: 0)
     }
 
     /** Machines that nobody expected use themselves by reporting; those that only cost are returned. */
@@ -116,7 +116,7 @@
         val expected = unassigned.keys.mapTo(HashSet()) { it.name }
         val lost = ArrayList<String>()
         for (host in hosts) {
-            if (cluster.sliceOfHost(host.name) != null || cluster.departedLately(host.name) || host.name in expected) {
+            if (cluster.shardOfHost(host.name) != null || cluster.departedLately(host.name) || host.name in expected) {
                 strangers.remove(host.name)
                 continue
             }
@@ -126,7 +126,7 @@
         }
         if (lost.isEmpty()) return
         val names = lost.take(MOST_RETURNED)
-        log.info("returned, since they belong to no slice and do not report: {}", names)
+        log.info("returned, since they belong to no shard and do not report: {}", names)
         returning.addAll(names)
         out.giveBack(names) { ok ->
             returning.removeAll(names.toSet())
--- a/src/main/kotlin/io/reedmast/fleet/MachineRenter.kt
+++ b/src/main/kotlin/io/reedmast/fleet/MachineRenter.kt
@@ -4,12 +4,12 @@
 import io.reedmast.ports.Clock
 import io.reedmast.ports.Gateway
 import io.reedmast.ports.Rented
-import io.reedmast.settings.SliceIndex
+import io.reedmast.settings.ShardId
 import io.reedmast.wire.MachineType
 import io.reedmast.workers.HostRecord
 import org.slf4j.LoggerFactory
 
-/** Rents machines for what slices want. */
+/** Rents machines for what shards want. */
 class MachineRenter(
     private val clock: Clock,
     private val out: Gateway,
@@ -23,23 +23,23 @@
     private var requests = 0L
     private val soldOutUntil = HashMap<Offer, Long>()
 
-    /** Requests to the cloud on their way, by the slices they are for. */
-    private val renting = HashMap<SliceIndex, Int>()
+    /** Requests to the cloud on their way, by the shards they are for. */
+    private val renting = HashMap<ShardId, Int>()
 
-    /** Whether a request for the slice is on its way. */
-    fun isRentingFor(slice: SliceIndex): Boolean = slice in renting
+    /** Whether a request for the shard is on its way. */
+    fun isRentingFor(shard: ShardId): Boolean = shard in renting
 
-    /** What one slice gets of a request to the cloud. */
-    private class Part(val slice: SliceIndex, val count: Int)
+    /** What one shard gets of a request to the cloud. */
+    private class Part(val shard: ShardId, val count: Int)
 
     /**
-     * Rents for all slices and all that they want together: the cloud takes few calls, and up to [MOST_AT_ONCE] machines
+     * Rents for all shards and all that they want together: the cloud takes few calls, and up to [MOST_AT_ONCE] machines
      * with each.
      */
-    fun rent(wanting: List<SliceTotals>, dark: Set<String>, now: Long) {
+    fun rent(wanting: List<ShardUsageSummary>, dark: Set<String>, now: Long) {
         val parts = LinkedHashMap<Offer, ArrayList<Part>>()
         val held = HashMap<String, Int>()
-        for (slice in cluster.records.indices) cluster.hostsOf(SliceIndex(slice)).forEach { held.merge(it.zone, 1, Int::plus) }
+        for (shard in cluster.records.indices) cluster.hostsOf(ShardId(shard)).forEach { held.merge(it.zone, 1, Int::plus) }
         for (needy in wanting) {
             for (demand in needy.demand) {
                 var left = demand
@@ -49,7 +49,7 @@
                     val zones = machineTypes().getValue(offer.typeName).zones.size
                     val some = if (demand.zone != null || zones < 2) minOf(count, MOST_AT_ONCE) else minOf(count, maxOf(MIN_IN_A_ZONE, count / zones))
                     held.merge(offer.zone, some, Int::plus)
-                    parts.getOrPut(offer) { ArrayList() }.add(Part(needy.slice, some))
+                    parts.getOrPut(offer) { ArrayList() }.add(Part(needy.shard, some))
                     left = left.copy(count = left.count - some * left.heldBy(machineTypes().getValue(offer.typeName)))
                 }
             }
@@ -61,9 +61,9 @@
                 val some = minOf(share.count, room)
                 if (some <= 0) break
                 room -= some
-                mine.add(Part(share.slice, some))
+                mine.add(Part(share.shard, some))
             }
-            mine.mapTo(HashSet()) { it.slice }.forEach { renting.merge(it, 1, Int::plus) }
+            mine.mapTo(HashSet()) { it.shard }.forEach { renting.merge(it, 1, Int::plus) }
             val rental = Rental("$requestPrefix-${++requests}", offer.typeName, offer.zone, offer.spot, MOST_AT_ONCE - room)
             send(mine, offer, rental, RENT_TRIES)
         }
@@ -77,7 +77,7 @@
                 send(shares, offer, rental, tries - 1)
                 return@rent
             }
-            shares.mapTo(HashSet()) { it.slice }.forEach { renting.computeIfPresent(it) { _, n -> if (n > 1) n - 1 else null } }
+            shares.mapTo(HashSet()) { it.shard }.forEach { renting.computeIfPresent(it) { _, n -> if (n > 1) n - 1 else null } }
             if (rented is Rented.NoCapacity) soldOutUntil[offer] = now + SOLD_OUT_MS
             if (rented is Rented.Hosts) {
                 log.info("rented {} of {} {} in {}{}", rented.names.size, rental.count, rental.typeName, rental.zone, if (rental.spot) ", spot" else "")
@@ -86,7 +86,7 @@
                 for (share in shares) {
                     repeat(share.count) {
                         names.removeFirstOrNull()?.let {
-                            intake.add(HostRecord(it, rental.typeName, rental.zone, rental.spot), share.slice, seenToken = 0L)
+                            intake.add(HostRecord(it, rental.typeName, rental.zone, rental.spot), share.shard, seenToken = 0L)
                         }
                     }
                 }
--- a/src/main/kotlin/io/reedmast/fleet/SliceResizer.kt
+++ b/src/main/kotlin/io/reedmast/fleet/ShardRebalancer.kt
@@ -2,38 +2,38 @@
 
 import io.reedmast.ownership.Cluster
 import io.reedmast.ports.Clock
-import io.reedmast.settings.SliceIndex
+import io.reedmast.settings.ShardId
 import io.reedmast.wire.MachineType
 import org.slf4j.LoggerFactory
 
-/** Which machines move between slices: idle ones to where they are wanted, and now and then one that is emptied for a starving job. */
-class SliceResizer(private val clock: Clock, private val cluster: Cluster, private val machineTypes: () -> Map<String, MachineType>) {
+/** Which machines move between shards: idle ones to where they are wanted, and now and then one that is emptied for a starving job. */
+class ShardRebalancer(private val clock: Clock, private val cluster: Cluster, private val machineTypes: () -> Map<String, MachineType>) {
     private val log = LoggerFactory.getLogger("fleet")
 
-    /** Slices that machines are on their way to, and until when that keeps the leader from renting for them. */
-    private val moving = HashMap<SliceIndex, Long>()
+    /** Shards that machines are on their way to, and until when that keeps the leader from renting for them. */
+    private val moving = HashMap<ShardId, Long>()
 
-    /** Slices that a machine is being emptied for, and until when that is waited for. */
-    private val relieving = HashMap<SliceIndex, Long>()
+    /** Shards that a machine is being emptied for, and until when that is waited for. */
+    private val relieving = HashMap<ShardId, Long>()
 
-    /** Whether machines are on their way to [slice], whose room it does not know yet. */
-    fun isMovingTo(slice: SliceIndex): Boolean = slice in moving
+    /** Whether machines are on their way to [shard], whose room it does not know yet. */
+    fun isMovingTo(shard: ShardId): Boolean = shard in moving
 
     fun tick(now: Long) {
         moving.values.removeIf { it < now }
         relieving.values.removeIf { it < now }
     }
 
-    /** Idle and booting machines of slices that want nothing go to slices that do, until their demand is met. */
-    fun resize(wanting: List<SliceTotals>, totals: List<SliceTotals>) {
+    /** Idle and booting machines of shards that want nothing go to shards that do, until their demand is met. */
+    fun resize(wanting: List<ShardUsageSummary>, totals: List<ShardUsageSummary>) {
         val givers = totals.filter { it.demand.isEmpty() && it.idle.isNotEmpty() }
         for (needy in wanting) {
             val left = needy.demand.associateWithTo(LinkedHashMap()) { it.count }
             for (giver in givers) {
                 val idle = giver.idle.toHashSet()
                 val given = ArrayList<String>()
-                for (host in cluster.hostsOf(giver.slice)) {
-                    if (host.name !in idle || cluster.isLeaving(giver.slice, host.name)) continue
+                for (host in cluster.hostsOf(giver.shard)) {
+                    if (host.name !in idle || cluster.isLeaving(giver.shard, host.name)) continue
                     val machineType = machineTypes()[host.typeName] ?: continue
                     val demand =
                         left.entries.firstOrNull { it.value > 0 && it.key.runsOn(host.typeName, host.zone, host.spot) && it.key.heldBy(machineType) > 0 }
@@ -42,56 +42,56 @@
                     given.add(host.name)
                 }
                 if (given.isEmpty()) continue
-                log.info("slice {} gives {} machines to slice {}", giver.slice.value, given.size, needy.slice.value)
-                cluster.markLeaving(giver.slice, given, needy.slice)
-                // Their room is not known to the needy slice before they have moved.
-                moving[needy.slice] = clock.now() + MOVE_MS
+                log.info("shard {} gives {} machines to shard {}", giver.shard.value, given.size, needy.shard.value)
+                cluster.markLeaving(giver.shard, given, needy.shard)
+                // Their room is not known to the needy shard before they have moved.
+                moving[needy.shard] = clock.now() + MOVE_MS
             }
         }
     }
 
     /**
-     * Has a machine of another slice emptied for a job that starves, once what could be rented for it has not come in time.
+     * Has a machine of another shard emptied for a job that starves, once what could be rented for it has not come in time.
      *
-     * Slices lend each other only whole machines, and with some work on every one of them a job could wait for ever beside
+     * Shards lend each other only whole machines, and with some work on every one of them a job could wait for ever beside
      * room that would hold it.
      */
-    fun relieve(totals: List<SliceTotals>, now: Long) {
-        for (needy in totals.filter { it.slice !in relieving }) {
+    fun relieve(totals: List<ShardUsageSummary>, now: Long) {
+        for (needy in totals.filter { it.shard !in relieving }) {
             for (starving in needy.starving) {
                 val demand = starving.demand
                 if (starving.waitedS < RENTED_BY_NOW_S) continue
-                val (giver, hosts) = totals.filter { it.slice != needy.slice }.firstNotNullOfOrNull { giver ->
+                val (giver, hosts) = totals.filter { it.shard != needy.shard }.firstNotNullOfOrNull { giver ->
                     hostsFor(demand, giver).takeIf { it.isNotEmpty() }?.let { giver to it }
                 } ?: continue
-                log.info("slice {} empties {} for slice {}, where a job starves", giver.slice.value, hosts, needy.slice.value)
-                cluster.markLeaving(giver.slice, hosts, needy.slice)
-                relieving[needy.slice] = now + RELIEVED_MS
+                log.info("shard {} empties {} for shard {}, where a job starves", giver.shard.value, hosts, needy.shard.value)
+                cluster.markLeaving(giver.shard, hosts, needy.shard)
+                relieving[needy.shard] = now + RELIEVED_MS
                 break
             }
         }
     }
 
-    /** Machines of a slice that hold what starves: a single task, or a whole gang, as far as [MOST_EMPTIED] machines do. */
-    private fun hostsFor(demand: Demand, giver: SliceTotals): List<String> {
+    /** Machines of a shard that hold what starves: a single task, or a whole gang, as far as [MOST_EMPTIED] machines do. */
+    private fun hostsFor(demand: Demand, giver: ShardUsageSummary): List<String> {
         val hosts = ArrayList<String>()
         var left = demand.count
         for (host in giver.idle + giver.lendable) {
             if (left <= 0 || hosts.size >= MOST_EMPTIED) break
-            if (host in hosts || !suits(giver.slice, host, demand)) continue
+            if (host in hosts || !suits(giver.shard, host, demand)) continue
             hosts.add(host)
-            left -= heldBy(giver.slice, host, demand)
+            left -= heldBy(giver.shard, host, demand)
         }
         return hosts
     }
 
-    private fun heldBy(slice: SliceIndex, name: String, demand: Demand): Int =
-        cluster.hostsOf(slice).firstOrNull { it.name == name }?.let { machineTypes()[it.typeName] }?.let { demand.heldBy(it) } ?: 0
+    private fun heldBy(shard: ShardId, name: String, demand: Demand): Int =
+        cluster.hostsOf(shard).firstOrNull { it.name == name }?.let { machineTypes()[it.typeName] }?.let { demand.heldBy(it) } ?: 0
 
-    private fun suits(slice: SliceIndex, name: String, demand: Demand): Boolean {
-        val host = cluster.hostsOf(slice).firstOrNull { it.name == name } ?: return false
+    private fun suits(shard: ShardId, name: String, demand: Demand): Boolean {
+        val host = cluster.hostsOf(shard).firstOrNull { it.name == name } ?: return false
         val machineType = machineTypes()[host.typeName] ?: return false
-        return !cluster.isLeaving(slice, name) && demand.runsOn(host.typeName, host.zone, host.spot) && demand.heldBy(machineType) > 0
+        return !cluster.isLeaving(shard, name) && demand.runsOn(host.typeName, host.zone, host.spot) && demand.heldBy(machineType) > 0
     }
 
     private companion object {
--- a/src/main/kotlin/io/reedmast/fleet/SliceTotals.kt
+++ b/src/main/kotlin/io/reedmast/fleet/ShardUsageSummary.kt
@@ -1,6 +1,6 @@
 package io.reedmast.fleet
 
-import io.reedmast.settings.SliceIndex
+import io.reedmast.settings.ShardId
 import io.reedmast.wire.Fields
 import io.reedmast.wire.Tree
 import io.reedmast.wire.amount
@@ -10,19 +10,19 @@
 import io.reedmast.wire.maps
 import io.reedmast.wire.optionalTexts
 
-/** What an owner stores of its slice every few seconds: its teams' charged use, and what the leader needs to resize slices. */
-class SliceTotals(
-    val slice: SliceIndex,
-    /** The version of the newest change to the slice's machines that the owner knew. */
+/** What an owner stores of its shard every few seconds: its teams' charged use, and what the leader needs to resize shards. */
+class ShardUsageSummary(
+    val shard: ShardId,
+    /** The version of the newest change to the shard's machines that the owner knew. */
     val hostsVersion: Long,
-    /** Charged use of the slice's teams within the window. */
+    /** Charged use of the shard's teams within the window. */
     val usage: Fields,
     /** Charged use against allocation of the waiting team that is furthest below its share. */
     val ratio: Double,
     val demand: List<Demand>,
-    /** Machines that may move to another slice at once. */
+    /** Machines that may move to another shard at once. */
     val idle: List<String>,
-    /** Machines that could be emptied for another slice. */
+    /** Machines that could be emptied for another shard. */
     val lendable: List<String>,
     val starving: List<Starving>,
     /** Zones that seem to be cut off. */
@@ -40,13 +40,13 @@
     )
 
     /** With fewer machines, and then fewer wishes, named, as far as needed for a stored value of so many bytes. */
-    fun within(bytes: Int): SliceTotals {
+    fun within(bytes: Int): ShardUsageSummary {
         var totals = this
         while (Tree.jsonSize(totals.toFields()) > bytes) totals = totals.shortened() ?: return totals
         return totals
     }
 
-    private fun shortened(): SliceTotals? = when {
+    private fun shortened(): ShardUsageSummary? = when {
         idle.size > FEW_HOSTS -> copy(idle = idle.take(idle.size / 2))
         lendable.size > FEW_HOSTS -> copy(lendable = lendable.take(lendable.size / 2))
         demand.size > 1 -> copy(demand = demand.dropLast(1))
@@ -60,13 +60,13 @@
         lendable: List<String> = this.lendable,
         demand: List<Demand> = this.demand,
         starving: List<Starving> = this.starving,
-    ) = SliceTotals(slice, hostsVersion, usage, ratio, demand, idle, lendable, starving, darkZones)
+    ) = ShardUsageSummary(shard, hostsVersion, usage, ratio, demand, idle, lendable, starving, darkZones)
 
     companion object {
         private const val FEW_HOSTS = 6
 
-        fun parse(slice: SliceIndex, fields: Fields) = SliceTotals(
-            slice,
+        fun parse(shard: ShardId, fields: Fields) = ShardUsageSummary(
+            shard,
             fields.count("hosts"),
             fields.map("usage"),
             fields.amount("ratio"),
--- a/src/main/kotlin/io/reedmast/fleet/SpareMachines.kt
+++ b/src/main/kotlin/io/reedmast/fleet/SpareMachines.kt
@@ -1,13 +1,13 @@
 package io.reedmast.fleet
 
 import io.reedmast.jobs.Placement
-import io.reedmast.jobs.SliceState
+import io.reedmast.jobs.ShardState
 import io.reedmast.workers.Machine
 import io.reedmast.workers.MachineLifecycle
 
-/** Which machines a slice can spare: those to be returned, to be moved to another slice, or to be emptied for it. */
-class SpareMachines(private val sliceState: SliceState, private val arrivals: ArrivalRates) {
-    /** Whether the slice would have too little free room for the services that arrive while a machine boots. */
+/** Which machines a shard can spare: those to be returned, to be moved to another shard, or to be emptied for it. */
+class SpareMachines(private val shardState: ShardState, private val arrivals: ArrivalRates) {
+    /** Whether the shard would have too little free room for the services that arrive while a machine boots. */
     inner class Spare(private var free: Double, private val wanted: Double) {
         fun needs(machine: Machine) = wanted > 0.0 && !machine.record.spot && free - machine.freeCpus < wanted
 
@@ -16,19 +16,19 @@
         }
     }
 
-    fun spareCpus(now: Long) = Spare(sliceState.machines.values.filter { it.usable && !it.record.spot }.sumOf { it.freeCpus }, headroom(now))
+    fun spareCpus(now: Long) = Spare(shardState.machines.values.filter { it.usable && !it.record.spot }.sumOf { it.freeCpus }, headroom(now))
 
     /** CPUs of the services that arrive within a boot. */
-    private fun headroom(now: Long): Double = sliceState.shortestBootS()?.let { arrivals.serviceCpus(now, it) } ?: 0.0
+    private fun headroom(now: Long): Double = shardState.shortestBootS()?.let { arrivals.serviceCpus(now, it) } ?: 0.0
 
     /** Room that other work leaves free on machines with services, for the services that arrive within a few seconds. */
     fun reserve(now: Long): Double = arrivals.serviceCpus(now, RESERVE_S)
 
     private var meanImageGb = 0.0
 
-    /** Takes up the size of the images that the slice's jobs need. */
+    /** Takes up the size of the images that the shard's jobs need. */
     fun noteImages() {
-        meanImageGb = if (sliceState.jobs.isEmpty()) 0.0 else sliceState.jobs.values.sumOf { it.spec.imageGb } / sliceState.jobs.size
+        meanImageGb = if (shardState.jobs.isEmpty()) 0.0 else shardState.jobs.values.sumOf { it.spec.imageGb } / shardState.jobs.size
     }
 
     /**
@@ -40,18 +40,18 @@
     fun patienceMs(machine: Machine): Double {
         val machineType = machine.machineType ?: return 0.0
         val ordinary =
-            sliceState.tuning.idleS
-                ?: maxOf(machineType.bootS * BOOT_WORTH + meanImageGb / machineType.fetchGbPerS, sliceState.settings.workers.reportS * KEPT_REPORTS)
+            shardState.tuning.idleS
+                ?: maxOf(machineType.bootS * BOOT_WORTH + meanImageGb / machineType.fetchGbPerS, shardState.settings.workers.reportS * KEPT_REPORTS)
         return ordinary * 1000 * if (machine.record.spot) SPOT_PATIENCE else 1.0
     }
 
     /**
      * Empty for a while and not kept for services, or still booting and not asked for just now: a machine that has just come
-     * covers what was wanted, so that nothing is, and went on to the next slice before it could be used.
+     * covers what was wanted, so that nothing is, and went on to the next shard before it could be used.
      */
     fun movable(now: Long): List<String> {
         val spare = spareCpus(now)
-        return sliceState.machines.values.filter { machine ->
+        return shardState.machines.values.filter { machine ->
             machine.placements.isEmpty() && machine.retirement == null && !machine.returning && machine.machineType != null &&
                 (
                     (!machine.everHeard && now - machine.firstSeenAt > JUST_COME_MS) ||
@@ -61,13 +61,13 @@
     }
 
     /**
-     * Machines that could be emptied for another slice, those that lose least by it first, some of each kind. Empty ones that
+     * Machines that could be emptied for another shard, those that lose least by it first, some of each kind. Empty ones that
      * are kept for services to come are among them.
      *
      * Services are placed again at once, and what ends within seconds is waited for; other work that cannot resume is lost.
      */
     fun lendable(now: Long): List<String> {
-        val usable = sliceState.machines.values.filter {
+        val usable = shardState.machines.values.filter {
             it.usable && it.noticeUntil == 0L && it.placements.values.none { p -> now - p.madeAt < JUST_PLACED_MS || p.job.spec.gang }
         }
         val free = usable.sumOf { it.freeCpus }
@@ -94,10 +94,10 @@
      * Zones most of whose machines fell silent lately: a zone that is cut off. What is rented there cannot be reached either,
      * and with its machines returned it would look like the zone with the most room.
      */
-    fun darkZones(now: Long): List<String> = sliceState.givenUp.filter { (zone, times) ->
+    fun darkZones(now: Long): List<String> = shardState.givenUp.filter { (zone, times) ->
         while (times.isNotEmpty() && now - times.first() > DARK_MS) times.removeFirst()
         times.size >= LEAST_DARK &&
-            times.size > sliceState.machines.values.count { it.record.zone == zone && it.trusted && now - it.lastHeardAt <= sliceState.reportOverdueMs }
+            times.size > shardState.machines.values.count { it.record.zone == zone && it.trusted && now - it.lastHeardAt <= shardState.reportOverdueMs }
     }.keys.toList()
 
     private companion object {
--- a/src/main/kotlin/io/reedmast/fleet/TotalsWriter.kt
+++ b/src/main/kotlin/io/reedmast/fleet/UsageSummaryWriter.kt
@@ -1,6 +1,6 @@
 package io.reedmast.fleet
 
-import io.reedmast.jobs.SliceState
+import io.reedmast.jobs.ShardState
 import io.reedmast.ports.Gateway
 import io.reedmast.state.Change
 import io.reedmast.state.Fetched
@@ -14,19 +14,19 @@
 import io.reedmast.wire.map
 import org.slf4j.LoggerFactory
 
-/** Stores a slice's [SliceTotals]: every few seconds, and sooner when its demand has changed. */
-class TotalsWriter(
-    private val sliceState: SliceState,
+/** Stores a shard's [ShardUsageSummary]: every few seconds, and sooner when its demand has changed. */
+class UsageSummaryWriter(
+    private val shardState: ShardState,
     private val out: Gateway,
     private val demandEstimator: DemandEstimator,
     private val spareMachines: SpareMachines,
     private val hostsVersion: () -> Long,
-    /** The slice may have another owner: its record is to be read again. */
+    /** The shard may have another owner: its record is to be read again. */
     private val termInDoubt: () -> Unit,
 ) {
-    private val log = LoggerFactory.getLogger("slice")
-    private val slice = sliceState.index
-    private val path = Keys.totals(slice.value)
+    private val log = LoggerFactory.getLogger("shard")
+    private val shard = shardState.index
+    private val path = Keys.totals(shard.value)
     private var version = 0L
     private var writing = false
     private var due = 0L
@@ -38,9 +38,9 @@
     fun load(totals: Item) {
         version = totals.version
         try {
-            sliceState.usage.load(totals.value.map("usage"))
+            shardState.usage.load(totals.value.map("usage"))
         } catch (e: MalformedException) {
-            log.error("slice {}: stored totals cannot be read: {}", slice.value, e.message)
+            log.error("shard {}: stored totals cannot be read: {}", shard.value, e.message)
         }
     }
 
@@ -54,37 +54,37 @@
         lastDemand = demand
         lastWritten = now
         logState(now, demand)
-        due = now + (sliceState.tuning.totalsS * 1000).toLong()
+        due = now + (shardState.tuning.totalsS * 1000).toLong()
         store(totals(demand, starving, now), if (wanted) WritePriority.PROMPT else WritePriority.LAZY)
     }
 
-    private fun totals(demand: List<Demand>, starving: List<Starving>, now: Long): SliceTotals {
-        val wall = sliceState.clock.wall()
-        val waiting = sliceState.jobs.values.filter { it.waitingCount > 0 }.mapTo(HashSet()) { it.team }
-        return SliceTotals(
-            slice,
+    private fun totals(demand: List<Demand>, starving: List<Starving>, now: Long): ShardUsageSummary {
+        val wall = shardState.clock.wall()
+        val waiting = shardState.jobs.values.filter { it.waitingCount > 0 }.mapTo(HashSet()) { it.team }
+        return ShardUsageSummary(
+            shard,
             hostsVersion(),
-            sliceState.usage.toFields(sliceState.teams, mostBuckets()),
-            ratio = waiting.minOfOrNull { sliceState.ratio(it, wall) } ?: 0.0,
+            shardState.usage.toFields(shardState.teams, mostBuckets()),
+            ratio = waiting.minOfOrNull { shardState.ratio(it, wall) } ?: 0.0,
             demand = demand.take(MAX_KINDS),
             idle = spareMachines.movable(now),
             lendable = spareMachines.lendable(now),
             starving = starving,
             darkZones = spareMachines.darkZones(now),
-        ).within(sliceState.limits.target.valueBytes * FILLED_PERCENT / 100 - ENVELOPE_BYTES)
+        ).within(shardState.limits.target.valueBytes * FILLED_PERCENT / 100 - ENVELOPE_BYTES)
     }
 
     /** Charged use may take a third of the value, whatever it is made of. */
-    private fun mostBuckets(): Int = maxOf(2, sliceState.limits.target.valueBytes / 3 / maxOf(1, sliceState.teams.size) / BYTES_PER_BUCKET)
+    private fun mostBuckets(): Int = maxOf(2, shardState.limits.target.valueBytes / 3 / maxOf(1, shardState.teams.size) / BYTES_PER_BUCKET)
 
-    private fun store(totals: SliceTotals, writePriority: WritePriority) {
+    private fun store(totals: ShardUsageSummary, writePriority: WritePriority) {
         writing = true
-        val value = totals.toFields() + ("term" to sliceState.term)
-        val guards = listOf(sliceState.termGuard, Guard(path, version))
+        val value = totals.toFields() + ("term" to shardState.term)
+        val guards = listOf(shardState.termGuard, Guard(path, version))
         out.commit(
             Change(guards, listOf(Write.Put(path, value)), writePriority) { outcome ->
                 writing = false
-                if (sliceState.dropped) return@Change
+                if (shardState.dropped) return@Change
                 if (outcome is Outcome.Applied) version = outcome.revision
                 if (outcome is Outcome.Conflict) conflict(outcome.failed)
             },
@@ -92,23 +92,23 @@
     }
 
     private fun conflict(failed: Set<String>) {
-        if (Keys.slice(slice.value) in failed) termInDoubt()
+        if (Keys.shard(shard.value) in failed) termInDoubt()
         if (path in failed) out.get(path) { if (it is Fetched.Found) version = it.item.version }
     }
 
     private fun logState(now: Long, demand: List<Demand>) {
         if (now < logDue) return
         logDue = now + LOG_EVERY_MS
-        val (up, coming) = sliceState.machines.values.partition { it.usable }
+        val (up, coming) = shardState.machines.values.partition { it.usable }
         log.info(
-            "slice {}: {} machines, {} not in use, {} CPUs free of {}, {} jobs with {} tasks waiting, wanted: {}",
-            slice.value,
+            "shard {}: {} machines, {} not in use, {} CPUs free of {}, {} jobs with {} tasks waiting, wanted: {}",
+            shard.value,
             up.size,
             coming.size,
             up.sumOf { it.freeCpus }.toInt(),
             up.sumOf { it.machineType?.cpus ?: 0.0 }.toInt(),
-            sliceState.jobs.size,
-            sliceState.jobs.values.sumOf { it.waitingCount },
+            shardState.jobs.size,
+            shardState.jobs.values.sumOf { it.waitingCount },
             demand.map { "${it.count} of ${"%.1f".format(it.cpus)} CPUs" },
         )
     }
--- a/src/main/kotlin/io/reedmast/gangs/GangCoordinator.kt
+++ b/src/main/kotlin/io/reedmast/gangs/GangCoordinator.kt
@@ -2,7 +2,7 @@
 
 import io.reedmast.jobs.Job
 import io.reedmast.jobs.Placement
-import io.reedmast.jobs.SliceState
+import io.reedmast.jobs.ShardState
 import io.reedmast.jobs.StopReason
 import io.reedmast.wire.Cause
 import io.reedmast.workers.Commands
@@ -14,14 +14,14 @@
  * A gang that has lost a task cannot go on. Its other tasks are stopped, and only when the evidence for the end of each of them is
  * there is the gang placed again, under a new attempt number. Until then a task of it may still run somewhere.
  */
-class GangCoordinator(private val sliceState: SliceState, private val commands: Commands) {
+class GangCoordinator(private val shardState: ShardState, private val commands: Commands) {
     private val log = LoggerFactory.getLogger("gangs")
 
     /** Stops what is left of gangs that have lost a task. */
     fun reconcile() {
-        while (sliceState.incompleteGangs.isNotEmpty()) {
-            val job = sliceState.incompleteGangs.first()
-            sliceState.incompleteGangs.remove(job)
+        while (shardState.incompleteGangs.isNotEmpty()) {
+            val job = shardState.incompleteGangs.first()
+            shardState.incompleteGangs.remove(job)
             stopRest(job, StopReason.GANG_INCOMPLETE)
         }
     }
@@ -30,7 +30,7 @@
         for (placement in job.placements().toList()) {
             if (placement.stopReason != null) continue
             if (!placement.committed && job.chunkOf(placement.task).page?.writing != true) {
-                sliceState.finish(placement, done = false)
+                shardState.finish(placement, done = false)
             } else {
                 commands.stop(placement, reason)
             }
@@ -46,29 +46,29 @@
             // An orderly stop that began before this owner knew of it: the others must be told in time, with grace to save.
             Cause.HALTED -> {
                 stopRest(job, StopReason.DRAINED)
-                sliceState.finish(placement, done = false)
+                shardState.finish(placement, done = false)
             }
 
             Cause.ALONE -> {
                 backOff(job, placement.attempt)
-                sliceState.finish(placement, done = false)
+                shardState.finish(placement, done = false)
             }
 
-            else -> sliceState.finish(placement, done = false)
+            else -> shardState.finish(placement, done = false)
         }
     }
 
     /** The tasks of a gang complete together: one that is done proves it of all, also of those whose machines are not heard any more. */
     private fun complete(job: Job) {
         log.info("{}: the gang is done", job.spec.jobId)
-        job.placements().toList().forEach { sliceState.finish(it, done = true) }
+        job.placements().toList().forEach { shardState.finish(it, done = true) }
         markAllDone(job)
     }
 
     private fun markAllDone(job: Job) {
         for (task in 0 until job.spec.taskCount) {
             job.markDone(task)
-            sliceState.touched(job.chunkOf(task))
+            shardState.touched(job.chunkOf(task))
         }
     }
 
@@ -78,16 +78,16 @@
         job.lastAloneAttempt = attempt
         val pauseMs = minOf(MAX_BACKOFF_MS, FIRST_BACKOFF_MS shl minOf(MAX_DOUBLINGS, job.attemptsAlone))
         job.attemptsAlone++
-        job.notBefore = maxOf(job.notBefore, sliceState.clock.now() + pauseMs)
+        job.notBefore = maxOf(job.notBefore, shardState.clock.now() + pauseMs)
     }
 
-    /** The slice has just been read. What is stored of a gang may be a part of it. */
+    /** The shard has just been read. What is stored of a gang may be a part of it. */
     fun taken(job: Job) {
         if (!job.spec.gang || job.placedCount + job.doneCount == 0) return
         if (job.doneCount > 0) {
             complete(job)
         } else if (job.placedCount < job.spec.taskCount || job.placements().map { it.attempt }.distinct().count() > 1) {
-            sliceState.incompleteGangs.add(job)
+            shardState.incompleteGangs.add(job)
         }
     }
 
@@ -102,7 +102,7 @@
         if (!job.spec.gang) return true
         if (!job.isWholeGangStored) return false
         if (job.placements().none { it.running }) return true
-        sliceState.incompleteGangs.add(job)
+        shardState.incompleteGangs.add(job)
         return false
     }
 
--- a/src/main/kotlin/io/reedmast/jobs/DensePages.kt
+++ b/src/main/kotlin/io/reedmast/jobs/DensePages.kt
@@ -17,7 +17,7 @@
  */
 object DensePages : RecordMigration {
     val FEATURE = FeatureName("dense-pages")
-    override val scope = MigrationScope.SLICE
+    override val scope = MigrationScope.SHARD
     private const val MACHINES = "machines"
     private const val LOWEST_ATTEMPT = "lowestAttempt"
     private const val CHUNKS = "dense"
@@ -26,7 +26,7 @@
     /** Job, first task, number of tasks, results, placements. */
     private const val PARTS_OF_A_CHUNK = 5
 
-    override fun prefix(slice: Int): String = Keys.pagesOf(slice)
+    override fun prefix(shard: Int): String = Keys.pagesOf(shard)
 
     override fun forward(record: Fields): Fields = if (isDense(record)) record.also { chunksOf(it) } else toFields(plainChunks(record))
 
--- a/src/main/kotlin/io/reedmast/jobs/Job.kt
+++ b/src/main/kotlin/io/reedmast/jobs/Job.kt
@@ -1,6 +1,6 @@
 package io.reedmast.jobs
 
-import io.reedmast.settings.TeamIndex
+import io.reedmast.settings.TeamId
 import io.reedmast.wire.JobSpec
 import io.reedmast.wire.TaskId
 import io.reedmast.workers.Machine
@@ -70,10 +70,10 @@
     val stored: Boolean get() = isInItsPage && olderCopies == 0
 }
 
-/** An unfinished job in the hands of its slice's owner. */
+/** An unfinished job in the hands of its shard's owner. */
 class Job(
     val spec: JobSpec,
-    val team: TeamIndex,
+    val team: TeamId,
     private val chunkSize: Int,
     val acceptedAtMs: Long,
     /** Stamp of the job's [LiveRecord]: whoever cancels or ends the job moves it. */
--- a/src/main/kotlin/io/reedmast/jobs/JobIndex.kt
+++ b/src/main/kotlin/io/reedmast/jobs/JobIndex.kt
@@ -4,7 +4,7 @@
 import io.reedmast.peers.Cancellation
 import io.reedmast.peers.JobProgress
 import io.reedmast.settings.Settings
-import io.reedmast.settings.SliceIndex
+import io.reedmast.settings.ShardId
 import io.reedmast.state.Event
 import io.reedmast.state.Item
 import io.reedmast.state.Keys
@@ -17,7 +17,7 @@
 import io.reedmast.wire.map
 import io.reedmast.wire.optionalFlag
 
-/** The record of an unfinished job, under its slice. Whoever cancels the job rewrites it. */
+/** The record of an unfinished job, under its shard. Whoever cancels the job rewrites it. */
 class LiveRecord(val spec: JobSpec, val chunkSize: Int, val acceptedAtMs: Long, val aborted: Boolean) {
     fun toFields(): Fields {
         val fields = mapOf("spec" to spec.toFields(), "chunk" to chunkSize, "at" to acceptedAtMs)
@@ -45,8 +45,8 @@
 }
 
 /** An unfinished job as every node knows it. */
-class LiveJob(val slice: SliceIndex, val record: LiveRecord, val version: Long) {
-    /** Counts for display, as the slice's owner last told. */
+class LiveJob(val shard: ShardId, val record: LiveRecord, val version: Long) {
+    /** Counts for display, as the shard's owner last told. */
     var done = 0
     var running = 0
 }
@@ -57,7 +57,7 @@
  * Every node has it, so that a question about a job need not be read from the state service one by one: with hundreds of
  * users asking, those reads were more than the service takes.
  */
-class JobIndex(private val settings: Settings, private val owned: () -> List<SliceOwner>) {
+class JobIndex(private val settings: Settings, private val owned: () -> List<ShardOwner>) {
     val unreadable = Unreadable()
     private val live = HashMap<String, LiveJob>()
 
@@ -82,7 +82,7 @@
 
     fun noteEnd(jobId: String, end: EndRecord) = ends.put(jobId, end)
 
-    fun liveOf(slice: SliceIndex): List<LiveJob> = live.values.filter { it.slice == slice }
+    fun liveOf(shard: ShardId): List<LiveJob> = live.values.filter { it.shard == shard }
 
     /** Takes up a complete reading; [revision] is what it is at least as new as. */
     fun load(items: List<Item>, revision: Long) {
@@ -134,13 +134,13 @@
         }
     }
 
-    private fun put(jobId: String, slice: Int?, value: Fields, version: Long) {
+    private fun put(jobId: String, shard: Int?, value: Fields, version: Long) {
         // The watch may tell of the job after our own change has ended it.
         if (jobId in endedHere || ends.getIfPresent(jobId) != null) return
         val known = live[jobId]
         if (known != null && known.version >= version) return
-        if (slice == null || slice !in 0 until settings.slices) throw MalformedException("the job belongs to no slice")
-        put(jobId, LiveJob(SliceIndex(slice), LiveRecord.parse(value), version))
+        if (shard == null || shard !in 0 until settings.shardCount) throw MalformedException("the job belongs to no shard")
+        put(jobId, LiveJob(ShardId(shard), LiveRecord.parse(value), version))
         unreadableLive.remove(jobId)
     }
 
@@ -150,7 +150,7 @@
             job.running = it.running
         }
         live[jobId] = job
-        owned().forEach { if (it.index == job.slice) it.jobSeen(job) }
+        owned().forEach { if (it.index == job.shard) it.jobSeen(job) }
     }
 
     private fun remove(jobId: String, version: Long) {
@@ -158,7 +158,7 @@
         val known = live[jobId] ?: return
         if (known.version > version) return
         live.remove(jobId)
-        owned().forEach { if (it.index == known.slice) it.jobGone(jobId) }
+        owned().forEach { if (it.index == known.shard) it.jobGone(jobId) }
     }
 
     /** All cancelled jobs that are not over. */
@@ -167,7 +167,7 @@
     /** Another controller knows that a job is cancelled, while the watch tells nothing. */
     fun noteCancellation(cancellation: Cancellation) {
         val job = live[cancellation.jobId] ?: return
-        if (job.version < cancellation.version) put(cancellation.jobId, LiveJob(job.slice, job.record.aborted(), cancellation.version))
+        if (job.version < cancellation.version) put(cancellation.jobId, LiveJob(job.shard, job.record.aborted(), cancellation.version))
     }
 
     fun noteProgress(progress: List<JobProgress>) {
--- a/src/main/kotlin/io/reedmast/jobs/JobRequests.kt
+++ b/src/main/kotlin/io/reedmast/jobs/JobRequests.kt
@@ -68,9 +68,9 @@
             return
         }
         val askedAt = clock.now()
-        val slice = settings.sliceOf(team).value
+        val shard = settings.shardOf(team).value
         val record = LiveRecord(spec, PageForm.chunkSizeFor(limits.target.valueBytes), clock.wall(), aborted = false).toFields()
-        val path = Keys.live(slice, spec.jobId)
+        val path = Keys.live(shard, spec.jobId)
         // A late copy of a submission must not bring back a job that is over: its end is a condition too.
         val change =
             Change(listOf(Guard(path, 0), Guard(Keys.end(spec.jobId), 0)), listOf(Write.Put(path, record)), WritePriority.USER) { outcome ->
@@ -185,7 +185,7 @@
             answer(later())
             return@find
         }
-        val path = Keys.live(job.slice.value, jobId)
+        val path = Keys.live(job.shard.value, jobId)
         val record = job.record.aborted().toFields()
         out.commit(
             Change(listOf(Guard(path, job.version)), listOf(Write.Put(path, record)), WritePriority.USER) { outcome ->
--- a/src/main/kotlin/io/reedmast/jobs/PageReader.kt
+++ b/src/main/kotlin/io/reedmast/jobs/PageReader.kt
@@ -7,7 +7,7 @@
 import java.util.BitSet
 
 /**
- * Takes up a slice's stored pages.
+ * Takes up a shard's stored pages.
  *
  * A page whose division is not today's is read, and its content goes to other pages: see [PageRetirement]. Until it has been cleared, two
  * pages speak for the same tasks, and the newer one is right.
@@ -16,14 +16,14 @@
  * @param place takes up each placement
  */
 class PageReader(
-    private val sliceState: SliceState,
+    private val shardState: ShardState,
     private val pages: MutableList<ProgressPage>,
     private val retirement: PageRetirement,
     private val pageBytes: Int,
     private val chunkSizes: Map<String, Int>,
     private val place: (Job, StoredPlacement) -> Unit,
 ) {
-    private val log = LoggerFactory.getLogger("slice")
+    private val log = LoggerFactory.getLogger("shard")
 
     /** The tasks for which a newer copy has been read, by job. */
     private val known = HashMap<Job, BitSet>()
@@ -40,7 +40,7 @@
         page.version = item.version
         page.storedDense = DensePages.isDense(item.value)
         val chunks = chunksOf(item)
-        val divided = isDividedOtherwise(chunks) || isOverfull(page, chunks) || Tree.jsonSize(item.value) > sliceState.limits.allowed.valueBytes
+        val divided = isDividedOtherwise(chunks) || isOverfull(page, chunks) || Tree.jsonSize(item.value) > shardState.limits.allowed.valueBytes
         for (chunk in chunks) load(chunk, page, divided)
     }
 
@@ -53,32 +53,32 @@
 
     /** A job that is over needs no clearing from its page: the next writing leaves it out. */
     private fun isOfUnfinishedJob(stored: StoredChunk, path: String): Boolean {
-        val job = sliceState.jobs[stored.jobId] ?: return false
+        val job = shardState.jobs[stored.jobId] ?: return false
         if (stored.first in 0 until job.spec.taskCount) return true
         noteUnreadable(path, MalformedException("first is out of range"))
         return false
     }
 
     private fun isDividedOtherwise(chunks: List<StoredChunk>): Boolean = chunks.any { stored ->
-        val chunk = sliceState.jobs.getValue(stored.jobId).chunkOf(stored.first)
+        val chunk = shardState.jobs.getValue(stored.jobId).chunkOf(stored.first)
         chunk.page != null || chunk.first != stored.first || chunk.size != tasksOf(stored).count()
     }
 
     /** Whether a dense page that is to be stored plainly holds more than that form can. */
     private fun isOverfull(page: ProgressPage, chunks: List<StoredChunk>): Boolean {
-        if (!page.storedDense || sliceState.gates().writes(DensePages.FEATURE)) return false
-        return chunks.sumOf { PageForm.SIZED.reserveFor(sliceState.jobs.getValue(it.jobId).chunkOf(it.first)) } > pageBytes
+        if (!page.storedDense || shardState.gates().writes(DensePages.FEATURE)) return false
+        return chunks.sumOf { PageForm.SIZED.reserveFor(shardState.jobs.getValue(it.jobId).chunkOf(it.first)) } > pageBytes
     }
 
     /** The tasks that the chunk speaks for. */
     private fun tasksOf(stored: StoredChunk): IntRange {
-        val taskCount = sliceState.jobs.getValue(stored.jobId).spec.taskCount
+        val taskCount = shardState.jobs.getValue(stored.jobId).spec.taskCount
         val size = stored.size ?: chunkSizes[stored.jobId] ?: taskCount
         return stored.first until minOf(taskCount, stored.first + size)
     }
 
     private fun load(stored: StoredChunk, page: ProgressPage, divided: Boolean) {
-        val job = sliceState.jobs.getValue(stored.jobId)
+        val job = shardState.jobs.getValue(stored.jobId)
         val tasks = tasksOf(stored)
         if (divided) tasks.mapTo(LinkedHashSet()) { job.chunkOf(it) }.forEach { retirement.supersede(page, it) } else page.add(job.chunkOf(stored.first))
         // What is done stays done, whichever copy says so.
@@ -86,7 +86,7 @@
         val newer = known.getOrPut(job) { BitSet() }
         stored.placements.forEach { if (it.task in 0 until job.spec.taskCount && !newer.get(it.task)) place(job, it) }
         newer.set(tasks.first, tasks.last + 1)
-        sliceState.changed.add(job)
+        shardState.changed.add(job)
     }
 
     /**
@@ -94,8 +94,8 @@
      * them, or have lost their leases.
      */
     private fun noteUnreadable(path: String, e: MalformedException) {
-        log.error("slice {}: stored record {} cannot be read: {}", sliceState.index.value, path, e.message)
-        sliceState.placeNotBefore = sliceState.clock.now() + (sliceState.settings.workers.leaseS * LEASES_UNTIL_UNKNOWN_WORK_IS_GONE * 1000).toLong()
+        log.error("shard {}: stored record {} cannot be read: {}", shardState.index.value, path, e.message)
+        shardState.placeNotBefore = shardState.clock.now() + (shardState.settings.workers.leaseS * LEASES_UNTIL_UNKNOWN_WORK_IS_GONE * 1000).toLong()
     }
 
     private companion object {
--- a/src/main/kotlin/io/reedmast/jobs/PageRetirement.kt
+++ b/src/main/kotlin/io/reedmast/jobs/PageRetirement.kt
@@ -16,37 +16,37 @@
  * So each of its parts is first stored in another page. Until all are, the old page stays as it is, and whoever reads both takes the
  * newer copy of a task. Any step may be the last that is carried out.
  */
-class PageRetirement(private val sliceState: SliceState, private val out: Gateway) {
+class PageRetirement(private val shardState: ShardState, private val out: Gateway) {
     /** [chunk] speaks for tasks of which [page] holds an older copy. */
     fun supersede(page: ProgressPage, chunk: Chunk) {
         if (!page.superseded.add(chunk)) return
         chunk.olderCopies++
         if (chunk.page == null) chunk.dirty = true
-        sliceState.changed.add(chunk.job)
+        shardState.changed.add(chunk.job)
     }
 
     /** Clears the pages all of whose content stands in other ones. */
-    fun clear(pages: List<ProgressPage>, slice: Int) {
+    fun clear(pages: List<ProgressPage>, shard: Int) {
         for (page in pages) {
             if (page.superseded.isEmpty() || page.writing) continue
-            if (page.superseded.all { isElsewhere(it) }) clear(page, Keys.page(slice, page.index))
+            if (page.superseded.all { isElsewhere(it) }) clear(page, Keys.page(shard, page.index))
         }
     }
 
     private fun isElsewhere(chunk: Chunk): Boolean {
-        val over = sliceState.jobs[chunk.job.spec.jobId] !== chunk.job
+        val over = shardState.jobs[chunk.job.spec.jobId] !== chunk.job
         return over || (chunk.page != null && chunk.isInItsPage)
     }
 
     private fun clear(page: ProgressPage, path: String) {
         page.writing = true
-        val gates = sliceState.gates()
-        val form = PageForm.toWrite(gates, sliceState.limits.isLowered)
-        val guards = listOf(sliceState.termGuard, gates.guard, Guard(path, page.version))
+        val gates = shardState.gates()
+        val form = PageForm.toWrite(gates, shardState.limits.isLowered)
+        val guards = listOf(shardState.termGuard, gates.guard, Guard(path, page.version))
         out.commit(
             Change(guards, listOf(Write.Put(path, form.toFields(emptyList()))), WritePriority.LAZY) { outcome ->
                 page.writing = false
-                if (sliceState.dropped) return@Change
+                if (shardState.dropped) return@Change
                 if (outcome is Outcome.Applied) cleared(page, outcome.revision, form) else reread(page, path)
             },
         )
--- a/src/main/kotlin/io/reedmast/jobs/ProgressPage.kt
+++ b/src/main/kotlin/io/reedmast/jobs/ProgressPage.kt
@@ -4,7 +4,7 @@
 import java.util.EnumMap
 
 /**
- * One stored value with the progress of several jobs of a slice.
+ * One stored value with the progress of several jobs of a shard.
  *
  * Each put counts against the state service's limit, whatever its size: a record for each job cost several puts a second
  * where one does. A chunk stays in its page; room for all its tasks is set aside when it comes.
--- a/src/main/kotlin/io/reedmast/jobs/ProgressStore.kt
+++ b/src/main/kotlin/io/reedmast/jobs/ProgressStore.kt
@@ -31,16 +31,16 @@
     fun ended(job: Job, end: EndRecord, revision: Long)
 }
 
-/** The storing of a slice: pages of progress, and the ends of jobs. */
-class ProgressStore(private val sliceState: SliceState, private val out: Gateway, private val told: Stored) {
-    private val log = LoggerFactory.getLogger("slice")
-    private val slice = sliceState.index.value
+/** The storing of a shard: pages of progress, and the ends of jobs. */
+class ProgressStore(private val shardState: ShardState, private val out: Gateway, private val told: Stored) {
+    private val log = LoggerFactory.getLogger("shard")
+    private val shard = shardState.index.value
     private val pages = ArrayList<ProgressPage>()
-    private val pageBytes = sliceState.limits.target.valueBytes * 95 / 100
+    private val pageBytes = shardState.limits.target.valueBytes * 95 / 100
 
     /** Whether the pages were read when the lowered limits were known to hold, so that they were divided accordingly. */
-    private val dividedForLowered = sliceState.limits.isLowered
-    private val retirement = PageRetirement(sliceState, out)
+    private val dividedForLowered = shardState.limits.isLowered
+    private val retirement = PageRetirement(shardState, out)
     private val toEnd = LinkedHashSet<Job>()
     private var endings = 0
 
@@ -48,25 +48,25 @@
     val needsReload: Boolean get() = isUndivided || pages.any { isOverfull(it) }
 
     private val isUndivided: Boolean
-        get() = !dividedForLowered && sliceState.limits.isLowered && pages.any { it.reservedIn(PageForm.SIZED) > pageBytes || isTooLarge(it) }
+        get() = !dividedForLowered && shardState.limits.isLowered && pages.any { it.reservedIn(PageForm.SIZED) > pageBytes || isTooLarge(it) }
 
     /** Whether it holds more than its plain form can, in which it is to be stored again: its content has to go to several pages. */
     private fun isOverfull(page: ProgressPage): Boolean =
-        page.storedDense && page.reservedIn(PageForm.SIZED) > pageBytes && !sliceState.gates().writes(DensePages.FEATURE)
+        page.storedDense && page.reservedIn(PageForm.SIZED) > pageBytes && !shardState.gates().writes(DensePages.FEATURE)
 
     private fun isTooLarge(page: ProgressPage): Boolean {
-        val most = PageForm.chunkSizeFor(sliceState.limits.target.valueBytes)
+        val most = PageForm.chunkSizeFor(shardState.limits.target.valueBytes)
         return page.chunks.any { it.size > most }
     }
 
     /** Takes up stored pages as they were read; [place] takes up each placement. [chunkSizes] are those of the jobs' records. */
     fun load(items: List<Item>, chunkSizes: Map<String, Int>, place: (Job, StoredPlacement) -> Unit) =
-        PageReader(sliceState, pages, retirement, pageBytes, chunkSizes, place).load(items)
+        PageReader(shardState, pages, retirement, pageBytes, chunkSizes, place).load(items)
 
     /** Stores what differs from what is stored, as far as the limit on changes allows. */
     fun flush(now: Long) {
-        for (job in sliceState.changed) {
-            if (sliceState.jobs[job.spec.jobId] !== job) continue
+        for (job in shardState.changed) {
+            if (shardState.jobs[job.spec.jobId] !== job) continue
             if (job.over) toEnd.add(job)
             for (chunk in job.chunks) {
                 if (chunk == null || !chunk.dirty) continue
@@ -75,10 +75,10 @@
                 page.waiting = maxOf(page.waiting, waitingFor(chunk))
             }
         }
-        sliceState.changed.clear()
-        if (!sliceState.fresh()) return
+        shardState.changed.clear()
+        if (!shardState.fresh()) return
         endJobs()
-        retirement.clear(pages, slice)
+        retirement.clear(pages, shard)
         var onTheirWay = pages.count { it.writing && it.waitedFor }
         val due = pages.filter { it.dirtySince != 0L && !it.writing && now >= it.refusedUntil && !isOverfull(it) }
         for (page in due.sortedWith(compareBy({ -it.waiting.ordinal }, { it.dirtySince }))) {
@@ -104,7 +104,7 @@
 
     private fun waitingFor(chunk: Chunk): ProgressPage.Waiting = when {
         chunk.placements.values.all { it.committed } -> ProgressPage.Waiting.NOTHING
-        sliceState.startsSoon(chunk.job) -> ProgressPage.Waiting.SOON
+        shardState.startsSoon(chunk.job) -> ProgressPage.Waiting.SOON
         else -> ProgressPage.Waiting.ARRAYS
     }
 
@@ -116,17 +116,17 @@
 
     /** Pages that are about to be written anyway come first, so that decisions of a moment share a put. */
     private fun pageFor(chunk: Chunk): ProgressPage {
-        val form = PageForm.toWrite(sliceState.gates(), sliceState.limits.isLowered)
+        val form = PageForm.toWrite(shardState.gates(), shardState.limits.isLowered)
         val open = pages.filter { !it.writing && it.hasRoom(chunk, pageBytes, form) }
         val page = open.firstOrNull { it.waiting != ProgressPage.Waiting.NOTHING } ?: open.firstOrNull { it.dirtySince != 0L } ?: open.firstOrNull()
         return (page ?: ProgressPage(pages.size).also { pages.add(it) }).also { it.add(chunk) }
     }
 
     private fun store(page: ProgressPage, writePriority: WritePriority) {
-        val path = Keys.page(slice, page.index)
+        val path = Keys.page(shard, page.index)
         val pending = page.chunks.flatMap { chunk -> chunk.placements.values.filter { !it.committed } }
         // Each job that is placed anew is a condition, and a transaction takes only so many.
-        val jobs = pending.mapTo(LinkedHashSet()) { it.job }.take(sliceState.limits.target.opsPerCommit * GUARDED_JOBS_PER_CHANGE)
+        val jobs = pending.mapTo(LinkedHashSet()) { it.job }.take(shardState.limits.target.opsPerCommit * GUARDED_JOBS_PER_CHANGE)
         val included = pending.filter { it.job in jobs }
         val left = pending.filterTo(HashSet()) { it.job !in jobs }
         page.waitedFor = page.waiting != ProgressPage.Waiting.NOTHING
@@ -135,17 +135,17 @@
         page.waiting = if (left.isEmpty()) ProgressPage.Waiting.NOTHING else page.waiting
         page.writing = true
         // The form and the condition that it is the right one come from one look at the gates.
-        val gates = sliceState.gates()
-        val form = PageForm.toWrite(gates, sliceState.limits.isLowered)
+        val gates = shardState.gates()
+        val form = PageForm.toWrite(gates, shardState.limits.isLowered)
         val guards = ArrayList<Guard>(jobs.size + 3)
-        guards.add(sliceState.termGuard)
+        guards.add(shardState.termGuard)
         guards.add(gates.guard)
         guards.add(Guard(path, page.version))
-        jobs.mapTo(guards) { Guard(Keys.live(slice, it.spec.jobId), it.version) }
+        jobs.mapTo(guards) { Guard(Keys.live(shard, it.spec.jobId), it.version) }
         out.commit(
             Change(guards, listOf(Write.Put(path, page.toFields(left, form))), writePriority) { outcome ->
                 page.writing = false
-                if (sliceState.dropped) return@Change
+                if (shardState.dropped) return@Change
                 when (outcome) {
                     is Outcome.Applied -> {
                         page.version = outcome.revision
@@ -160,11 +160,11 @@
 
                     is Outcome.Refused -> {
                         log.error("{}: the state service refuses it: {}", path, outcome.reason)
-                        page.refusedUntil = sliceState.clock.now() + REREAD_MS
+                        page.refusedUntil = shardState.clock.now() + REREAD_MS
                         again(page)
                         included.forEach {
-                            it.job.notBefore = sliceState.clock.now() + REFUSED_MS
-                            sliceState.finish(it, done = false)
+                            it.job.notBefore = shardState.clock.now() + REFUSED_MS
+                            shardState.finish(it, done = false)
                         }
                     }
                 }
@@ -173,29 +173,29 @@
     }
 
     private fun again(page: ProgressPage) {
-        page.chunks.forEach { sliceState.touched(it) }
-        page.dirtySince = sliceState.clock.now()
+        page.chunks.forEach { shardState.touched(it) }
+        page.dirtySince = shardState.clock.now()
         page.waiting = page.chunks.maxOfOrNull { waitingFor(it) } ?: ProgressPage.Waiting.NOTHING
         if (page.waiting == ProgressPage.Waiting.NOTHING) page.waiting = ProgressPage.Waiting.ARRAYS
     }
 
     /** Something had moved on: the term, a job that its user has cancelled, or the page, if an answer of ours was lost. */
     private fun conflict(failed: Set<String>, page: ProgressPage?, included: List<Placement>) {
-        if (Keys.slice(slice) in failed) told.termInDoubt()
+        if (Keys.shard(shard) in failed) told.termInDoubt()
         if (Keys.ROLLOUT in failed) {
             told.gatesInDoubt()
-            page?.refusedUntil = sliceState.clock.now() + REREAD_GATES_MS
+            page?.refusedUntil = shardState.clock.now() + REREAD_GATES_MS
         }
         for (path in failed) {
-            val jobId = path.removePrefix("${Keys.LIVE}$slice/").takeIf { it != path } ?: continue
+            val jobId = path.removePrefix("${Keys.LIVE}$shard/").takeIf { it != path } ?: continue
             // Sent again as it is, it would only fail again: nothing is placed before the record is known.
-            included.filter { it.job.spec.jobId == jobId && !it.committed }.forEach { sliceState.finish(it, done = false) }
-            sliceState.jobs[jobId]?.let { it.notBefore = sliceState.clock.now() + REREAD_MS }
-            out.get(path) { if (!sliceState.dropped && it !is Fetched.Failed) told.recordChanged(path, (it as? Fetched.Found)?.item) }
+            included.filter { it.job.spec.jobId == jobId && !it.committed }.forEach { shardState.finish(it, done = false) }
+            shardState.jobs[jobId]?.let { it.notBefore = shardState.clock.now() + REREAD_MS }
+            out.get(path) { if (!shardState.dropped && it !is Fetched.Failed) told.recordChanged(path, (it as? Fetched.Found)?.item) }
         }
-        if (page != null && Keys.page(slice, page.index) in failed) {
+        if (page != null && Keys.page(shard, page.index) in failed) {
             page.writing = true
-            out.get(Keys.page(slice, page.index)) {
+            out.get(Keys.page(shard, page.index)) {
                 page.writing = false
                 if (it is Fetched.Found) page.version = maxOf(page.version, it.item.version)
             }
@@ -207,11 +207,11 @@
         val each = toEnd.iterator()
         while (each.hasNext() && endings < MAX_ENDINGS) {
             val job = each.next()
-            if (!job.over || job.ending || sliceState.jobs[job.spec.jobId] !== job) {
+            if (!job.over || job.ending || shardState.jobs[job.spec.jobId] !== job) {
                 each.remove()
                 continue
             }
-            if (sliceState.clock.now() < job.endNotBefore || (job.aborted && out.writeFullness() < FULL_ENOUGH)) continue
+            if (shardState.clock.now() < job.endNotBefore || (job.aborted && out.writeFullness() < FULL_ENOUGH)) continue
             each.remove()
             end(job)
         }
@@ -221,27 +221,27 @@
         job.ending = true
         endings++
         val jobId = job.spec.jobId
-        val live = Keys.live(slice, jobId)
+        val live = Keys.live(shard, jobId)
         val end = EndRecord(if (job.aborted) JobState.ABORTED else JobState.DONE, job.spec.taskCount)
-        val guards = listOf(sliceState.termGuard, Guard(live, job.version), Guard(Keys.end(jobId), 0))
+        val guards = listOf(shardState.termGuard, Guard(live, job.version), Guard(Keys.end(jobId), 0))
         val writes = listOf(Write.Put(Keys.end(jobId), end.toFields()), Write.Delete(live))
         out.commit(
             Change(guards, writes, if (job.aborted) WritePriority.LAZY else WritePriority.PROMPT) { outcome ->
                 endings--
-                if (sliceState.dropped) return@Change
+                if (shardState.dropped) return@Change
                 job.ending = false
                 when (outcome) {
                     is Outcome.Applied -> told.ended(job, end, outcome.revision)
 
                     is Outcome.Conflict -> {
-                        job.endNotBefore = sliceState.clock.now() + REREAD_MS
+                        job.endNotBefore = shardState.clock.now() + REREAD_MS
                         toEnd.add(job)
                         conflict(outcome.failed, null, emptyList())
                     }
 
                     is Outcome.Refused -> {
                         log.error("{}: the state service refuses the end of the job: {}", jobId, outcome.reason)
-                        job.endNotBefore = sliceState.clock.now() + REFUSED_MS
+                        job.endNotBefore = shardState.clock.now() + REFUSED_MS
                         toEnd.add(job)
                     }
                 }
@@ -266,7 +266,7 @@
             page.writing = false
             if (version == null) return
             page.version = maxOf(page.version, version)
-            page.storedDense = sliceState.gates().writes(DensePages.FEATURE)
+            page.storedDense = shardState.gates().writes(DensePages.FEATURE)
         }
 
         private fun pageAt(path: String): ProgressPage? = path.substringAfterLast('/').toIntOrNull()?.let { pages.getOrNull(it) }
--- a/src/main/kotlin/io/reedmast/jobs/SliceOwner.kt
+++ b/src/main/kotlin/io/reedmast/jobs/ShardOwner.kt
@@ -3,16 +3,16 @@
 import io.reedmast.fleet.ArrivalRates
 import io.reedmast.fleet.DemandEstimator
 import io.reedmast.fleet.SpareMachines
-import io.reedmast.fleet.TotalsWriter
+import io.reedmast.fleet.UsageSummaryWriter
 import io.reedmast.gangs.GangCoordinator
 import io.reedmast.ownership.ClusterRollout
-import io.reedmast.ownership.SliceRecord
+import io.reedmast.ownership.ShardRecord
 import io.reedmast.placement.Placer
 import io.reedmast.ports.Clock
 import io.reedmast.ports.Gateway
 import io.reedmast.rollout.MigrationUnit
 import io.reedmast.settings.Settings
-import io.reedmast.settings.SliceIndex
+import io.reedmast.settings.ShardId
 import io.reedmast.settings.Tuning
 import io.reedmast.state.Item
 import io.reedmast.state.Keys
@@ -28,43 +28,43 @@
 import io.reedmast.workers.Reports
 import org.slf4j.LoggerFactory
 
-/** The records of slices and their machines, which their owner asks to change and others may change too. */
-interface SliceRecords {
+/** The records of shards and their machines, which their owner asks to change and others may change too. */
+interface ShardRecords {
     val jobs: JobIndex
     val hostDirectory: HostDirectory
 
     /** What is rolled out, and this controller's part in it. */
     val rollout: ClusterRollout
 
-    /** The machines that the records name for the slice, and the slices that they are to move to. */
-    fun machinesOf(slice: SliceIndex): Map<HostRecord, Int?>
+    /** The machines that the records name for the shard, and the shards that they are to move to. */
+    fun machinesOf(shard: ShardId): Map<HostRecord, Int?>
 
     /** Stamp of the newest change to them. */
-    fun machinesVersion(slice: SliceIndex): Long
+    fun machinesVersion(shard: ShardId): Long
 
     /** Asks for a fresh token: a worker has seen a higher one than ours. */
-    fun renewToken(slice: SliceIndex)
+    fun renewToken(shard: ShardId)
 
     /** The term may have moved on: read the record again. */
-    fun refresh(slice: SliceIndex)
+    fun refresh(shard: ShardId)
 
-    /** Asks the other controllers to take the slice, since its workers do not reach this one. */
-    fun requestTakeover(slice: SliceIndex)
+    /** Asks the other controllers to take the shard, since its workers do not reach this one. */
+    fun requestTakeover(shard: ShardId)
 
-    fun removeHosts(slice: SliceIndex, hosts: Set<String>)
+    fun removeHosts(shard: ShardId, hosts: Set<String>)
 
-    /** Gives empty machines to the slices that they are marked to leave for. */
-    fun handOver(slice: SliceIndex, hosts: Collection<String>)
+    /** Gives empty machines to the shards that they are marked to leave for. */
+    fun handOver(shard: ShardId, hosts: Collection<String>)
 }
 
 /**
- * The work of one slice's owner, joined from its duties: reports and commands, placing, storing, upkeep, demand.
+ * The work of one shard's owner, joined from its duties: reports and commands, placing, storing, upkeep, demand.
  *
  * All of it runs on the deciding thread. A message only marks what it has changed; decisions, storing and commands follow
- * in [pump], at a bounded rate, so that the work for a report does not grow with the slice.
+ * in [pump], at a bounded rate, so that the work for a report does not grow with the shard.
  */
-class SliceOwner(
-    val index: SliceIndex,
+class ShardOwner(
+    val index: ShardId,
     private val settings: Settings,
     tuning: Tuning,
     private val clock: Clock,
@@ -72,69 +72,69 @@
     private val limits: LimitsInForce,
     machineTypes: () -> Collection<MachineType>,
     fresh: () -> Boolean,
-    private val records: SliceRecords,
+    private val records: ShardRecords,
 ) {
-    private val log = LoggerFactory.getLogger("slice")
-    private val slice = index.value
-    val sliceState = SliceState(index, settings, tuning, clock, machineTypes, fresh, limits) { records.rollout.gates }
-    private val commands = Commands(sliceState, out) { machine, report -> reports.answered(machine, report) }
-    private val gangs = GangCoordinator(sliceState, commands)
-    private val reports: Reports = Reports(sliceState, commands, gangs) { records.renewToken(index) }
-    private val arrivals = ArrivalRates(sliceState)
-    private val demandEstimator = DemandEstimator(sliceState, arrivals)
-    private val spareMachines = SpareMachines(sliceState, arrivals)
-    private val totalsWriter =
-        TotalsWriter(sliceState, out, demandEstimator, spareMachines, { records.machinesVersion(index) }, { records.refresh(index) })
-    val placer = Placer(sliceState, commands, demandEstimator, spareMachines)
-    private val progressStore = ProgressStore(sliceState, out, Storing())
+    private val log = LoggerFactory.getLogger("shard")
+    private val shard = index.value
+    val shardState = ShardState(index, settings, tuning, clock, machineTypes, fresh, limits) { records.rollout.gates }
+    private val commands = Commands(shardState, out) { machine, report -> reports.answered(machine, report) }
+    private val gangs = GangCoordinator(shardState, commands)
+    private val reports: Reports = Reports(shardState, commands, gangs) { records.renewToken(index) }
+    private val arrivals = ArrivalRates(shardState)
+    private val demandEstimator = DemandEstimator(shardState, arrivals)
+    private val spareMachines = SpareMachines(shardState, arrivals)
+    private val usageSummaryWriter =
+        UsageSummaryWriter(shardState, out, demandEstimator, spareMachines, { records.machinesVersion(index) }, { records.refresh(index) })
+    val placer = Placer(shardState, commands, demandEstimator, spareMachines)
+    private val progressStore = ProgressStore(shardState, out, Storing())
     private val lifecycle =
-        MachineLifecycle(sliceState, out, commands, spareMachines, {
+        MachineLifecycle(shardState, out, commands, spareMachines, {
             records.removeHosts(index, it)
         }, { records.handOver(index, it) }, { records.requestTakeover(index) })
-    private val migration = records.rollout.reconciler(MigrationUnit.Slice(slice), progressStore.access)
-    private val machines = SliceMachines(sliceState, lifecycle, records)
-    private val news = SliceNews(sliceState, out, records)
+    private val migration = records.rollout.reconciler(MigrationUnit.Shard(shard), progressStore.access)
+    private val machines = ShardMachines(shardState, lifecycle, records)
+    private val news = ShardStatusPublisher(shardState, out, records)
 
-    val token: Long get() = sliceState.token
+    val token: Long get() = shardState.token
 
     /** The token that answers to this machine's reports carry. */
-    fun tokenFor(host: String): Long = sliceState.machines[host]?.let { sliceState.tokenFor(it) } ?: sliceState.token
+    fun tokenFor(host: String): Long = shardState.machines[host]?.let { shardState.tokenFor(it) } ?: shardState.token
 
     /** Whether it holds progress in parts that the lowered limits do not allow, read before these were known to hold. */
     val needsReload: Boolean get() = active && !dropped && progressStore.needsReload
 
-    val active: Boolean get() = sliceState.active
+    val active: Boolean get() = shardState.active
 
-    /** Set when another owner has taken the slice: answers that still come in are ignored. */
+    /** Set when another owner has taken the shard: answers that still come in are ignored. */
     var dropped: Boolean
-        get() = sliceState.dropped
+        get() = shardState.dropped
         set(value) {
-            sliceState.dropped = value
+            shardState.dropped = value
         }
 
     // ---- taking over ----------------------------------------------------------------------------------------------
 
-    /** Reads what is stored of the slice: [pages] were listed, and [live] is at least as new, after our token was stored. */
+    /** Reads what is stored of the shard: [pages] were listed, and [live] is at least as new, after our token was stored. */
     fun load(live: List<LiveJob>, pages: List<Item>, totals: Item?) {
         if (pages.any { isSized(it) }) limits.lower()
         syncHosts()
-        totals?.let { totalsWriter.load(it) }
+        totals?.let { usageSummaryWriter.load(it) }
         live.forEach { addJob(it) }
         val chunkSizes = live.associate { it.record.spec.jobId to it.record.chunkSize }
         progressStore.load(pages, chunkSizes) { job, stored ->
             val placement = Placement(job, stored.task, stored.attempt, machines.named(stored.host), clock.now())
             placement.committed = true
-            sliceState.place(placement)
+            shardState.place(placement)
         }
-        sliceState.jobs.values.forEach { gangs.taken(it) }
-        sliceState.jobs.values.forEach { countWaitFromAcceptance(it) }
-        sliceState.jobs.values.filter { it.aborted }.forEach { stopAll(it) }
-        sliceState.changed.addAll(sliceState.jobs.values)
-        sliceState.active = true
-        sliceState.activeAt = clock.now()
-        sliceState.placeWanted = true
+        shardState.jobs.values.forEach { gangs.taken(it) }
+        shardState.jobs.values.forEach { countWaitFromAcceptance(it) }
+        shardState.jobs.values.filter { it.aborted }.forEach { stopAll(it) }
+        shardState.changed.addAll(shardState.jobs.values)
+        shardState.active = true
+        shardState.activeAt = clock.now()
+        shardState.placeWanted = true
         commands.begin()
-        log.info("slice {}: took over under token {}: {} jobs, {} machines", slice, token, sliceState.jobs.size, sliceState.machines.size)
+        log.info("shard {}: took over under token {}: {} jobs, {} machines", shard, token, shardState.jobs.size, shardState.machines.size)
     }
 
     /** Only what knows that every controller reads such pages stores them. */
@@ -145,7 +145,7 @@
         false
     }
 
-    /** A job that has got nothing so far has waited since its acceptance, whoever owned the slice: else each takeover prolongs its wait. */
+    /** A job that has got nothing so far has waited since its acceptance, whoever owned the shard: else each takeover prolongs its wait. */
     private fun countWaitFromAcceptance(job: Job) {
         if (job.placedCount > 0 || job.doneCount > 0) return
         val since = clock.now() - maxOf(0L, clock.wall() - job.acceptedAtMs)
@@ -154,34 +154,34 @@
         job.unservedSince = since
     }
 
-    /** Takes up the slice's record as it now stands: our token may have been raised for a machine that moves here. */
-    fun sync(record: SliceRecord, term: Long) {
-        if (term < sliceState.term) return
+    /** Takes up the shard's record as it now stands: our token may have been raised for a machine that moves here. */
+    fun sync(record: ShardRecord, term: Long) {
+        if (term < shardState.term) return
         // The token was raised for machines that move here. One that we know of already, from the same change, must show it:
         // what its old owner has sent may arrive until then.
-        if (record.token > sliceState.token) sliceState.machines.values.forEach { if (it.sequence < 0) it.floor = record.token }
-        sliceState.token = record.token
-        sliceState.term = term
+        if (record.token > shardState.token) shardState.machines.values.forEach { if (it.sequence < 0) it.floor = record.token }
+        shardState.token = record.token
+        shardState.term = term
     }
 
-    /** Takes up the machines that the records now name for the slice. */
+    /** Takes up the machines that the records now name for the shard. */
     fun syncHosts() = machines.sync()
 
     fun machineTypesChanged() = machines.typesChanged()
 
     // ---- jobs -----------------------------------------------------------------------------------------------------
 
-    /** A job of the slice is new, or its user has cancelled it. While the slice is being read, the index remembers. */
+    /** A job of the shard is new, or its user has cancelled it. While the shard is being read, the index remembers. */
     fun jobSeen(live: LiveJob) {
         if (!active) return
-        val job = sliceState.jobs[live.record.spec.jobId] ?: addJob(live) ?: return
+        val job = shardState.jobs[live.record.spec.jobId] ?: addJob(live) ?: return
         job.version = maxOf(job.version, live.version)
         if (live.record.aborted && !job.aborted) {
             job.aborted = true
-            sliceState.changed.add(job)
+            shardState.changed.add(job)
             stopAll(job)
         }
-        sliceState.placeWanted = true
+        shardState.placeWanted = true
     }
 
     private fun addJob(live: LiveJob): Job? {
@@ -192,20 +192,20 @@
             return null
         }
         val job = Job(spec, team, chunkSizeOf(live.record), live.record.acceptedAtMs, live.version).apply { aborted = live.record.aborted }
-        sliceState.jobs[spec.jobId] = job
-        sliceState.changed.add(job)
+        shardState.jobs[spec.jobId] = job
+        shardState.changed.add(job)
         job.waitsSince = clock.now()
         job.idleSince = clock.now()
         job.unservedSince = clock.now()
-        if (spec.gang) sliceState.gangArrivals.addLast(SliceState.GangArrival(clock.now(), spec))
+        if (spec.gang) shardState.gangArrivals.addLast(ShardState.GangArrival(clock.now(), spec))
         if (active) {
             val (arrivals, amount) = if (spec.service || spec.gang) {
-                sliceState.arrivals to spec.cpus * spec.taskCount
+                shardState.arrivals to spec.cpus * spec.taskCount
             } else {
-                sliceState.arrayArrivals to
+                shardState.arrayArrivals to
                     spec.cpus * spec.taskCount * spec.estimateS
             }
-            arrivals.addLast(SliceState.Arrival(clock.now(), amount))
+            arrivals.addLast(ShardState.Arrival(clock.now(), amount))
         }
         return job
     }
@@ -216,7 +216,7 @@
 
     /** The record of the job is gone. What still runs of it, if anything could, is stopped. */
     fun jobGone(jobId: String) {
-        val job = sliceState.jobs[jobId] ?: return
+        val job = shardState.jobs[jobId] ?: return
         if (job.placedCount == 0) {
             forget(job)
         } else if (!job.aborted) {
@@ -227,15 +227,15 @@
     }
 
     private fun forget(job: Job) {
-        sliceState.jobs.remove(job.spec.jobId)
+        shardState.jobs.remove(job.spec.jobId)
         progressStore.forget(job)
-        sliceState.placeWanted = true
+        shardState.placeWanted = true
     }
 
     private fun stopAll(job: Job) {
         for (placement in job.placements().toList()) {
             if (!placement.committed && job.chunkOf(placement.task).page?.writing != true) {
-                sliceState.finish(placement, done = false)
+                shardState.finish(placement, done = false)
             } else {
                 commands.stop(placement, StopReason.ABORTED)
             }
@@ -251,7 +251,7 @@
             if (placement.stopReason == null) {
                 launchStored(placement)
             } else if (placement.launchSession == 0L) {
-                sliceState.finish(placement, done = false)
+                shardState.finish(placement, done = false)
             }
         }
 
@@ -276,7 +276,7 @@
             log.info("{}: {}", jobId, if (job.aborted) "cleared away" else "done")
             forget(job)
             records.jobs.see(Keys.end(jobId), end.toFields(), revision)
-            records.jobs.see(Keys.live(slice, jobId), null, revision)
+            records.jobs.see(Keys.live(shard, jobId), null, revision)
         }
     }
 
@@ -294,35 +294,35 @@
         commands.send()
     }
 
-    /** Whether nothing of what was decided here is yet to be stored: the slice may then change hands without a trace. */
+    /** Whether nothing of what was decided here is yet to be stored: the shard may then change hands without a trace. */
     val isSettled: Boolean get() = active && progressStore.isSettled && !migration.inDoubt
 
     /** Called about four times a second. */
     fun tick() {
         if (!active || dropped) return
         val now = clock.now()
-        if (sliceState.fresh()) migration.tick(records.rollout.gates, sliceState.termGuard, records.rollout.view)
+        if (shardState.fresh()) migration.tick(records.rollout.gates, shardState.termGuard, records.rollout.view)
         compareWithIndex(now)
         chargeIfDue(now)
         commands.announceToken(now)
         lifecycle.tick(now)
         // Waiting may itself let work start: after a failure's pause, or once it has waited long enough to preempt.
-        if (sliceState.jobs.values.any { it.waitingCount > 0 }) sliceState.placeWanted = true
+        if (shardState.jobs.values.any { it.waitingCount > 0 }) shardState.placeWanted = true
         // Also while this node has not heard the state service for a moment: what it wants goes out as soon as that answers again.
-        if (records.rollout.isAdmitted) totalsWriter.tick(now)
+        if (records.rollout.isAdmitted) usageSummaryWriter.tick(now)
         news.tellIfDue(now)
     }
 
     private var compareDue = 0L
 
-    /** Every unfinished job of the slice must be in the owner's hands: one that is not would wait for ever. */
+    /** Every unfinished job of the shard must be in the owner's hands: one that is not would wait for ever. */
     private fun compareWithIndex(now: Long) {
         if (now < compareDue) return
         compareDue = now + COMPARE_EVERY_MS
         for (live in records.jobs.liveOf(index)) {
             val jobId = live.record.spec.jobId
-            if (jobId in sliceState.jobs || live.record.spec.teamName !in settings.teamsByName) continue
-            log.error("{}: it is unfinished, and the owner of slice {} had no knowledge of it", jobId, slice)
+            if (jobId in shardState.jobs || live.record.spec.teamName !in settings.teamsByName) continue
+            log.error("{}: it is unfinished, and the owner of shard {} had no knowledge of it", jobId, shard)
             jobSeen(live)
         }
     }
@@ -334,7 +334,7 @@
         if (seconds < CHARGE_EVERY_S) return
         lastCharged = now
         if (seconds > MOST_CHARGED_S) return
-        sliceState.charge(seconds)
+        shardState.charge(seconds)
     }
 
     private companion object {
--- a/src/main/kotlin/io/reedmast/jobs/SliceState.kt
+++ b/src/main/kotlin/io/reedmast/jobs/ShardState.kt
@@ -5,8 +5,8 @@
 import io.reedmast.ports.Clock
 import io.reedmast.rollout.GateSnapshot
 import io.reedmast.settings.Settings
-import io.reedmast.settings.SliceIndex
-import io.reedmast.settings.TeamIndex
+import io.reedmast.settings.ShardId
+import io.reedmast.settings.TeamId
 import io.reedmast.settings.Tuning
 import io.reedmast.state.Guard
 import io.reedmast.state.Keys
@@ -16,13 +16,13 @@
 import io.reedmast.workers.Machine
 
 /**
- * What an owner knows of its slice. The duties around it (reports, commands, placing, storing, upkeep, demand) read and
+ * What an owner knows of its shard. The duties around it (reports, commands, placing, storing, upkeep, demand) read and
  * change it, all on the deciding thread.
  *
  * Nothing here guesses: a placement counts from the decision until there is evidence that its attempt is over.
  */
-class SliceState(
-    val index: SliceIndex,
+class ShardState(
+    val index: ShardId,
     val settings: Settings,
     val tuning: Tuning,
     val clock: Clock,
@@ -38,13 +38,13 @@
     var active = false
     var activeAt = 0L
 
-    /** Set when another owner has taken the slice: answers that still come in are ignored. */
+    /** Set when another owner has taken the shard: answers that still come in are ignored. */
     var dropped = false
 
     val jobs = LinkedHashMap<String, Job>()
     val machines = LinkedHashMap<String, Machine>()
     val usage = Usage((tuning.windowS * 1000).toLong())
-    val teams = settings.teams.indices.map { TeamIndex(it) }.filter { settings.sliceOf(it) == index }
+    val teams = settings.teams.indices.map { TeamId(it) }.filter { settings.shardOf(it) == index }
     private val usedCpus = DoubleArray(settings.teams.size)
     private val usedGpus = DoubleArray(settings.teams.size)
 
@@ -77,17 +77,17 @@
     val arrayArrivals = ArrayDeque<Arrival>()
 
     val machineTypes: Collection<MachineType> get() = machineTypeList()
-    val termGuard: Guard get() = Guard(Keys.slice(index.value), term)
+    val termGuard: Guard get() = Guard(Keys.shard(index.value), term)
 
     /** The token of commands to this machine's worker. */
     fun tokenFor(machine: Machine): Long = maxOf(token, machine.raisedTo)
 
     fun machineTypeOf(typeName: String): MachineType? = machineTypes.firstOrNull { it.label == typeName }
 
-    /** How soon the machine type that is up first of those in the slice is up, in seconds; null without machines. */
+    /** How soon the machine type that is up first of those in the shard is up, in seconds; null without machines. */
     fun shortestBootS(): Double? = machines.values.mapNotNull { it.machineType?.bootS }.minOrNull()
 
-    fun usedCpus(team: TeamIndex): Double = usedCpus[team.value]
+    fun usedCpus(team: TeamId): Double = usedCpus[team.value]
 
     fun place(placement: Placement) {
         placement.job.add(placement)
@@ -157,7 +157,7 @@
     // ---- teams ------------------------------------------------------------------------------------------------------
 
     /** Charged use over the window against what the team is allocated for it. */
-    fun ratio(team: TeamIndex, nowMs: Long): Double {
+    fun ratio(team: TeamId, nowMs: Long): Double {
         val share = settings.teams[team.value]
         val allocated = if (share.cpus > 0) share.cpus else share.gpus
         // What runs now counts for the next minute too, so that a burst of decisions sees its own effect.
@@ -166,7 +166,7 @@
     }
 
     /** Whether one more task of this shape is within the team's guarantee. */
-    fun within(team: TeamIndex, spec: JobSpec): Boolean {
+    fun within(team: TeamId, spec: JobSpec): Boolean {
         val share = settings.teams[team.value]
         return usedCpus[team.value] + spec.cpus <= share.cpus + Machine.EPSILON &&
             (spec.gpus == 0.0 || usedGpus[team.value] + spec.gpus <= share.gpus + Machine.EPSILON)
@@ -179,7 +179,7 @@
             (job.spec.gpus == 0.0 || usedGpus[job.team.value] + job.spec.gpus * job.spec.taskCount <= share.gpus + Machine.EPSILON)
     }
 
-    fun beyondGuarantee(team: TeamIndex): Boolean = usedCpus[team.value] > settings.teams[team.value].cpus + Machine.EPSILON
+    fun beyondGuarantee(team: TeamId): Boolean = usedCpus[team.value] > settings.teams[team.value].cpus + Machine.EPSILON
 
     /** How many more tasks of this shape the team's limit allows. */
     fun allowance(job: Job): Int {
@@ -225,7 +225,7 @@
         }
     }
 
-    /** It may starve before a machine of another slice is emptied for it, so that is thought of sooner. */
+    /** It may starve before a machine of another shard is emptied for it, so that is thought of sooner. */
     fun hungry(job: Job): Boolean = job.waitingCount > 0 && !looksBad(job) && hungrySince(job) < clock.now() - HUNGRY_MS
 
     /** Since when the job lacks what it must not lack for long; in the future if it does not. */
--- a/src/main/kotlin/io/reedmast/ownership/Cluster.kt
+++ b/src/main/kotlin/io/reedmast/ownership/Cluster.kt
@@ -1,14 +1,14 @@
 package io.reedmast.ownership
 
 import io.reedmast.jobs.JobIndex
-import io.reedmast.jobs.SliceOwner
-import io.reedmast.jobs.SliceRecords
+import io.reedmast.jobs.ShardOwner
+import io.reedmast.jobs.ShardRecords
 import io.reedmast.peers.PeerMessage
 import io.reedmast.ports.Clock
 import io.reedmast.ports.Gateway
 import io.reedmast.rollout.RolloutOptions
 import io.reedmast.settings.Settings
-import io.reedmast.settings.SliceIndex
+import io.reedmast.settings.ShardId
 import io.reedmast.settings.Tuning
 import io.reedmast.state.Event
 import io.reedmast.state.Fetched
@@ -24,7 +24,7 @@
 import org.slf4j.LoggerFactory
 
 /**
- * This node's view of the cluster, joined from its duties: freshness, membership, slices and their machines, takeovers.
+ * This node's view of the cluster, joined from its duties: freshness, membership, shards and their machines, takeovers.
  *
  * What the watches and the answers to this node's own changes tell goes to the tables; [tick] makes the changes that are due.
  */
@@ -38,35 +38,35 @@
     /** Names this process; never used by another one. */
     incarnation: String,
     rolloutOptions: RolloutOptions,
-) : SliceRecords {
+) : ShardRecords {
     private val log = LoggerFactory.getLogger("cluster")
     private val unreadable = Unreadable()
     private val startedAt = clock.now()
     override val jobs = JobIndex(settings, ::owned)
     override val hostDirectory = HostDirectory()
-    val owners = arrayOfNulls<SliceOwner>(settings.slices)
+    val owners = arrayOfNulls<ShardOwner>(settings.shardCount)
 
     /** How recent the view of the state service is. */
     val freshness = Freshness(clock, settings.workers)
-    private val slices = SliceTable(settings.slices, out, ::sliceChanged)
-    override val rollout = ClusterRollout(settings, clock, out, limits, rolloutOptions, incarnation, slices) { reread(it) }
+    private val shards = ShardTable(settings.shardCount, out, ::shardChanged)
+    override val rollout = ClusterRollout(settings, clock, out, limits, rolloutOptions, incarnation, shards) { reread(it) }
     private val membership = Membership(settings, clock, out, ::memberFields) { rollout.gates.guard }
     private val machines = MachineTable(settings, clock, out, limits, { owners[it.value]?.syncHosts() }, hostDirectory::forget)
     private val contact = WorkerContact(clock, out)
-    private val assignment = MachineAssignment(settings, out, limits, slices, machines, rollout, { membership.leaderVersion }, ::reread)
+    private val assignment = MachineAssignment(settings, out, limits, shards, machines, rollout, { membership.leaderVersion }, ::reread)
     private val takeover =
-        Takeover(settings, clock, out, freshness, membership, slices, machines, jobs, hostDirectory, contact, rollout, owners, ::newOwner) { reread(it) }
+        Takeover(settings, clock, out, freshness, membership, shards, machines, jobs, hostDirectory, contact, rollout, owners, ::newOwner) { reread(it) }
     private var sharedLowered = false
     private val peerStatuses = PeerStatuses(settings.self, settings.members.size, incarnation)
     private var statusQueryDue = 0L
 
     val leader: String? get() = membership.leader
     val leading: Boolean get() = membership.leading
-    val records: Array<StoredRecord?> get() = slices.records
+    val records: Array<StoredRecord?> get() = shards.records
 
-    private fun newOwner(slice: SliceIndex) = SliceOwner(slice, settings, tuning, clock, out, limits, machineTypes, ::fresh, this)
+    private fun newOwner(shard: ShardId) = ShardOwner(shard, settings, tuning, clock, out, limits, machineTypes, ::fresh, this)
 
-    private fun memberFields() = rollout.memberFields(ownsNothing = slices.countOf(settings.label) == 0)
+    private fun memberFields() = rollout.memberFields(ownsNothing = shards.countOf(settings.label) == 0)
 
     /** Whether this node has lately heard enough from the state service to decide anything, and may. */
     fun fresh(): Boolean = freshness.isFresh && rollout.isAdmitted
@@ -87,27 +87,27 @@
     /** Whether requests of users can be taken. */
     val ready: Boolean get() = freshness.loaded && rollout.isAdmitted
 
-    fun sliceOfHost(host: String): SliceIndex? = machines.sliceOf(host)
+    fun shardOfHost(host: String): ShardId? = machines.shardOf(host)
 
-    fun ownerOf(slice: SliceIndex): String? = slices.ownerOf(slice)
+    fun ownerOf(shard: ShardId): String? = shards.ownerOf(shard)
 
-    fun owned(): List<SliceOwner> = owners.filterNotNull().filter { !it.dropped }
+    fun owned(): List<ShardOwner> = owners.filterNotNull().filter { !it.dropped }
 
-    fun hostsOf(slice: SliceIndex): Sequence<HostRecord> = machines.hostsOf(slice)
+    fun hostsOf(shard: ShardId): Sequence<HostRecord> = machines.hostsOf(shard)
 
-    override fun machinesVersion(slice: SliceIndex): Long = machines.versionOf(slice)
+    override fun machinesVersion(shard: ShardId): Long = machines.versionOf(shard)
 
-    override fun machinesOf(slice: SliceIndex): Map<HostRecord, Int?> = machines.destinationsOf(slice)
+    override fun machinesOf(shard: ShardId): Map<HostRecord, Int?> = machines.destinationsOf(shard)
 
-    fun isLeaving(slice: SliceIndex, host: String) = machines.isLeaving(slice, host)
+    fun isLeaving(shard: ShardId, host: String) = machines.isLeaving(shard, host)
 
     fun departedLately(host: String): Boolean = machines.departedLately(host)
 
     /** A worker has reported to this node. */
     fun workerHeard() = contact.noteHeard()
 
-    /** Where to send a worker of [slice], which is not ours. */
-    fun sendOn(slice: SliceIndex, host: String, addr: String): String? = takeover.sendOn(slice, host, addr)
+    /** Where to send a worker of [shard], which is not ours. */
+    fun sendOn(shard: ShardId, host: String, addr: String): String? = takeover.sendOn(shard, host, addr)
 
     // ---- what the watches tell --------------------------------------------------------------------------------------
 
@@ -118,7 +118,7 @@
         items.forEach { see(it.path, it.value, it.version) }
         membership.noteAbsent(items.mapTo(HashSet()) { it.path })
         if (!freshness.clusterLoaded) {
-            log.info("read the state: {} slices, {} nodes", slices.records.count { it != null }, membership.presentCount)
+            log.info("read the state: {} shards, {} nodes", shards.records.count { it != null }, membership.presentCount)
         }
         freshness.clusterHeard(askedAt)
         membership.shareLimits()
@@ -150,28 +150,28 @@
         try {
             membership.see(path, value, version)
             rollout.see(path, value, version)
-            slices.see(path, value, version)
+            shards.see(path, value, version)
             machines.see(path, value, version)
         } catch (e: MalformedException) {
             unreadable.note(path, e.message)
         }
     }
 
-    private fun sliceChanged(slice: SliceIndex, before: StoredRecord?, now: StoredRecord) {
+    private fun shardChanged(shard: ShardId, before: StoredRecord?, now: StoredRecord) {
         val record = now.record
-        if (before?.record?.owner != record.owner) takeover.noteNewOwner(slice)
-        if (takeover.settledByWatch(slice, record, now.version)) return
-        val owner = owners[slice.value] ?: return
+        if (before?.record?.owner != record.owner) takeover.noteNewOwner(shard)
+        if (takeover.settledByWatch(shard, record, now.version)) return
+        val owner = owners[shard.value] ?: return
         if (record.owner == settings.label) {
             owner.sync(record, now.version)
             return
         }
         if (!owner.dropped) {
-            log.info("slice {}: taken over by {} under token {}", slice.value, record.owner, record.token)
+            log.info("shard {}: taken over by {} under token {}", shard.value, record.owner, record.token)
             if (!rollout.isDraining) takeover.noteTakenByAnother()
         }
         owner.dropped = true
-        owners[slice.value] = null
+        owners[shard.value] = null
     }
 
     private fun reread(path: String, then: () -> Unit = {}) = out.get(path) {
@@ -197,7 +197,7 @@
             membership.claimKeys(mayLead = !rollout.isDraining)
             rollout.tick(membership.leaderVersion.takeIf { membership.leading })
             takeover.tick(now)
-            giveSlicesUp(now)
+            giveShardsUp(now)
             divideForLoweredLimits()
         } else {
             takeover.outOfTouch(now)
@@ -212,8 +212,8 @@
 
     private var giveUpDue = 0L
 
-    /** Before it is stopped, a drained controller has the others take its slices, each one when all that it decided there is stored. */
-    private fun giveSlicesUp(now: Long) {
+    /** Before it is stopped, a drained controller has the others take its shards, each one when all that it decided there is stored. */
+    private fun giveShardsUp(now: Long) {
         if (!rollout.isDraining || now < giveUpDue) return
         giveUpDue = now + GIVE_UP_EVERY_MS
         owned().filter { it.isSettled }.forEach { requestTakeover(it.index) }
@@ -236,7 +236,7 @@
 
     /** Another controller has sent a message. */
     fun peerSent(message: PeerMessage) = when (message) {
-        is PeerMessage.SliceNews -> {
+        is PeerMessage.ShardStatusUpdate -> {
             jobs.noteProgress(message.jobs)
             hostDirectory.heard(message.hosts, machines::contains)
         }
@@ -270,25 +270,25 @@
 
     // ---- changes to records -------------------------------------------------------------------------------------------
 
-    override fun renewToken(slice: SliceIndex) = takeover.renewToken(slice)
+    override fun renewToken(shard: ShardId) = takeover.renewToken(shard)
 
-    override fun requestTakeover(slice: SliceIndex) {
-        val term = slices.records[slice.value]?.takeIf { it.record.owner == settings.label }?.version ?: return
-        log.info("slice {}: the other nodes are asked to take it", slice.value)
-        out.sendToPeers(PeerMessage.TakeoverRequest(slice, term))
+    override fun requestTakeover(shard: ShardId) {
+        val term = shards.records[shard.value]?.takeIf { it.record.owner == settings.label }?.version ?: return
+        log.info("shard {}: the other nodes are asked to take it", shard.value)
+        out.sendToPeers(PeerMessage.TakeoverRequest(shard, term))
     }
 
-    override fun refresh(slice: SliceIndex) = slices.refresh(slice, ::seeFetched)
+    override fun refresh(shard: ShardId) = shards.refresh(shard, ::seeFetched)
 
-    override fun removeHosts(slice: SliceIndex, hosts: Set<String>) = assignment.removeHosts(slice, hosts)
+    override fun removeHosts(shard: ShardId, hosts: Set<String>) = assignment.removeHosts(shard, hosts)
 
-    override fun handOver(slice: SliceIndex, hosts: Collection<String>) = assignment.handOver(slice, hosts)
+    override fun handOver(shard: ShardId, hosts: Collection<String>) = assignment.handOver(shard, hosts)
 
-    /** The leader gives machines to a slice; [seen] is the highest token that any of them has seen. [done] tells which were. */
-    fun addHosts(slice: SliceIndex, hosts: List<HostRecord>, seen: Long, done: (Set<String>) -> Unit) = assignment.addHosts(slice, hosts, seen, done)
+    /** The leader gives machines to a shard; [seen] is the highest token that any of them has seen. [done] tells which were. */
+    fun addHosts(shard: ShardId, hosts: List<HostRecord>, seen: Long, done: (Set<String>) -> Unit) = assignment.addHosts(shard, hosts, seen, done)
 
-    /** The leader marks machines that are to leave for another slice as soon as they are empty. */
-    fun markLeaving(slice: SliceIndex, hosts: Collection<String>, to: SliceIndex) = assignment.markLeaving(slice, hosts, to)
+    /** The leader marks machines that are to leave for another shard as soon as they are empty. */
+    fun markLeaving(shard: ShardId, hosts: Collection<String>, to: ShardId) = assignment.markLeaving(shard, hosts, to)
 
     private companion object {
         const val QUERY_PEERS_AFTER_MS = 3_500L
--- a/src/main/kotlin/io/reedmast/ownership/ClusterFeatures.kt
+++ b/src/main/kotlin/io/reedmast/ownership/ClusterFeatures.kt
@@ -9,7 +9,7 @@
 import io.reedmast.rollout.GateSnapshot
 import io.reedmast.rollout.MigrationScope
 import io.reedmast.rollout.RecordMigration
-import io.reedmast.rollout.SliceOwnership
+import io.reedmast.rollout.ShardOwnership
 import io.reedmast.rollout.VersionRange
 import io.reedmast.state.Guard
 import io.reedmast.state.Item
@@ -23,7 +23,7 @@
     /** Records are divided to fit lowered limits. Its gate is `c/format`, from before there was a record of the rollout. */
     val DIVIDED_RECORDS = FeatureName("divided-records")
 
-    /** The token counter has a form that versions before the rollout record cannot read, so that they can take no slice. */
+    /** The token counter has a form that versions before the rollout record cannot read, so that they can take no shard. */
     val FENCED_TOKENS = FeatureName("fenced-tokens")
 
     private val OLDEST = FormatVersion.NONE
@@ -41,7 +41,7 @@
 /**
  * The two forms of the token counter.
  *
- * Versions before the rollout record take a slice without looking at any gate. They find no `token` in the fenced form, so their condition
+ * Versions before the rollout record take a shard without looking at any gate. They find no `token` in the fenced form, so their condition
  * on the counter's version never holds, and they come by no term under which they could write.
  */
 object TokenFence : RecordMigration {
@@ -49,7 +49,7 @@
     private const val FENCED = "fencedToken"
     override val scope = MigrationScope.CLUSTER
 
-    override fun prefix(slice: Int): String = Keys.TOKEN
+    override fun prefix(shard: Int): String = Keys.TOKEN
 
     override fun forward(record: Fields): Fields = if (FENCED in record) record else mapOf(FENCED to record.count(OPEN))
 
@@ -69,10 +69,10 @@
 class CounterMove(val guards: List<Guard>, val write: Write.Put)
 
 /** The cluster's records as the rollout's administration needs them. */
-class StoredClusterRecords(private val slices: Int) : ClusterRecords {
-    override fun sliceOwners(items: List<Item>): List<SliceOwnership?> {
+class StoredClusterRecords(private val shards: Int) : ClusterRecords {
+    override fun shardOwners(items: List<Item>): List<ShardOwnership?> {
         val byPath = items.associateBy { it.path }
-        return (0 until slices).map { index -> byPath[Keys.slice(index)]?.let { SliceOwnership(SliceRecord.parse(it.value).owner, it.version) } }
+        return (0 until shards).map { index -> byPath[Keys.shard(index)]?.let { ShardOwnership(ShardRecord.parse(it.value).owner, it.version) } }
     }
 
     override fun externallyFinalized(items: List<Item>): Set<FeatureName> {
--- a/src/main/kotlin/io/reedmast/ownership/ClusterRollout.kt
+++ b/src/main/kotlin/io/reedmast/ownership/ClusterRollout.kt
@@ -12,7 +12,7 @@
 import io.reedmast.rollout.RolloutCoordinator
 import io.reedmast.rollout.RolloutOptions
 import io.reedmast.rollout.RolloutView
-import io.reedmast.rollout.SliceOwnership
+import io.reedmast.rollout.ShardOwnership
 import io.reedmast.settings.Settings
 import io.reedmast.state.Guard
 import io.reedmast.state.Keys
@@ -27,7 +27,7 @@
     private val limits: LimitsInForce,
     private val options: RolloutOptions,
     private val incarnation: String,
-    private val slices: SliceTable,
+    private val shards: ShardTable,
     private val reread: (String) -> Unit,
 ) {
     private val store = GatewayStore(out)
@@ -57,10 +57,10 @@
     /** Whether workers may be answered: while the record cannot be read what runs goes on, but a process that does not fit is silent. */
     val mayAnswerWorkers: Boolean get() = view.admission.let { it == Admission.Admitted || it is Admission.Withheld }
 
-    /** Whether an operator has ordered this process to give its slices up. */
+    /** Whether an operator has ordered this process to give its shards up. */
     val isDraining: Boolean get() = view.drainOf(settings.label)?.order?.incarnation == incarnation
 
-    /** The controllers whose processes are to give their slices up: they take none. */
+    /** The controllers whose processes are to give their shards up: they take none. */
     fun draining(): Set<String> = view.members.filter { (label, member) ->
         view.drainOf(label)?.order?.incarnation?.let { it == member.versions.incarnation }
             ?: false
@@ -108,7 +108,7 @@
     }
 
     private fun picture(): ClusterPicture =
-        view.picture(configured, slices.records.map { stored -> stored?.let { SliceOwnership(it.record.owner, it.version) } }, formatGate.finalized)
+        view.picture(configured, shards.records.map { stored -> stored?.let { ShardOwnership(it.record.owner, it.version) } }, formatGate.finalized)
 
     /** Nobody keeps a copy of the cluster's records that a migration could make stale: whoever writes one reads it again after a conflict. */
     private object UncontendedRecords : RecordAccess {
--- a/src/main/kotlin/io/reedmast/ownership/Membership.kt
+++ b/src/main/kotlin/io/reedmast/ownership/Membership.kt
@@ -17,7 +17,7 @@
 /**
  * Which controllers live and which of them leads, by keys that are attached to their leases; and this node's own lease.
  *
- * Nobody's safety rests on it: it only chooses good moments for taking slices, and who rents machines.
+ * Nobody's safety rests on it: it only chooses good moments for taking shards, and who rents machines.
  */
 class Membership(
     private val settings: Settings,
--- a/src/main/kotlin/io/reedmast/ownership/MisdirectedReports.kt
+++ b/src/main/kotlin/io/reedmast/ownership/MisdirectedReports.kt
@@ -1,57 +1,57 @@
 package io.reedmast.ownership
 
-import io.reedmast.settings.SliceIndex
+import io.reedmast.settings.ShardId
 
 /**
- * Workers that report to us although another node owns their slice: it does not answer them.
+ * Workers that report to us although another node owns their shard: it does not answer them.
  *
  * An owner may be cut off from workers alone. It keeps its key and its term then, and nothing tells it so; if nobody took
- * its slices over, every task of them would end with the workers' leases.
+ * its shards over, every task of them would end with the workers' leases.
  */
-class MisdirectedReports(slices: Int, reportS: Double) {
+class MisdirectedReports(shards: Int, reportS: Double) {
     /** A worker that was sent on to the owner; [again]: not for the first time. */
     class Sent(val at: Long, val addr: String, val again: Boolean)
 
-    private val sent = Array(slices) { HashMap<String, Sent>() }
-    private val changedAt = LongArray(slices)
+    private val sent = Array(shards) { HashMap<String, Sent>() }
+    private val changedAt = LongArray(shards)
 
     /** A worker reports a quarter late, waits for an answer in vain, and is sent on, before it reaches a new owner. */
     private val settledMs = ((reportS * 1.25 + FRUITLESS_S) * SLACK * 1000).toLong()
 
-    fun none(slice: SliceIndex): Boolean = sent[slice.value].isEmpty()
+    fun none(shard: ShardId): Boolean = sent[shard.value].isEmpty()
 
-    /** Takes note of a worker of [slice] that is sent to the owner, and tells whether it had just been there. */
-    fun sentOn(slice: SliceIndex, host: String, addr: String, now: Long): Boolean {
-        val before = sent[slice.value][host]
+    /** Takes note of a worker of [shard] that is sent to the owner, and tells whether it had just been there. */
+    fun sentOn(shard: ShardId, host: String, addr: String, now: Long): Boolean {
+        val before = sent[shard.value][host]
         val again = before != null && now - before.at <= BACK_WITHIN_MS
-        sent[slice.value][host] = Sent(now, addr, again)
+        sent[shard.value][host] = Sent(now, addr, again)
         return again
     }
 
     /**
-     * Names and addresses of some workers, if the owner seems out of reach for most of [hosts], the slice's machines that
+     * Names and addresses of some workers, if the owner seems out of reach for most of [hosts], the shard's machines that
      * have ever been up. A few workers may be lost on their own account, so of them it takes one that came back.
      */
-    fun ofMost(slice: SliceIndex, hosts: Int, now: Long): Map<String, String> {
-        val of = sent[slice.value]
+    fun ofMost(shard: ShardId, hosts: Int, now: Long): Map<String, String> {
+        val of = sent[shard.value]
         of.values.removeIf { now - it.at > BACK_WITHIN_MS }
-        if (of.size * 2 <= hosts || now - changedAt[slice.value] < settledMs) return emptyMap()
+        if (of.size * 2 <= hosts || now - changedAt[shard.value] < settledMs) return emptyMap()
         if (of.size < FEW && of.values.none { it.again }) return emptyMap()
         return of.entries.sortedByDescending { it.value.at }.take(ASKED).associate { it.key to it.value.addr }
     }
 
-    /** The slice has another owner now, to whom its workers must find their way first. */
-    fun newOwner(slice: SliceIndex, now: Long) {
-        sent[slice.value].clear()
-        changedAt[slice.value] = now
+    /** The shard has another owner now, to whom its workers must find their way first. */
+    fun newOwner(shard: ShardId, now: Long) {
+        sent[shard.value].clear()
+        changedAt[shard.value] = now
     }
 
     /**
      * This node hears nothing from the state service. Its owners may be no better off and send their workers away: after an
-     * outage the workers of all of them went round, and one node took every slice from owners that were well.
+     * outage the workers of all of them went round, and one node took every shard from owners that were well.
      */
     fun outOfTouch(now: Long) {
-        for (slice in sent.indices) newOwner(SliceIndex(slice), now)
+        for (shard in sent.indices) newOwner(ShardId(shard), now)
     }
 
     private companion object {
--- a/src/main/kotlin/io/reedmast/ownership/PeerStatuses.kt
+++ b/src/main/kotlin/io/reedmast/ownership/PeerStatuses.kt
@@ -1,7 +1,7 @@
 package io.reedmast.ownership
 
 import io.reedmast.peers.PeerMessage
-import io.reedmast.settings.NodeIndex
+import io.reedmast.settings.ControllerId
 
 /**
  * What the other controllers report while this one does not hear the state service.
@@ -12,7 +12,7 @@
  * already running when this one last heard the state service: what an earlier process of it confirmed since then is not in
  * the report.
  */
-class PeerStatuses(private val self: NodeIndex, members: Int, private val incarnation: String) {
+class PeerStatuses(private val self: ControllerId, members: Int, private val incarnation: String) {
     private class Peer {
         /** When the newest report was asked for. */
         var askedAt: Long? = null
@@ -22,7 +22,7 @@
         var confirmedAt: Long? = null
     }
 
-    private val peers: Map<NodeIndex, Peer> = (0 until members).map { NodeIndex(it) }.filter { it != self }.associateWith { Peer() }
+    private val peers: Map<ControllerId, Peer> = (0 until members).map { ControllerId(it) }.filter { it != self }.associateWith { Peer() }
     private val askedAt = object : LinkedHashMap<Long, Long>() {
         override fun removeEldestEntry(eldest: Map.Entry<Long, Long>) = size > MAX_OPEN_QUERIES
     }
--- a/src/main/kotlin/io/reedmast/ownership/SliceRecord.kt
+++ b/src/main/kotlin/io/reedmast/ownership/ShardRecord.kt
@@ -12,23 +12,23 @@
 import io.reedmast.workers.HostRecord
 
 /**
- * Who owns a slice, and under which token. The record's version is the term: every write of an owner is conditional on it.
+ * Who owns a shard, and under which token. The record's version is the term: every write of an owner is conditional on it.
  *
  * Its machines are kept apart, in [HostPart]s: with them in here, the term moved with each machine that came or went and
  * put every write in flight in conflict, and a few hundred of them did not fit into one value.
  */
-data class SliceRecord(val owner: String, val token: Long) {
+data class ShardRecord(val owner: String, val token: Long) {
     fun toFields(): Fields = mapOf("owner" to owner, "token" to token)
 
     companion object {
-        fun parse(fields: Fields) = SliceRecord(fields.text("owner"), fields.count("token"))
+        fun parse(fields: Fields) = ShardRecord(fields.text("owner"), fields.count("token"))
     }
 }
 
-/** Some of a slice's machines, as many as one stored value holds. */
+/** Some of a shard's machines, as many as one stored value holds. */
 data class HostPart(
     val hosts: List<HostRecord>,
-    /** Machines that are to move to another slice as soon as they are empty. */
+    /** Machines that are to move to another shard as soon as they are empty. */
     val leaving: Map<String, Int>,
 ) {
     fun toFields(): Fields = mapOf(
@@ -64,7 +64,7 @@
                     HostRecord(it as? String ?: throw MalformedException("hosts holds no name"), kind.text("typeName"), kind.text("zone"), kind.flag("spot"))
                 }
             },
-            fields.map("leaving").mapValues { (_, v) -> (v as? Long)?.toInt() ?: throw MalformedException("leaving names no slice") },
+            fields.map("leaving").mapValues { (_, v) -> (v as? Long)?.toInt() ?: throw MalformedException("leaving names no shard") },
         )
     }
 }
--- a/src/main/kotlin/io/reedmast/ownership/Token.kt
+++ b/src/main/kotlin/io/reedmast/ownership/Token.kt
@@ -1,7 +1,7 @@
 package io.reedmast.ownership
 
 /**
- * Tokens of slices' owners. Each taking of a slice gets a range of them, above every range given before.
+ * Tokens of shards' owners. Each taking of a shard gets a range of them, above every range given before.
  *
  * The owner commands under the first one. It moves on within its range, for one worker at a time, where copies of its own
  * earlier commands must become void: no record is written for that, and no term moves.
--- a/src/main/kotlin/io/reedmast/ownership/WorkerContact.kt
+++ b/src/main/kotlin/io/reedmast/ownership/WorkerContact.kt
@@ -2,18 +2,18 @@
 
 import io.reedmast.ports.Clock
 import io.reedmast.ports.Gateway
-import io.reedmast.settings.SliceIndex
+import io.reedmast.settings.ShardId
 import io.reedmast.wire.Reply
 
 /**
  * Whether this controller and the workers reach each other.
  *
- * A controller that has lost only the workers still has its keys and hears the state service. If it took over a slice, the
- * slice's workers would lose their leases before another controller noticed.
+ * A controller that has lost only the workers still has its keys and hears the state service. If it took over a shard, the
+ * shard's workers would lose their leases before another controller noticed.
  */
 class WorkerContact(private val clock: Clock, private val out: Gateway) {
     private var heardAt: Long? = null
-    private val probing = HashSet<SliceIndex>()
+    private val probing = HashSet<ShardId>()
 
     /** A worker's report, or its answer to a call, has come. */
     fun noteHeard() {
@@ -23,9 +23,9 @@
     /** Whether a worker was heard so recently that nothing need be tried. */
     val isRecent: Boolean get() = heardAt?.let { clock.now() - it < RECENT_MS } ?: false
 
-    /** Calls some of the workers of [slice] at [addresses], all over the list; [failed] is called if none of them answers. */
-    fun probe(slice: SliceIndex, addresses: List<String>, failed: () -> Unit) {
-        if (addresses.isEmpty() || !probing.add(slice)) return
+    /** Calls some of the workers of [shard] at [addresses], all over the list; [failed] is called if none of them answers. */
+    fun probe(shard: ShardId, addresses: List<String>, failed: () -> Unit) {
+        if (addresses.isEmpty() || !probing.add(shard)) return
         val step = maxOf(1, addresses.size / PROBES)
         val chosen = addresses.filterIndexed { index, _ -> index % step == 0 }.take(PROBES)
         var open = chosen.size
@@ -38,7 +38,7 @@
                     noteHeard()
                 }
                 if (--open == 0) {
-                    probing.remove(slice)
+                    probing.remove(shard)
                     if (!answered) failed()
                 }
             }
--- a/src/main/kotlin/io/reedmast/peers/PeerClient.kt
+++ b/src/main/kotlin/io/reedmast/peers/PeerClient.kt
@@ -25,7 +25,7 @@
     /** Sends [message]; false if the other controller cannot be reached now. */
     @Synchronized
     fun send(message: PeerMessage): Boolean = try {
-        if (message is PeerMessage.SliceNews) sendShared(message) else sendAlone(message)
+        if (message is PeerMessage.ShardStatusUpdate) sendShared(message) else sendAlone(message)
         true
     } catch (e: IOException) {
         false
--- a/src/main/kotlin/io/reedmast/peers/PeerCodec.kt
+++ b/src/main/kotlin/io/reedmast/peers/PeerCodec.kt
@@ -1,7 +1,7 @@
 package io.reedmast.peers
 
-import io.reedmast.settings.NodeIndex
-import io.reedmast.settings.SliceIndex
+import io.reedmast.settings.ControllerId
+import io.reedmast.settings.ShardId
 import io.reedmast.workers.HostNews
 import okio.Buffer
 import okio.BufferedSink
@@ -28,15 +28,15 @@
     /** Writes [message] in as many frames as it takes. */
     fun write(sink: BufferedSink, message: PeerMessage) {
         when (message) {
-            is PeerMessage.SliceNews -> writeNews(sink, message)
+            is PeerMessage.ShardStatusUpdate -> writeNews(sink, message)
             is PeerMessage.StatusQuery -> writeQuery(sink, message)
             is PeerMessage.StatusReport -> writeReport(sink, message)
-            is PeerMessage.TakeoverRequest -> send(sink, Buffer().writeByte(TAKEOVER).writeInt(message.slice.value).writeLong(message.term))
+            is PeerMessage.TakeoverRequest -> send(sink, Buffer().writeByte(TAKEOVER).writeInt(message.shard.value).writeLong(message.term))
         }
         sink.flush()
     }
 
-    private fun writeNews(sink: BufferedSink, news: PeerMessage.SliceNews) {
+    private fun writeNews(sink: BufferedSink, news: PeerMessage.ShardStatusUpdate) {
         var frame = Buffer().writeByte(NEWS)
         fun add(entry: Buffer) {
             if (frame.size + entry.size > MAX_FRAME) {
@@ -90,14 +90,14 @@
         source.readFully(frame, size.toLong())
         return when (val type = frame.readSmall()) {
             NEWS -> readNews(frame)
-            QUERY -> PeerMessage.StatusQuery(NodeIndex(frame.readInt()), frame.readText(), frame.readLong())
+            QUERY -> PeerMessage.StatusQuery(ControllerId(frame.readInt()), frame.readText(), frame.readLong())
             REPORT -> readReport(frame)
-            TAKEOVER -> PeerMessage.TakeoverRequest(SliceIndex(frame.readInt()), frame.readLong())
+            TAKEOVER -> PeerMessage.TakeoverRequest(ShardId(frame.readInt()), frame.readLong())
             else -> throw IOException("a message of type $type")
         }
     }
 
-    private fun readNews(frame: Buffer): PeerMessage.SliceNews {
+    private fun readNews(frame: Buffer): PeerMessage.ShardStatusUpdate {
         val jobs = ArrayList<JobProgress>()
         val hosts = ArrayList<HostNews>()
         while (!frame.exhausted()) {
@@ -107,13 +107,13 @@
                 else -> throw IOException("an entry of kind $kind")
             }
         }
-        return PeerMessage.SliceNews(jobs, hosts)
+        return PeerMessage.ShardStatusUpdate(jobs, hosts)
     }
 
     private fun readImages(frame: Buffer) = List(frame.readSmall()) { frame.readText() to Double.fromBits(frame.readLong()) }
 
     private fun readReport(frame: Buffer): PeerMessage.StatusReport {
-        val from = NodeIndex(frame.readInt())
+        val from = ControllerId(frame.readInt())
         val incarnation = frame.readText()
         val sequence = frame.readLong()
         val uptimeMs = frame.readLong()
--- a/src/main/kotlin/io/reedmast/peers/PeerMessage.kt
+++ b/src/main/kotlin/io/reedmast/peers/PeerMessage.kt
@@ -1,10 +1,10 @@
 package io.reedmast.peers
 
-import io.reedmast.settings.NodeIndex
-import io.reedmast.settings.SliceIndex
+import io.reedmast.settings.ControllerId
+import io.reedmast.settings.ShardId
 import io.reedmast.workers.HostNews
 
-/** How far a job is, as its slice's owner knows it. */
+/** How far a job is, as its shard's owner knows it. */
 data class JobProgress(val jobId: String, val done: Int, val running: Int)
 
 /** A job that its user has cancelled and that is not over yet, with the version of the record that says so. */
@@ -12,22 +12,22 @@
 
 /** A message between controllers. Every one of them may be lost, delayed or repeated without harm. */
 sealed interface PeerMessage {
-    /** What an owner tells of its slice's jobs, for display, and of its machines, as hints for a takeover. */
-    data class SliceNews(val jobs: List<JobProgress>, val hosts: List<HostNews>) : PeerMessage
+    /** What an owner tells of its shard's jobs, for display, and of its machines, as hints for a takeover. */
+    data class ShardStatusUpdate(val jobs: List<JobProgress>, val hosts: List<HostNews>) : PeerMessage
 
-    /** The owner of [slice] under [term] hears nearly none of its workers: another controller should take the slice. */
-    data class TakeoverRequest(val slice: SliceIndex, val term: Long) : PeerMessage
+    /** The owner of [shard] under [term] hears nearly none of its workers: another controller should take the shard. */
+    data class TakeoverRequest(val shard: ShardId, val term: Long) : PeerMessage
 
     /**
      * Asks for a [StatusReport].
      *
      * [incarnation] is of the asking process and never used again, so that an answer to an earlier process is told apart.
      */
-    data class StatusQuery(val from: NodeIndex, val incarnation: String, val sequence: Long) : PeerMessage
+    data class StatusQuery(val from: ControllerId, val incarnation: String, val sequence: Long) : PeerMessage
 
     /** The answer of controller [from] to the query with this [incarnation] and [sequence]. */
     data class StatusReport(
-        val from: NodeIndex,
+        val from: ControllerId,
         val incarnation: String,
         val sequence: Long,
         /** How long the answering process has been running. */
--- a/src/main/kotlin/io/reedmast/placement/Placer.kt
+++ b/src/main/kotlin/io/reedmast/placement/Placer.kt
@@ -12,10 +12,10 @@
 import io.reedmast.gangs.tasksThatFit
 import io.reedmast.jobs.Job
 import io.reedmast.jobs.Placement
-import io.reedmast.jobs.SliceState
+import io.reedmast.jobs.ShardState
 import io.reedmast.jobs.StopReason
 import io.reedmast.ownership.Token
-import io.reedmast.settings.TeamIndex
+import io.reedmast.settings.TeamId
 import io.reedmast.wire.MachineType
 import io.reedmast.workers.Commands
 import io.reedmast.workers.Machine
@@ -23,28 +23,28 @@
 
 /** Queue order, placement and preemption: a pass over all that waits, at a bounded rate. */
 class Placer(
-    private val sliceState: SliceState,
+    private val shardState: ShardState,
     private val commands: Commands,
     private val demandEstimator: DemandEstimator,
     private val spareMachines: SpareMachines,
 ) {
-    private val log = LoggerFactory.getLogger("slice")
+    private val log = LoggerFactory.getLogger("shard")
     private var attempts = 0L
     private var nextPass = 0L
     private var lastPass = 0L
     private val reservations = GangReservations()
-    private val keptFromAll = HashMap<TeamIndex, MutableList<Placement>>()
-    private val nextUnserved = HashMap<TeamIndex, Long>()
+    private val keptFromAll = HashMap<TeamId, MutableList<Placement>>()
+    private val nextUnserved = HashMap<TeamId, Long>()
 
     /** Passes made so far, for those who count work. */
     var passes = 0L
         private set
 
     fun passIfDue(now: Long) {
-        if (!sliceState.placeWanted || now < nextPass || now < sliceState.placeNotBefore || !sliceState.fresh()) return
+        if (!shardState.placeWanted || now < nextPass || now < shardState.placeNotBefore || !shardState.fresh()) return
         // Each pass that places something costs puts: tasks of arrays that follow each other on a machine share them.
-        if (now < lastPass + ARRAY_PASS_EVERY_MS && sliceState.jobs.values.none { it.waitingCount > 0 && sliceState.startsSoon(it) }) return
-        sliceState.placeWanted = false
+        if (now < lastPass + ARRAY_PASS_EVERY_MS && shardState.jobs.values.none { it.waitingCount > 0 && shardState.startsSoon(it) }) return
+        shardState.placeWanted = false
         lastPass = now
         nextPass = now + PASS_EVERY_MS
         passes++
@@ -64,7 +64,7 @@
 
     /** Funded work before uncharged work; teams within their guarantee first, then by charged use against allocation. */
     private fun pass(now: Long) {
-        val ready = sliceState.jobs.values.filter { it.waitingCount > 0 && !it.ending && now >= it.notBefore }
+        val ready = shardState.jobs.values.filter { it.waitingCount > 0 && !it.ending && now >= it.notBefore }
         if (ready.isEmpty()) return
         val machines = candidates(now)
         reservations.prune(now)
@@ -72,7 +72,7 @@
         val homes = machines.filter { it.isServiceHome }
         val most = homes.sumOf { it.machineType?.cpus ?: 0.0 } * MOST_RESERVED
         val room = HeldRoom(homes.sumOf { it.freeCpus }, minOf(spareMachines.reserve(now), most))
-        val wall = sliceState.clock.wall()
+        val wall = shardState.clock.wall()
         val full = HashSet<Shape>()
         val placed = HashMap<Job, Int>()
         for (job in waitingGangs(ready, now)) {
@@ -102,18 +102,18 @@
     }
 
     /** Within a team: by priority, then what has got nothing for long, of which one task is placed at a time, then by due time. */
-    private val queueOrder = compareBy<Job>({ it.spec.priority }, { !sliceState.isUnserved(it) }, { !it.spec.gang }, { sliceState.dueMs(it) })
+    private val queueOrder = compareBy<Job>({ it.spec.priority }, { !shardState.isUnserved(it) }, { !it.spec.gang }, { shardState.dueMs(it) })
 
     /**
-     * A few jobs of each team that have got nothing for longest, now and then: a team that is always at its limit, or in a full slice,
+     * A few jobs of each team that have got nothing for longest, now and then: a team that is always at its limit, or in a full shard,
      * with work of a higher priority or with a large array, would never begin its other jobs.
      */
     private fun unservedJobs(ready: List<Job>, now: Long): List<Job> = ready
-        .filter { now >= (nextUnserved[it.team] ?: 0L) && sliceState.isUnserved(it) }
-        .groupBy { it.team }.values.flatMap { jobs -> jobs.sortedByDescending { sliceState.unservedForMs(it) }.take(UNSERVED_AT_ONCE) }
+        .filter { now >= (nextUnserved[it.team] ?: 0L) && shardState.isUnserved(it) }
+        .groupBy { it.team }.values.flatMap { jobs -> jobs.sortedByDescending { shardState.unservedForMs(it) }.take(UNSERVED_AT_ONCE) }
 
     private fun keepRoomForGangs(machines: List<Machine>, now: Long) {
-        val arrivals = sliceState.gangArrivals
+        val arrivals = shardState.gangArrivals
         while (arrivals.isNotEmpty() && now - arrivals.first().at > GANG_ARRIVALS_MS) arrivals.removeFirst()
         val expected = arrivals.size.toDouble() * ROOM_GATHERED_MS / GANG_ARRIVALS_MS
         reservations.keepForNext(arrivals.map { it.spec }, expected, machines)
@@ -124,32 +124,32 @@
      * to an array of some team before there is enough for a gang.
      */
     private fun waitingGangs(ready: List<Job>, now: Long): List<Job> = ready
-        .filter { it.spec.gang && it.spec.priority.funded && now - it.waitsSince > PASS_EVERY_MS && fitsWithinLimits(it) && sliceState.withinAsGang(it) }
+        .filter { it.spec.gang && it.spec.priority.funded && now - it.waitsSince > PASS_EVERY_MS && fitsWithinLimits(it) && shardState.withinAsGang(it) }
         .sortedWith(compareBy({ it.spec.priority }, { it.waitsSince }))
 
-    private fun fitsWithinLimits(job: Job) = sliceState.allowance(job) >= job.spec.taskCount
+    private fun fitsWithinLimits(job: Job) = shardState.allowance(job) >= job.spec.taskCount
 
-    private fun first(queues: Map<TeamIndex, ArrayDeque<Job>>, wall: Long): TeamIndex {
+    private fun first(queues: Map<TeamId, ArrayDeque<Job>>, wall: Long): TeamId {
         if (queues.size == 1) return queues.keys.first()
-        return queues.keys.minWith(compareBy({ t -> !sliceState.within(t, queues.getValue(t).first().spec) }, { t -> sliceState.ratio(t, wall) }))
+        return queues.keys.minWith(compareBy({ t -> !shardState.within(t, queues.getValue(t).first().spec) }, { t -> shardState.ratio(t, wall) }))
     }
 
     /** Machines whose report is overdue may be gone or hang; unless most are overdue, which would be this node's fault. */
     private fun candidates(now: Long): List<Machine> {
-        val usable = sliceState.machines.values.filter { it.usable && it.noticeUntil == 0L }
-        val heard = usable.filter { now - it.lastHeardAt <= sliceState.reportOverdueMs }
+        val usable = shardState.machines.values.filter { it.usable && it.noticeUntil == 0L }
+        val heard = usable.filter { now - it.lastHeardAt <= shardState.reportOverdueMs }
         return if (heard.size * 2 >= usable.size) heard else usable
     }
 
     /** True if a task was placed and the job may have another one to place. */
     private fun placeOne(job: Job, machines: List<Machine>, room: HeldRoom, full: MutableSet<Shape>, now: Long): Boolean {
-        if (job.waitingCount <= 0 || sliceState.allowance(job) < 1) return false
+        if (job.waitingCount <= 0 || shardState.allowance(job) < 1) return false
         if (job.spec.gang) return placeGang(job, machines, room, now)
         val task = job.nextWaiting()
         if (task < 0) return false
         val spec = job.spec
-        val starves = sliceState.starves(job)
-        val late = starves || sliceState.late(job)
+        val starves = shardState.starves(job)
+        val late = starves || shardState.late(job)
         // Jobs with rules of their own for zones or machines may fail where others of their shape would not.
         val shape = if (spec.oneZone || spec.spread || job.failedOn.isNotEmpty()) {
             null
@@ -170,8 +170,8 @@
     /** Places all tasks of a gang, under one attempt number, or none. */
     private fun placeGang(job: Job, machines: List<Machine>, room: HeldRoom, now: Long): Boolean {
         if (job.placedCount > 0 || !fitsWithinLimits(job)) return false
-        val starves = sliceState.starves(job)
-        val late = starves || sliceState.late(job)
+        val starves = shardState.starves(job)
+        val late = starves || shardState.late(job)
         val assignment = chooseForGang(job, machines) { machine ->
             (starves || (machine !in job.failedOn && !reservations.isKeptFrom(job, machine))) && (late || !isTooDear(job, machine))
         } ?: return false
@@ -184,14 +184,14 @@
     private fun isTooDear(job: Job, machine: Machine) =
         job.spec.spot && !machine.record.spot && !machine.held && machine.machineType?.let { dear(it, job) } == true
 
-    private fun nextAttempt(): Long = (Token.takings(sliceState.token) shl ATTEMPT_BITS) + ++attempts
+    private fun nextAttempt(): Long = (Token.takings(shardState.token) shl ATTEMPT_BITS) + ++attempts
 
     private fun start(job: Job, task: Int, attempt: Long, machine: Machine, room: HeldRoom, now: Long) {
         val placement = Placement(job, task, attempt, machine, now)
-        if (sliceState.isUnserved(job)) keep(placement, now)
+        if (shardState.isUnserved(job)) keep(placement, now)
         if (machine.isServiceHome) room.free -= job.spec.cpus
-        sliceState.place(placement)
-        sliceState.touched(job.chunkOf(task))
+        shardState.place(placement)
+        shardState.touched(job.chunkOf(task))
         log.debug("{} try {}: placed on {}", placement.id, attempt, machine.name)
     }
 
@@ -202,27 +202,27 @@
         val kept = keptFromAll.getOrPut(placement.job.team) { ArrayList() }
         kept.removeIf { now >= it.keptFromAllUntil || it.machine.placements[it.id] !== it }
         // A few at a time: a swarm of uncharged tasks that yield to nothing would hold the room of funded work.
-        if (!sliceState.isOverdue(placement.job) || kept.size >= MOST_KEPT_FROM_ALL) return
+        if (!shardState.isOverdue(placement.job) || kept.size >= MOST_KEPT_FROM_ALL) return
         placement.keptFromAllUntil = until
         kept.add(placement)
     }
 
     private fun dear(machineType: MachineType, job: Job): Boolean =
-        job.dearTypes.getOrPut(machineType.label) { isDear(machineType, sliceState.machineTypes, job.spec.cpus, job.spec.gpus, job.spec.memoryGb) }
+        job.dearTypes.getOrPut(machineType.label) { isDear(machineType, shardState.machineTypes, job.spec.cpus, job.spec.gpus, job.spec.memoryGb) }
 
     /** Stops work for requests that cannot fit otherwise, one machine at a time and never twice for the same request. */
     private fun preempt(ready: List<Job>, now: Long, wall: Long) {
-        val holding = sliceState.machines.values.filter { m -> m.usable && m.noticeUntil == 0L && m.placements.values.any { yieldable(it) } }
+        val holding = shardState.machines.values.filter { m -> m.usable && m.noticeUntil == 0L && m.placements.values.any { yieldable(it) } }
         if (holding.isEmpty()) return
         val coming = demandEstimator.coming()
         var tries = 0
         for (job in ready) {
-            if (!job.spec.priority.funded || job.waitingCount <= job.preempting || sliceState.allowance(job) <= job.preempting) continue
+            if (!job.spec.priority.funded || job.waitingCount <= job.preempting || shardState.allowance(job) <= job.preempting) continue
             if (now - job.waitsSince < preemptAfterMs(job)) continue
             // What only has to be done some time fits on the machines that are on their way; what has to start soon does not.
-            if (!sliceState.startsSoon(job) && demandEstimator.comingHolds(job, coming)) continue
+            if (!shardState.startsSoon(job) && demandEstimator.comingHolds(job, coming)) continue
             if (++tries > MOST_PREEMPTING) break
-            val request = Request(job.spec.priority, sliceState.within(job.team, job.spec), sliceState.ratio(job.team, wall))
+            val request = Request(job.spec.priority, shardState.within(job.team, job.spec), shardState.ratio(job.team, wall))
             if (job.spec.gang) {
                 preemptForGang(job, request, wall)
                 continue
@@ -242,7 +242,7 @@
         log.info("{}: yields to {} on {}", victim.id, job.spec.jobId, machine.name)
         commands.stop(victim, StopReason.PREEMPTED)
         job.preempting++
-        sliceState.preemptedFor[victim] = job
+        shardState.preemptedFor[victim] = job
     }
 
     /** Stops work on the machines that are kept for the gang, if all of it fits there then. */
@@ -270,16 +270,16 @@
      */
     private fun preemptAfterMs(job: Job): Long = when {
         job.spec.gang -> GANG_WAITS_MS
-        sliceState.startsSoon(job) -> (sliceState.settings.workers.reportS * 1000).toLong()
-        else -> (sliceState.settings.workers.reportS * 1000 * ARRAY_WAITS_REPORTS).toLong()
+        shardState.startsSoon(job) -> (shardState.settings.workers.reportS * 1000).toLong()
+        else -> (shardState.settings.workers.reportS * 1000 * ARRAY_WAITS_REPORTS).toLong()
     }
 
     /** Whether the work yields to anything at all: funded work that cannot resume never does. */
     private fun yieldable(placement: Placement) =
-        sliceState.clock.now() >= placement.keptFromAllUntil && (!placement.job.spec.priority.funded || placement.job.spec.resumable)
+        shardState.clock.now() >= placement.keptFromAllUntil && (!placement.job.spec.priority.funded || placement.job.spec.resumable)
 
     /** Whether the work was preferred to [job], of the same team, for its long wait, and too lately to be stopped for it. */
-    private fun isKeptFrom(placement: Placement, job: Job) = sliceState.clock.now() < placement.keptUntil && placement.job.team == job.team
+    private fun isKeptFrom(placement: Placement, job: Job) = shardState.clock.now() < placement.keptUntil && placement.job.team == job.team
 
     /** What must be stopped so that [tasks] tasks of [job] fit on the machine; null if that is not allowed or not needed. */
     private fun victims(job: Job, machine: Machine, request: Request, wall: Long, tasks: Int = 1): List<Placement>? {
@@ -305,22 +305,22 @@
 
     private fun runner(placement: Placement, job: Job, wall: Long): Runner {
         val spec = placement.job.spec
-        val cap = sliceState.tuning.protectCapS
+        val cap = shardState.tuning.protectCapS
         return Runner(
             priority = spec.priority,
             resumable = spec.resumable,
             sameTeam = placement.job.team == job.team,
-            ranForS = (sliceState.clock.now() - protectedSince(placement)) / 1000.0,
+            ranForS = (shardState.clock.now() - protectedSince(placement)) / 1000.0,
             minimumS = minOf(cap, if (spec.estimateS > 0) spec.estimateS else cap),
-            teamBeyondGuarantee = sliceState.beyondGuarantee(placement.job.team),
-            teamRatio = sliceState.ratio(placement.job.team, wall),
+            teamBeyondGuarantee = shardState.beyondGuarantee(placement.job.team),
+            teamRatio = shardState.ratio(placement.job.team, wall),
         )
     }
 
     /** A gang does not work before all of it runs. */
     private fun protectedSince(placement: Placement): Long {
         if (!placement.job.spec.gang) return placement.madeAt
-        return placement.job.placements().maxOf { if (it.running) it.runningSince else sliceState.clock.now() }
+        return placement.job.placements().maxOf { if (it.running) it.runningSince else shardState.clock.now() }
     }
 
     private companion object {
--- a/src/main/kotlin/io/reedmast/ports/Gateway.kt
+++ b/src/main/kotlin/io/reedmast/ports/Gateway.kt
@@ -2,7 +2,7 @@
 
 import io.reedmast.fleet.Rental
 import io.reedmast.peers.PeerMessage
-import io.reedmast.settings.NodeIndex
+import io.reedmast.settings.ControllerId
 import io.reedmast.state.Change
 import io.reedmast.state.Fetched
 import io.reedmast.state.Item
@@ -44,7 +44,7 @@
     fun sendToPeers(message: PeerMessage)
 
     /** Sends [message] to one other controller; no rule depends on its arrival. */
-    fun sendToPeer(peer: NodeIndex, message: PeerMessage)
+    fun sendToPeer(peer: ControllerId, message: PeerMessage)
 
     /** Sends commands to a worker directly. */
     fun direct(addr: String, token: Long, session: Long, orders: List<Order>, done: (Reply) -> Unit)
--- a/src/main/kotlin/io/reedmast/rollout/ClusterPicture.kt
+++ b/src/main/kotlin/io/reedmast/rollout/ClusterPicture.kt
@@ -13,7 +13,7 @@
  *
  * @property desired what its deploy file wishes of each feature
  * @property incarnation the process, for acts that concern one process only; null in keys of earlier versions
- * @property drained whether it has given all its slices up, and takes none
+ * @property drained whether it has given all its shards up, and takes none
  */
 data class MemberVersions(val range: VersionRange, val desired: Map<FeatureName, Target>, val incarnation: String?, val drained: Boolean) {
     fun toFields(): Fields = buildMap {
@@ -50,10 +50,10 @@
 /** A membership key that is there now. */
 data class PresentMember(val versions: MemberVersions, val keyVersion: Long)
 
-/** The owner of a slice as last stored. */
-data class SliceOwnership(val owner: String, val version: Long)
+/** The owner of a shard as last stored. */
+data class ShardOwnership(val owner: String, val version: Long)
 
-/** The part of the records that one migration runs over by itself: those of the whole cluster, or of one slice. */
+/** The part of the records that one migration runs over by itself: those of the whole cluster, or of one shard. */
 sealed interface MigrationUnit {
     val key: String
 
@@ -61,7 +61,7 @@
         override val key = "cluster"
     }
 
-    data class Slice(val index: Int) : MigrationUnit {
+    data class Shard(val index: Int) : MigrationUnit {
         override val key get() = index.toString()
     }
 }
@@ -70,8 +70,8 @@
 class ClusterPicture(
     val configured: Set<String>,
     val present: Map<String, PresentMember>,
-    /** By slice; null for one that nobody has taken yet. */
-    val slices: List<SliceOwnership?>,
+    /** By shard; null for one that nobody has taken yet. */
+    val shards: List<ShardOwnership?>,
     val progress: Map<Pair<FeatureName, MigrationUnit>, MigrationProgress>,
     /** Features that are known to be finalized by records of their own, from before there was a record of the rollout. */
     val externallyFinalized: Set<FeatureName> = emptySet(),
@@ -98,20 +98,20 @@
     /** The controllers that count: all that are configured, but for those that an operator has excluded. */
     fun counted(record: RolloutRecord): Set<String> = configured - record.excluded.keys
 
-    /** Conditions that every counted controller is still the process that was seen, and every slice still has the owner that was seen. */
-    fun guards(record: RolloutRecord): List<Guard> = memberGuards(counted(record)) + sliceGuards()
+    /** Conditions that every counted controller is still the process that was seen, and every shard still has the owner that was seen. */
+    fun guards(record: RolloutRecord): List<Guard> = memberGuards(counted(record)) + shardGuards()
 
-    /** Conditions that [label] has the membership key that was seen, or none, and that no slice has changed hands. */
-    fun guardsOf(label: String): List<Guard> = memberGuards(setOf(label)) + sliceGuards()
+    /** Conditions that [label] has the membership key that was seen, or none, and that no shard has changed hands. */
+    fun guardsOf(label: String): List<Guard> = memberGuards(setOf(label)) + shardGuards()
 
     private fun memberGuards(labels: Set<String>) = labels.map { Guard(Keys.node(it), present[it]?.keyVersion ?: 0L) }
 
-    private fun sliceGuards() = slices.mapIndexed { index, slice -> Guard(Keys.slice(index), slice?.version ?: 0L) }
+    private fun shardGuards() = shards.mapIndexed { index, shard -> Guard(Keys.shard(index), shard?.version ?: 0L) }
 
     /** The units that a migration of [feature] consists of. */
     fun unitsOf(feature: Feature): List<MigrationUnit> = when (feature.migration?.scope) {
         null -> emptyList()
         MigrationScope.CLUSTER -> listOf(MigrationUnit.Cluster)
-        MigrationScope.SLICE -> slices.indices.map { MigrationUnit.Slice(it) }
+        MigrationScope.SHARD -> shards.indices.map { MigrationUnit.Shard(it) }
     }
 }
--- a/src/main/kotlin/io/reedmast/rollout/Feature.kt
+++ b/src/main/kotlin/io/reedmast/rollout/Feature.kt
@@ -37,8 +37,8 @@
     /** Records of the whole cluster: the leader migrates them, under the version of its key. */
     CLUSTER,
 
-    /** Records of one slice: the slice's owner migrates them, under its term. */
-    SLICE,
+    /** Records of one shard: the shard's owner migrates them, under its term. */
+    SHARD,
 }
 
 /**
@@ -50,8 +50,8 @@
 interface RecordMigration {
     val scope: MigrationScope
 
-    /** The common beginning of the keys of the records; [slice] is ignored for [MigrationScope.CLUSTER]. */
-    fun prefix(slice: Int): String
+    /** The common beginning of the keys of the records; [shard] is ignored for [MigrationScope.CLUSTER]. */
+    fun prefix(shard: Int): String
 
     fun forward(record: Fields): Fields
 
--- a/src/main/kotlin/io/reedmast/rollout/GateDecision.kt
+++ b/src/main/kotlin/io/reedmast/rollout/GateDecision.kt
@@ -70,7 +70,7 @@
         private fun readyNext(target: Wanted): Verdict = when {
             unfit != null -> moves(GateState.DORMANT, missing().orEmpty())
             !target.wantsEnabled -> target.orStays()
-            else -> (missing() ?: dependenciesMissing(finalized = false) ?: sliceInOtherHands())?.let { Verdict.Waits(it) }
+            else -> (missing() ?: dependenciesMissing(finalized = false) ?: shardInOtherHands())?.let { Verdict.Waits(it) }
                 ?: moves(GateState.ENABLED, target.why, guards())
         }
 
@@ -86,9 +86,9 @@
             }
         }
 
-        /** A process that does not count may still write under the term of a slice that it owns. */
-        private fun sliceInOtherHands(): String? = picture.slices.withIndex().firstNotNullOfOrNull { (index, slice) ->
-            if (slice != null && slice.owner !in counted) "slice $index is owned by ${slice.owner}, which does not count" else null
+        /** A process that does not count may still write under the term of a shard that it owns. */
+        private fun shardInOtherHands(): String? = picture.shards.withIndex().firstNotNullOfOrNull { (index, shard) ->
+            if (shard != null && shard.owner !in counted) "shard $index is owned by ${shard.owner}, which does not count" else null
         }
 
         private fun enabledNext(target: Wanted): Verdict = when (target.wished) {
--- a/src/main/kotlin/io/reedmast/rollout/MigrationReconciler.kt
+++ b/src/main/kotlin/io/reedmast/rollout/MigrationReconciler.kt
@@ -101,12 +101,12 @@
 
     private fun concerns(migration: RecordMigration) = when (unit) {
         MigrationUnit.Cluster -> migration.scope == MigrationScope.CLUSTER
-        is MigrationUnit.Slice -> migration.scope == MigrationScope.SLICE
+        is MigrationUnit.Shard -> migration.scope == MigrationScope.SHARD
     }
 
     private fun list(of: Pass) {
         busy = true
-        store.list(of.migration.prefix((unit as? MigrationUnit.Slice)?.index ?: 0)) { items ->
+        store.list(of.migration.prefix((unit as? MigrationUnit.Shard)?.index ?: 0)) { items ->
             busy = false
             if (items != null) of.keys = items.mapTo(ArrayDeque()) { it.path }.apply { removeIf { it <= of.progress.after } }
         }
--- a/src/main/kotlin/io/reedmast/rollout/RolloutAdministration.kt
+++ b/src/main/kotlin/io/reedmast/rollout/RolloutAdministration.kt
@@ -24,9 +24,9 @@
 /** The cluster as an operator sees it; [waiting] says why gates stay as they are although somebody wishes otherwise. */
 class RolloutStatus(val view: RolloutView, val picture: ClusterPicture, val waiting: Map<FeatureName, String>)
 
-/** Reads slices' owners and features with records of their own from the cluster's keys, whose forms are not the rollout's. */
+/** Reads shards' owners and features with records of their own from the cluster's keys, whose forms are not the rollout's. */
 interface ClusterRecords {
-    fun sliceOwners(items: List<Item>): List<SliceOwnership?>
+    fun shardOwners(items: List<Item>): List<ShardOwnership?>
 
     fun externallyFinalized(items: List<Item>): Set<FeatureName>
 }
@@ -65,14 +65,14 @@
     /** [label] does not count any more: it must be silent, must own nothing, and must not be the last one. */
     fun exclude(label: String, act: Act, done: (ActResult) -> Unit) = change(done) { status ->
         val record = status.view.gates.record
-        val owned = status.picture.slices.indexOfFirst { it?.owner == label }
+        val owned = status.picture.shards.indexOfFirst { it?.owner == label }
         when {
             label !in configured -> refused("there is no controller $label; known are ${configured.sorted().joinToString()}")
             label in record.excluded -> refused("$label is excluded already")
             status.picture.counted(record).size == 1 -> refused("$label is the last controller that counts")
             label in status.picture.present -> refused("$label is alive; stop it first")
-            owned >= 0 -> refused("$label still owns slice $owned; another controller takes it within seconds")
-            // Its key must not be there, and no slice may have been taken, at the moment of the change.
+            owned >= 0 -> refused("$label still owns shard $owned; another controller takes it within seconds")
+            // Its key must not be there, and no shard may have been taken, at the moment of the change.
             else -> Planned.Put(record.excluding(label, made(act)), status.picture.guardsOf(label))
         }
     }
@@ -83,7 +83,7 @@
         if (label !in record.excluded) refused("$label is not excluded") else Planned.Put(record.including(label, made(act)), emptyList())
     }
 
-    /** The process that runs as [label] now gives its slices up; the order ends with that process. */
+    /** The process that runs as [label] now gives its shards up; the order ends with that process. */
     fun drain(label: String, act: Act, done: (ActResult) -> Unit) = change(done) { status ->
         val incarnation = status.picture.present[label]?.versions?.incarnation
         val others = status.picture.counted(status.view.gates.record) - label
@@ -93,13 +93,13 @@
             label !in configured -> refused("there is no controller $label")
             incarnation == null -> refused("$label is silent, or of a version that cannot be drained")
             others.isEmpty() -> refused("$label is the last controller that counts")
-            silent != null -> refused("$silent is silent; its slices would come to fewer controllers still")
+            silent != null -> refused("$silent is silent; its shards would come to fewer controllers still")
             draining != null -> refused("$draining is being drained; one at a time")
             else -> Planned.Drain(label, DrainOrder(incarnation, made(act)), status.view.drainOf(label)?.version ?: 0L)
         }
     }
 
-    /** [label] takes slices again. */
+    /** [label] takes shards again. */
     fun endDrain(label: String, done: (ActResult) -> Unit) = change(done) { status ->
         val stored = status.view.drainOf(label)
         if (stored == null) refused("$label is not being drained") else Planned.EndDrain(label, stored.version)
@@ -140,7 +140,7 @@
     private fun statusOf(items: List<Item>): RolloutStatus {
         val view = RolloutView(registry, OPERATOR)
         items.forEach { view.see(it.path, it.value, it.version) }
-        val picture = view.picture(configured, records.sliceOwners(items), records.externallyFinalized(items))
+        val picture = view.picture(configured, records.shardOwners(items), records.externallyFinalized(items))
         return RolloutStatus(view, picture, GateDecision(registry).plan(view.gates.record, picture).waiting)
     }
 
@@ -186,7 +186,7 @@
     }
 }
 
-/** Whether the process that runs as [label] now is to give its slices up. */
+/** Whether the process that runs as [label] now is to give its shards up. */
 fun RolloutStatus.isDraining(label: String): Boolean {
     val incarnation = picture.present[label]?.versions?.incarnation ?: return false
     return view.drainOf(label)?.order?.incarnation == incarnation
@@ -200,8 +200,8 @@
 
     companion object {
         /**
-         * A controller may be stopped when it has given its slices up, which it does only after all that it decided has been stored, and the
-         * others hold all slices.
+         * A controller may be stopped when it has given its shards up, which it does only after all that it decided has been stored, and the
+         * others hold all shards.
          */
         fun of(label: String, status: RolloutStatus): Readiness {
             val picture = status.picture
@@ -210,11 +210,11 @@
             if (label !in picture.configured) reasons.add("there is no controller $label")
             others.filter { it !in picture.present }.forEach { reasons.add("$it is silent") }
             others.filter { status.isDraining(it) }.forEach { reasons.add("$it is being drained") }
-            picture.slices.forEachIndexed { index, slice ->
-                when (slice?.owner) {
-                    null -> reasons.add("slice $index has no owner")
-                    label -> reasons.add("$label owns slice $index; drain it first")
-                    !in picture.present -> reasons.add("slice $index is owned by ${slice.owner}, which is silent")
+            picture.shards.forEachIndexed { index, shard ->
+                when (shard?.owner) {
+                    null -> reasons.add("shard $index has no owner")
+                    label -> reasons.add("$label owns shard $index; drain it first")
+                    !in picture.present -> reasons.add("shard $index is owned by ${shard.owner}, which is silent")
                 }
             }
             if (label in picture.present && picture.present[label]?.versions?.drained != true) reasons.add("$label has not said that it is drained")
--- a/src/main/kotlin/io/reedmast/rollout/RolloutCoordinator.kt
+++ b/src/main/kotlin/io/reedmast/rollout/RolloutCoordinator.kt
@@ -12,7 +12,7 @@
  * Moves gates, on the leader.
  *
  * Each move is one conditional write: the leader's key, the record of the rollout and, where every controller matters, their membership
- * keys and the slices must be as they were seen. A leader who has been replaced, or has seen too little, therefore moves nothing.
+ * keys and the shards must be as they were seen. A leader who has been replaced, or has seen too little, therefore moves nothing.
  *
  * @param mostGuards how many conditions a transaction takes
  * @param reread reads the record of the rollout again
--- a/src/main/kotlin/io/reedmast/rollout/RolloutView.kt
+++ b/src/main/kotlin/io/reedmast/rollout/RolloutView.kt
@@ -11,7 +11,7 @@
 /** Progress of a migration as stored, with the version of its key. */
 data class StoredProgress(val progress: MigrationProgress, val version: Long)
 
-/** An operator's order that one process give its slices up before it is stopped. */
+/** An operator's order that one process give its shards up before it is stopped. */
 data class DrainOrder(val incarnation: String, val made: Provenance) {
     fun toFields(): Fields = mapOf("incarnation" to incarnation, "made" to made.toFields())
 
@@ -105,15 +105,15 @@
     }
 
     private fun unitOf(key: String): MigrationUnit? =
-        if (key == MigrationUnit.Cluster.key) MigrationUnit.Cluster else key.toIntOrNull()?.let { MigrationUnit.Slice(it) }
+        if (key == MigrationUnit.Cluster.key) MigrationUnit.Cluster else key.toIntOrNull()?.let { MigrationUnit.Shard(it) }
 
     private fun seeDrain(label: String, value: Fields?, version: Long) {
         if (value == null) drains.remove(label) else drains[label] = StoredDrain(DrainOrder.parse(value), version)
     }
 
-    /** What a decision about gates is made from; [slices] are the slices' owners, and [externallyFinalized] features with records of their own. */
-    fun picture(configured: Set<String>, slices: List<SliceOwnership?>, externallyFinalized: Set<FeatureName>) =
-        ClusterPicture(configured, present.toMap(), slices, progress.mapValues { it.value.progress }, externallyFinalized)
+    /** What a decision about gates is made from; [shards] are the shards' owners, and [externallyFinalized] features with records of their own. */
+    fun picture(configured: Set<String>, shards: List<ShardOwnership?>, externallyFinalized: Set<FeatureName>) =
+        ClusterPicture(configured, present.toMap(), shards, progress.mapValues { it.value.progress }, externallyFinalized)
 
     companion object {
         /** The field of a membership key in which earlier versions name theirs. */
--- a/src/main/kotlin/io/reedmast/settings/Settings.kt
+++ b/src/main/kotlin/io/reedmast/settings/Settings.kt
@@ -17,18 +17,18 @@
 /** The settings cannot be used; the message names the field. */
 class SettingsException(message: String) : Exception(message)
 
-/** Names of teams, zones, nodes and slices are dense indices from here on. */
+/** Names of teams, zones, nodes and shards are dense indices from here on. */
 @JvmInline
-value class TeamIndex(val value: Int)
+value class TeamId(val value: Int)
 
 @JvmInline
 value class ZoneIndex(val value: Int)
 
 @JvmInline
-value class NodeIndex(val value: Int)
+value class ControllerId(val value: Int)
 
 @JvmInline
-value class SliceIndex(val value: Int)
+value class ShardId(val value: Int)
 
 /** [maxCpus] and [maxGpus] are limits on what runs at any time; 0 means none. */
 data class TeamShare(val name: String, val cpus: Double, val maxCpus: Double, val gpus: Double, val maxGpus: Double)
@@ -50,7 +50,7 @@
     val front: InetSocketAddress,
     val clusterListen: InetSocketAddress,
     val members: List<Member>,
-    val self: NodeIndex,
+    val self: ControllerId,
     val cloud: String,
     val state: String,
     val zones: List<String>,
@@ -63,12 +63,12 @@
     val cloudLimits: CloudLimits,
     val maxConnections: Int,
 ) {
-    val teamsByName: Map<String, TeamIndex> = teams.withIndex().associate { (i, team) -> team.name to TeamIndex(i) }
+    val teamsByName: Map<String, TeamId> = teams.withIndex().associate { (i, team) -> team.name to TeamId(i) }
 
-    /** As many slices as nodes; teams are dealt out to them in turn. */
-    val slices: Int get() = members.size
+    /** As many shards as nodes; teams are dealt out to them in turn. */
+    val shardCount: Int get() = members.size
 
-    fun sliceOf(team: TeamIndex) = SliceIndex(team.value % slices)
+    fun shardOf(team: TeamId) = ShardId(team.value % shardCount)
 
     companion object {
         private const val DEFAULT_GANG_WAIT_S = 50.0
@@ -140,7 +140,7 @@
                 front = front,
                 clusterListen = clusterListen,
                 members = members,
-                self = NodeIndex(members.indexOfFirst { it.label == label }),
+                self = ControllerId(members.indexOfFirst { it.label == label }),
                 cloud = at("outside.") { outside.text("cloud").also { address("cloud", it) } },
                 state = at("outside.") { outside.text("state").also { address("state", it) } },
                 zones = at("facts.") { facts.list("zones").map { it as? String ?: throw MalformedException("zones holds something that is not text") } },
--- a/src/main/kotlin/io/reedmast/settings/Tuning.kt
+++ b/src/main/kotlin/io/reedmast/settings/Tuning.kt
@@ -6,7 +6,7 @@
     val windowS: Double = 6 * 3600.0,
     /** The longest protected minimum run time. */
     val protectCapS: Double = 30 * 60.0,
-    /** How often the leader resizes slices. */
+    /** How often the leader resizes shards. */
     val resizeS: Double = 3.0,
     /** How often owners write team totals. */
     val totalsS: Double = 5.0,
--- a/src/main/kotlin/io/reedmast/state/Change.kt
+++ b/src/main/kotlin/io/reedmast/state/Change.kt
@@ -70,7 +70,7 @@
 
 /** Where things are kept in the state service. */
 object Keys {
-    /** Slices, nodes, leader and token counter: few keys, watched by every node. */
+    /** Shards, nodes, leader and token counter: few keys, watched by every node. */
     const val CLUSTER = "c/"
     const val LEADER = "c/leader"
     const val TOKEN = "c/token"
@@ -85,9 +85,9 @@
     /** How far migrations of records have come. */
     const val MIGRATIONS = "c/migration/"
 
-    /** Controllers that are to give their slices up before they are stopped. */
+    /** Controllers that are to give their shards up before they are stopped. */
     const val DRAINS = "c/drain/"
-    const val SLICES = "c/slice/"
+    const val SHARDS = "c/slice/"
     const val HOSTS = "c/hosts/"
 
     /** Jobs, unfinished and ended: watched by every node. */
@@ -96,9 +96,9 @@
     const val ENDS = "j/end/"
     const val TOTALS = "totals/"
 
-    fun slice(index: Int) = "$SLICES$index"
+    fun shard(index: Int) = "$SHARDS$index"
 
-    fun hosts(slice: Int, part: Int) = "$HOSTS$slice/$part"
+    fun hosts(shard: Int, part: Int) = "$HOSTS$shard/$part"
 
     fun node(label: String) = "$NODES$label"
 
@@ -106,13 +106,13 @@
 
     fun drain(label: String) = "$DRAINS$label"
 
-    fun live(slice: Int, jobId: String) = "$LIVE$slice/$jobId"
+    fun live(shard: Int, jobId: String) = "$LIVE$shard/$jobId"
 
     fun end(jobId: String) = "$ENDS$jobId"
 
-    fun pagesOf(slice: Int) = "page/$slice/"
+    fun pagesOf(shard: Int) = "page/$shard/"
 
-    fun page(slice: Int, index: Int) = "page/$slice/$index"
+    fun page(shard: Int, index: Int) = "page/$shard/$index"
 
-    fun totals(slice: Int) = "$TOTALS$slice"
+    fun totals(shard: Int) = "$TOTALS$shard"
 }
--- a/src/main/kotlin/io/reedmast/workers/Commands.kt
+++ b/src/main/kotlin/io/reedmast/workers/Commands.kt
@@ -1,7 +1,7 @@
 package io.reedmast.workers
 
 import io.reedmast.jobs.Placement
-import io.reedmast.jobs.SliceState
+import io.reedmast.jobs.ShardState
 import io.reedmast.jobs.StopReason
 import io.reedmast.ports.Gateway
 import io.reedmast.wire.MalformedException
@@ -11,15 +11,15 @@
 import org.slf4j.LoggerFactory
 
 /** Direct commands to workers. Launches also go out with the answers to reports, so none of these must arrive. */
-class Commands(private val sliceState: SliceState, private val out: Gateway, private val take: (Machine, Report) -> Unit) {
-    private val log = LoggerFactory.getLogger("slice")
+class Commands(private val shardState: ShardState, private val out: Gateway, private val take: (Machine, Report) -> Unit) {
+    private val log = LoggerFactory.getLogger("shard")
     private val outbox = LinkedHashMap<Machine, MutableList<Order>>()
-    private val announcer = TokenAnnouncer(sliceState, out, ::answered)
+    private val announcer = TokenAnnouncer(shardState, out, ::answered)
 
-    /** The slice has just been taken. */
+    /** The shard has just been taken. */
     fun begin() = announcer.begin()
 
-    /** Called now and then: shows our token to machines that have not reported since the slice was taken. */
+    /** Called now and then: shows our token to machines that have not reported since the shard was taken. */
     fun announceToken(now: Long) = announcer.tick(now)
 
     fun launch(placement: Placement) {
@@ -61,12 +61,12 @@
         for ((machine, gathered) in batches) {
             val orders = gathered.filter { it !is Order.Launch || isWanted(machine, it) }
             val addr = machine.addr
-            if (orders.isEmpty() || addr == null || !machine.trusted || machine.directCalls >= MAX_DIRECT_CALLS || !sliceState.fresh() ||
+            if (orders.isEmpty() || addr == null || !machine.trusted || machine.directCalls >= MAX_DIRECT_CALLS || !shardState.fresh() ||
                 seemsAway(machine)
             ) {
                 continue
             }
-            val token = sliceState.tokenFor(machine)
+            val token = shardState.tokenFor(machine)
             val session = machine.session
             val launches = orders.filterIsInstance<Order.Launch>()
             for (order in launches) {
@@ -77,7 +77,7 @@
             out.direct(addr, token, session, orders) { reply ->
                 machine.directCalls--
                 if (reply is Reply.NotSent) launches.forEach { machine.noteNotSent(it.id, it.attempt) }
-                if (reply is Reply.Answer) answered(machine, reply) else machine.mutedAt = sliceState.clock.now()
+                if (reply is Reply.Answer) answered(machine, reply) else machine.mutedAt = shardState.clock.now()
             }
         }
     }
@@ -93,10 +93,10 @@
      * or its report is overdue. A few dozen hung machines would otherwise hold up the commands to all others.
      */
     private fun seemsAway(machine: Machine) =
-        machine.mutedAt >= machine.lastHeardAt || sliceState.clock.now() - machine.lastHeardAt > sliceState.reportOverdueMs
+        machine.mutedAt >= machine.lastHeardAt || shardState.clock.now() - machine.lastHeardAt > shardState.reportOverdueMs
 
     private fun answered(machine: Machine, reply: Reply.Answer): Report? {
-        if (sliceState.dropped || (reply.status != 200 && reply.status != 409)) return null
+        if (shardState.dropped || (reply.status != 200 && reply.status != 409)) return null
         return try {
             Report.parse(reply.body).also { if (it.host == machine.name) take(machine, it) }
         } catch (e: MalformedException) {
--- a/src/main/kotlin/io/reedmast/workers/HostDirectory.kt
+++ b/src/main/kotlin/io/reedmast/workers/HostDirectory.kt
@@ -32,7 +32,7 @@
 /**
  * Addresses and images of all machines, told by their owners to the other nodes.
  *
- * A node that takes a slice over can so show its token to the workers at once, and place work where its images are.
+ * A node that takes a shard over can so show its token to the workers at once, and place work where its images are.
  */
 class HostDirectory {
     private val facts = HashMap<String, HostFacts>()
@@ -56,7 +56,7 @@
         return news
     }
 
-    /** Takes up what an owner tells of machines that are [known] to belong to some slice. */
+    /** Takes up what an owner tells of machines that are [known] to belong to some shard. */
     fun heard(news: List<HostNews>, known: (String) -> Boolean) {
         for (of in news) {
             if (!known(of.host)) continue
--- a/src/main/kotlin/io/reedmast/workers/Machine.kt
+++ b/src/main/kotlin/io/reedmast/workers/Machine.kt
@@ -6,7 +6,7 @@
 import io.reedmast.wire.Report
 import io.reedmast.wire.TaskId
 
-/** A machine as the records of its slice name it. */
+/** A machine as the records of its shard name it. */
 data class HostRecord(val name: String, val typeName: String, val zone: String, val spot: Boolean)
 
 /** Why a machine is to go. */
@@ -24,7 +24,7 @@
 /** The worker's session and the token that a direct launch was sent under. */
 data class DirectLaunch(val session: Long, val token: Long)
 
-/** What the owner of a slice knows of one of its machines. */
+/** What the owner of a shard knows of one of its machines. */
 class Machine(
     val record: HostRecord,
     var machineType: MachineType?,
@@ -64,7 +64,7 @@
     var retirement: Retirement? = null
     var returning = false
 
-    /** Since when it is marked to move to another slice. */
+    /** Since when it is marked to move to another shard. */
     var movingSince = 0L
     var emptySince = firstSeenAt
 
@@ -112,7 +112,7 @@
     /** Parts of jobs that have left the machine since they were last stored: a stored page may still name it for them. */
     private val left = HashSet<Chunk>()
 
-    /** Whether nothing is here, and nobody who takes the slice over would think so. */
+    /** Whether nothing is here, and nobody who takes the shard over would think so. */
     val isEmptyAsStored: Boolean get() = placements.isEmpty() && left.all { it.stored }
 
     fun add(placement: Placement) {
