--- a/src/main/kotlin/io/reedmast/workers/MachineLifecycle.kt
+++ b/src/main/kotlin/io/reedmast/workers/MachineLifecycle.kt
@@ -1,14 +1,14 @@
 package io.reedmast.workers
 
 import io.reedmast.fleet.SpareMachines
-import io.reedmast.jobs.SliceState
+import io.reedmast.jobs.ShardState
 import io.reedmast.jobs.StopReason
 import io.reedmast.ports.Gateway
 import org.slf4j.LoggerFactory
 
-/** Which machines of a slice stay, move or go. */
+/** Which machines of a shard stay, move or go. */
 class MachineLifecycle(
-    private val sliceState: SliceState,
+    private val shardState: ShardState,
     private val out: Gateway,
     private val commands: Commands,
     private val spareMachines: SpareMachines,
@@ -16,11 +16,11 @@
     private val handOver: (Collection<String>) -> Unit,
     private val requestTakeover: () -> Unit,
 ) {
-    private val log = LoggerFactory.getLogger("slice")
+    private val log = LoggerFactory.getLogger("shard")
     private val toReturn = LinkedHashSet<Machine>()
     private var returnInFlight = false
 
-    /** Hosts that are returned but may still stand in the slice's records. */
+    /** Hosts that are returned but may still stand in the shard's records. */
     private val gone = HashSet<String>()
     private var removeDue = 0L
     private var requestDue = 0L
@@ -30,7 +30,7 @@
 
     fun isGone(host: String) = host in gone
 
-    /** The slice's records now name [hosts] only. */
+    /** The shard's records now name [hosts] only. */
     fun noteRecorded(hosts: Set<String>) {
         gone.retainAll(hosts)
     }
@@ -45,18 +45,18 @@
     }
 
     private fun watch(now: Long) {
-        if (!sliceState.fresh()) {
+        if (!shardState.fresh()) {
             // Workers are turned away during a long outage; after one, all of them would seem to have been silent.
             deafUntil = now
             return
         }
-        val silentAfter = (sliceState.settings.workers.reportS * 1000 * SILENT_REPORTS).toLong()
+        val silentAfter = (shardState.settings.workers.reportS * 1000 * SILENT_REPORTS).toLong()
         noticeLossOfWorkers(now)
         retireSilent(now, silentAfter)
         retireDeaf()
         val spare = spareMachines.spareCpus(now)
         val empty = ArrayList<String>()
-        for (machine in sliceState.machines.values.toList()) {
+        for (machine in shardState.machines.values.toList()) {
             val machineType = machine.machineType
             if (!machine.everHeard && machine.retirement == null && machineType != null &&
                 now - machine.firstSeenAt > (machineType.bootS * LOST_BOOT_FACTOR + LOST_BOOT_S) * 1000
@@ -66,7 +66,7 @@
             }
             val notice = machine.noticeUntil
             if (notice != 0L) drain(machine, notice, now)
-            if (notice in 1..now && now - machine.lastHeardAt > sliceState.reportOverdueMs && machine.retirement == null) {
+            if (notice in 1..now && now - machine.lastHeardAt > shardState.reportOverdueMs && machine.retirement == null) {
                 log.info("{}: taken by the cloud, as it said; it is replaced", machine.name)
                 machine.retirement = Retirement.SILENT
             }
@@ -97,9 +97,9 @@
      * hears the state service, so nobody else can tell as soon, and the workers' leases are short.
      */
     private fun noticeLossOfWorkers(now: Long) {
-        val overdueMs = sliceState.reportOverdueMs
-        if (now < requestDue || now - maxOf(sliceState.activeAt, deafUntil) < overdueMs * SETTLED_REPORTS) return
-        val heard = sliceState.machines.values.filter { it.trusted && it.retirement == null }
+        val overdueMs = shardState.reportOverdueMs
+        if (now < requestDue || now - maxOf(shardState.activeAt, deafUntil) < overdueMs * SETTLED_REPORTS) return
+        val heard = shardState.machines.values.filter { it.trusted && it.retirement == null }
         val overdue = heard.count { now - it.lastHeardAt > overdueMs }
         val newlySilent = heard.count { now - it.lastHeardAt in overdueMs..overdueMs * SETTLED_REPORTS }
         if (heard.size < FEWEST_TO_TELL || overdue < heard.size * NEARLY_ALL || newlySilent * 2 < heard.size) return
@@ -108,26 +108,26 @@
     }
 
     private fun retireSilent(now: Long, silentAfter: Long) {
-        // A machine that was up before we took the slice must show itself to us too, and may need a greeting for that.
-        val heard = sliceState.machines.values.filter { it.everHeard || it.placements.isNotEmpty() }
-        val silent = heard.filter { now - maxOf(it.lastHeardAt, sliceState.activeAt + silentAfter / 2, deafUntil + silentAfter) > silentAfter }
+        // A machine that was up before we took the shard must show itself to us too, and may need a greeting for that.
+        val heard = shardState.machines.values.filter { it.everHeard || it.placements.isNotEmpty() }
+        val silent = heard.filter { now - maxOf(it.lastHeardAt, shardState.activeAt + silentAfter / 2, deafUntil + silentAfter) > silentAfter }
         // If most machines are silent at once, it is rather this node that hears nothing.
-        val patience = if (silent.size * 2 > heard.size && heard.size > 1) (sliceState.settings.workers.leaseS * 1000).toLong() else 0L
+        val patience = if (silent.size * 2 > heard.size && heard.size > 1) (shardState.settings.workers.leaseS * 1000).toLong() else 0L
         for (machine in silent) {
             if (machine.retirement != null && machine.retirement != Retirement.MOVING) continue
-            if (now - maxOf(machine.lastHeardAt, sliceState.activeAt) <= silentAfter + patience) continue
+            if (now - maxOf(machine.lastHeardAt, shardState.activeAt) <= silentAfter + patience) continue
             log.info("{}: silent for {} s; it is replaced", machine.name, (now - machine.lastHeardAt) / 1000)
             machine.retirement = Retirement.SILENT
-            sliceState.givenUp.getOrPut(machine.record.zone) { ArrayDeque() }.addLast(now)
+            shardState.givenUp.getOrPut(machine.record.zone) { ArrayDeque() }.addLast(now)
         }
     }
 
     /** Machines that report and hear nothing. Several at once would rather be this node's own answers that get lost. */
     private fun retireDeaf() {
-        val deaf = sliceState.machines.values.filter { it.unheeded >= Machine.DEAF_AFTER && it.retirement == null }
+        val deaf = shardState.machines.values.filter { it.unheeded >= Machine.DEAF_AFTER && it.retirement == null }
         if (deaf.isEmpty()) return
-        if (deaf.size > maxOf(MOST_DEAF, sliceState.machines.size / 4)) {
-            log.info("slice {}: {} machines seem to hear nothing; it is rather this node", sliceState.index.value, deaf.size)
+        if (deaf.size > maxOf(MOST_DEAF, shardState.machines.size / 4)) {
+            log.info("shard {}: {} machines seem to hear nothing; it is rather this node", shardState.index.value, deaf.size)
             deaf.forEach { it.unheeded = 0 }
             return
         }
@@ -141,7 +141,7 @@
         machine.placements.values.toList().forEach { commands.stop(it, StopReason.DRAINED) }
     }
 
-    /** What soon ends on a machine that is to move is waited for; for the rest, the slice that gets it would wait too long. */
+    /** What soon ends on a machine that is to move is waited for; for the rest, the shard that gets it would wait too long. */
     private fun drainMoving(machine: Machine, now: Long) {
         // Marked as idle, and given work before the mark was known here: that is not stopped a moment after it was placed.
         if (machine.placements.values.any { it.madeAt > machine.movingSince - JUST_PLACED_MS }) return
@@ -171,11 +171,11 @@
         if (now - machine.trustedAt < JUST_UP_MS) return false
         val patience = spareMachines.patienceMs(machine)
         // While this node heard nothing from the state service, nothing could be placed there.
-        return now - maxOf(machine.emptySince, deafUntil) > patience && now - sliceState.activeAt > patience && !spare.needs(machine)
+        return now - maxOf(machine.emptySince, deafUntil) > patience && now - shardState.activeAt > patience && !spare.needs(machine)
     }
 
     private fun retireIdle(machine: Machine, spare: SpareMachines.Spare) {
-        log.info("{}: empty for {} s; it is returned", machine.name, (sliceState.clock.now() - machine.emptySince) / 1000)
+        log.info("{}: empty for {} s; it is returned", machine.name, (shardState.clock.now() - machine.emptySince) / 1000)
         spare.without(machine)
         machine.retirement = Retirement.IDLE
         giveBack(machine)
@@ -183,7 +183,7 @@
 
     /** Returns a machine. Only the cloud's answer is evidence that what was on it is gone. */
     private fun giveBack(machine: Machine) {
-        if (machine.returning || !sliceState.fresh()) return
+        if (machine.returning || !shardState.fresh()) return
         machine.returning = true
         toReturn.add(machine)
     }
@@ -195,13 +195,13 @@
      * cloud's limit.
      */
     private fun sendReturns() {
-        if (returnInFlight || toReturn.isEmpty() || !sliceState.fresh()) return
+        if (returnInFlight || toReturn.isEmpty() || !shardState.fresh()) return
         val leaving = toReturn.take(MOST_RETURNED)
         toReturn.removeAll(leaving.toSet())
         returnInFlight = true
         out.giveBack(leaving.map { it.name }) { confirmed ->
             returnInFlight = false
-            if (sliceState.dropped) return@giveBack
+            if (shardState.dropped) return@giveBack
             leaving.forEach { if (confirmed) returned(it) else it.returning = false }
         }
     }
@@ -210,12 +210,12 @@
     private fun returned(machine: Machine) {
         machine.placements.values.toList().forEach {
             log.info("{} try {}: gone with {}", it.id, it.attempt, machine.name)
-            sliceState.finish(it, done = false)
+            shardState.finish(it, done = false)
         }
-        sliceState.jobs.values.forEach { it.failedOn.remove(machine) }
-        sliceState.machines.remove(machine.name)
+        shardState.jobs.values.forEach { it.failedOn.remove(machine) }
+        shardState.machines.remove(machine.name)
         gone.add(machine.name)
-        removeDue = minOf(removeDue, sliceState.clock.now() + REMOVE_SOON_MS)
+        removeDue = minOf(removeDue, shardState.clock.now() + REMOVE_SOON_MS)
     }
 
     companion object {
--- a/src/main/kotlin/io/reedmast/workers/Reports.kt
+++ b/src/main/kotlin/io/reedmast/workers/Reports.kt
@@ -2,7 +2,7 @@
 
 import io.reedmast.gangs.GangCoordinator
 import io.reedmast.jobs.Placement
-import io.reedmast.jobs.SliceState
+import io.reedmast.jobs.ShardState
 import io.reedmast.jobs.StopReason
 import io.reedmast.ownership.Token
 import io.reedmast.wire.Cause
@@ -18,12 +18,12 @@
  *
  * Only a report made under our token counts: an older owner's commands may reach the worker until it has seen ours.
  */
-class Reports(private val sliceState: SliceState, private val commands: Commands, private val gangs: GangCoordinator, private val renewToken: () -> Unit) {
-    private val log = LoggerFactory.getLogger("slice")
+class Reports(private val shardState: ShardState, private val commands: Commands, private val gangs: GangCoordinator, private val renewToken: () -> Unit) {
+    private val log = LoggerFactory.getLogger("shard")
 
     /** Takes in a report and gives the commands for its answer. */
     fun checkin(report: Report): List<Order> {
-        val machine = sliceState.machines[report.host] ?: return emptyList()
+        val machine = shardState.machines[report.host] ?: return emptyList()
         val orders = ArrayList<Order>()
         return if (take(machine, report, checkin = true, orders)) orders else emptyList()
     }
@@ -35,7 +35,7 @@
 
     private fun take(machine: Machine, report: Report, checkin: Boolean, orders: MutableList<Order>): Boolean {
         if (!machine.isNewer(report)) return false
-        val now = sliceState.clock.now()
+        val now = shardState.clock.now()
         if (report.session > machine.session && machine.everHeard) lostSession(machine, now)
         machine.addr = report.addr
         machine.show(report)
@@ -46,17 +46,17 @@
             if (machine.noticeUntil == 0L) log.info("{}: the cloud takes it away in {} s", machine.name, report.noticeS)
             now + (report.noticeS * 1000).toLong()
         }
-        if (report.token > Token.last(sliceState.token)) {
+        if (report.token > Token.last(shardState.token)) {
             machine.trusted = false
             renewToken()
             return false
         }
         if (checkin) {
-            if (now - machine.answeredAt > sliceState.settings.workers.leaseS * 1000 / 2) machine.regularSince = now
+            if (now - machine.answeredAt > shardState.settings.workers.leaseS * 1000 / 2) machine.regularSince = now
             machine.answeredAt = now
         }
         if (report.token < machine.floor) {
-            // It may be a late copy from before we owned the slice: it proves neither life nor what is on the machine.
+            // It may be a late copy from before we owned the shard: it proves neither life nor what is on the machine.
             if (checkin) machine.unheeded++
             return true
         }
@@ -66,7 +66,7 @@
             machine.trusted = true
             machine.trustedAt = now
             machine.unheeded = 0
-            sliceState.placeWanted = true
+            shardState.placeWanted = true
         }
         val listed = HashSet<TaskId>()
         machine.strayCpus = 0.0
@@ -84,7 +84,7 @@
         var ignored = false
         for (placement in machine.placements.values.toList()) {
             if (placement.id in listed || !placement.committed) continue
-            if (placement.launchesAnswered > 0 && sliceState.fresh()) ignored = true
+            if (placement.launchesAnswered > 0 && shardState.fresh()) ignored = true
             takeMissing(machine, placement, report, checkin, orders)
         }
         if (checkin && ignored) machine.unheeded++
@@ -97,7 +97,7 @@
      * A machine that hung, or was cut off, has sent nothing for a whole lease.
      */
     private fun lostSession(machine: Machine, now: Long) {
-        val leaseMs = sliceState.settings.workers.leaseS * 1000
+        val leaseMs = shardState.settings.workers.leaseS * 1000
         if (now - machine.answeredAt < leaseMs / 2 && now - machine.regularSince > leaseMs * MOST_OF_IT) {
             machine.unheeded = maxOf(machine.unheeded, Machine.DEAF_AFTER)
             log.info("{}: its lease ran out although its reports were answered", machine.name)
@@ -155,7 +155,7 @@
                 // Several tasks that fail together on one machine say no more of the job than one does: counted each, they made
                 // a sick machine look like a job with a mistake, and the machine was kept.
                 if (job.failedOn.add(machine)) job.failures++
-                if (sliceState.looksBad(job)) {
+                if (shardState.looksBad(job)) {
                     // It fails wherever it runs: the job has a mistake, and the machines have not.
                     job.failedOn.forEach { it.failedJobs.remove(job.spec.jobId) }
                     job.failedOn.clear()
@@ -175,7 +175,7 @@
 
             Cause.HALTED, Cause.PEERS, Cause.ALONE -> {}
         }
-        if (job.spec.gang) gangs.ended(placement, cause) else sliceState.finish(placement, done)
+        if (job.spec.gang) gangs.ended(placement, cause) else shardState.finish(placement, done)
     }
 
     /** Several tasks of a gang fail together where the gang has a mistake: that says no more than one failure does. */
@@ -192,9 +192,9 @@
      */
     private fun retireIfSick(machine: Machine) {
         if (machine.retirement != null || machine.failedJobs.size < JOBS_FAILED_BY_A_SICK_MACHINE) return
-        val now = sliceState.clock.now()
+        val now = shardState.clock.now()
         val good = machine.failedJobs.any { jobId ->
-            sliceState.jobs[jobId]?.let { job -> job.hasSucceeded || job.placements().any { it.running && now - it.runningSince > PROVES_A_JOB_MS } } == true
+            shardState.jobs[jobId]?.let { job -> job.hasSucceeded || job.placements().any { it.running && now - it.runningSince > PROVES_A_JOB_MS } } == true
         }
         if (!good && machine.failedJobs.size < JOBS_FAILED_IN_ANY_CASE) return
         log.info("{}: every task fails there; it is replaced", machine.name)
@@ -203,7 +203,7 @@
 
     /** A task on the machine that no placement accounts for. */
     private fun takeStray(machine: Machine, reported: TaskReport, orders: MutableList<Order>) {
-        val job = sliceState.jobs[reported.id.jobId]
+        val job = shardState.jobs[reported.id.jobId]
         if (reported.state == TaskState.ENDED) {
             // Once forgotten, the attempt would start again if its launch came late; and its result must be stored first.
             val chunk = job?.takeIf { reported.id.task < it.spec.taskCount }?.chunkOf(reported.id.task)
@@ -228,10 +228,10 @@
      * no more than once in half a lease, and no call of ours must be on its way that the new token would refuse.
      */
     private fun raiseToken(machine: Machine) {
-        val now = sliceState.clock.now()
-        if (machine.directCalls > 0 || now - machine.raisedAt < sliceState.settings.workers.leaseS * 500) return
-        val next = sliceState.tokenFor(machine) + 1
-        if (next > Token.last(sliceState.token)) return
+        val now = shardState.clock.now()
+        if (machine.directCalls > 0 || now - machine.raisedAt < shardState.settings.workers.leaseS * 500) return
+        val next = shardState.tokenFor(machine) + 1
+        if (next > Token.last(shardState.token)) return
         machine.raisedTo = next
         machine.raisedAt = now
     }
@@ -244,7 +244,7 @@
             // A later session: everything of the earlier one was killed, and its launches are refused.
             log.info("{} try {}: lost with a session of {}", placement.id, placement.attempt, machine.name)
             if (placement.stopReason != null || !machine.usable || machine.noticeUntil != 0L || placement.job.spec.gang) {
-                sliceState.finish(placement, done = false)
+                shardState.finish(placement, done = false)
                 return
             }
             // The worker is back, and has the image. Placed anew, all tasks of a fleet waited for the state service's limit and for
@@ -254,7 +254,7 @@
         if (!checkin) return
         if (placement.stopReason == null) {
             // What runs is answered on through an outage, but nothing starts: its user may have been told that it is cancelled.
-            if (sliceState.fresh() && gangs.mayLaunch(placement)) launch(placement, report.sequence, orders)
+            if (shardState.fresh() && gangs.mayLaunch(placement)) launch(placement, report.sequence, orders)
             return
         }
         if (mayLaunch && machine.directCalls > 0) return
@@ -264,7 +264,7 @@
             launch(placement, report.sequence, orders)
             orders.add(commands.stopOrder(placement))
         } else if (!sentBefore || report.sequence > placement.answeredSequence) {
-            sliceState.finish(placement, done = false)
+            shardState.finish(placement, done = false)
         }
     }
 
--- a/src/test/kotlin/io/reedmast/CountedWorkTest.kt
+++ b/src/test/kotlin/io/reedmast/CountedWorkTest.kt
@@ -2,8 +2,8 @@
 
 import io.reedmast.ownership.HostPart
 import io.reedmast.settings.CloudLimits
+import io.reedmast.settings.ControllerId
 import io.reedmast.settings.Member
-import io.reedmast.settings.NodeIndex
 import io.reedmast.settings.Settings
 import io.reedmast.settings.StateLimits
 import io.reedmast.settings.TeamShare
@@ -31,7 +31,7 @@
         front = World.address(node, 8080),
         clusterListen = World.address(node, 8081),
         members = (0 until nodes).map { Member("n$it", World.address(it, 8081)) },
-        self = NodeIndex(node),
+        self = ControllerId(node),
         cloud = "10.2.0.2:1",
         state = "10.2.0.1:1",
         zones = listOf("x"),
--- a/src/test/kotlin/io/reedmast/ProductionFormatTest.kt
+++ b/src/test/kotlin/io/reedmast/ProductionFormatTest.kt
@@ -1,7 +1,7 @@
 package io.reedmast
 
 import io.reedmast.fairshare.Usage
-import io.reedmast.fleet.SliceTotals
+import io.reedmast.fleet.ShardUsageSummary
 import io.reedmast.jobs.EndRecord
 import io.reedmast.jobs.Job
 import io.reedmast.jobs.LiveRecord
@@ -10,10 +10,10 @@
 import io.reedmast.jobs.ProgressPage
 import io.reedmast.jobs.StoredChunk
 import io.reedmast.ownership.HostPart
-import io.reedmast.ownership.SliceRecord
+import io.reedmast.ownership.ShardRecord
 import io.reedmast.peers.PeerCodec
-import io.reedmast.settings.SliceIndex
-import io.reedmast.settings.TeamIndex
+import io.reedmast.settings.ShardId
+import io.reedmast.settings.TeamId
 import io.reedmast.wire.Fields
 import io.reedmast.wire.JobShape
 import io.reedmast.wire.Tree
@@ -46,7 +46,7 @@
 
     @Test
     fun `records of slices, machines and jobs`() {
-        assertSameForm("slice", SliceRecord.parse(record("slice")).toFields())
+        assertSameForm("slice", ShardRecord.parse(record("slice")).toFields())
         assertSameForm("hosts", HostPart.parse(record("hosts")).toFields())
         for (name in listOf("live-array", "live-service", "live-cancelled")) assertSameForm(name, LiveRecord.parse(record(name)).toFields())
         for (name in listOf("end-done", "end-cancelled")) assertSameForm(name, EndRecord.parse(record(name)).toFields())
@@ -56,9 +56,9 @@
 
     @Test
     fun `totals of a slice`() {
-        val totals = SliceTotals.parse(SliceIndex(1), record("totals"))
+        val totals = ShardUsageSummary.parse(ShardId(1), record("totals"))
         val usage = Usage(SIX_HOURS_MS).apply { load(totals.usage) }
-        assertEquals(record("totals").map("usage"), stored(usage.toFields(listOf(TeamIndex(0), TeamIndex(3)))))
+        assertEquals(record("totals").map("usage"), stored(usage.toFields(listOf(TeamId(0), TeamId(3)))))
         assertSameForm("totals", totals.within(VALUE_BYTES).toFields() + ("term" to record("totals")["term"]))
     }
 
@@ -75,7 +75,7 @@
         for (chunk in record("page").maps("chunks")) {
             val read = StoredChunk.parse(chunk)
             val live = LiveRecord.parse(record(if (read.jobId == "wk-000001") "live-array" else "live-service"))
-            val job = jobs.getOrPut(read.jobId) { Job(live.spec, TeamIndex(0), live.chunkSize, 0L, 1L) }
+            val job = jobs.getOrPut(read.jobId) { Job(live.spec, TeamId(0), live.chunkSize, 0L, 1L) }
             read.done.stream().forEach { job.markDone(read.first + it) }
             read.placements.forEach { on ->
                 job.add(Placement(job, on.task, on.attempt, Machine(HostRecord(on.host, "g8", "x", false), null, 0L, 0L), 0L))
--- a/src/test/kotlin/io/reedmast/SocketTest.kt
+++ b/src/test/kotlin/io/reedmast/SocketTest.kt
@@ -261,16 +261,17 @@
         backendThreads.execute { server.run(listening) }
         val jobs = (0 until 5_000).map { JobProgress("wk-%06d".format(it), it, 7) }
         val hosts = (0 until 500).map { HostNews("host-%06d".format(it), "10.1.0.1:$it", listOf("img-1" to 1.5, "img-$it" to 2.0)) }
-        assertTrue(PeerClient(address).send(PeerMessage.SliceNews(jobs, hosts)))
+        assertTrue(PeerClient(address).send(PeerMessage.ShardStatusUpdate(jobs, hosts)))
         val gotJobs = ArrayList<JobProgress>()
         val gotHosts = ArrayList<HostNews>()
         while (gotHosts.size < hosts.size) {
-            val news = checkNotNull(heard.poll(5, TimeUnit.SECONDS) as? PeerMessage.SliceNews) { "${gotJobs.size} jobs and ${gotHosts.size} machines heard" }
+            val news =
+                checkNotNull(heard.poll(5, TimeUnit.SECONDS) as? PeerMessage.ShardStatusUpdate) { "${gotJobs.size} jobs and ${gotHosts.size} machines heard" }
             gotJobs.addAll(news.jobs)
             gotHosts.addAll(news.hosts)
         }
         assertEquals(jobs, gotJobs)
         assertEquals(hosts, gotHosts)
-        assertEquals(false, PeerClient(InetSocketAddress("127.0.0.1", freePort())).send(PeerMessage.SliceNews(jobs, hosts)))
+        assertEquals(false, PeerClient(InetSocketAddress("127.0.0.1", freePort())).send(PeerMessage.ShardStatusUpdate(jobs, hosts)))
     }
 }
--- a/src/test/kotlin/io/reedmast/gangs/GangChoiceTest.kt
+++ b/src/test/kotlin/io/reedmast/gangs/GangChoiceTest.kt
@@ -2,7 +2,7 @@
 
 import io.reedmast.jobs.Job
 import io.reedmast.jobs.Placement
-import io.reedmast.settings.TeamIndex
+import io.reedmast.settings.TeamId
 import io.reedmast.sim.World
 import io.reedmast.wire.MachineType
 import io.reedmast.workers.HostRecord
@@ -20,9 +20,9 @@
     private fun machine(zone: String, spot: Boolean = false) = Machine(HostRecord("host-${hosts++}", "m", zone, spot), machineType, 0L, 0L)
 
     private fun gang(tasks: Int, vararg args: Pair<String, String>) =
-        Job(World.spec("wk-1", mapOf("kind" to "gang", "tasks" to "$tasks") + args), TeamIndex(0), 16, 0L, 1L)
+        Job(World.spec("wk-1", mapOf("kind" to "gang", "tasks" to "$tasks") + args), TeamId(0), 16, 0L, 1L)
 
-    private fun fill(machine: Machine, cpus: Int) = Job(World.spec("wk-9", mapOf("tasks" to "$cpus")), TeamIndex(0), 16, 0L, 1L).let { job ->
+    private fun fill(machine: Machine, cpus: Int) = Job(World.spec("wk-9", mapOf("tasks" to "$cpus")), TeamId(0), 16, 0L, 1L).let { job ->
         repeat(cpus) { job.add(Placement(job, it, 1L, machine, 0L)) }
     }
 
--- a/src/test/kotlin/io/reedmast/gangs/GangReservationsTest.kt
+++ b/src/test/kotlin/io/reedmast/gangs/GangReservationsTest.kt
@@ -2,7 +2,7 @@
 
 import io.reedmast.jobs.Job
 import io.reedmast.jobs.Placement
-import io.reedmast.settings.TeamIndex
+import io.reedmast.settings.TeamId
 import io.reedmast.sim.World
 import io.reedmast.wire.MachineType
 import io.reedmast.workers.HostRecord
@@ -18,7 +18,7 @@
     private val machines = (0 until 8).map { Machine(HostRecord("host-$it", "m", if (it < 4) "x" else "y", false), machineType, 0L, 0L) }
 
     private fun job(id: String, tasks: Int, kind: String) =
-        Job(World.spec(id, mapOf("kind" to kind, "tasks" to "$tasks", "oneZone" to "true")), TeamIndex(0), 16, 0L, 1L)
+        Job(World.spec(id, mapOf("kind" to kind, "tasks" to "$tasks", "oneZone" to "true")), TeamId(0), 16, 0L, 1L)
 
     private fun fill(machine: Machine, kind: String) = job("wk-${machine.name}", 4, kind).let { other ->
         repeat(4) { other.add(Placement(other, it, 1L, machine, 0L)) }
--- a/src/test/kotlin/io/reedmast/jobs/DensePagesProperties.kt
+++ b/src/test/kotlin/io/reedmast/jobs/DensePagesProperties.kt
@@ -1,7 +1,7 @@
 package io.reedmast.jobs
 
 import io.reedmast.ownership.TokenFence
-import io.reedmast.settings.TeamIndex
+import io.reedmast.settings.TeamId
 import io.reedmast.sim.World
 import io.reedmast.state.Write
 import io.reedmast.wire.Fields
@@ -96,7 +96,7 @@
         val page = ProgressPage(0)
         var hosts = 0
         for ((index, taskCount) in taskCounts.withIndex()) {
-            val job = Job(World.spec("wk-%06d".format(index), mapOf("tasks" to "$taskCount")), TeamIndex(0), PageForm.chunkSizeFor(VALUE_BYTES), 0L, 1L)
+            val job = Job(World.spec("wk-%06d".format(index), mapOf("tasks" to "$taskCount")), TeamId(0), PageForm.chunkSizeFor(VALUE_BYTES), 0L, 1L)
             for (first in 0 until taskCount step PageForm.chunkSizeFor(VALUE_BYTES)) {
                 val chunk = job.chunkOf(first)
                 if (!page.hasRoom(chunk, VALUE_BYTES * 95 / 100, form)) continue
@@ -127,7 +127,7 @@
     private companion object {
         const val VALUE_BYTES = 2 * 1024
 
-        /** Attempts of one page lie no further apart than some hundred thousand takings of slices. */
+        /** Attempts of one page lie no further apart than some hundred thousand takings of shards. */
         const val LARGEST_DISTANCE = 900_000_000_000L
     }
 }
--- a/src/test/kotlin/io/reedmast/jobs/PageDivisionTest.kt
+++ b/src/test/kotlin/io/reedmast/jobs/PageDivisionTest.kt
@@ -1,9 +1,9 @@
 package io.reedmast.jobs
 
 import io.reedmast.ports.Clock
-import io.reedmast.settings.SliceIndex
+import io.reedmast.settings.ShardId
 import io.reedmast.settings.StateLimits
-import io.reedmast.settings.TeamIndex
+import io.reedmast.settings.TeamId
 import io.reedmast.settings.TeamShare
 import io.reedmast.settings.Tuning
 import io.reedmast.sim.RecordingGateway
@@ -39,10 +39,10 @@
     )
     private val out = RecordingGateway()
     private val limits = LimitsInForce(settings.stateLimits, settings.nextStateLimits).apply { lower() }
-    private val sliceState = SliceState(SliceIndex(0), settings, Tuning(), clock, { emptyList() }, { true }, limits)
+    private val shardState = ShardState(ShardId(0), settings, Tuning(), clock, { emptyList() }, { true }, limits)
     private val launchable = ArrayList<Placement>()
     private val store = ProgressStore(
-        sliceState,
+        shardState,
         out,
         object : Stored {
             override fun placed(placement: Placement) {
@@ -59,7 +59,7 @@
         },
     )
     private val smallSize = PageForm.chunkSizeFor(2 * 1024)
-    private val job = Job(World.spec("wk-1", mapOf("tasks" to "100")), TeamIndex(0), smallSize, 0L, 1L).also { sliceState.jobs["wk-1"] = it }
+    private val job = Job(World.spec("wk-1", mapOf("tasks" to "100")), TeamId(0), smallSize, 0L, 1L).also { shardState.jobs["wk-1"] = it }
 
     private fun chunk(first: Int, size: Int?, vararg on: Any): Fields = mapOf("job" to "wk-1", "first" to first.toLong(), "done" to "", "on" to on.toList()) +
         (if (size == null) emptyMap() else mapOf("size" to size.toLong()))
@@ -68,7 +68,7 @@
 
     private fun load(vararg pages: Item) = store.load(pages.toList(), mapOf("wk-1" to OLD_SIZE)) { of, stored ->
         val machine = Machine(HostRecord(stored.host, "m", "x", false), null, 0L, 0L)
-        sliceState.place(Placement(of, stored.task, stored.attempt, machine, now).apply { committed = true })
+        shardState.place(Placement(of, stored.task, stored.attempt, machine, now).apply { committed = true })
     }
 
     private fun tasksPlaced() = job.placements().map { it.task }.toList()
@@ -95,7 +95,7 @@
     @Test
     fun `a part that has become empty is stored all the same while an older copy is there`() {
         load(page(0, 5L, chunk(0, null, 0L, 7L, "host-1")))
-        sliceState.finish(job.placements().first(), done = false)
+        shardState.finish(job.placements().first(), done = false)
         val chunks = flush().map { putOf(it) }.filter { it.path != Keys.page(0, 0) }.flatMap { it.value.maps("chunks") }
         assertTrue(chunks.any { it["first"] == 0 && it["size"] == smallSize && it["on"] == emptyList<Any>() }, "$chunks")
     }
--- a/src/test/kotlin/io/reedmast/ownership/PeerStatusesTest.kt
+++ b/src/test/kotlin/io/reedmast/ownership/PeerStatusesTest.kt
@@ -2,7 +2,7 @@
 
 import io.reedmast.peers.Cancellation
 import io.reedmast.peers.PeerMessage
-import io.reedmast.settings.NodeIndex
+import io.reedmast.settings.ControllerId
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertNull
@@ -11,7 +11,7 @@
 
 /** What counts as a confirmation by the other controllers, and what does not. */
 class PeerStatusesTest {
-    private val statuses = PeerStatuses(NodeIndex(0), 3, "now")
+    private val statuses = PeerStatuses(ControllerId(0), 3, "now")
 
     private fun report(
         from: Int,
@@ -20,7 +20,7 @@
         incarnation: String = query.incarnation,
         stateAgeMs: Long? = 10_000,
         cancellations: List<Cancellation>? = emptyList(),
-    ) = PeerMessage.StatusReport(NodeIndex(from), incarnation, query.sequence, uptimeMs, stateAgeMs, cancellations)
+    ) = PeerMessage.StatusReport(ControllerId(from), incarnation, query.sequence, uptimeMs, stateAgeMs, cancellations)
 
     @Test
     fun `all others must have answered, and the earliest query counts`() {
@@ -71,7 +71,7 @@
 
     @Test
     fun `a controller without others is confirmed by nobody`() {
-        assertNull(PeerStatuses(NodeIndex(0), 1, "now").confirmedAt())
+        assertNull(PeerStatuses(ControllerId(0), 1, "now").confirmedAt())
     }
 
     @Test
--- a/src/test/kotlin/io/reedmast/ownership/TakeoverTest.kt
+++ b/src/test/kotlin/io/reedmast/ownership/TakeoverTest.kt
@@ -2,7 +2,7 @@
 
 import io.reedmast.ports.Clock
 import io.reedmast.rollout.RolloutOptions
-import io.reedmast.settings.SliceIndex
+import io.reedmast.settings.ShardId
 import io.reedmast.settings.Tuning
 import io.reedmast.sim.RecordingGateway
 import io.reedmast.sim.testSettings
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.BeforeEach
 import org.junit.jupiter.api.Test
 
-/** A slice is this node's only while no newer record says otherwise, however late the answer to its taking is. */
+/** A shard is this node's only while no newer record says otherwise, however late the answer to its taking is. */
 class TakeoverTest {
     private var now = 100_000L
     private val clock = object : Clock {
@@ -28,7 +28,7 @@
     private val out = RecordingGateway()
     private val cluster =
         Cluster(settings, Tuning(), clock, out, LimitsInForce(settings.stateLimits), { emptyList() }, "n0-1", RolloutOptions(ClusterFeatures.registry))
-    private val key = Keys.slice(0)
+    private val key = Keys.shard(0)
 
     private fun take(): Change = out.commits.first { change -> change.writes.any { it.path == key } }
 
@@ -55,12 +55,12 @@
         assertEquals(owner, cluster.owned().single())
     }
 
-    /** The answer is made up for after an outage of this node alone, in which another has taken the slice. */
+    /** The answer is made up for after an outage of this node alone, in which another has taken the shard. */
     @Test
     fun `a take that is settled after another controller's is not acted on`() {
-        cluster.clusterEvents(listOf(Event(key, SliceRecord("n1", 5L shl 20).toFields(), 30)), revision = 30, askedAt = now)
+        cluster.clusterEvents(listOf(Event(key, ShardRecord("n1", 5L shl 20).toFields(), 30)), revision = 30, askedAt = now)
         take().done(Outcome.Applied(20))
         assertEquals(emptyList<Int>(), cluster.owned().map { it.index.value })
-        assertEquals("n1", cluster.ownerOf(SliceIndex(0)))
+        assertEquals("n1", cluster.ownerOf(ShardId(0)))
     }
 }
--- a/src/test/kotlin/io/reedmast/peers/PeerClientTest.kt
+++ b/src/test/kotlin/io/reedmast/peers/PeerClientTest.kt
@@ -1,6 +1,6 @@
 package io.reedmast.peers
 
-import io.reedmast.settings.NodeIndex
+import io.reedmast.settings.ControllerId
 import okio.buffer
 import okio.source
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -20,10 +20,10 @@
     fun `a query does not depend on the connection that news were sent on`() {
         ServerSocket(0, 10, InetAddress.getLoopbackAddress()).use { server ->
             val client = PeerClient(InetSocketAddress(server.inetAddress, server.localPort))
-            assertTrue(client.send(PeerMessage.SliceNews(emptyList(), emptyList())))
+            assertTrue(client.send(PeerMessage.ShardStatusUpdate(emptyList(), emptyList())))
             // Nobody reads from it any more.
             server.accept().use {
-                val query = PeerMessage.StatusQuery(NodeIndex(1), "n1-1", 1)
+                val query = PeerMessage.StatusQuery(ControllerId(1), "n1-1", 1)
                 assertTrue(client.send(query))
                 server.soTimeout = 2_000
                 server.accept().use { second -> assertEquals(query, PeerCodec.read(second.source().buffer())) }
--- a/src/test/kotlin/io/reedmast/peers/PeerCodecTest.kt
+++ b/src/test/kotlin/io/reedmast/peers/PeerCodecTest.kt
@@ -1,7 +1,7 @@
 package io.reedmast.peers
 
-import io.reedmast.settings.NodeIndex
-import io.reedmast.settings.SliceIndex
+import io.reedmast.settings.ControllerId
+import io.reedmast.settings.ShardId
 import okio.Buffer
 import okio.IOException
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -18,10 +18,10 @@
 
     @Test
     fun `messages of every type come through`() {
-        val query = PeerMessage.StatusQuery(NodeIndex(2), "n2-abc-1", 7)
+        val query = PeerMessage.StatusQuery(ControllerId(2), "n2-abc-1", 7)
         val full = (0 until PeerMessage.MAX_CANCELLATIONS).map { Cancellation("wk-%018d".format(it), Long.MAX_VALUE - it) }
-        val reports = listOf(full, emptyList(), null).map { PeerMessage.StatusReport(NodeIndex(0), "n2-abc-1", 7, 123_456, 0, it) }
-        val others = listOf(query, PeerMessage.TakeoverRequest(SliceIndex(1), Long.MAX_VALUE))
+        val reports = listOf(full, emptyList(), null).map { PeerMessage.StatusReport(ControllerId(0), "n2-abc-1", 7, 123_456, 0, it) }
+        val others = listOf(query, PeerMessage.TakeoverRequest(ShardId(1), Long.MAX_VALUE))
         for (message in reports + reports[1].copy(stateAgeMs = null) + others) assertEquals(message, through(message))
     }
 
--- a/src/test/kotlin/io/reedmast/rollout/EmbeddedRolloutTest.kt
+++ b/src/test/kotlin/io/reedmast/rollout/EmbeddedRolloutTest.kt
@@ -13,9 +13,9 @@
 class EmbeddedRolloutTest {
     /** Counters in words become numbers. */
     private object Numbers : RecordMigration {
-        override val scope = MigrationScope.SLICE
+        override val scope = MigrationScope.SHARD
 
-        override fun prefix(slice: Int) = "counter/$slice/"
+        override fun prefix(shard: Int) = "counter/$shard/"
 
         override fun forward(record: Fields): Fields = when (val count = record["count"]) {
             is Long -> record
@@ -54,7 +54,7 @@
     }
 
     private fun reconciler(valueBytes: Int = 8_192) =
-        MigrationReconciler(MigrationUnit.Slice(0), registry, store, Free, MigrationPace(everyMs = 10), { now }) { valueBytes }
+        MigrationReconciler(MigrationUnit.Shard(0), registry, store, Free, MigrationPace(everyMs = 10), { now }) { valueBytes }
 
     private fun MigrationReconciler.run(ticks: Int) = repeat(ticks) {
         now += 10
@@ -64,7 +64,7 @@
 
     private fun counts(): List<Any?> = store.items.values.filter { it.path.startsWith("counter/") }.map { it.value["count"] }
 
-    private fun progress() = view.progressOf(feature.name, MigrationUnit.Slice(0))?.progress
+    private fun progress() = view.progressOf(feature.name, MigrationUnit.Shard(0))?.progress
 
     @Test
     fun `records go forward and back, and progress says when all have`() {
@@ -164,10 +164,10 @@
         val member = MemberVersions(registry.range, mapOf(feature.name to Target.ENABLED), "life", false).toFields()
         store.put(Keys.LEADER, mapOf("label" to "a"))
         store.put(Keys.node("a"), member)
-        store.put(Keys.slice(0), mapOf("owner" to "a"))
+        store.put(Keys.shard(0), mapOf("owner" to "a"))
         refresh()
         val coordinator = RolloutCoordinator(registry, "a", { now }, store, view, mostGuards = 20) {}
-        fun picture() = view.picture(setOf("a"), listOf(SliceOwnership("a", store.items.getValue(Keys.slice(0)).version)), emptySet())
+        fun picture() = view.picture(setOf("a"), listOf(ShardOwnership("a", store.items.getValue(Keys.shard(0)).version)), emptySet())
         val seen = store.items.getValue(Keys.LEADER).version
         store.put(Keys.LEADER, mapOf("label" to "b"))
         coordinator.tick(seen, picture())
--- a/src/test/kotlin/io/reedmast/rollout/GateDecisionTest.kt
+++ b/src/test/kotlin/io/reedmast/rollout/GateDecisionTest.kt
@@ -10,10 +10,10 @@
 
 /** Which gate moves, and why the others stay, in pictures of the cluster that are made by hand. */
 class GateDecisionTest {
-    private object SliceRecords : RecordMigration {
-        override val scope = MigrationScope.SLICE
+    private object ShardRecords : RecordMigration {
+        override val scope = MigrationScope.SHARD
 
-        override fun prefix(slice: Int) = "page/$slice/"
+        override fun prefix(shard: Int) = "page/$shard/"
 
         override fun forward(record: Fields) = record
 
@@ -21,7 +21,7 @@
     }
 
     private val base = Feature(FeatureName("base"), FormatVersion(2))
-    private val feature = Feature(FeatureName("feature"), FormatVersion(3), setOf(base.name), migration = SliceRecords)
+    private val feature = Feature(FeatureName("feature"), FormatVersion(3), setOf(base.name), migration = ShardRecords)
     private val fixed = Feature(FeatureName("fixed"), FormatVersion(3), revertible = false)
     private val registry = FeatureRegistry(listOf(feature, base, fixed), VersionRange(FormatVersion.NONE, FormatVersion(3)))
     private val decision = GateDecision(registry)
@@ -34,14 +34,14 @@
         present: Map<String, PresentMember> = listOf("n0", "n1", "n2").associateWith { member(3) },
         owners: List<String?> = listOf("n0", "n1", "n2"),
         progress: Map<Pair<FeatureName, MigrationUnit>, MigrationProgress> = emptyMap(),
-    ) = ClusterPicture(setOf("n0", "n1", "n2"), present, owners.mapIndexed { i, owner -> owner?.let { SliceOwnership(it, 100L + i) } }, progress)
+    ) = ClusterPicture(setOf("n0", "n1", "n2"), present, owners.mapIndexed { i, owner -> owner?.let { ShardOwnership(it, 100L + i) } }, progress)
 
     private fun record(vararg states: Pair<Feature, GateState>) = states.fold(RolloutRecord()) { record, (of, state) -> record.moved(of, state, act) }
 
     private fun RolloutRecord.wishes(of: Feature, target: Target) = wishing(of.name, target, act)
 
     private fun complete(direction: Direction, generation: Long, vararg units: Int) =
-        units.associate { (feature.name to MigrationUnit.Slice(it) as MigrationUnit) to MigrationProgress(direction, generation, complete = true) }
+        units.associate { (feature.name to MigrationUnit.Shard(it) as MigrationUnit) to MigrationProgress(direction, generation, complete = true) }
 
     private fun RolloutPlan.moves(to: GateState, of: Feature = feature) {
         assertEquals(of.name to to, move?.let { it.feature.name to it.to }, "$waiting")
@@ -80,7 +80,7 @@
         val ready = record(base to GateState.READY).wishes(base, Target.ENABLED)
         val move = decision.plan(ready, picture()).also { it.moves(GateState.ENABLED, base) }.move
         assertEquals(
-            listOf("n0", "n1", "n2").map { Keys.node(it) to 13L } + (0..2).map { Keys.slice(it) to 100L + it },
+            listOf("n0", "n1", "n2").map { Keys.node(it) to 13L } + (0..2).map { Keys.shard(it) to 100L + it },
             move?.guards?.map { it.path to it.version },
         )
     }
@@ -105,7 +105,7 @@
         decision.plan(enabled, picture(progress = complete(Direction.FORWARD, 1, 0, 1, 2))).waits("being migrated")
         decision.plan(enabled, picture(progress = complete(Direction.BACK, 2, 0, 1, 2))).waits("being migrated")
         decision.plan(enabled, picture(progress = complete(Direction.FORWARD, 2, 0, 1, 2))).moves(GateState.FINALIZED)
-        val blocked = mapOf((feature.name to MigrationUnit.Slice(1) as MigrationUnit) to MigrationProgress(Direction.FORWARD, 2, unreadable = 4))
+        val blocked = mapOf((feature.name to MigrationUnit.Shard(1) as MigrationUnit) to MigrationProgress(Direction.FORWARD, 2, unreadable = 4))
         decision.plan(enabled, picture(progress = blocked)).waits("4 records cannot be migrated")
     }
 
--- a/src/test/kotlin/io/reedmast/rollout/RolloutAdministrationTest.kt
+++ b/src/test/kotlin/io/reedmast/rollout/RolloutAdministrationTest.kt
@@ -15,7 +15,7 @@
     private var owners = listOf("n0", "n1")
 
     private val records = object : ClusterRecords {
-        override fun sliceOwners(items: List<Item>) = owners.mapIndexed { i, owner -> SliceOwnership(owner, store.items[Keys.slice(i)]?.version ?: 0L) }
+        override fun shardOwners(items: List<Item>) = owners.mapIndexed { i, owner -> ShardOwnership(owner, store.items[Keys.shard(i)]?.version ?: 0L) }
 
         override fun externallyFinalized(items: List<Item>) = emptySet<FeatureName>()
     }
--- a/src/test/kotlin/io/reedmast/sim/RecordingGateway.kt
+++ b/src/test/kotlin/io/reedmast/sim/RecordingGateway.kt
@@ -5,7 +5,7 @@
 import io.reedmast.ports.Gateway
 import io.reedmast.ports.LeaseState
 import io.reedmast.ports.Rented
-import io.reedmast.settings.NodeIndex
+import io.reedmast.settings.ControllerId
 import io.reedmast.state.Change
 import io.reedmast.state.Fetched
 import io.reedmast.state.Item
@@ -30,7 +30,7 @@
 
     override fun sendToPeers(message: PeerMessage) = Unit
 
-    override fun sendToPeer(peer: NodeIndex, message: PeerMessage) = Unit
+    override fun sendToPeer(peer: ControllerId, message: PeerMessage) = Unit
 
     override fun direct(addr: String, token: Long, session: Long, orders: List<Order>, done: (Reply) -> Unit) {
         directOrders.addAll(orders)
--- a/src/test/kotlin/io/reedmast/sim/RolloutRules.kt
+++ b/src/test/kotlin/io/reedmast/sim/RolloutRules.kt
@@ -41,7 +41,7 @@
 
     private var counterIsOpen = true
 
-    /** A version from before the rollout may take slices until the counter has been migrated; what depends on the fence waits for that. */
+    /** A version from before the rollout may take shards until the counter has been migrated; what depends on the fence waits for that. */
     private fun takesOpenCounter(value: Fields): Boolean {
         val sender = StateMessages.transactionId(value) ?: return false
         return counterIsOpen && world.nodes.any { it.wasOld(sender) }
@@ -82,7 +82,7 @@
         }
     }
 
-    /** A process reads the pages of a slice that it has taken. */
+    /** A process reads the pages of a shard that it has taken. */
     fun read(node: SimNode, items: List<Pair<String, Fields>>) {
         val dense = items.firstOrNull { (path, value) -> path.startsWith("page/") && DensePages.isDense(value) } ?: return
         if (node.readsUpTo < ClusterFeatures.densePages.requires.value) world.rules.breach("read_too_new ${node.label} reads ${dense.first}")
--- a/src/test/kotlin/io/reedmast/sim/RuleChecker.kt
+++ b/src/test/kotlin/io/reedmast/sim/RuleChecker.kt
@@ -131,7 +131,7 @@
     }
 
     private fun isStored(jobId: String): Boolean =
-        world.state.get(Keys.end(jobId)) != null || (0 until world.settings.slices).any { world.state.get(Keys.live(it, jobId)) != null }
+        world.state.get(Keys.end(jobId)) != null || (0 until world.settings.shardCount).any { world.state.get(Keys.live(it, jobId)) != null }
 
     // ---- what becomes of accepted jobs --------------------------------------------------------------------------------
 
--- a/src/test/kotlin/io/reedmast/sim/Scenario.kt
+++ b/src/test/kotlin/io/reedmast/sim/Scenario.kt
@@ -7,8 +7,8 @@
 import io.reedmast.rollout.FormatVersion
 import io.reedmast.rollout.Target
 import io.reedmast.settings.CloudLimits
+import io.reedmast.settings.ControllerId
 import io.reedmast.settings.Member
-import io.reedmast.settings.NodeIndex
 import io.reedmast.settings.Objective
 import io.reedmast.settings.Settings
 import io.reedmast.settings.StateLimits
@@ -51,7 +51,7 @@
         front = World.address(node, 8080),
         clusterListen = World.address(node, 8081),
         members = (0 until nodes).map { Member("n$it", World.address(it, 8081)) },
-        self = NodeIndex(node),
+        self = ControllerId(node),
         cloud = "10.2.0.2:1",
         state = "10.2.0.1:1",
         zones = listOf("x", "y"),
@@ -110,7 +110,7 @@
     }
 
     private fun plantLostJob(jobId: String) {
-        val lost = world.nodes.mapNotNull { it.controller }.flatMap { it.cluster.owned() }.any { it.sliceState.jobs.remove(jobId) != null }
+        val lost = world.nodes.mapNotNull { it.controller }.flatMap { it.cluster.owned() }.any { it.shardState.jobs.remove(jobId) != null }
         if (!lost) world.after(1) { plantLostJob(jobId) }
     }
 
@@ -283,8 +283,8 @@
 
             "kept" -> assertTrue(words[1] in world.workers, "$at: returned are ${world.returned}")
 
-            // No node counts the machine to any slice.
-            "unknown" -> assertTrue(world.nodes.none { it.controller?.cluster?.sliceOfHost(words[1]) != null }, at)
+            // No node counts the machine to any shard.
+            "unknown" -> assertTrue(world.nodes.none { it.controller?.cluster?.shardOfHost(words[1]) != null }, at)
 
             "healthy" -> assertEquals(words[2].toBoolean(), world.nodes.first { it.label == words[1] }.controller?.healthy(), at)
 
@@ -307,7 +307,7 @@
             // Its tasks are where they were, under the same attempts: none was placed anew.
             "same-attempts" -> assertEquals(noted[words[1]], world.attempts(words[1]), at)
 
-            // How often a slice was taken, since the first start.
+            // How often a shard was taken, since the first start.
             "takings" -> assertEquals(words[1].toLong(), Token.takings(TokenFence.tokenOf(world.state.get("c/token")?.value.orEmpty())), at)
 
             // `taken-back`: dormant, or ready to be enabled again.
--- a/src/test/kotlin/io/reedmast/sim/SimGateway.kt
+++ b/src/test/kotlin/io/reedmast/sim/SimGateway.kt
@@ -5,7 +5,7 @@
 import io.reedmast.ports.Gateway
 import io.reedmast.ports.LeaseState
 import io.reedmast.ports.Rented
-import io.reedmast.settings.NodeIndex
+import io.reedmast.settings.ControllerId
 import io.reedmast.state.Change
 import io.reedmast.state.CommitQueue
 import io.reedmast.state.CommitReply
@@ -209,10 +209,10 @@
     // ---- other controllers and workers --------------------------------------------------------------------------------
 
     override fun sendToPeers(message: PeerMessage) {
-        world.nodes.filter { it.index != node.index }.forEach { sendToPeer(NodeIndex(it.index), message) }
+        world.nodes.filter { it.index != node.index }.forEach { sendToPeer(ControllerId(it.index), message) }
     }
 
-    override fun sendToPeer(peer: NodeIndex, message: PeerMessage) {
+    override fun sendToPeer(peer: ControllerId, message: PeerMessage) {
         val to = world.nodes[peer.value]
         world.recorder?.record(world.now(), "${node.label} to ${to.label}", message)
         if (!node.peersCut && !to.peersCut) to.receive(message)
--- a/src/test/kotlin/io/reedmast/sim/SimState.kt
+++ b/src/test/kotlin/io/reedmast/sim/SimState.kt
@@ -156,19 +156,19 @@
             .flatMapTo(HashSet()) { chunk -> chunk.placements.map { Triple(TaskId(chunk.jobId, it.task), it.attempt, it.host) } }
     }
 
-    /** A machine that comes to a slice must not be named by a page of another one, whose next owner would return it. */
+    /** A machine that comes to a shard must not be named by a page of another one, whose next owner would return it. */
     private fun checkMoved(path: String, value: Fields) {
-        val slice = path.removePrefix(Keys.HOSTS).substringBefore('/')
+        val shard = path.removePrefix(Keys.HOSTS).substringBefore('/')
         val hosts = HostPart.parse(value).hosts.mapTo(HashSet()) { it.name }
         for ((other, entry) in entries.tailMap(Keys.HOSTS).entries.takeWhile { it.key.startsWith(Keys.HOSTS) }) {
-            if (other.startsWith("${Keys.HOSTS}$slice/") || "form" in entry.value) continue
+            if (other.startsWith("${Keys.HOSTS}$shard/") || "form" in entry.value) continue
             HostPart.parse(entry.value).hosts.filter { it.name in hosts }.forEach { world.rules.breach("in_two_slices ${it.name}: $path and $other") }
         }
         for ((page, attempts) in placed) {
-            if (page.startsWith("page/$slice/")) continue
+            if (page.startsWith("page/$shard/")) continue
             val of = page.removePrefix("page/").substringBefore('/').toInt()
             attempts.filter { it.third in hosts && Keys.live(of, it.first.jobId) in entries }
-                .forEach { world.rules.breach("moved_while_placed ${it.third} to slice $slice, ${it.first} of slice $of") }
+                .forEach { world.rules.breach("moved_while_placed ${it.third} to slice $shard, ${it.first} of slice $of") }
         }
     }
 
--- a/src/test/kotlin/io/reedmast/sim/TestSettings.kt
+++ b/src/test/kotlin/io/reedmast/sim/TestSettings.kt
@@ -1,8 +1,8 @@
 package io.reedmast.sim
 
 import io.reedmast.settings.CloudLimits
+import io.reedmast.settings.ControllerId
 import io.reedmast.settings.Member
-import io.reedmast.settings.NodeIndex
 import io.reedmast.settings.Settings
 import io.reedmast.settings.StateLimits
 import io.reedmast.settings.TeamShare
@@ -19,7 +19,7 @@
     front = World.address(0, 8080),
     clusterListen = World.address(0, 8081),
     members = nodes.mapIndexed { i, label -> Member(label, World.address(i, 8081)) },
-    self = NodeIndex(0),
+    self = ControllerId(0),
     cloud = "10.2.0.2:1",
     state = "10.2.0.1:1",
     zones = listOf("x"),
--- a/src/test/kotlin/io/reedmast/sim/World.kt
+++ b/src/test/kotlin/io/reedmast/sim/World.kt
@@ -9,7 +9,7 @@
 import io.reedmast.ports.Gateway
 import io.reedmast.ports.LeaseState
 import io.reedmast.ports.Rented
-import io.reedmast.settings.NodeIndex
+import io.reedmast.settings.ControllerId
 import io.reedmast.settings.Settings
 import io.reedmast.settings.Tuning
 import io.reedmast.state.Change
--- a/src/test/kotlin/io/reedmast/workers/CommandsTest.kt
+++ b/src/test/kotlin/io/reedmast/workers/CommandsTest.kt
@@ -2,11 +2,11 @@
 
 import io.reedmast.jobs.Job
 import io.reedmast.jobs.Placement
-import io.reedmast.jobs.SliceState
+import io.reedmast.jobs.ShardState
 import io.reedmast.jobs.StopReason
 import io.reedmast.ports.Clock
-import io.reedmast.settings.SliceIndex
-import io.reedmast.settings.TeamIndex
+import io.reedmast.settings.ShardId
+import io.reedmast.settings.TeamId
 import io.reedmast.settings.Tuning
 import io.reedmast.sim.RecordingGateway
 import io.reedmast.sim.World
@@ -25,8 +25,8 @@
     private val machineType = MachineType("m", 4.0, 0.0, 64.0, 50.0, 0.5, 1.0, 0.3, 5.0, listOf("x"))
     private val settings = testSettings()
     private val out = RecordingGateway()
-    private val sliceState = SliceState(SliceIndex(0), settings, Tuning(), clock, { listOf(machineType) }, { true })
-    private val commands = Commands(sliceState, out) { _, _ -> }
+    private val shardState = ShardState(ShardId(0), settings, Tuning(), clock, { listOf(machineType) }, { true })
+    private val commands = Commands(shardState, out) { _, _ -> }
     private val machine = Machine(HostRecord("host-1", "m", "x", false), machineType, 0, 0).apply {
         addr = "10.1.0.1:9000"
         trusted = true
@@ -35,9 +35,9 @@
     }
 
     private fun placed(): Placement {
-        val job = Job(World.spec("wk-1", mapOf("tasks" to "1")), TeamIndex(0), 10, 0, 1)
+        val job = Job(World.spec("wk-1", mapOf("tasks" to "1")), TeamId(0), 10, 0, 1)
         val placement = Placement(job, 0, 1, machine, 10_000).apply { committed = true }
-        sliceState.place(placement)
+        shardState.place(placement)
         commands.launch(placement)
         return placement
     }
@@ -57,7 +57,7 @@
     fun `a launch whose placement has ended meanwhile is not sent`() {
         val placement = placed()
         commands.stop(placement, StopReason.ABORTED)
-        sliceState.finish(placement, done = false)
+        shardState.finish(placement, done = false)
         commands.send()
         assertEquals(emptyList<Order>(), out.directOrders)
     }
