--- a/src/main/kotlin/io/reedmast/app/DirectStore.kt
+++ b/src/main/kotlin/io/reedmast/app/DirectStore.kt
@@ -1,48 +1,48 @@
 package io.reedmast.app
 
+import io.reedmast.kvstore.CasTransaction
+import io.reedmast.kvstore.CommitOutcome
+import io.reedmast.kvstore.Committer
+import io.reedmast.kvstore.EffectiveLimits
+import io.reedmast.kvstore.ReadResult
+import io.reedmast.kvstore.StoreClient
+import io.reedmast.kvstore.StoredItem
+import io.reedmast.kvstore.TransactionIds
 import io.reedmast.rollout.RolloutStore
 import io.reedmast.settings.Settings
-import io.reedmast.state.Change
-import io.reedmast.state.Committer
-import io.reedmast.state.Fetched
-import io.reedmast.state.Item
-import io.reedmast.state.LimitsInForce
-import io.reedmast.state.Outcome
-import io.reedmast.state.StateClient
-import io.reedmast.state.TransactionIds
 import io.reedmast.wire.Caller
 import java.util.concurrent.CompletableFuture
 import java.util.concurrent.TimeUnit
 import java.util.concurrent.TimeoutException
 
-/** The state service for a command that runs beside the controllers: each call answers before it returns. */
+/** The store for a command that runs beside the controllers: each call answers before it returns. */
 class DirectStore(settings: Settings, incarnation: String) : RolloutStore {
-    private val limits = LimitsInForce(settings.stateLimits, settings.nextStateLimits)
+    private val limits = EffectiveLimits(settings.storeLimits, settings.nextStoreLimits)
 
     /** It takes a controller's part of the limits for the moment that it runs. */
-    private val client = StateClient(settings.state, limits, settings.members.size, Caller(CONNECT_MS, READ_MS))
+    private val client = StoreClient(settings.storeAddress, limits, settings.members.size, Caller(CONNECT_MS, READ_MS))
     private val committer = Committer(client, limits, MOST_QUEUED, TransactionIds(incarnation)) { change, outcome -> change.done(outcome) }
 
     init {
         NetworkGateway.startThread("commit", committer::run)
     }
 
-    override fun commit(change: Change) {
-        val answered = CompletableFuture<Outcome>()
-        committer.offer(Change(change.guards, change.writes, change.writePriority) { answered.complete(it) }, refusable = false)
+    override fun commit(change: CasTransaction) {
+        val answered = CompletableFuture<CommitOutcome>()
+        committer.offer(CasTransaction(change.preconditions, change.writes, change.writePriority) { answered.complete(it) }, refusable = false)
         val outcome = try {
             answered.get(PATIENCE_S, TimeUnit.SECONDS)
         } catch (e: TimeoutException) {
-            Outcome.Refused("the state service has not answered within $PATIENCE_S s; the change may yet be made, see the status")
+            CommitOutcome.Refused("the store has not answered within $PATIENCE_S s; the change may yet be made, see the status")
         }
         change.done(outcome)
     }
 
-    override fun get(path: String, done: (Fetched) -> Unit) = done(client.get(path))
+    override fun get(path: String, done: (ReadResult) -> Unit) = done(client.get(path))
 
-    override fun list(prefix: String, done: (List<Item>?) -> Unit) = done(client.list(prefix)?.first)
+    override fun list(prefix: String, done: (List<StoredItem>?) -> Unit) = done(client.list(prefix)?.first)
 
-    override fun writeFullness(): Double = client.budget.fullness()
+    override fun writePermitLevel(): Double = client.writeLimiter.permitLevel()
 
     private companion object {
         const val CONNECT_MS = 800
--- a/src/main/kotlin/io/reedmast/app/Main.kt
+++ b/src/main/kotlin/io/reedmast/app/Main.kt
@@ -16,6 +16,8 @@
 import com.github.ajalt.clikt.parameters.types.double
 import io.reedmast.deploy.RolloutFile
 import io.reedmast.deploy.RolloutFileException
+import io.reedmast.kvstore.EffectiveLimits
+import io.reedmast.kvstore.StoreClient
 import io.reedmast.ownership.ClusterFeatures
 import io.reedmast.peers.PeerServer
 import io.reedmast.ports.Clock
@@ -23,8 +25,6 @@
 import io.reedmast.settings.Settings
 import io.reedmast.settings.SettingsException
 import io.reedmast.settings.Tuning
-import io.reedmast.state.LimitsInForce
-import io.reedmast.state.StateClient
 import io.reedmast.wire.Caller
 import org.slf4j.LoggerFactory
 import java.io.IOException
@@ -112,8 +112,8 @@
     private fun runController(settings: Settings, rolloutOptions: RolloutOptions) {
         val log = LoggerFactory.getLogger("main")
         val eventLoop = EventLoop(SystemClock, MAX_QUEUED)
-        val limits = LimitsInForce(settings.stateLimits, settings.nextStateLimits)
-        val client = StateClient(settings.state, limits, settings.members.size, Caller(STATE_CONNECT_MS, STATE_READ_MS))
+        val limits = EffectiveLimits(settings.storeLimits, settings.nextStoreLimits)
+        val client = StoreClient(settings.storeAddress, limits, settings.members.size, Caller(STORE_CONNECT_MS, STORE_READ_MS))
         // Time of day and process start tell two processes of a node apart.
         val incarnation = "${settings.label}-${java.lang.Long.toString(SystemClock.wall(), 36)}-${java.lang.Long.toString(System.nanoTime(), 36)}"
         val out = NetworkGateway(settings, eventLoop, client, limits, incarnation, ::endUnfit)
@@ -158,8 +158,8 @@
         const val MAX_QUEUED = 256
         const val TICK_MS = 40L
         const val IDLE_TICK_MS = 200L
-        const val STATE_CONNECT_MS = 800
-        const val STATE_READ_MS = 2_500
+        const val STORE_CONNECT_MS = 800
+        const val STORE_READ_MS = 2_500
     }
 }
 
--- a/src/main/kotlin/io/reedmast/app/NetworkGateway.kt
+++ b/src/main/kotlin/io/reedmast/app/NetworkGateway.kt
@@ -2,6 +2,13 @@
 
 import com.google.common.util.concurrent.RateLimiter
 import io.reedmast.fleet.Rental
+import io.reedmast.kvstore.CasTransaction
+import io.reedmast.kvstore.Committer
+import io.reedmast.kvstore.EffectiveLimits
+import io.reedmast.kvstore.ReadResult
+import io.reedmast.kvstore.StoreClient
+import io.reedmast.kvstore.StoredItem
+import io.reedmast.kvstore.TransactionIds
 import io.reedmast.peers.PeerClient
 import io.reedmast.peers.PeerMessage
 import io.reedmast.ports.Gateway
@@ -10,13 +17,6 @@
 import io.reedmast.settings.ControllerId
 import io.reedmast.settings.Member
 import io.reedmast.settings.Settings
-import io.reedmast.state.Change
-import io.reedmast.state.Committer
-import io.reedmast.state.Fetched
-import io.reedmast.state.Item
-import io.reedmast.state.LimitsInForce
-import io.reedmast.state.StateClient
-import io.reedmast.state.TransactionIds
 import io.reedmast.wire.Caller
 import io.reedmast.wire.CloudMessages
 import io.reedmast.wire.ListedHost
@@ -33,8 +33,8 @@
 class NetworkGateway(
     private val settings: Settings,
     private val eventLoop: EventLoop,
-    private val client: StateClient,
-    limits: LimitsInForce,
+    private val client: StoreClient,
+    limits: EffectiveLimits,
     incarnation: String,
     private val onEnd: (reason: String) -> Unit,
 ) : Gateway {
@@ -57,22 +57,22 @@
     private val cloudLimit = RateLimiter.create(settings.cloudLimits.requestsPerS / settings.members.size)
 
     /** Those that wait longer would be asked for again before they are stored. */
-    private fun submissionsQueued(limits: LimitsInForce): Int =
+    private fun submissionsQueued(limits: EffectiveLimits): Int =
         (limits.target.writesPerS / settings.members.size * SUBMISSIONS_WAIT_S).toInt().coerceIn(FEWEST_SUBMISSIONS_QUEUED, MAX_SUBMISSIONS_QUEUED)
 
-    override val stateAnswers: Boolean get() = committer.answering
+    override val isStoreAvailable: Boolean get() = committer.answering
 
     fun start() {
         repeat(COMMIT_THREADS) { startThread("commit-$it", committer::run) }
     }
 
-    override fun commit(change: Change, refusable: Boolean): Boolean = committer.offer(change, refusable)
+    override fun commit(change: CasTransaction, refusable: Boolean): Boolean = committer.offer(change, refusable)
 
-    override fun get(path: String, done: (Fetched) -> Unit) = call(reads, { client.get(path) }, Fetched.Failed, done)
+    override fun get(path: String, done: (ReadResult) -> Unit) = call(reads, { client.get(path) }, ReadResult.Failed, done)
 
-    override fun list(prefix: String, done: (List<Item>?) -> Unit) = call(reads, { client.list(prefix)?.first }, null, done)
+    override fun list(prefix: String, done: (List<StoredItem>?) -> Unit) = call(reads, { client.list(prefix)?.first }, null, done)
 
-    override fun writeFullness(): Double = client.budget.fullness()
+    override fun writePermitLevel(): Double = client.writeLimiter.permitLevel()
 
     override fun sendToPeers(message: PeerMessage) = peers.keys.forEach { sendToPeer(it, message) }
 
@@ -179,7 +179,7 @@
 
     private fun cloud(method: String, path: String, body: Map<String, Any?>? = null): Reply {
         if (!cloudLimit.tryAcquire(CLOUD_PATIENCE_S, TimeUnit.SECONDS)) return Reply.NotSent("over this node's part of the limit")
-        val reply = cloudCaller.call(method, settings.cloud, path, body)
+        val reply = cloudCaller.call(method, settings.cloudAddress, path, body)
         if (reply !is Reply.Answer || reply.status != 200) log.info("{} {}: {}", method, path, reply)
         return reply
     }
--- a/src/main/kotlin/io/reedmast/app/Node.kt
+++ b/src/main/kotlin/io/reedmast/app/Node.kt
@@ -2,6 +2,9 @@
 
 import io.reedmast.fleet.Leader
 import io.reedmast.jobs.JobRequests
+import io.reedmast.kvstore.EffectiveLimits
+import io.reedmast.kvstore.StoredItem
+import io.reedmast.kvstore.WatchEvent
 import io.reedmast.ownership.Cluster
 import io.reedmast.ownership.ClusterFeatures
 import io.reedmast.ownership.Token
@@ -11,9 +14,6 @@
 import io.reedmast.rollout.RolloutOptions
 import io.reedmast.settings.Settings
 import io.reedmast.settings.Tuning
-import io.reedmast.state.Event
-import io.reedmast.state.Item
-import io.reedmast.state.LimitsInForce
 import io.reedmast.wire.JobSpec
 import io.reedmast.wire.MachineType
 import io.reedmast.wire.Order
@@ -37,7 +37,7 @@
     tuning: Tuning,
     private val clock: Clock,
     private val out: Gateway,
-    limits: LimitsInForce,
+    limits: EffectiveLimits,
     incarnation: String,
     rollout: RolloutOptions = RolloutOptions(ClusterFeatures.registry),
 ) {
@@ -173,15 +173,15 @@
         eventLoop.offer(urgency) { controller.peerSent(message) }
     }
 
-    fun snapshot(items: List<Item>, revision: Long, askedAt: Long) = eventLoop.post { controller.cluster.snapshot(items, revision, askedAt) }
+    fun snapshot(items: List<StoredItem>, revision: Long, askedAt: Long) = eventLoop.post { controller.cluster.snapshot(items, revision, askedAt) }
 
-    fun clusterEvents(events: List<Event>, revision: Long, askedAt: Long) = eventLoop.post {
+    fun clusterEvents(events: List<WatchEvent>, revision: Long, askedAt: Long) = eventLoop.post {
         controller.cluster.clusterEvents(events, revision, askedAt)
     }
 
-    fun jobsSnapshot(items: List<Item>, revision: Long, askedAt: Long) = eventLoop.post { controller.cluster.jobsSnapshot(items, revision, askedAt) }
+    fun jobsSnapshot(items: List<StoredItem>, revision: Long, askedAt: Long) = eventLoop.post { controller.cluster.jobsSnapshot(items, revision, askedAt) }
 
-    fun jobEvents(events: List<Event>, revision: Long, askedAt: Long) = eventLoop.post {
+    fun jobEvents(events: List<WatchEvent>, revision: Long, askedAt: Long) = eventLoop.post {
         controller.cluster.jobEvents(events, revision, askedAt)
         noteWaiting()
     }
--- a/src/main/kotlin/io/reedmast/app/RolloutCommand.kt
+++ b/src/main/kotlin/io/reedmast/app/RolloutCommand.kt
@@ -26,7 +26,7 @@
 /** An act was refused, or a controller is not ready to be stopped. */
 private const val EXIT_REFUSED = 1
 
-/** `reedmast rollout`: questions and acts of operators, carried out through the state service. */
+/** `reedmast rollout`: questions and acts of operators, carried out through the store. */
 class RolloutCommand : CoreCliktCommand("rollout") {
     init {
         subcommands(
@@ -77,7 +77,7 @@
 
 private class StatusCommand : AdministrationCommand("status", "Print gates, migrations and controllers") {
     override fun run() = administration().status { status ->
-        if (status == null) refuse("the state service does not answer, or its records cannot be read")
+        if (status == null) refuse("the store does not answer, or its records cannot be read")
         lines(status).forEach(::println)
     }
 
--- a/src/main/kotlin/io/reedmast/app/Watches.kt
+++ b/src/main/kotlin/io/reedmast/app/Watches.kt
@@ -1,13 +1,13 @@
 package io.reedmast.app
 
+import io.reedmast.kvstore.Keys
+import io.reedmast.kvstore.StoreClient
+import io.reedmast.kvstore.WatchResult
 import io.reedmast.ports.Clock
-import io.reedmast.state.Keys
-import io.reedmast.state.StateClient
-import io.reedmast.state.Watched
 import java.util.concurrent.ThreadLocalRandom
 
-/** The two watches on the state service: on the cluster's few keys, and on the records under job ids. */
-class Watches(private val client: StateClient, private val clock: Clock, private val node: Node) {
+/** The two watches on the store: on the cluster's few keys, and on the records under job ids. */
+class Watches(private val client: StoreClient, private val clock: Clock, private val node: Node) {
     fun start() {
         NetworkGateway.startThread("watch-cluster", ::followCluster)
         NetworkGateway.startThread("watch-jobs", ::followJobs)
@@ -26,8 +26,8 @@
             while (true) {
                 askedAt = clock.now()
                 val watched = client.follow(Keys.CLUSTER, after, HOLD_MS)
-                if (watched is Watched.TooOld) break
-                if (watched is Watched.Events) {
+                if (watched is WatchResult.Compacted) break
+                if (watched is WatchResult.Events) {
                     node.clusterEvents(watched.events, watched.revision, askedAt)
                     after = maxOf(after, watched.revision)
                 } else {
@@ -39,7 +39,7 @@
 
     /**
      * Every question of a user waits for the next answer of the watch on jobs, and all that came before it share one request
-     * to the state service: while somebody waits, the watch asks again and again. Otherwise it waits for a change, but never
+     * to the store: while somebody waits, the watch asks again and again. Otherwise it waits for a change, but never
      * so long that the next question would wait for it in vain.
      */
     private fun followJobs() {
@@ -57,8 +57,8 @@
                 if (spare > 0) Thread.sleep(spare)
                 askedAt = clock.now()
                 val watched = client.follow(Keys.JOBS, after, if (node.questionsWait()) 0 else JOBS_HOLD_MS)
-                if (watched is Watched.TooOld) break
-                if (watched is Watched.Events) {
+                if (watched is WatchResult.Compacted) break
+                if (watched is WatchResult.Events) {
                     node.jobEvents(watched.events, watched.revision, askedAt)
                     after = maxOf(after, watched.revision)
                 } else {
--- a/src/main/kotlin/io/reedmast/fleet/Leader.kt
+++ b/src/main/kotlin/io/reedmast/fleet/Leader.kt
@@ -1,14 +1,14 @@
 package io.reedmast.fleet
 
+import io.reedmast.kvstore.Keys
+import io.reedmast.kvstore.StoredItem
+import io.reedmast.kvstore.UnreadableRecordLog
 import io.reedmast.ownership.Cluster
 import io.reedmast.ports.Clock
 import io.reedmast.ports.Gateway
 import io.reedmast.settings.Settings
 import io.reedmast.settings.ShardId
 import io.reedmast.settings.Tuning
-import io.reedmast.state.Item
-import io.reedmast.state.Keys
-import io.reedmast.state.Unreadable
 import io.reedmast.wire.MachineType
 import io.reedmast.wire.MalformedException
 import io.reedmast.wire.Report
@@ -26,7 +26,7 @@
     incarnation: String,
 ) {
     private val log = LoggerFactory.getLogger("fleet")
-    private val unreadable = Unreadable()
+    private val unreadable = UnreadableRecordLog()
     private val intake = MachineIntake(settings, clock, out, cluster, machineTypes)
     private val renter = MachineRenter(clock, out, cluster, machineTypes, intake, incarnation)
     private val resizer = ShardRebalancer(clock, cluster, machineTypes)
@@ -77,13 +77,13 @@
         }
     }
 
-    private fun parse(item: Item): ShardUsageSummary? = try {
+    private fun parse(item: StoredItem): ShardUsageSummary? = try {
         ShardUsageSummary.parse(ShardId(item.path.removePrefix(Keys.TOTALS).toInt()), item.value)
     } catch (e: MalformedException) {
-        unreadable.note(item.path, e.message)
+        unreadable.report(item.path, e.message)
         null
     } catch (e: NumberFormatException) {
-        unreadable.note(item.path, "it belongs to no shard")
+        unreadable.report(item.path, "it belongs to no shard")
         null
     }
 
--- a/src/main/kotlin/io/reedmast/fleet/UsageSummaryWriter.kt
+++ b/src/main/kotlin/io/reedmast/fleet/UsageSummaryWriter.kt
@@ -1,15 +1,15 @@
 package io.reedmast.fleet
 
 import io.reedmast.jobs.ShardState
+import io.reedmast.kvstore.CasTransaction
+import io.reedmast.kvstore.CommitOutcome
+import io.reedmast.kvstore.Keys
+import io.reedmast.kvstore.Precondition
+import io.reedmast.kvstore.ReadResult
+import io.reedmast.kvstore.StoredItem
+import io.reedmast.kvstore.Write
+import io.reedmast.kvstore.WritePriority
 import io.reedmast.ports.Gateway
-import io.reedmast.state.Change
-import io.reedmast.state.Fetched
-import io.reedmast.state.Guard
-import io.reedmast.state.Item
-import io.reedmast.state.Keys
-import io.reedmast.state.Outcome
-import io.reedmast.state.Write
-import io.reedmast.state.WritePriority
 import io.reedmast.wire.MalformedException
 import io.reedmast.wire.map
 import org.slf4j.LoggerFactory
@@ -35,7 +35,7 @@
     private var logDue = 0L
 
     /** Takes up what an owner before stored. */
-    fun load(totals: Item) {
+    fun load(totals: StoredItem) {
         version = totals.version
         try {
             shardState.usage.load(totals.value.map("usage"))
@@ -55,7 +55,7 @@
         lastWritten = now
         logState(now, demand)
         due = now + (shardState.tuning.totalsS * 1000).toLong()
-        store(totals(demand, starving, now), if (wanted) WritePriority.PROMPT else WritePriority.LAZY)
+        store(totals(demand, starving, now), if (wanted) WritePriority.URGENT else WritePriority.DEFERRED)
     }
 
     private fun totals(demand: List<Demand>, starving: List<Starving>, now: Long): ShardUsageSummary {
@@ -80,20 +80,20 @@
     private fun store(totals: ShardUsageSummary, writePriority: WritePriority) {
         writing = true
         val value = totals.toFields() + ("term" to shardState.term)
-        val guards = listOf(shardState.termGuard, Guard(path, version))
+        val preconditions = listOf(shardState.termPrecondition, Precondition(path, version))
         out.commit(
-            Change(guards, listOf(Write.Put(path, value)), writePriority) { outcome ->
+            CasTransaction(preconditions, listOf(Write.Put(path, value)), writePriority) { outcome ->
                 writing = false
-                if (shardState.dropped) return@Change
-                if (outcome is Outcome.Applied) version = outcome.revision
-                if (outcome is Outcome.Conflict) conflict(outcome.failed)
+                if (shardState.dropped) return@CasTransaction
+                if (outcome is CommitOutcome.Applied) version = outcome.revision
+                if (outcome is CommitOutcome.Conflict) conflict(outcome.failed)
             },
         )
     }
 
     private fun conflict(failed: Set<String>) {
         if (Keys.shard(shard.value) in failed) termInDoubt()
-        if (path in failed) out.get(path) { if (it is Fetched.Found) version = it.item.version }
+        if (path in failed) out.get(path) { if (it is ReadResult.Found) version = it.item.version }
     }
 
     private fun logState(now: Long, demand: List<Demand>) {
--- a/src/main/kotlin/io/reedmast/jobs/DensePages.kt
+++ b/src/main/kotlin/io/reedmast/jobs/DensePages.kt
@@ -1,9 +1,9 @@
 package io.reedmast.jobs
 
+import io.reedmast.kvstore.Keys
 import io.reedmast.rollout.FeatureName
 import io.reedmast.rollout.MigrationScope
 import io.reedmast.rollout.RecordMigration
-import io.reedmast.state.Keys
 import io.reedmast.wire.Fields
 import io.reedmast.wire.MalformedException
 import io.reedmast.wire.list
--- a/src/main/kotlin/io/reedmast/jobs/Job.kt
+++ b/src/main/kotlin/io/reedmast/jobs/Job.kt
@@ -25,7 +25,7 @@
 class Placement(val job: Job, val task: Int, val attempt: Long, val machine: Machine, val madeAt: Long) {
     val id = TaskId(job.spec.jobId, task)
 
-    /** Whether the state service holds it: nothing is launched before. */
+    /** Whether the store holds it: nothing is launched before. */
     var committed = false
 
     /** The worker's session for which a launch was last sent, 0 if this owner sent none. */
@@ -57,16 +57,16 @@
     /** The stored value that holds it, from its first change on. */
     var page: ProgressPage? = null
 
-    /** Whether it has changed since its page was last handed to the state service. */
+    /** Whether it has changed since its page was last handed to the store. */
     var dirty = false
 
     /** How many stored pages of another division hold an older copy of it and are yet to be cleared. */
     var olderCopies = 0
 
-    /** Whether the state service holds its present state, though another page may hold an older one too. */
+    /** Whether the store holds its present state, though another page may hold an older one too. */
     val isInItsPage: Boolean get() = !dirty && page?.writing != true
 
-    /** Whether the state service holds its present state, and nothing else of it. */
+    /** Whether the store holds its present state, and nothing else of it. */
     val stored: Boolean get() = isInItsPage && olderCopies == 0
 }
 
@@ -129,7 +129,7 @@
     /** Of a gang: the last attempt in which a task failed by itself. */
     var lastFailedAttempt = 0L
 
-    /** Whether all tasks of the gang have placements, and the state service holds each: nothing of it is launched before. */
+    /** Whether all tasks of the gang have placements, and the store holds each: nothing of it is launched before. */
     val isWholeGangStored: Boolean get() = placedCount == spec.taskCount && placements().all { it.committed && it.stopReason == null }
 
     fun nextWaiting(): Int = waiting.nextSetBit(0)
--- a/src/main/kotlin/io/reedmast/jobs/JobIndex.kt
+++ b/src/main/kotlin/io/reedmast/jobs/JobIndex.kt
@@ -1,14 +1,14 @@
 package io.reedmast.jobs
 
 import com.github.benmanes.caffeine.cache.Caffeine
+import io.reedmast.kvstore.Keys
+import io.reedmast.kvstore.StoredItem
+import io.reedmast.kvstore.UnreadableRecordLog
+import io.reedmast.kvstore.WatchEvent
 import io.reedmast.peers.Cancellation
 import io.reedmast.peers.JobProgress
 import io.reedmast.settings.Settings
 import io.reedmast.settings.ShardId
-import io.reedmast.state.Event
-import io.reedmast.state.Item
-import io.reedmast.state.Keys
-import io.reedmast.state.Unreadable
 import io.reedmast.wire.Fields
 import io.reedmast.wire.JobSpec
 import io.reedmast.wire.JobState
@@ -54,11 +54,11 @@
 /**
  * All unfinished jobs, and as many ended ones as fit, as the watch on their records tells.
  *
- * Every node has it, so that a question about a job need not be read from the state service one by one: with hundreds of
+ * Every node has it, so that a question about a job need not be read from the store one by one: with hundreds of
  * users asking, those reads were more than the service takes.
  */
 class JobIndex(private val settings: Settings, private val owned: () -> List<ShardOwner>) {
-    val unreadable = Unreadable()
+    val unreadable = UnreadableRecordLog()
     private val live = HashMap<String, LiveJob>()
 
     /** The revision up to which the watch has told of every change; 0 before the first reading. */
@@ -85,7 +85,7 @@
     fun liveOf(shard: ShardId): List<LiveJob> = live.values.filter { it.shard == shard }
 
     /** Takes up a complete reading; [revision] is what it is at least as new as. */
-    fun load(items: List<Item>, revision: Long) {
+    fun load(items: List<StoredItem>, revision: Long) {
         noteTold(revision)
         val listed = items.mapTo(HashSet()) { it.path.substringAfterLast('/') }
         live.filter { (jobId, job) -> jobId !in listed && job.version <= revision }.keys.toList().forEach { remove(it, Long.MAX_VALUE) }
@@ -94,7 +94,7 @@
     }
 
     /** Takes up what the watch tells: all changes up to [revision]. */
-    fun follow(events: List<Event>, revision: Long) {
+    fun follow(events: List<WatchEvent>, revision: Long) {
         events.forEach { take(it.path, it.value, it.version) }
         noteTold(revision)
     }
@@ -129,7 +129,7 @@
                 else -> put(jobId, path.removePrefix(Keys.LIVE).substringBefore('/').toIntOrNull(), value, version)
             }
         } catch (e: MalformedException) {
-            unreadable.note(path, e.message)
+            unreadable.report(path, e.message)
             if (path.startsWith(Keys.LIVE)) unreadableLive[jobId] = version
         }
     }
--- a/src/main/kotlin/io/reedmast/jobs/JobRequests.kt
+++ b/src/main/kotlin/io/reedmast/jobs/JobRequests.kt
@@ -1,18 +1,18 @@
 package io.reedmast.jobs
 
 import io.reedmast.gangs.zonesNeverHold
+import io.reedmast.kvstore.CasTransaction
+import io.reedmast.kvstore.CommitOutcome
+import io.reedmast.kvstore.EffectiveLimits
+import io.reedmast.kvstore.Keys
+import io.reedmast.kvstore.Precondition
+import io.reedmast.kvstore.ReadResult
+import io.reedmast.kvstore.Write
+import io.reedmast.kvstore.WritePriority
 import io.reedmast.ownership.Cluster
 import io.reedmast.ports.Clock
 import io.reedmast.ports.Gateway
 import io.reedmast.settings.Settings
-import io.reedmast.state.Change
-import io.reedmast.state.Fetched
-import io.reedmast.state.Guard
-import io.reedmast.state.Keys
-import io.reedmast.state.LimitsInForce
-import io.reedmast.state.Outcome
-import io.reedmast.state.Write
-import io.reedmast.state.WritePriority
 import io.reedmast.wire.JobShape
 import io.reedmast.wire.JobSpec
 import io.reedmast.wire.JobState
@@ -32,7 +32,7 @@
     private val settings: Settings,
     private val clock: Clock,
     private val out: Gateway,
-    private val limits: LimitsInForce,
+    private val limits: EffectiveLimits,
     private val cluster: Cluster,
     private val machineTypes: () -> Map<String, MachineType>,
 ) {
@@ -55,7 +55,7 @@
             refuse(spec.jobId, refusal, answer)
             return
         }
-        if (!cluster.ready || machineTypes().isEmpty() || !out.stateAnswers) {
+        if (!cluster.ready || machineTypes().isEmpty() || !out.isStoreAvailable) {
             answer(later())
             return
         }
@@ -73,17 +73,21 @@
         val path = Keys.live(shard, spec.jobId)
         // A late copy of a submission must not bring back a job that is over: its end is a condition too.
         val change =
-            Change(listOf(Guard(path, 0), Guard(Keys.end(spec.jobId), 0)), listOf(Write.Put(path, record)), WritePriority.USER) { outcome ->
+            CasTransaction(
+                listOf(Precondition(path, 0), Precondition(Keys.end(spec.jobId), 0)),
+                listOf(Write.Put(path, record)),
+                WritePriority.USER,
+            ) { outcome ->
                 when (outcome) {
-                    is Outcome.Applied -> {
+                    is CommitOutcome.Applied -> {
                         log.info("{}: accepted, {} tasks of {} for {}", spec.jobId, spec.taskCount, spec.jobClass, spec.teamName)
                         jobs.see(path, record, outcome.revision)
                         accepted(spec.jobId, askedAt, answer)
                     }
 
-                    is Outcome.Conflict -> poll(spec.jobId) { answer(if (it.status == 404) later() else it) }
+                    is CommitOutcome.Conflict -> poll(spec.jobId) { answer(if (it.status == 404) later() else it) }
 
-                    is Outcome.Refused -> answer(UserAnswer(413, error = "the job's description is too large"))
+                    is CommitOutcome.Refused -> answer(UserAnswer(413, error = "the job's description is too large"))
                 }
             }
         if (!out.commit(change, refusable = true)) answer(UserAnswer(429, error = "overloaded", retryAfterS = RETRY_AFTER_S))
@@ -161,16 +165,16 @@
     /** Not among the unfinished: it ended long ago, or nobody has submitted it. */
     private fun readEnd(jobId: String, answer: (UserAnswer) -> Unit) = out.get(Keys.end(jobId)) { fetched ->
         when (fetched) {
-            is Fetched.Failed -> answer(later())
+            is ReadResult.Failed -> answer(later())
 
-            is Fetched.Missing -> answer(UNKNOWN)
+            is ReadResult.Missing -> answer(UNKNOWN)
 
-            is Fetched.Found -> try {
+            is ReadResult.Found -> try {
                 val end = EndRecord.parse(fetched.item.value)
                 jobs.noteEnd(jobId, end)
                 answer(ended(jobId, end))
             } catch (e: MalformedException) {
-                jobs.unreadable.note(Keys.end(jobId), e.message)
+                jobs.unreadable.report(Keys.end(jobId), e.message)
                 answer(later())
             }
         }
@@ -181,15 +185,15 @@
             answer(aborted(jobId))
             return@find
         }
-        if (!out.stateAnswers) {
+        if (!out.isStoreAvailable) {
             answer(later())
             return@find
         }
         val path = Keys.live(job.shard.value, jobId)
         val record = job.record.aborted().toFields()
         out.commit(
-            Change(listOf(Guard(path, job.version)), listOf(Write.Put(path, record)), WritePriority.USER) { outcome ->
-                if (outcome is Outcome.Applied) {
+            CasTransaction(listOf(Precondition(path, job.version)), listOf(Write.Put(path, record)), WritePriority.USER) { outcome ->
+                if (outcome is CommitOutcome.Applied) {
                     log.info("{}: cancelled by its user", jobId)
                     answer(aborted(jobId))
                     jobs.see(path, record, outcome.revision)
@@ -207,7 +211,7 @@
         const val RETRY_AFTER_S = 1
         const val ABORT_TRIES = 4
 
-        /** Later than any answer of the state service that was not lost, and sooner than a user turns to another node. */
+        /** Later than any answer of the store that was not lost, and sooner than a user turns to another node. */
         const val LATE_MS = 1_500L
         const val SLACK = 1e-9
     }
--- a/src/main/kotlin/io/reedmast/jobs/PageForm.kt
+++ b/src/main/kotlin/io/reedmast/jobs/PageForm.kt
@@ -46,7 +46,7 @@
             }
         }
 
-        /** Whether a version that divides pages for lowered limits has stored the page. */
+        /** Whether a version that divides pages for reduced limits has stored the page. */
         fun isSized(page: Fields): Boolean = DensePages.isDense(page) || page.maps(CHUNKS).any { it[SIZE] != null }
 
         /** Tasks that a chunk has at most, so that two of them fit one value in any form. */
--- a/src/main/kotlin/io/reedmast/jobs/PageReader.kt
+++ b/src/main/kotlin/io/reedmast/jobs/PageReader.kt
@@ -1,6 +1,6 @@
 package io.reedmast.jobs
 
-import io.reedmast.state.Item
+import io.reedmast.kvstore.StoredItem
 import io.reedmast.wire.MalformedException
 import io.reedmast.wire.Tree
 import org.slf4j.LoggerFactory
@@ -28,7 +28,7 @@
     /** The tasks for which a newer copy has been read, by job. */
     private val known = HashMap<Job, BitSet>()
 
-    fun load(items: List<Item>) {
+    fun load(items: List<StoredItem>) {
         for (item in items.sortedByDescending { it.version }) {
             val index = item.path.substringAfterLast('/').toIntOrNull() ?: continue
             while (pages.size <= index) pages.add(ProgressPage(pages.size))
@@ -36,7 +36,7 @@
         }
     }
 
-    private fun load(item: Item, page: ProgressPage) {
+    private fun load(item: StoredItem, page: ProgressPage) {
         page.version = item.version
         page.storedDense = DensePages.isDense(item.value)
         val chunks = chunksOf(item)
@@ -44,7 +44,7 @@
         for (chunk in chunks) load(chunk, page, divided)
     }
 
-    private fun chunksOf(item: Item): List<StoredChunk> = try {
+    private fun chunksOf(item: StoredItem): List<StoredChunk> = try {
         PageForm.chunksOf(item.value) { noteUnreadable(item.path, it) }.filter { isOfUnfinishedJob(it, item.path) }
     } catch (e: MalformedException) {
         noteUnreadable(item.path, e)
--- a/src/main/kotlin/io/reedmast/jobs/PageRetirement.kt
+++ b/src/main/kotlin/io/reedmast/jobs/PageRetirement.kt
@@ -1,18 +1,18 @@
 package io.reedmast.jobs
 
+import io.reedmast.kvstore.CasTransaction
+import io.reedmast.kvstore.CommitOutcome
+import io.reedmast.kvstore.Keys
+import io.reedmast.kvstore.Precondition
+import io.reedmast.kvstore.ReadResult
+import io.reedmast.kvstore.Write
+import io.reedmast.kvstore.WritePriority
 import io.reedmast.ports.Gateway
-import io.reedmast.state.Change
-import io.reedmast.state.Fetched
-import io.reedmast.state.Guard
-import io.reedmast.state.Keys
-import io.reedmast.state.Outcome
-import io.reedmast.state.Write
-import io.reedmast.state.WritePriority
 
 /**
  * Clears stored pages whose content has been divided anew.
  *
- * A page that an earlier version stored may be larger than the lowered limits allow: it can then be replaced by a small value only.
+ * A page that an earlier version stored may be larger than the reduced limits allow: it can then be replaced by a small value only.
  * So each of its parts is first stored in another page. Until all are, the old page stays as it is, and whoever reads both takes the
  * newer copy of a task. Any step may be the last that is carried out.
  */
@@ -41,13 +41,13 @@
     private fun clear(page: ProgressPage, path: String) {
         page.writing = true
         val gates = shardState.gates()
-        val form = PageForm.toWrite(gates, shardState.limits.isLowered)
-        val guards = listOf(shardState.termGuard, gates.guard, Guard(path, page.version))
+        val form = PageForm.toWrite(gates, shardState.limits.isReduced)
+        val preconditions = listOf(shardState.termPrecondition, gates.precondition, Precondition(path, page.version))
         out.commit(
-            Change(guards, listOf(Write.Put(path, form.toFields(emptyList()))), WritePriority.LAZY) { outcome ->
+            CasTransaction(preconditions, listOf(Write.Put(path, form.toFields(emptyList()))), WritePriority.DEFERRED) { outcome ->
                 page.writing = false
-                if (shardState.dropped) return@Change
-                if (outcome is Outcome.Applied) cleared(page, outcome.revision, form) else reread(page, path)
+                if (shardState.dropped) return@CasTransaction
+                if (outcome is CommitOutcome.Applied) cleared(page, outcome.revision, form) else reread(page, path)
             },
         )
     }
@@ -64,7 +64,7 @@
         page.writing = true
         out.get(path) {
             page.writing = false
-            if (it is Fetched.Found) page.version = maxOf(page.version, it.item.version)
+            if (it is ReadResult.Found) page.version = maxOf(page.version, it.item.version)
         }
     }
 }
--- a/src/main/kotlin/io/reedmast/jobs/ProgressPage.kt
+++ b/src/main/kotlin/io/reedmast/jobs/ProgressPage.kt
@@ -6,7 +6,7 @@
 /**
  * One stored value with the progress of several jobs of a shard.
  *
- * Each put counts against the state service's limit, whatever its size: a record for each job cost several puts a second
+ * Each put counts against the store's limit, whatever its size: a record for each job cost several puts a second
  * where one does. A chunk stays in its page; room for all its tasks is set aside when it comes.
  */
 class ProgressPage(val index: Int) {
@@ -27,7 +27,7 @@
     val chunks = LinkedHashSet<Chunk>()
     private val reserved = EnumMap<PageForm, Int>(PageForm::class.java)
 
-    /** Whether the state service holds it in the dense form. */
+    /** Whether the store holds it in the dense form. */
     var storedDense = false
 
     /** Since when something in it is not stored, 0 if all is. */
@@ -36,7 +36,7 @@
     /** What is stored under its key in another division than today's: it is cleared once all of this is in other pages. */
     val superseded = LinkedHashSet<Chunk>()
 
-    /** The state service has refused it: until then it is not tried again. */
+    /** The store has refused it: until then it is not tried again. */
     var refusedUntil = 0L
 
     /** Whether the put that is on its way holds something that is waited for. */
--- a/src/main/kotlin/io/reedmast/jobs/ProgressStore.kt
+++ b/src/main/kotlin/io/reedmast/jobs/ProgressStore.kt
@@ -1,21 +1,21 @@
 package io.reedmast.jobs
 
+import io.reedmast.kvstore.CasTransaction
+import io.reedmast.kvstore.CommitOutcome
+import io.reedmast.kvstore.Keys
+import io.reedmast.kvstore.Precondition
+import io.reedmast.kvstore.ReadResult
+import io.reedmast.kvstore.StoredItem
+import io.reedmast.kvstore.Write
+import io.reedmast.kvstore.WritePriority
 import io.reedmast.ports.Gateway
 import io.reedmast.rollout.RecordAccess
-import io.reedmast.state.Change
-import io.reedmast.state.Fetched
-import io.reedmast.state.Guard
-import io.reedmast.state.Item
-import io.reedmast.state.Keys
-import io.reedmast.state.Outcome
-import io.reedmast.state.Write
-import io.reedmast.state.WritePriority
 import io.reedmast.wire.JobState
 import org.slf4j.LoggerFactory
 
 /** What an owner's storing tells the rest of it. */
 interface Stored {
-    /** The placement is in the state service now, and may be launched. */
+    /** The placement is in the store now, and may be launched. */
     fun placed(placement: Placement)
 
     /** The term may have moved on. */
@@ -25,7 +25,7 @@
     fun gatesInDoubt()
 
     /** A job's record has moved on, or was found anew. */
-    fun recordChanged(path: String, item: Item?)
+    fun recordChanged(path: String, item: StoredItem?)
 
     /** The job's final state is stored. */
     fun ended(job: Job, end: EndRecord, revision: Long)
@@ -38,8 +38,8 @@
     private val pages = ArrayList<ProgressPage>()
     private val pageBytes = shardState.limits.target.valueBytes * 95 / 100
 
-    /** Whether the pages were read when the lowered limits were known to hold, so that they were divided accordingly. */
-    private val dividedForLowered = shardState.limits.isLowered
+    /** Whether the pages were read when the reduced limits were known to hold, so that they were divided accordingly. */
+    private val dividedForReduced = shardState.limits.isReduced
     private val retirement = PageRetirement(shardState, out)
     private val toEnd = LinkedHashSet<Job>()
     private var endings = 0
@@ -48,7 +48,7 @@
     val needsReload: Boolean get() = isUndivided || pages.any { isOverfull(it) }
 
     private val isUndivided: Boolean
-        get() = !dividedForLowered && shardState.limits.isLowered && pages.any { it.reservedIn(PageForm.SIZED) > pageBytes || isTooLarge(it) }
+        get() = !dividedForReduced && shardState.limits.isReduced && pages.any { it.reservedIn(PageForm.SIZED) > pageBytes || isTooLarge(it) }
 
     /** Whether it holds more than its plain form can, in which it is to be stored again: its content has to go to several pages. */
     private fun isOverfull(page: ProgressPage): Boolean =
@@ -60,7 +60,7 @@
     }
 
     /** Takes up stored pages as they were read; [place] takes up each placement. [chunkSizes] are those of the jobs' records. */
-    fun load(items: List<Item>, chunkSizes: Map<String, Int>, place: (Job, StoredPlacement) -> Unit) =
+    fun load(items: List<StoredItem>, chunkSizes: Map<String, Int>, place: (Job, StoredPlacement) -> Unit) =
         PageReader(shardState, pages, retirement, pageBytes, chunkSizes, place).load(items)
 
     /** Stores what differs from what is stored, as far as the limit on changes allows. */
@@ -85,11 +85,11 @@
             if (page.waiting != ProgressPage.Waiting.NOTHING) {
                 // Not to the last change that is allowed: an acceptance, whose user waits, takes one and should find it. Nor more at once
                 // than it may wait behind: what is placed meanwhile shares the page's next put.
-                if (out.writeFullness() <= FULL_ENOUGH_TO_PLACE || onTheirWay >= mostAtOnce(page.waiting)) continue
-                store(page, WritePriority.PROMPT)
+                if (out.writePermitLevel() <= FULL_ENOUGH_TO_PLACE || onTheirWay >= mostAtOnce(page.waiting)) continue
+                store(page, WritePriority.URGENT)
                 onTheirWay++
             } else if (isTimeForResults(page, now)) {
-                store(page, if (now - page.dirtySince >= OVERDUE_MS) WritePriority.PROMPT else WritePriority.LAZY)
+                store(page, if (now - page.dirtySince >= OVERDUE_MS) WritePriority.URGENT else WritePriority.DEFERRED)
             }
         }
     }
@@ -99,7 +99,7 @@
      */
     private fun isTimeForResults(page: ProgressPage, now: Long): Boolean {
         val age = now - page.dirtySince
-        return (age >= LAZY_MS && out.writeFullness() > ROOM_FOR_RESULTS) || (age >= OVERDUE_MS && out.writeFullness() > FULL_ENOUGH_TO_PLACE)
+        return (age >= DEFERRED_MAX_MS && out.writePermitLevel() > ROOM_FOR_RESULTS) || (age >= OVERDUE_MS && out.writePermitLevel() > FULL_ENOUGH_TO_PLACE)
     }
 
     private fun waitingFor(chunk: Chunk): ProgressPage.Waiting = when {
@@ -109,14 +109,14 @@
     }
 
     private fun mostAtOnce(waiting: ProgressPage.Waiting) = when {
-        out.writeFullness() > NEARLY_FULL -> PAGES_AT_ONCE
+        out.writePermitLevel() > NEARLY_FULL -> PAGES_AT_ONCE
         waiting == ProgressPage.Waiting.SOON -> SOME_PAGES_AT_ONCE
         else -> FEW_PAGES_AT_ONCE
     }
 
     /** Pages that are about to be written anyway come first, so that decisions of a moment share a put. */
     private fun pageFor(chunk: Chunk): ProgressPage {
-        val form = PageForm.toWrite(shardState.gates(), shardState.limits.isLowered)
+        val form = PageForm.toWrite(shardState.gates(), shardState.limits.isReduced)
         val open = pages.filter { !it.writing && it.hasRoom(chunk, pageBytes, form) }
         val page = open.firstOrNull { it.waiting != ProgressPage.Waiting.NOTHING } ?: open.firstOrNull { it.dirtySince != 0L } ?: open.firstOrNull()
         return (page ?: ProgressPage(pages.size).also { pages.add(it) }).also { it.add(chunk) }
@@ -126,7 +126,7 @@
         val path = Keys.page(shard, page.index)
         val pending = page.chunks.flatMap { chunk -> chunk.placements.values.filter { !it.committed } }
         // Each job that is placed anew is a condition, and a transaction takes only so many.
-        val jobs = pending.mapTo(LinkedHashSet()) { it.job }.take(shardState.limits.target.opsPerCommit * GUARDED_JOBS_PER_CHANGE)
+        val jobs = pending.mapTo(LinkedHashSet()) { it.job }.take(shardState.limits.target.opsPerCommit * CONDITIONAL_JOBS_PER_WRITE)
         val included = pending.filter { it.job in jobs }
         val left = pending.filterTo(HashSet()) { it.job !in jobs }
         page.waitedFor = page.waiting != ProgressPage.Waiting.NOTHING
@@ -136,30 +136,30 @@
         page.writing = true
         // The form and the condition that it is the right one come from one look at the gates.
         val gates = shardState.gates()
-        val form = PageForm.toWrite(gates, shardState.limits.isLowered)
-        val guards = ArrayList<Guard>(jobs.size + 3)
-        guards.add(shardState.termGuard)
-        guards.add(gates.guard)
-        guards.add(Guard(path, page.version))
-        jobs.mapTo(guards) { Guard(Keys.live(shard, it.spec.jobId), it.version) }
+        val form = PageForm.toWrite(gates, shardState.limits.isReduced)
+        val preconditions = ArrayList<Precondition>(jobs.size + 3)
+        preconditions.add(shardState.termPrecondition)
+        preconditions.add(gates.precondition)
+        preconditions.add(Precondition(path, page.version))
+        jobs.mapTo(preconditions) { Precondition(Keys.live(shard, it.spec.jobId), it.version) }
         out.commit(
-            Change(guards, listOf(Write.Put(path, page.toFields(left, form))), writePriority) { outcome ->
+            CasTransaction(preconditions, listOf(Write.Put(path, page.toFields(left, form))), writePriority) { outcome ->
                 page.writing = false
-                if (shardState.dropped) return@Change
+                if (shardState.dropped) return@CasTransaction
                 when (outcome) {
-                    is Outcome.Applied -> {
+                    is CommitOutcome.Applied -> {
                         page.version = outcome.revision
                         page.storedDense = form == PageForm.DENSE
                         included.forEach { told.placed(it) }
                     }
 
-                    is Outcome.Conflict -> {
+                    is CommitOutcome.Conflict -> {
                         again(page)
                         conflict(outcome.failed, page, included)
                     }
 
-                    is Outcome.Refused -> {
-                        log.error("{}: the state service refuses it: {}", path, outcome.reason)
+                    is CommitOutcome.Refused -> {
+                        log.error("{}: the store refuses it: {}", path, outcome.reason)
                         page.refusedUntil = shardState.clock.now() + REREAD_MS
                         again(page)
                         included.forEach {
@@ -191,13 +191,13 @@
             // Sent again as it is, it would only fail again: nothing is placed before the record is known.
             included.filter { it.job.spec.jobId == jobId && !it.committed }.forEach { shardState.finish(it, done = false) }
             shardState.jobs[jobId]?.let { it.notBefore = shardState.clock.now() + REREAD_MS }
-            out.get(path) { if (!shardState.dropped && it !is Fetched.Failed) told.recordChanged(path, (it as? Fetched.Found)?.item) }
+            out.get(path) { if (!shardState.dropped && it !is ReadResult.Failed) told.recordChanged(path, (it as? ReadResult.Found)?.item) }
         }
         if (page != null && Keys.page(shard, page.index) in failed) {
             page.writing = true
             out.get(Keys.page(shard, page.index)) {
                 page.writing = false
-                if (it is Fetched.Found) page.version = maxOf(page.version, it.item.version)
+                if (it is ReadResult.Found) page.version = maxOf(page.version, it.item.version)
             }
         }
     }
@@ -211,7 +211,7 @@
                 each.remove()
                 continue
             }
-            if (shardState.clock.now() < job.endNotBefore || (job.aborted && out.writeFullness() < FULL_ENOUGH)) continue
+            if (shardState.clock.now() < job.endNotBefore || (job.aborted && out.writePermitLevel() < FULL_ENOUGH)) continue
             each.remove()
             end(job)
         }
@@ -223,24 +223,24 @@
         val jobId = job.spec.jobId
         val live = Keys.live(shard, jobId)
         val end = EndRecord(if (job.aborted) JobState.ABORTED else JobState.DONE, job.spec.taskCount)
-        val guards = listOf(shardState.termGuard, Guard(live, job.version), Guard(Keys.end(jobId), 0))
+        val preconditions = listOf(shardState.termPrecondition, Precondition(live, job.version), Precondition(Keys.end(jobId), 0))
         val writes = listOf(Write.Put(Keys.end(jobId), end.toFields()), Write.Delete(live))
         out.commit(
-            Change(guards, writes, if (job.aborted) WritePriority.LAZY else WritePriority.PROMPT) { outcome ->
+            CasTransaction(preconditions, writes, if (job.aborted) WritePriority.DEFERRED else WritePriority.URGENT) { outcome ->
                 endings--
-                if (shardState.dropped) return@Change
+                if (shardState.dropped) return@CasTransaction
                 job.ending = false
                 when (outcome) {
-                    is Outcome.Applied -> told.ended(job, end, outcome.revision)
+                    is CommitOutcome.Applied -> told.ended(job, end, outcome.revision)
 
-                    is Outcome.Conflict -> {
+                    is CommitOutcome.Conflict -> {
                         job.endNotBefore = shardState.clock.now() + REREAD_MS
                         toEnd.add(job)
                         conflict(outcome.failed, null, emptyList())
                     }
 
-                    is Outcome.Refused -> {
-                        log.error("{}: the state service refuses the end of the job: {}", jobId, outcome.reason)
+                    is CommitOutcome.Refused -> {
+                        log.error("{}: the store refuses the end of the job: {}", jobId, outcome.reason)
                         job.endNotBefore = shardState.clock.now() + REFUSED_MS
                         toEnd.add(job)
                     }
@@ -283,10 +283,10 @@
     }
 
     private companion object {
-        const val LAZY_MS = 700L
+        const val DEFERRED_MAX_MS = 700L
 
         /** Jobs that are placed anew by one put are conditions of it, of which a transaction takes four for each change. */
-        const val GUARDED_JOBS_PER_CHANGE = 3
+        const val CONDITIONAL_JOBS_PER_WRITE = 3
         const val FULL_ENOUGH = 0.5
         const val FULL_ENOUGH_TO_PLACE = 0.25
         const val NEARLY_FULL = 0.8
--- a/src/main/kotlin/io/reedmast/jobs/ShardOwner.kt
+++ b/src/main/kotlin/io/reedmast/jobs/ShardOwner.kt
@@ -5,6 +5,9 @@
 import io.reedmast.fleet.SpareMachines
 import io.reedmast.fleet.UsageSummaryWriter
 import io.reedmast.gangs.GangCoordinator
+import io.reedmast.kvstore.EffectiveLimits
+import io.reedmast.kvstore.Keys
+import io.reedmast.kvstore.StoredItem
 import io.reedmast.ownership.ClusterRollout
 import io.reedmast.ownership.ShardRecord
 import io.reedmast.placement.Placer
@@ -14,9 +17,6 @@
 import io.reedmast.settings.Settings
 import io.reedmast.settings.ShardId
 import io.reedmast.settings.Tuning
-import io.reedmast.state.Item
-import io.reedmast.state.Keys
-import io.reedmast.state.LimitsInForce
 import io.reedmast.wire.MachineType
 import io.reedmast.wire.MalformedException
 import io.reedmast.wire.Order
@@ -69,7 +69,7 @@
     tuning: Tuning,
     private val clock: Clock,
     private val out: Gateway,
-    private val limits: LimitsInForce,
+    private val limits: EffectiveLimits,
     machineTypes: () -> Collection<MachineType>,
     fresh: () -> Boolean,
     private val records: ShardRecords,
@@ -100,7 +100,7 @@
     /** The token that answers to this machine's reports carry. */
     fun tokenFor(host: String): Long = shardState.machines[host]?.let { shardState.tokenFor(it) } ?: shardState.token
 
-    /** Whether it holds progress in parts that the lowered limits do not allow, read before these were known to hold. */
+    /** Whether it holds progress in parts that the reduced limits do not allow, read before these were known to hold. */
     val needsReload: Boolean get() = active && !dropped && progressStore.needsReload
 
     val active: Boolean get() = shardState.active
@@ -115,8 +115,8 @@
     // ---- taking over ----------------------------------------------------------------------------------------------
 
     /** Reads what is stored of the shard: [pages] were listed, and [live] is at least as new, after our token was stored. */
-    fun load(live: List<LiveJob>, pages: List<Item>, totals: Item?) {
-        if (pages.any { isSized(it) }) limits.lower()
+    fun load(live: List<LiveJob>, pages: List<StoredItem>, totals: StoredItem?) {
+        if (pages.any { isSized(it) }) limits.reduce()
         syncHosts()
         totals?.let { usageSummaryWriter.load(it) }
         live.forEach { addJob(it) }
@@ -138,7 +138,7 @@
     }
 
     /** Only what knows that every controller reads such pages stores them. */
-    private fun isSized(page: Item) = try {
+    private fun isSized(page: StoredItem) = try {
         PageForm.isSized(page.value)
     } catch (e: MalformedException) {
         // Reported where the page's content is read.
@@ -210,9 +210,9 @@
         return job
     }
 
-    /** An earlier version stored progress in chunks that the lowered limits do not allow. */
+    /** An earlier version stored progress in chunks that the reduced limits do not allow. */
     private fun chunkSizeOf(record: LiveRecord) =
-        if (limits.isLowered) minOf(record.chunkSize, PageForm.chunkSizeFor(limits.target.valueBytes)) else record.chunkSize
+        if (limits.isReduced) minOf(record.chunkSize, PageForm.chunkSizeFor(limits.target.valueBytes)) else record.chunkSize
 
     /** The record of the job is gone. What still runs of it, if anything could, is stopped. */
     fun jobGone(jobId: String) {
@@ -267,7 +267,7 @@
 
         override fun gatesInDoubt() = records.rollout.refreshGates()
 
-        override fun recordChanged(path: String, item: Item?) {
+        override fun recordChanged(path: String, item: StoredItem?) {
             if (item == null) jobGone(path.substringAfterLast('/')) else records.jobs.see(path, item.value, item.version)
         }
 
@@ -301,14 +301,14 @@
     fun tick() {
         if (!active || dropped) return
         val now = clock.now()
-        if (shardState.fresh()) migration.tick(records.rollout.gates, shardState.termGuard, records.rollout.view)
+        if (shardState.fresh()) migration.tick(records.rollout.gates, shardState.termPrecondition, records.rollout.view)
         compareWithIndex(now)
         chargeIfDue(now)
         commands.announceToken(now)
         lifecycle.tick(now)
         // Waiting may itself let work start: after a failure's pause, or once it has waited long enough to preempt.
         if (shardState.jobs.values.any { it.waitingCount > 0 }) shardState.placeWanted = true
-        // Also while this node has not heard the state service for a moment: what it wants goes out as soon as that answers again.
+        // Also while this node has not heard the store for a moment: what it wants goes out as soon as that answers again.
         if (records.rollout.isAdmitted) usageSummaryWriter.tick(now)
         news.tellIfDue(now)
     }
--- a/src/main/kotlin/io/reedmast/jobs/ShardState.kt
+++ b/src/main/kotlin/io/reedmast/jobs/ShardState.kt
@@ -2,15 +2,15 @@
 
 import io.reedmast.fairshare.Usage
 import io.reedmast.fairshare.funded
+import io.reedmast.kvstore.EffectiveLimits
+import io.reedmast.kvstore.Keys
+import io.reedmast.kvstore.Precondition
 import io.reedmast.ports.Clock
 import io.reedmast.rollout.GateSnapshot
 import io.reedmast.settings.Settings
 import io.reedmast.settings.ShardId
 import io.reedmast.settings.TeamId
 import io.reedmast.settings.Tuning
-import io.reedmast.state.Guard
-import io.reedmast.state.Keys
-import io.reedmast.state.LimitsInForce
 import io.reedmast.wire.JobSpec
 import io.reedmast.wire.MachineType
 import io.reedmast.workers.Machine
@@ -27,9 +27,9 @@
     val tuning: Tuning,
     val clock: Clock,
     private val machineTypeList: () -> Collection<MachineType>,
-    /** Whether this node has lately heard enough from the state service to act. */
+    /** Whether this node has lately heard enough from the store to act. */
     val fresh: () -> Boolean,
-    val limits: LimitsInForce = LimitsInForce(settings.stateLimits, settings.nextStateLimits),
+    val limits: EffectiveLimits = EffectiveLimits(settings.storeLimits, settings.nextStoreLimits),
     /** The gates of the rollout as they now stand. */
     val gates: () -> GateSnapshot = { GateSnapshot.NONE },
 ) {
@@ -77,7 +77,7 @@
     val arrayArrivals = ArrayDeque<Arrival>()
 
     val machineTypes: Collection<MachineType> get() = machineTypeList()
-    val termGuard: Guard get() = Guard(Keys.shard(index.value), term)
+    val termPrecondition: Precondition get() = Precondition(Keys.shard(index.value), term)
 
     /** The token of commands to this machine's worker. */
     fun tokenFor(machine: Machine): Long = maxOf(token, machine.raisedTo)
--- a/src/main/kotlin/io/reedmast/state/Change.kt
+++ b/src/main/kotlin/io/reedmast/kvstore/CasTransaction.kt
@@ -1,44 +1,44 @@
-package io.reedmast.state
+package io.reedmast.kvstore
 
 import io.reedmast.wire.Fields
-import io.reedmast.wire.StateMessages
+import io.reedmast.wire.StoreMessages
 import io.reedmast.wire.Tree
 
 /** The condition that a key still has this version; 0: that it does not exist. */
-data class Guard(val path: String, val version: Long)
+data class Precondition(val path: String, val version: Long)
 
 sealed interface Write {
     val path: String
 
     data class Put(override val path: String, val value: Fields, val lease: Long? = null) : Write {
-        /** What the state service counts the value by, with the id of its transaction. */
-        fun storedSize(transactionId: String): Int = Tree.jsonSize(StateMessages.stored(value, transactionId))
+        /** What the store counts the value by, with the id of its transaction. */
+        fun storedSize(transactionId: String): Int = Tree.jsonSize(StoreMessages.stored(value, transactionId))
     }
 
     data class Delete(override val path: String) : Write
 }
 
-sealed interface Outcome {
+sealed interface CommitOutcome {
     /** Applied; [revision] is the new version of everything written. */
-    data class Applied(val revision: Long) : Outcome
+    data class Applied(val revision: Long) : CommitOutcome
 
     /** Not applied and never will be: these keys had moved on. */
-    data class Conflict(val failed: Set<String>) : Outcome
+    data class Conflict(val failed: Set<String>) : CommitOutcome
 
-    /** The state service finds the change itself impossible. */
-    data class Refused(val reason: String) : Outcome
+    /** The store finds the change itself impossible. */
+    data class Refused(val reason: String) : CommitOutcome
 }
 
-/** What goes first when the state service takes fewer changes than there are. */
+/** What goes first when the store takes fewer changes than there are. */
 enum class WritePriority {
     /** A user waits for it: an acceptance, a cancellation. It takes turns with prompt changes. */
     USER,
 
     /** Work waits for it: a placement, the end of a job, machines. */
-    PROMPT,
+    URGENT,
 
     /** It only saves repeated work, or clears away. */
-    LAZY,
+    DEFERRED,
 }
 
 /**
@@ -47,28 +47,33 @@
  * Every key written must be guarded by its own version: a transaction that got no answer may be applied minutes later,
  * and it must then find that its keys have moved on.
  */
-class Change(val guards: List<Guard>, val writes: List<Write>, val writePriority: WritePriority = WritePriority.PROMPT, val done: (Outcome) -> Unit) {
+class CasTransaction(
+    val preconditions: List<Precondition>,
+    val writes: List<Write>,
+    val writePriority: WritePriority = WritePriority.URGENT,
+    val done: (CommitOutcome) -> Unit,
+) {
     init {
-        val guarded = guards.mapTo(HashSet()) { it.path }
-        require(writes.all { it.path in guarded }) { "a key is written without its own guard" }
+        val covered = preconditions.mapTo(HashSet()) { it.path }
+        require(writes.all { it.path in covered }) { "a key is written without its own guard" }
     }
 }
 
-data class Item(val path: String, val value: Fields, val version: Long) {
+data class StoredItem(val path: String, val value: Fields, val version: Long) {
     /** The transaction that stored it; null if that cannot be told. */
-    val transactionId: String? get() = StateMessages.transactionId(value)
+    val transactionId: String? get() = StoreMessages.transactionId(value)
 }
 
-sealed interface Fetched {
-    data class Found(val item: Item) : Fetched
+sealed interface ReadResult {
+    data class Found(val item: StoredItem) : ReadResult
 
-    data object Missing : Fetched
+    data object Missing : ReadResult
 
-    /** Nothing is known: the state service did not answer, or would not. */
-    data object Failed : Fetched
+    /** Nothing is known: the store did not answer, or would not. */
+    data object Failed : ReadResult
 }
 
-/** Where things are kept in the state service. */
+/** Where things are kept in the store. */
 object Keys {
     /** Shards, nodes, leader and token counter: few keys, watched by every node. */
     const val CLUSTER = "c/"
--- a/src/main/kotlin/io/reedmast/state/CommitQueue.kt
+++ b/src/main/kotlin/io/reedmast/kvstore/CommitQueue.kt
@@ -1,15 +1,15 @@
-package io.reedmast.state
+package io.reedmast.kvstore
 
-import io.reedmast.settings.StateLimits
+import io.reedmast.settings.StoreLimits
 import io.reedmast.wire.Tree
 import java.util.ArrayDeque
 
-/** Changes that wait for the state service, and which of them share the next transaction. Not thread-safe. */
-class CommitQueue(private val limits: StateLimits, private val budget: WriteBudget, private val maxQueued: Int, private val nowMs: () -> Long) {
+/** Changes that wait for the store, and which of them share the next transaction. Not thread-safe. */
+class CommitQueue(private val limits: StoreLimits, private val writeLimiter: WriteRateLimiter, private val maxQueued: Int, private val nowMs: () -> Long) {
     /** What [poll] found. */
     sealed interface Polled {
         /** These changes are paid for from the budget and share one transaction. */
-        data class Batch(val changes: List<Change>) : Polled
+        data class Batch(val changes: List<CasTransaction>) : Polled
 
         /** The budget allows none of the waiting changes for this long. */
         data class Wait(val forMs: Long) : Polled
@@ -17,7 +17,7 @@
         data object Empty : Polled
     }
 
-    private class Queued(val change: Change, val since: Long)
+    private class Queued(val change: CasTransaction, val since: Long)
 
     private var batches = 0L
     private val queues = WritePriority.entries.map { ArrayDeque<Queued>() }
@@ -27,7 +27,7 @@
     private var usersInARow = 0
 
     /** False if the queue is full; only changes asked for from outside may be refused. */
-    fun offer(change: Change, refusable: Boolean): Boolean {
+    fun offer(change: CasTransaction, refusable: Boolean): Boolean {
         val queue = queues[change.writePriority.ordinal]
         if (refusable && queue.size >= maxQueued) return false
         queue.add(Queued(change, nowMs()))
@@ -41,21 +41,21 @@
     fun poll(): Polled {
         var shortestWait = Long.MAX_VALUE
         for (candidate in candidates()) {
-            val wait = budget.take(candidate.queue.peek().change.writes.size, candidate.priority)
+            val wait = writeLimiter.take(candidate.queue.peek().change.writes.size, candidate.priority)
             if (wait == 0L) return Polled.Batch(batchOf(candidate))
             shortestWait = minOf(shortestWait, wait)
         }
         return if (shortestWait == Long.MAX_VALUE) Polled.Empty else Polled.Wait(shortestWait)
     }
 
-    private fun batchOf(candidate: Candidate): List<Change> {
+    private fun batchOf(candidate: Candidate): List<CasTransaction> {
         batches++
         usersInARow = if (candidate.queue === users) usersInARow + 1 else 0
         val queue = candidate.queue
         val batch = Batch(limits).apply { add(queue.poll().change) }
         while (true) {
             val next = queue.peek()?.change ?: break
-            if (!batch.accepts(next) || budget.take(next.writes.size, candidate.priority) > 0L) break
+            if (!batch.accepts(next) || writeLimiter.take(next.writes.size, candidate.priority) > 0L) break
             batch.add(queue.poll().change)
         }
         return batch.changes
@@ -66,61 +66,62 @@
      * users: a burst of submissions must not hold up the placements of what was accepted.
      */
     private fun candidates(): List<Candidate> {
-        val lazy = queues[WritePriority.LAZY.ordinal]
-        if (batches % OVERDUE_EACH == 0L && lazy.isOverdue()) return listOf(Candidate(lazy, WritePriority.PROMPT))
-        val prompt = queues[WritePriority.PROMPT.ordinal]
-        if (prompt.isNotEmpty() && usersInARow >= MOST_USERS_IN_A_ROW) return listOf(Candidate(prompt, WritePriority.USER))
+        val deferred = queues[WritePriority.DEFERRED.ordinal]
+        if (batches % OVERDUE_TURN == 0L && deferred.isOverdue()) return listOf(Candidate(deferred, WritePriority.URGENT))
+        val urgent = queues[WritePriority.URGENT.ordinal]
+        if (urgent.isNotEmpty() && usersInARow >= MAX_USER_BATCHES_IN_A_ROW) return listOf(Candidate(urgent, WritePriority.USER))
         val found = ArrayList<Candidate>(2)
         if (users.isNotEmpty()) found.add(Candidate(users, WritePriority.USER))
-        if (prompt.isNotEmpty()) found.add(Candidate(prompt, WritePriority.PROMPT))
-        if (found.isEmpty() && lazy.isNotEmpty()) found.add(Candidate(lazy, WritePriority.LAZY))
+        if (urgent.isNotEmpty()) found.add(Candidate(urgent, WritePriority.URGENT))
+        if (found.isEmpty() && deferred.isNotEmpty()) found.add(Candidate(deferred, WritePriority.DEFERRED))
         return found
     }
 
     /**
      * Under a load that never lets the prompt ones end, what has waited for long gets every eighth transaction: a page that is
      * waiting to be stored lazily takes up no new placements, and their jobs would wait with it. With all of them before the prompt
-     * ones, a slow state service left a third of the acceptances.
+     * ones, a slow store left a third of the acceptances.
      */
-    private fun ArrayDeque<Queued>.isOverdue(): Boolean = peek()?.let { it.change.writePriority == WritePriority.LAZY && nowMs() - it.since > LAZY_MS } ?: false
+    private fun ArrayDeque<Queued>.isOverdue(): Boolean =
+        peek()?.let { it.change.writePriority == WritePriority.DEFERRED && nowMs() - it.since > DEFERRED_MAX_MS } ?: false
 
     /** Changes that can share a transaction. */
-    private class Batch(private val limits: StateLimits) {
-        val changes = ArrayList<Change>()
+    private class Batch(private val limits: StoreLimits) {
+        val changes = ArrayList<CasTransaction>()
         private var ops = 0
         private var bytes = 0
-        private val guards = HashMap<String, Long>()
+        private val preconditions = HashMap<String, Long>()
         private val written = HashSet<String>()
 
-        private fun size(change: Change) =
-            change.writes.sumOf { if (it is Write.Put) Tree.jsonSize(it.value) + it.path.length else it.path.length } + change.guards.size * GUARD_BYTES
+        private fun size(change: CasTransaction) = change.writes.sumOf { if (it is Write.Put) Tree.jsonSize(it.value) + it.path.length else it.path.length } +
+            change.preconditions.size * PRECONDITION_BYTES
 
         /** Two changes that disagree about a key, or write the same one, cannot share a transaction. */
-        fun accepts(next: Change): Boolean {
-            val newGuards = next.guards.count { it.path !in guards }
-            if (ops + next.writes.size > limits.opsPerCommit || guards.size + newGuards > limits.opsPerCommit * 4) return false
+        fun accepts(next: CasTransaction): Boolean {
+            val newPreconditions = next.preconditions.count { it.path !in preconditions }
+            if (ops + next.writes.size > limits.opsPerCommit || preconditions.size + newPreconditions > limits.opsPerCommit * 4) return false
             val clash =
-                next.guards.any { g -> guards[g.path]?.let { it != g.version } ?: false } || next.guards.any { it.path in written } ||
-                    next.writes.any { it.path in guards }
+                next.preconditions.any { g -> preconditions[g.path]?.let { it != g.version } ?: false } || next.preconditions.any { it.path in written } ||
+                    next.writes.any { it.path in preconditions }
             return !clash && bytes + size(next) <= MAX_BYTES
         }
 
-        fun add(change: Change) {
+        fun add(change: CasTransaction) {
             changes.add(change)
             ops += change.writes.size
             bytes += size(change)
-            change.guards.forEach { guards[it.path] = it.version }
+            change.preconditions.forEach { preconditions[it.path] = it.version }
             change.writes.forEach { written.add(it.path) }
         }
     }
 
     private companion object {
         const val MAX_BYTES = 56 * 1024
-        const val GUARD_BYTES = 80
+        const val PRECONDITION_BYTES = 80
 
         /** How long a lazy change waits behind prompt ones at the most. */
-        const val LAZY_MS = 4_000L
-        const val OVERDUE_EACH = 8L
-        const val MOST_USERS_IN_A_ROW = 2
+        const val DEFERRED_MAX_MS = 4_000L
+        const val OVERDUE_TURN = 8L
+        const val MAX_USER_BATCHES_IN_A_ROW = 2
     }
 }
--- a/src/main/kotlin/io/reedmast/state/Committer.kt
+++ b/src/main/kotlin/io/reedmast/kvstore/Committer.kt
@@ -1,32 +1,32 @@
-package io.reedmast.state
+package io.reedmast.kvstore
 
 import org.slf4j.LoggerFactory
 import java.util.concurrent.ThreadLocalRandom
 
 /**
- * Sends changes to the state service, several in one transaction where they fit.
+ * Sends changes to the store, several in one transaction where they fit.
  *
- * A change stays here until what became of it is certain, which [Settlement] finds out; this class does the waiting and the I/O.
+ * A change stays here until what became of it is certain, which [InDoubtResolution] finds out; this class does the waiting and the I/O.
  */
 class Committer(
-    private val client: StateClient,
-    private val limits: LimitsInForce,
+    private val client: StoreClient,
+    private val limits: EffectiveLimits,
     maxQueued: Int,
     private val ids: TransactionIds,
-    private val deliver: (Change, Outcome) -> Unit,
+    private val deliver: (CasTransaction, CommitOutcome) -> Unit,
 ) {
     private val log = LoggerFactory.getLogger("state")
     private val lock = Object()
-    private val queue = CommitQueue(limits.target, client.budget, maxQueued) { System.nanoTime() / 1_000_000 }
+    private val queue = CommitQueue(limits.target, client.writeLimiter, maxQueued) { System.nanoTime() / 1_000_000 }
 
     @Volatile
     private var lastAnswered = true
 
-    /** False while the state service does not take changes: new submissions need not wait to find out. */
+    /** False while the store does not take changes: new submissions need not wait to find out. */
     val answering: Boolean get() = lastAnswered
 
     /** False if the queue is full; only changes asked for from outside may be refused. */
-    fun offer(change: Change, refusable: Boolean): Boolean {
+    fun offer(change: CasTransaction, refusable: Boolean): Boolean {
         synchronized(lock) {
             if (!queue.offer(change, refusable)) return false
             lock.notify()
@@ -36,10 +36,10 @@
 
     /** The body of a committing thread. */
     fun run() {
-        while (!Thread.currentThread().isInterrupted) settle(takeBatch())
+        while (!Thread.currentThread().isInterrupted) resolve(takeBatch())
     }
 
-    private fun takeBatch(): List<Change> {
+    private fun takeBatch(): List<CasTransaction> {
         synchronized(lock) {
             while (true) {
                 when (val polled = queue.poll()) {
@@ -51,26 +51,26 @@
         }
     }
 
-    private fun settle(batch: List<Change>) {
-        val settlement = Settlement(batch, ids, ThreadLocalRandom.current()::nextDouble, deliver)
+    private fun resolve(batch: List<CasTransaction>) {
+        val resolution = InDoubtResolution(batch, ids, ThreadLocalRandom.current()::nextDouble, deliver)
         while (true) {
-            when (val step = settlement.next()) {
-                is Step.Send -> {
+            when (val step = resolution.next()) {
+                is ResolutionStep.Send -> {
                     Thread.sleep(step.afterMs)
-                    settlement.replied(send(step.transaction))
+                    resolution.replied(send(step.transaction))
                 }
 
-                is Step.Read -> {
+                is ResolutionStep.Read -> {
                     Thread.sleep(step.afterMs)
-                    settlement.read(client.get(step.path))
+                    resolution.read(client.get(step.path))
                 }
 
-                Step.Done -> return
+                ResolutionStep.Done -> return
             }
         }
     }
 
-    private fun send(transaction: Transaction): CommitReply {
+    private fun send(transaction: StoreTransaction): CommitReply {
         val reply = try {
             client.commit(transaction)
         } catch (e: RuntimeException) {
@@ -79,12 +79,12 @@
             CommitReply.Unknown
         }
         lastAnswered = reply !is CommitReply.NotExecuted && reply !is CommitReply.Unknown
-        if (reply is CommitReply.Bad && limits.onlyFormerlyAllowed(transaction)) {
-            log.info("the state service refuses what it used to take: its limits have been lowered")
-            limits.lower()
+        if (reply is CommitReply.Malformed && limits.exceedsOnlyReduced(transaction)) {
+            log.info("the store refuses what it used to take: its limits have been lowered")
+            limits.reduce()
         }
         // Sent again hot, it would only keep the limit exceeded.
-        if (reply is CommitReply.Limited) client.budget.empty()
+        if (reply is CommitReply.RateLimited) client.writeLimiter.empty()
         return reply
     }
 }
--- a/src/main/kotlin/io/reedmast/state/StateClient.kt
+++ b/src/main/kotlin/io/reedmast/kvstore/StoreClient.kt
@@ -1,4 +1,4 @@
-package io.reedmast.state
+package io.reedmast.kvstore
 
 import com.google.common.util.concurrent.RateLimiter
 import io.reedmast.wire.Caller
@@ -6,67 +6,67 @@
 import io.reedmast.wire.KeyedValue
 import io.reedmast.wire.MalformedException
 import io.reedmast.wire.Reply
-import io.reedmast.wire.StateMessages
+import io.reedmast.wire.StoreMessages
 import org.slf4j.LoggerFactory
 import java.net.URLEncoder
 import java.util.concurrent.TimeUnit
 
 /** One change of a watched prefix; a null [value] is a deletion. */
-data class Event(val path: String, val value: Fields?, val version: Long)
+data class WatchEvent(val path: String, val value: Fields?, val version: Long)
 
-sealed interface Watched {
-    data class Events(val revision: Long, val events: List<Event>) : Watched
+sealed interface WatchResult {
+    data class Events(val revision: Long, val events: List<WatchEvent>) : WatchResult
 
     /** The service has dropped the changes asked for: read the keys again. */
-    data object TooOld : Watched
+    data object Compacted : WatchResult
 
-    data object Failed : Watched
+    data object Failed : WatchResult
 }
 
 sealed interface CommitReply {
     data class Applied(val revision: Long) : CommitReply
 
-    data class Failed(val paths: Set<String>) : CommitReply
+    data class PreconditionFailed(val paths: Set<String>) : CommitReply
 
-    data class Bad(val reason: String) : CommitReply
+    data class Malformed(val reason: String) : CommitReply
 
     /** Certainly not executed: worth sending again after a pause. */
     data object NotExecuted : CommitReply
 
     /** Not executed, for a limit: the service is there, and wants less. */
-    data object Limited : CommitReply
+    data object RateLimited : CommitReply
 
     /** May have been executed, or may yet be. */
     data object Unknown : CommitReply
 }
 
-/** Blocking calls to the state service, kept within this node's part of its limits. */
-class StateClient(private val address: String, private val limits: LimitsInForce, nodes: Int, private val caller: Caller) {
+/** Blocking calls to the store, kept within this node's part of its limits. */
+class StoreClient(private val address: String, private val limits: EffectiveLimits, nodes: Int, private val caller: Caller) {
     private val log = LoggerFactory.getLogger("state")
     private val requests = RateLimiter.create(limits.allowed.requestsPerS * SAFETY / nodes)
-    val budget = WriteBudget(limits.allowed.writesPerS * SAFETY / nodes) { System.nanoTime() / 1_000_000 }
+    val writeLimiter = WriteRateLimiter(limits.allowed.writesPerS * SAFETY / nodes) { System.nanoTime() / 1_000_000 }
 
     /** Nodes that are down leave their part of the limits to the others. */
     fun shareAmong(nodes: Int) {
         requests.rate = limits.allowed.requestsPerS * SAFETY / nodes
-        budget.setRate(limits.allowed.writesPerS * SAFETY / nodes)
+        writeLimiter.setRate(limits.allowed.writesPerS * SAFETY / nodes)
     }
 
-    fun get(path: String): Fetched {
+    fun get(path: String): ReadResult {
         val reply = ask("GET", "/kv/$path")
-        if (reply !is Reply.Answer) return Fetched.Failed
-        return reading(Fetched.Failed) {
+        if (reply !is Reply.Answer) return ReadResult.Failed
+        return reading(ReadResult.Failed) {
             when (reply.status) {
-                200 -> Fetched.Found(item(StateMessages.item(reply.body)))
-                404 -> Fetched.Missing
-                else -> Fetched.Failed
+                200 -> ReadResult.Found(item(StoreMessages.item(reply.body)))
+                404 -> ReadResult.Missing
+                else -> ReadResult.Failed
             }
         }
     }
 
     /** All keys with the prefix and the revision of the first page, or null if they could not be read. */
-    fun list(prefix: String): Pair<List<Item>, Long>? {
-        val items = ArrayList<Item>()
+    fun list(prefix: String): Pair<List<StoredItem>, Long>? {
+        val items = ArrayList<StoredItem>()
         var revision = -1L
         var after: String? = null
         while (true) {
@@ -75,28 +75,28 @@
             if (reply.status != 200) return null
             val more =
                 reading(null) {
-                    StateMessages.page(reply.body).mapTo(items) { item(it) }
-                    if (revision < 0) revision = StateMessages.revision(reply.body)
-                    StateMessages.hasMore(reply.body)
+                    StoreMessages.page(reply.body).mapTo(items) { item(it) }
+                    if (revision < 0) revision = StoreMessages.revision(reply.body)
+                    StoreMessages.hasMore(reply.body)
                 } ?: return null
             if (!more) return items to revision
             after = items.lastOrNull()?.path ?: return null
         }
     }
 
-    fun commit(transaction: Transaction): CommitReply {
-        val conditions = transaction.guards.map { StateMessages.condition(it.path, it.version) }
-        val body = StateMessages.transaction(conditions, transaction.writes.map { encoded(it, transaction.id) })
+    fun commit(transaction: StoreTransaction): CommitReply {
+        val conditions = transaction.preconditions.map { StoreMessages.condition(it.path, it.version) }
+        val body = StoreMessages.transaction(conditions, transaction.writes.map { encoded(it, transaction.id) })
         return when (val reply = ask("POST", "/commit", body)) {
             is Reply.NotSent -> CommitReply.NotExecuted
             is Reply.Unanswered, Reply.TooLarge -> CommitReply.Unknown
             is Reply.Answer ->
                 reading<CommitReply>(CommitReply.Unknown) {
                     when (reply.status) {
-                        200 -> CommitReply.Applied(StateMessages.revision(reply.body))
-                        409 -> CommitReply.Failed(StateMessages.failedKeys(reply.body))
-                        400 -> CommitReply.Bad(StateMessages.error(reply.body))
-                        429 -> CommitReply.Limited
+                        200 -> CommitReply.Applied(StoreMessages.revision(reply.body))
+                        409 -> CommitReply.PreconditionFailed(StoreMessages.failedKeys(reply.body))
+                        400 -> CommitReply.Malformed(StoreMessages.error(reply.body))
+                        429 -> CommitReply.RateLimited
                         503 -> CommitReply.NotExecuted
                         else -> CommitReply.Unknown
                     }
@@ -106,8 +106,8 @@
 
     /** A new lease, or null. */
     fun lease(lifeMs: Long): Long? {
-        val reply = ask("POST", "/leases", StateMessages.leaseRequest(lifeMs)) as? Reply.Answer ?: return null
-        return if (reply.status == 200) reading(null) { StateMessages.lease(reply.body) } else null
+        val reply = ask("POST", "/leases", StoreMessages.leaseRequest(lifeMs)) as? Reply.Answer ?: return null
+        return if (reply.status == 200) reading(null) { StoreMessages.lease(reply.body) } else null
     }
 
     /** True: renewed. False: the lease has ended. Null: not known. */
@@ -120,30 +120,30 @@
         }
     }
 
-    fun follow(prefix: String, after: Long, holdMs: Int): Watched {
+    fun follow(prefix: String, after: Long, holdMs: Int): WatchResult {
         val reply = ask("GET", "/follow?prefix=${encode(prefix)}&after=$after&holdMs=$holdMs", patienceMs = holdMs + FOLLOW_GRACE_MS)
         // Asked again, it would only have grown: reading all keys takes their present values alone, page by page.
-        if (reply is Reply.TooLarge) return Watched.TooOld
-        if (reply !is Reply.Answer) return Watched.Failed
-        return reading<Watched>(Watched.Failed) {
+        if (reply is Reply.TooLarge) return WatchResult.Compacted
+        if (reply !is Reply.Answer) return WatchResult.Failed
+        return reading<WatchResult>(WatchResult.Failed) {
             when (reply.status) {
                 200 ->
-                    Watched.Events(
-                        StateMessages.revision(reply.body),
-                        StateMessages.changes(reply.body).map { Event(it.key, it.value, it.version) },
+                    WatchResult.Events(
+                        StoreMessages.revision(reply.body),
+                        StoreMessages.changes(reply.body).map { WatchEvent(it.key, it.value, it.version) },
                     )
-                410 -> Watched.TooOld
-                else -> Watched.Failed
+                410 -> WatchResult.Compacted
+                else -> WatchResult.Failed
             }
         }
     }
 
     private fun encoded(write: Write, transactionId: String): Fields = when (write) {
-        is Write.Put -> StateMessages.put(write.path, write.value, write.lease, transactionId)
-        is Write.Delete -> StateMessages.delete(write.path)
+        is Write.Put -> StoreMessages.put(write.path, write.value, write.lease, transactionId)
+        is Write.Delete -> StoreMessages.delete(write.path)
     }
 
-    private fun item(of: KeyedValue) = Item(of.key, of.value.orEmpty(), of.version)
+    private fun item(of: KeyedValue) = StoredItem(of.key, of.value.orEmpty(), of.version)
 
     private fun ask(method: String, path: String, body: Fields? = null, patienceMs: Int? = null): Reply {
         if (!requests.tryAcquire(PATIENCE_MS, TimeUnit.MILLISECONDS)) return Reply.NotSent("over this node's part of the limit")
@@ -156,7 +156,7 @@
     private inline fun <T> reading(nonsense: T, read: () -> T): T = try {
         read()
     } catch (e: MalformedException) {
-        log.error("the state service answers nonsense: {}", e.message)
+        log.error("the store answers nonsense: {}", e.message)
         nonsense
     }
 
--- a/src/main/kotlin/io/reedmast/state/Transaction.kt
+++ b/src/main/kotlin/io/reedmast/kvstore/StoreTransaction.kt
@@ -1,12 +1,12 @@
-package io.reedmast.state
+package io.reedmast.kvstore
 
 /**
- * One transaction as it is sent to the state service.
+ * One transaction as it is sent to the store.
  *
  * Every value that it puts carries [id]. The value of a key tells by it which transaction stored it, where equal values would
  * not: two controllers that cancel the same job write the same record.
  */
-class Transaction(val id: String, val guards: List<Guard>, val writes: List<Write>)
+class StoreTransaction(val id: String, val preconditions: List<Precondition>, val writes: List<Write>)
 
 /** Gives each transaction of this process an id that no other transaction has, of any process. */
 class TransactionIds(private val incarnation: String) {
--- a/src/main/kotlin/io/reedmast/state/Unreadable.kt
+++ b/src/main/kotlin/io/reedmast/kvstore/UnreadableRecordLog.kt
@@ -1,4 +1,4 @@
-package io.reedmast.state
+package io.reedmast.kvstore
 
 import com.github.benmanes.caffeine.cache.Caffeine
 import org.slf4j.LoggerFactory
@@ -8,15 +8,15 @@
  *
  * The same record comes with every listing and every change of it: logged each time, one of an older form would fill the log.
  */
-class Unreadable {
+class UnreadableRecordLog {
     private val log = LoggerFactory.getLogger("state")
-    private val said = Caffeine.newBuilder().maximumSize(MOST_REMEMBERED).executor(Runnable::run).build<String, Boolean>()
+    private val said = Caffeine.newBuilder().maximumSize(MAX_REMEMBERED).executor(Runnable::run).build<String, Boolean>()
 
-    fun note(path: String, why: String?) {
+    fun report(path: String, why: String?) {
         if (said.asMap().put(path, true) == null) log.error("record {} cannot be read: {}", path, why)
     }
 
     private companion object {
-        const val MOST_REMEMBERED = 1_000L
+        const val MAX_REMEMBERED = 1_000L
     }
 }
--- a/src/main/kotlin/io/reedmast/state/WriteBudget.kt
+++ b/src/main/kotlin/io/reedmast/kvstore/WriteRateLimiter.kt
@@ -1,12 +1,12 @@
-package io.reedmast.state
+package io.reedmast.kvstore
 
 /**
- * This node's part of the state service's limit on changes: a bucket that fills at [perS] and holds a second's worth.
+ * This node's part of the store's limit on changes: a bucket that fills at [perS] and holds a second's worth.
  *
  * A plain rate limiter would make an acceptance wait behind a large clean-up; here clean-up is asked to leave part of the
  * bucket, and only a transaction larger than the whole bucket draws it below zero.
  */
-class WriteBudget(perS: Double, private val nowMs: () -> Long) {
+class WriteRateLimiter(perS: Double, private val nowMs: () -> Long) {
     private var rate = perS
     private var level = perS
     private var filledAt = nowMs()
@@ -19,7 +19,7 @@
 
     /** The part of a full bucket that is left, at most 1. */
     @Synchronized
-    fun fullness(): Double {
+    fun permitLevel(): Double {
         fill()
         return level / maxOf(rate, 1.0)
     }
@@ -29,7 +29,7 @@
     fun take(count: Int, writePriority: WritePriority): Long {
         fill()
         val full = maxOf(rate, 1.0)
-        val needed = minOf(count + full * keptBy(writePriority), full)
+        val needed = minOf(count + full * reservedAgainst(writePriority), full)
         if (level >= needed) {
             level -= count
             return 0L
@@ -45,10 +45,10 @@
     }
 
     /** The part of a full bucket that a change of this priority leaves to more pressing ones. */
-    private fun keptBy(writePriority: WritePriority) = when (writePriority) {
+    private fun reservedAgainst(writePriority: WritePriority) = when (writePriority) {
         WritePriority.USER -> 0.0
-        WritePriority.PROMPT -> KEPT_FOR_USERS
-        WritePriority.LAZY -> KEPT_FOR_PROMPT
+        WritePriority.URGENT -> RESERVED_FOR_USERS
+        WritePriority.DEFERRED -> RESERVED_FOR_URGENT
     }
 
     private fun fill() {
@@ -59,7 +59,7 @@
 
     private companion object {
         /** A user's change finds room at once, however many others there are: the rate at which these go is the same. */
-        const val KEPT_FOR_USERS = 0.3
-        const val KEPT_FOR_PROMPT = 0.45
+        const val RESERVED_FOR_USERS = 0.3
+        const val RESERVED_FOR_URGENT = 0.45
     }
 }
--- a/src/main/kotlin/io/reedmast/ownership/Cluster.kt
+++ b/src/main/kotlin/io/reedmast/ownership/Cluster.kt
@@ -3,6 +3,12 @@
 import io.reedmast.jobs.JobIndex
 import io.reedmast.jobs.ShardOwner
 import io.reedmast.jobs.ShardRecords
+import io.reedmast.kvstore.EffectiveLimits
+import io.reedmast.kvstore.Keys
+import io.reedmast.kvstore.ReadResult
+import io.reedmast.kvstore.StoredItem
+import io.reedmast.kvstore.UnreadableRecordLog
+import io.reedmast.kvstore.WatchEvent
 import io.reedmast.peers.PeerMessage
 import io.reedmast.ports.Clock
 import io.reedmast.ports.Gateway
@@ -10,12 +16,6 @@
 import io.reedmast.settings.Settings
 import io.reedmast.settings.ShardId
 import io.reedmast.settings.Tuning
-import io.reedmast.state.Event
-import io.reedmast.state.Fetched
-import io.reedmast.state.Item
-import io.reedmast.state.Keys
-import io.reedmast.state.LimitsInForce
-import io.reedmast.state.Unreadable
 import io.reedmast.wire.Fields
 import io.reedmast.wire.MachineType
 import io.reedmast.wire.MalformedException
@@ -33,30 +33,30 @@
     private val tuning: Tuning,
     private val clock: Clock,
     private val out: Gateway,
-    private val limits: LimitsInForce,
+    private val limits: EffectiveLimits,
     private val machineTypes: () -> Collection<MachineType>,
     /** Names this process; never used by another one. */
     incarnation: String,
     rolloutOptions: RolloutOptions,
 ) : ShardRecords {
     private val log = LoggerFactory.getLogger("cluster")
-    private val unreadable = Unreadable()
+    private val unreadable = UnreadableRecordLog()
     private val startedAt = clock.now()
     override val jobs = JobIndex(settings, ::owned)
     override val hostDirectory = HostDirectory()
     val owners = arrayOfNulls<ShardOwner>(settings.shardCount)
 
-    /** How recent the view of the state service is. */
+    /** How recent the view of the store is. */
     val freshness = Freshness(clock, settings.workers)
     private val shards = ShardTable(settings.shardCount, out, ::shardChanged)
     override val rollout = ClusterRollout(settings, clock, out, limits, rolloutOptions, incarnation, shards) { reread(it) }
-    private val membership = Membership(settings, clock, out, ::memberFields) { rollout.gates.guard }
+    private val membership = Membership(settings, clock, out, ::memberFields) { rollout.gates.precondition }
     private val machines = MachineTable(settings, clock, out, limits, { owners[it.value]?.syncHosts() }, hostDirectory::forget)
     private val contact = WorkerContact(clock, out)
     private val assignment = MachineAssignment(settings, out, limits, shards, machines, rollout, { membership.leaderVersion }, ::reread)
     private val takeover =
         Takeover(settings, clock, out, freshness, membership, shards, machines, jobs, hostDirectory, contact, rollout, owners, ::newOwner) { reread(it) }
-    private var sharedLowered = false
+    private var sharedReduced = false
     private val peerStatuses = PeerStatuses(settings.self, settings.members.size, incarnation)
     private var statusQueryDue = 0L
 
@@ -68,12 +68,12 @@
 
     private fun memberFields() = rollout.memberFields(ownsNothing = shards.countOf(settings.label) == 0)
 
-    /** Whether this node has lately heard enough from the state service to decide anything, and may. */
+    /** Whether this node has lately heard enough from the store to decide anything, and may. */
     fun fresh(): Boolean = freshness.isFresh && rollout.isAdmitted
 
     /**
      * Whether this node may still answer workers with 200: it knows all cancellations that users were told of, up to a short
-     * time ago, from the state service or, during an outage, from every other controller.
+     * time ago, from the store or, during an outage, from every other controller.
      */
     fun mayAnswerWorkers(): Boolean {
         if (!rollout.mayAnswerWorkers) return false
@@ -81,7 +81,7 @@
         return freshness.isWithinFence(maxOf(known, peerStatuses.confirmedAt() ?: known))
     }
 
-    /** Whether the state service is out for all controllers, as far as the others tell: none could serve users better. */
+    /** Whether the store is out for all controllers, as far as the others tell: none could serve users better. */
     fun outageForAll(): Boolean = peerStatuses.noneHearsState(clock.now())
 
     /** Whether requests of users can be taken. */
@@ -112,7 +112,7 @@
     // ---- what the watches tell --------------------------------------------------------------------------------------
 
     /** All keys of the cluster, read at the start and after a gap in their watch; at least as new as [revision]. */
-    fun snapshot(items: List<Item>, revision: Long, askedAt: Long) {
+    fun snapshot(items: List<StoredItem>, revision: Long, askedAt: Long) {
         membership.reset(revision)
         rollout.reset()
         items.forEach { see(it.path, it.value, it.version) }
@@ -126,21 +126,21 @@
     }
 
     /** What the watch on the cluster's keys tells: all changes up to [revision]. */
-    fun clusterEvents(events: List<Event>, revision: Long, askedAt: Long) {
+    fun clusterEvents(events: List<WatchEvent>, revision: Long, askedAt: Long) {
         events.forEach { see(it.path, it.value, it.version) }
         membership.noteTold(revision)
         freshness.clusterHeard(askedAt)
     }
 
     /** All unfinished jobs, read at the start and after a gap in the watch on jobs. */
-    fun jobsSnapshot(items: List<Item>, revision: Long, askedAt: Long) {
+    fun jobsSnapshot(items: List<StoredItem>, revision: Long, askedAt: Long) {
         jobs.load(items, revision)
         if (!freshness.jobsLoaded) log.info("read {} unfinished jobs", items.size)
         freshness.jobsHeard(askedAt)
     }
 
     /** What the watch on jobs tells: all changes up to [revision]. */
-    fun jobEvents(events: List<Event>, revision: Long, askedAt: Long) {
+    fun jobEvents(events: List<WatchEvent>, revision: Long, askedAt: Long) {
         jobs.follow(events, revision)
         freshness.jobsHeard(askedAt)
     }
@@ -153,7 +153,7 @@
             shards.see(path, value, version)
             machines.see(path, value, version)
         } catch (e: MalformedException) {
-            unreadable.note(path, e.message)
+            unreadable.report(path, e.message)
         }
     }
 
@@ -179,8 +179,8 @@
         then()
     }
 
-    private fun seeFetched(fetched: Fetched) {
-        if (fetched is Fetched.Found) see(fetched.item.path, fetched.item.value, fetched.item.version)
+    private fun seeFetched(fetched: ReadResult) {
+        if (fetched is ReadResult.Found) see(fetched.item.path, fetched.item.value, fetched.item.version)
     }
 
     // ---- time -------------------------------------------------------------------------------------------------------
@@ -198,7 +198,7 @@
             rollout.tick(membership.leaderVersion.takeIf { membership.leading })
             takeover.tick(now)
             giveShardsUp(now)
-            divideForLoweredLimits()
+            divideForReducedLimits()
         } else {
             takeover.outOfTouch(now)
         }
@@ -219,11 +219,11 @@
         owned().filter { it.isSettled }.forEach { requestTakeover(it.index) }
     }
 
-    /** Once no earlier version reads the records any more, what is too large for the lowered limits is stored anew in smaller parts. */
-    private fun divideForLoweredLimits() {
-        if (!limits.isLowered) return
-        if (!sharedLowered) membership.shareLimits()
-        sharedLowered = true
+    /** Once no earlier version reads the records any more, what is too large for the reduced limits is stored anew in smaller parts. */
+    private fun divideForReducedLimits() {
+        if (!limits.isReduced) return
+        if (!sharedReduced) membership.shareLimits()
+        sharedReduced = true
         for (owner in owned()) {
             if (owner.needsReload) takeover.reload(owner.index)
             assignment.divideOversized(owner.index)
@@ -256,11 +256,11 @@
         incarnation = query.incarnation,
         sequence = query.sequence,
         uptimeMs = clock.now() - startedAt,
-        stateAgeMs = freshness.ageMs(),
+        storeAgeMs = freshness.ageMs(),
         cancellations = jobs.cancellations().takeIf { it.size <= PeerMessage.MAX_CANCELLATIONS },
     )
 
-    /** Asks the other controllers how they are, while the state service does not answer this one. */
+    /** Asks the other controllers how they are, while the store does not answer this one. */
     private fun queryPeers(now: Long) {
         val age = freshness.ageMs() ?: return
         if (age < QUERY_PEERS_AFTER_MS || now < statusQueryDue) return
--- a/src/main/kotlin/io/reedmast/ownership/ClusterFeatures.kt
+++ b/src/main/kotlin/io/reedmast/ownership/ClusterFeatures.kt
@@ -1,6 +1,10 @@
 package io.reedmast.ownership
 
 import io.reedmast.jobs.DensePages
+import io.reedmast.kvstore.Keys
+import io.reedmast.kvstore.Precondition
+import io.reedmast.kvstore.StoredItem
+import io.reedmast.kvstore.Write
 import io.reedmast.rollout.ClusterRecords
 import io.reedmast.rollout.Feature
 import io.reedmast.rollout.FeatureName
@@ -11,16 +15,12 @@
 import io.reedmast.rollout.RecordMigration
 import io.reedmast.rollout.ShardOwnership
 import io.reedmast.rollout.VersionRange
-import io.reedmast.state.Guard
-import io.reedmast.state.Item
-import io.reedmast.state.Keys
-import io.reedmast.state.Write
 import io.reedmast.wire.Fields
 import io.reedmast.wire.count
 
 /** The features of this version, and the versions of the stored forms that it reads and writes. */
 object ClusterFeatures {
-    /** Records are divided to fit lowered limits. Its gate is `c/format`, from before there was a record of the rollout. */
+    /** Records are divided to fit reduced limits. Its gate is `c/format`, from before there was a record of the rollout. */
     val DIVIDED_RECORDS = FeatureName("divided-records")
 
     /** The token counter has a form that versions before the rollout record cannot read, so that they can take no shard. */
@@ -61,21 +61,21 @@
     /** Moves the counter from its version [seen] to [token], in the form that [gates] want and on condition that they have not moved. */
     fun moveTo(token: Long, seen: Long, gates: GateSnapshot): CounterMove {
         val field = if (gates.writes(ClusterFeatures.FENCED_TOKENS)) FENCED else OPEN
-        return CounterMove(listOf(Guard(Keys.TOKEN, seen), gates.guard), Write.Put(Keys.TOKEN, mapOf(field to token)))
+        return CounterMove(listOf(Precondition(Keys.TOKEN, seen), gates.precondition), Write.Put(Keys.TOKEN, mapOf(field to token)))
     }
 }
 
 /** A write of the token counter, and the conditions without which it must not be made. */
-class CounterMove(val guards: List<Guard>, val write: Write.Put)
+class CounterMove(val preconditions: List<Precondition>, val write: Write.Put)
 
 /** The cluster's records as the rollout's administration needs them. */
 class StoredClusterRecords(private val shards: Int) : ClusterRecords {
-    override fun shardOwners(items: List<Item>): List<ShardOwnership?> {
+    override fun shardOwners(items: List<StoredItem>): List<ShardOwnership?> {
         val byPath = items.associateBy { it.path }
         return (0 until shards).map { index -> byPath[Keys.shard(index)]?.let { ShardOwnership(ShardRecord.parse(it.value).owner, it.version) } }
     }
 
-    override fun externallyFinalized(items: List<Item>): Set<FeatureName> {
+    override fun externallyFinalized(items: List<StoredItem>): Set<FeatureName> {
         val reached = items.firstOrNull { it.path == Keys.FORMAT }?.let { FormatGate.isReached(it.value) } ?: false
         return if (reached) setOf(ClusterFeatures.DIVIDED_RECORDS) else emptySet()
     }
--- a/src/main/kotlin/io/reedmast/ownership/ClusterRollout.kt
+++ b/src/main/kotlin/io/reedmast/ownership/ClusterRollout.kt
@@ -1,5 +1,8 @@
 package io.reedmast.ownership
 
+import io.reedmast.kvstore.EffectiveLimits
+import io.reedmast.kvstore.Keys
+import io.reedmast.kvstore.Precondition
 import io.reedmast.ports.Clock
 import io.reedmast.ports.Gateway
 import io.reedmast.rollout.Admission
@@ -14,9 +17,6 @@
 import io.reedmast.rollout.RolloutView
 import io.reedmast.rollout.ShardOwnership
 import io.reedmast.settings.Settings
-import io.reedmast.state.Guard
-import io.reedmast.state.Keys
-import io.reedmast.state.LimitsInForce
 import io.reedmast.wire.Fields
 
 /** This controller's part in the rollout of features: what it knows, publishes and, as the leader, decides. */
@@ -24,7 +24,7 @@
     private val settings: Settings,
     private val clock: Clock,
     private val out: Gateway,
-    private val limits: LimitsInForce,
+    private val limits: EffectiveLimits,
     private val options: RolloutOptions,
     private val incarnation: String,
     private val shards: ShardTable,
@@ -43,7 +43,7 @@
         clock::wall,
         store,
         view,
-        limits.target.opsPerCommit * LimitsInForce.CONDITIONS_PER_CHANGE,
+        limits.target.opsPerCommit * EffectiveLimits.CONDITIONS_PER_CHANGE,
         ::refreshGates,
     )
     private val clusterMigration = reconciler(MigrationUnit.Cluster, UncontendedRecords)
@@ -99,12 +99,12 @@
         out.endProcess(reason)
     }
 
-    /** Called regularly while the state service is heard and this process is admitted; [leaderVersion] is null unless this node leads. */
+    /** Called regularly while the store is heard and this process is admitted; [leaderVersion] is null unless this node leads. */
     fun tick(leaderVersion: Long?) {
         formatGate.tick()
         if (leaderVersion == null) return
         coordinator.tick(leaderVersion, picture())
-        clusterMigration.tick(gates, Guard(Keys.LEADER, leaderVersion), view)
+        clusterMigration.tick(gates, Precondition(Keys.LEADER, leaderVersion), view)
     }
 
     private fun picture(): ClusterPicture =
--- a/src/main/kotlin/io/reedmast/ownership/FormatGate.kt
+++ b/src/main/kotlin/io/reedmast/ownership/FormatGate.kt
@@ -1,16 +1,16 @@
 package io.reedmast.ownership
 
+import io.reedmast.kvstore.CasTransaction
+import io.reedmast.kvstore.CommitOutcome
+import io.reedmast.kvstore.EffectiveLimits
+import io.reedmast.kvstore.Keys
+import io.reedmast.kvstore.Precondition
+import io.reedmast.kvstore.Write
 import io.reedmast.ports.Gateway
 import io.reedmast.rollout.Feature
 import io.reedmast.rollout.FeatureName
 import io.reedmast.rollout.RolloutView
 import io.reedmast.settings.Settings
-import io.reedmast.state.Change
-import io.reedmast.state.Guard
-import io.reedmast.state.Keys
-import io.reedmast.state.LimitsInForce
-import io.reedmast.state.Outcome
-import io.reedmast.state.Write
 import io.reedmast.wire.Fields
 import org.slf4j.LoggerFactory
 
@@ -21,7 +21,7 @@
  * back: a controller that has been seen with it counts for good, and the gate is finalized at once when all have been. A process that starts
  * later need not see all of them again.
  */
-class FormatGate(private val settings: Settings, private val out: Gateway, private val limits: LimitsInForce) {
+class FormatGate(private val settings: Settings, private val out: Gateway, private val limits: EffectiveLimits) {
     private val log = LoggerFactory.getLogger("cluster")
     private val upgraded = hashSetOf(settings.label)
     private var stored = false
@@ -41,20 +41,20 @@
     }
 
     private fun reached() {
-        if (!limits.isLowered) log.info("every controller reads format {}", feature.requires)
-        limits.lower()
+        if (!limits.isReduced) log.info("every controller reads format {}", feature.requires)
+        limits.reduce()
     }
 
-    /** Called while the state service is heard. */
+    /** Called while the store is heard. */
     fun tick() {
         if (stored || storing || !settings.members.all { it.label in upgraded }) return
         reached()
         storing = true
         out.commit(
-            Change(listOf(Guard(Keys.FORMAT, 0)), listOf(Write.Put(Keys.FORMAT, fields()))) { outcome ->
+            CasTransaction(listOf(Precondition(Keys.FORMAT, 0)), listOf(Write.Put(Keys.FORMAT, fields()))) { outcome ->
                 storing = false
                 // Refused for its version: another controller has stored the same.
-                if (outcome !is Outcome.Refused) stored = true
+                if (outcome !is CommitOutcome.Refused) stored = true
             },
         )
     }
--- a/src/main/kotlin/io/reedmast/ownership/Freshness.kt
+++ b/src/main/kotlin/io/reedmast/ownership/Freshness.kt
@@ -5,9 +5,9 @@
 import java.util.ArrayDeque
 
 /**
- * How recent this controller's view of the state service is.
+ * How recent this controller's view of the store is.
  *
- * Two watches follow the state service, one on the cluster's keys and one on the jobs. Everything that was stored before
+ * Two watches follow the store, one on the cluster's keys and one on the jobs. Everything that was stored before
  * the older of their last complete answers was asked for is known here.
  */
 class Freshness(private val clock: Clock, rules: WorkerRules) {
@@ -35,10 +35,10 @@
         return minOf(cluster, jobs)
     }
 
-    /** Whether the state service was heard recently enough to decide anything. */
+    /** Whether the store was heard recently enough to decide anything. */
     val isFresh: Boolean get() = ageMs()?.let { it < FRESH_MS } ?: false
 
-    /** How long ago the state service was last heard on both watches. */
+    /** How long ago the store was last heard on both watches. */
     fun ageMs(): Long? = knownAt?.let { clock.now() - it }
 
     /** Whether workers may be answered on the strength of what was known at [confirmedAt]. */
@@ -58,7 +58,7 @@
     /**
      * Calls [resume] with true once every job stored before now is known here, or with false if that takes too long.
      *
-     * This makes an answer from memory as recent as a read: one request to the state service serves all waiters.
+     * This makes an answer from memory as recent as a read: one request to the store serves all waiters.
      */
     fun whenJobsKnown(resume: (Boolean) -> Unit) {
         if (waiters.size >= MAX_WAITERS) resume(false) else waiters.add(Waiter(clock.now(), resume))
--- a/src/main/kotlin/io/reedmast/ownership/MachineAssignment.kt
+++ b/src/main/kotlin/io/reedmast/ownership/MachineAssignment.kt
@@ -1,15 +1,15 @@
 package io.reedmast.ownership
 
+import io.reedmast.kvstore.CasTransaction
+import io.reedmast.kvstore.CommitOutcome
+import io.reedmast.kvstore.EffectiveLimits
+import io.reedmast.kvstore.Keys
+import io.reedmast.kvstore.Precondition
+import io.reedmast.kvstore.Write
+import io.reedmast.kvstore.WritePriority
 import io.reedmast.ports.Gateway
 import io.reedmast.settings.Settings
 import io.reedmast.settings.ShardId
-import io.reedmast.state.Change
-import io.reedmast.state.Guard
-import io.reedmast.state.Keys
-import io.reedmast.state.LimitsInForce
-import io.reedmast.state.Outcome
-import io.reedmast.state.Write
-import io.reedmast.state.WritePriority
 import io.reedmast.wire.Tree
 import io.reedmast.workers.HostRecord
 import org.slf4j.LoggerFactory
@@ -23,7 +23,7 @@
 class MachineAssignment(
     private val settings: Settings,
     private val out: Gateway,
-    private val limits: LimitsInForce,
+    private val limits: EffectiveLimits,
     private val shards: ShardTable,
     private val machines: MachineTable,
     private val rollout: ClusterRollout,
@@ -41,7 +41,7 @@
         val term = shards.records[shard.value]?.takeIf { it.record.owner == settings.label }?.version ?: return
         for ((index, held) in machines.partsOf(shard)) {
             if (held.part.hosts.none { it.name in hosts }) continue
-            rewrite(shard, index, held.part.without(hosts), Guard(Keys.shard(shard.value), term), writePriority = WritePriority.LAZY) {}
+            rewrite(shard, index, held.part.without(hosts), Precondition(Keys.shard(shard.value), term), writePriority = WritePriority.DEFERRED) {}
         }
     }
 
@@ -68,28 +68,28 @@
         val fromPath = Keys.hosts(source.shard.value, source.index)
         val toPath = Keys.hosts(to.value, destination.index)
         if (fromPath in writing || toPath in writing) return
-        val guards = arrayListOf(
-            Guard(Keys.shard(source.shard.value), source.owner.version),
-            Guard(fromPath, source.held.version),
-            Guard(toPath, destination.held?.version ?: 0L),
-            Guard(Keys.shard(to.value), target.version),
+        val preconditions = arrayListOf(
+            Precondition(Keys.shard(source.shard.value), source.owner.version),
+            Precondition(fromPath, source.held.version),
+            Precondition(toPath, destination.held?.version ?: 0L),
+            Precondition(Keys.shard(to.value), target.version),
         )
         val writes = arrayListOf<Write>(Write.Put(fromPath, left.toFields()), Write.Put(toPath, destination.part.toFields()))
         // The other shard's owner must have a token above all that these machines have seen, which is at most ours.
         val renewed = if (target.record.token > source.owner.record.token) null else target.record.copy(token = Token.after(shards.token))
         if (renewed != null) {
             val counter = TokenFence.moveTo(renewed.token, shards.tokenVersion, rollout.gates)
-            guards.addAll(counter.guards)
+            preconditions.addAll(counter.preconditions)
             writes.add(Write.Put(Keys.shard(to.value), renewed.toFields()))
             writes.add(counter.write)
         }
         writing.add(fromPath)
         writing.add(toPath)
         out.commit(
-            Change(guards, writes) { outcome ->
+            CasTransaction(preconditions, writes) { outcome ->
                 writing.remove(fromPath)
                 writing.remove(toPath)
-                if (outcome is Outcome.Applied) {
+                if (outcome is CommitOutcome.Applied) {
                     log.info("{}: moved from shard {} to shard {}", moved, source.shard.value, to.value)
                     if (renewed != null) {
                         shards.seeToken(renewed.token, outcome.revision)
@@ -113,7 +113,7 @@
             done(emptySet())
             return
         }
-        val lead = Guard(Keys.LEADER, leaderVersion())
+        val lead = Precondition(Keys.LEADER, leaderVersion())
         val sofar = grown.held ?: StoredPart(HostPart.EMPTY, 0L)
         if (seen <= owner.record.token) {
             rewrite(shard, grown.index, grown.part, lead, sofar) { done(if (it) names else emptySet()) }
@@ -121,9 +121,9 @@
         }
         val renewed = owner.record.copy(token = Token.after(maxOf(shards.token, seen)))
         val counter = TokenFence.moveTo(renewed.token, shards.tokenVersion, rollout.gates)
-        val guards = counter.guards + Guard(Keys.shard(shard.value), owner.version)
+        val preconditions = counter.preconditions + Precondition(Keys.shard(shard.value), owner.version)
         val writes = listOf(Write.Put(Keys.shard(shard.value), renewed.toFields()), counter.write)
-        rewrite(shard, grown.index, grown.part, lead, sofar, guards, writes) { ok ->
+        rewrite(shard, grown.index, grown.part, lead, sofar, preconditions, writes) { ok ->
             if (!ok) reread(Keys.TOKEN) {}
             done(if (ok) names else emptySet())
         }
@@ -137,11 +137,11 @@
             var marks = mine.size
             fun marked() = held.part.copy(leaving = held.part.leaving + mine.take(marks).associate { it.name to to.value })
             while (marks > 0 && Tree.jsonSize(marked().toFields()) > limits.allowed.valueBytes * MARKED) marks /= 2
-            if (marks > 0) rewrite(shard, index, marked(), Guard(Keys.LEADER, leaderVersion())) {}
+            if (marks > 0) rewrite(shard, index, marked(), Precondition(Keys.LEADER, leaderVersion())) {}
         }
     }
 
-    /** Whether the state service takes the record; one that an earlier version stored may be too large until it has been divided. */
+    /** Whether the store takes the record; one that an earlier version stored may be too large until it has been divided. */
     private fun isStorable(part: HostPart) = Tree.jsonSize(part.toFields()) <= limits.allowed.valueBytes * MARKED
 
     /** Machines that stand in two records of a shard, one of which is being divided. */
@@ -151,7 +151,7 @@
     }
 
     /**
-     * The owner divides records of machines that are larger than the lowered limits allow, a step at each call.
+     * The owner divides records of machines that are larger than the reduced limits allow, a step at each call.
      *
      * A record that is too large can only be replaced by a small one, so its machines are first copied to new records, one
      * transaction each, with the old record's version as a condition. They stand in two records of the same shard then, which is
@@ -159,7 +159,7 @@
      */
     fun divideOversized(shard: ShardId) {
         val term = shards.records[shard.value]?.takeIf { it.record.owner == settings.label }?.version ?: return
-        val entitled = Guard(Keys.shard(shard.value), term)
+        val entitled = Precondition(Keys.shard(shard.value), term)
         val parts = machines.partsOf(shard)
         val bytes = limits.target.valueBytes
         for ((index, held) in parts) {
@@ -170,7 +170,7 @@
                 rewrite(shard, index, rest, entitled) {}
             } else {
                 val copied = HostPart.EMPTY.with(rest.hosts, bytes).let { part -> part.copy(leaving = rest.leaving.filterKeys { part.holds(it) }) }
-                val unchanged = Guard(Keys.hosts(shard.value, index), held.version)
+                val unchanged = Precondition(Keys.hosts(shard.value, index), held.version)
                 rewrite(shard, parts.keys.max() + 1, copied, entitled, StoredPart(HostPart.EMPTY, 0L), listOf(unchanged)) {}
             }
             return
@@ -181,11 +181,11 @@
         shard: ShardId,
         index: Int,
         part: HostPart,
-        entitled: Guard,
+        entitled: Precondition,
         held: StoredPart? = machines.partsOf(shard)[index],
-        moreGuards: List<Guard> = emptyList(),
+        morePreconditions: List<Precondition> = emptyList(),
         moreWrites: List<Write.Put> = emptyList(),
-        writePriority: WritePriority = WritePriority.PROMPT,
+        writePriority: WritePriority = WritePriority.URGENT,
         done: (Boolean) -> Unit,
     ) {
         val path = Keys.hosts(shard.value, index)
@@ -193,11 +193,11 @@
             done(false)
             return
         }
-        val guards = listOf(Guard(path, held.version), entitled) + moreGuards
+        val preconditions = listOf(Precondition(path, held.version), entitled) + morePreconditions
         out.commit(
-            Change(guards, listOf(Write.Put(path, part.toFields())) + moreWrites, writePriority) { outcome ->
+            CasTransaction(preconditions, listOf(Write.Put(path, part.toFields())) + moreWrites, writePriority) { outcome ->
                 writing.remove(path)
-                if (outcome is Outcome.Applied) {
+                if (outcome is CommitOutcome.Applied) {
                     moreWrites.forEach { shards.see(it.path, it.value, outcome.revision) }
                     machines.seePart(shard, index, part, outcome.revision)
                     done(true)
--- a/src/main/kotlin/io/reedmast/ownership/MachineTable.kt
+++ b/src/main/kotlin/io/reedmast/ownership/MachineTable.kt
@@ -1,11 +1,11 @@
 package io.reedmast.ownership
 
+import io.reedmast.kvstore.EffectiveLimits
+import io.reedmast.kvstore.Keys
 import io.reedmast.ports.Clock
 import io.reedmast.ports.Gateway
 import io.reedmast.settings.Settings
 import io.reedmast.settings.ShardId
-import io.reedmast.state.Keys
-import io.reedmast.state.LimitsInForce
 import io.reedmast.wire.Fields
 import io.reedmast.workers.HostRecord
 import java.util.TreeMap
@@ -13,12 +13,12 @@
 /** Some of a shard's machines as last seen, with the version of their record. */
 data class StoredPart(val part: HostPart, val version: Long)
 
-/** Which machines belong to which shard, as last seen in the state service or in answers to this node's changes. */
+/** Which machines belong to which shard, as last seen in the store or in answers to this node's changes. */
 class MachineTable(
     private val settings: Settings,
     private val clock: Clock,
     private val out: Gateway,
-    private val limits: LimitsInForce,
+    private val limits: EffectiveLimits,
     /** Called when the machines of a shard have changed. */
     private val onChange: (ShardId) -> Unit,
     /** Called when a machine has left all shards. */
--- a/src/main/kotlin/io/reedmast/ownership/Membership.kt
+++ b/src/main/kotlin/io/reedmast/ownership/Membership.kt
@@ -1,15 +1,15 @@
 package io.reedmast.ownership
 
+import io.reedmast.kvstore.CasTransaction
+import io.reedmast.kvstore.CommitOutcome
+import io.reedmast.kvstore.Keys
+import io.reedmast.kvstore.Precondition
+import io.reedmast.kvstore.ReadResult
+import io.reedmast.kvstore.Write
 import io.reedmast.ports.Clock
 import io.reedmast.ports.Gateway
 import io.reedmast.ports.LeaseState
 import io.reedmast.settings.Settings
-import io.reedmast.state.Change
-import io.reedmast.state.Fetched
-import io.reedmast.state.Guard
-import io.reedmast.state.Keys
-import io.reedmast.state.Outcome
-import io.reedmast.state.Write
 import io.reedmast.wire.Fields
 import io.reedmast.wire.text
 import org.slf4j.LoggerFactory
@@ -26,7 +26,7 @@
     /** What this controller publishes of itself. */
     private val memberFields: () -> Fields,
     /** The condition that this process has heard of every move of the gates. */
-    private val gatesGuard: () -> Guard,
+    private val gatesPrecondition: () -> Precondition,
 ) {
     private val log = LoggerFactory.getLogger("cluster")
     private val present = HashSet<String>()
@@ -114,7 +114,7 @@
         shareLimits()
     }
 
-    /** Tells the clients of the state service and the cloud how many controllers share their limits. */
+    /** Tells the clients of the store and the cloud how many controllers share their limits. */
     fun shareLimits() = out.shareLimits(maxOf(1, alive().size), leading)
 
     /** Renews this node's lease, or gets a new one. */
@@ -156,7 +156,7 @@
         if (resigning) return
         resigning = true
         log.info("{} gives the lead up", settings.label)
-        out.commit(Change(listOf(Guard(Keys.LEADER, leaderVersion)), listOf(Write.Delete(Keys.LEADER))) { resigning = false })
+        out.commit(CasTransaction(listOf(Precondition(Keys.LEADER, leaderVersion)), listOf(Write.Delete(Keys.LEADER))) { resigning = false })
     }
 
     private fun claimNode() {
@@ -166,9 +166,9 @@
         claimingNode = true
         out.get(Keys.node(settings.label)) { fetched ->
             when (fetched) {
-                is Fetched.Found -> putNode(held, fields, fetched.item.version)
-                is Fetched.Missing -> putNode(held, fields, 0L)
-                is Fetched.Failed -> claimingNode = false
+                is ReadResult.Found -> putNode(held, fields, fetched.item.version)
+                is ReadResult.Missing -> putNode(held, fields, 0L)
+                is ReadResult.Failed -> claimingNode = false
             }
         }
     }
@@ -176,17 +176,17 @@
     private fun putNode(held: Long, fields: Fields, version: Long) {
         val path = Keys.node(settings.label)
         out.commit(
-            Change(listOf(Guard(path, version), gatesGuard()), listOf(Write.Put(path, fields, held))) { outcome ->
+            CasTransaction(listOf(Precondition(path, version), gatesPrecondition()), listOf(Write.Put(path, fields, held))) { outcome ->
                 claimingNode = false
                 when (outcome) {
-                    is Outcome.Applied -> {
+                    is CommitOutcome.Applied -> {
                         nodeKeyLease = held
                         published = fields
                     }
 
-                    is Outcome.Conflict -> {}
+                    is CommitOutcome.Conflict -> {}
 
-                    is Outcome.Refused -> if (lease == held) lease = null
+                    is CommitOutcome.Refused -> if (lease == held) lease = null
                 }
             },
         )
@@ -197,17 +197,20 @@
         if (claimingLeader || nodeKeyLease != held) return
         claimingLeader = true
         out.commit(
-            Change(listOf(Guard(Keys.LEADER, 0), gatesGuard()), listOf(Write.Put(Keys.LEADER, mapOf("label" to settings.label), held))) { outcome ->
+            CasTransaction(
+                listOf(Precondition(Keys.LEADER, 0), gatesPrecondition()),
+                listOf(Write.Put(Keys.LEADER, mapOf("label" to settings.label), held)),
+            ) { outcome ->
                 claimingLeader = false
                 // The watch tells the same: whichever is first counts. What it has told of may be over by now.
-                if (outcome is Outcome.Applied && outcome.revision > toldTo) seeLeader(settings.label, outcome.revision)
-                if (outcome is Outcome.Refused && lease == held) lease = null
+                if (outcome is CommitOutcome.Applied && outcome.revision > toldTo) seeLeader(settings.label, outcome.revision)
+                if (outcome is CommitOutcome.Refused && lease == held) lease = null
             },
         )
     }
 
     companion object {
-        /** How long a controller counts as alive after it was last heard by the state service. */
+        /** How long a controller counts as alive after it was last heard by the store. */
         const val LEASE_MS = 4_000L
     }
 }
--- a/src/main/kotlin/io/reedmast/ownership/MisdirectedReports.kt
+++ b/src/main/kotlin/io/reedmast/ownership/MisdirectedReports.kt
@@ -47,7 +47,7 @@
     }
 
     /**
-     * This node hears nothing from the state service. Its owners may be no better off and send their workers away: after an
+     * This node hears nothing from the store. Its owners may be no better off and send their workers away: after an
      * outage the workers of all of them went round, and one node took every shard from owners that were well.
      */
     fun outOfTouch(now: Long) {
--- a/src/main/kotlin/io/reedmast/ownership/PeerStatuses.kt
+++ b/src/main/kotlin/io/reedmast/ownership/PeerStatuses.kt
@@ -4,19 +4,19 @@
 import io.reedmast.settings.ControllerId
 
 /**
- * What the other controllers report while this one does not hear the state service.
+ * What the other controllers report while this one does not hear the store.
  *
  * A controller tells a user of a cancellation only after recording it in its job index, and its report holds all that are
  * there. With a report of every other controller, asked for at some time, all cancellations that a user had been told of by
- * then are known here, although the state service does not answer. A report counts only if that controller's process was
- * already running when this one last heard the state service: what an earlier process of it confirmed since then is not in
+ * then are known here, although the store does not answer. A report counts only if that controller's process was
+ * already running when this one last heard the store: what an earlier process of it confirmed since then is not in
  * the report.
  */
 class PeerStatuses(private val self: ControllerId, members: Int, private val incarnation: String) {
     private class Peer {
         /** When the newest report was asked for. */
         var askedAt: Long? = null
-        var stateAgeMs: Long? = null
+        var storeAgeMs: Long? = null
 
         /** All cancellations confirmed by this controller before this time are known here. */
         var confirmedAt: Long? = null
@@ -45,7 +45,7 @@
         val asked = askedAt[report.sequence] ?: return
         if (asked < (peer.askedAt ?: asked)) return
         peer.askedAt = asked
-        peer.stateAgeMs = report.stateAgeMs
+        peer.storeAgeMs = report.storeAgeMs
         val latestStart = now - (report.uptimeMs * (1 - CLOCK_DRIFT)).toLong()
         if (report.cancellations != null && knownAt != null && latestStart < knownAt) peer.confirmedAt = asked
     }
@@ -57,14 +57,14 @@
         return earliest.takeIf { peers.isNotEmpty() }
     }
 
-    /** Whether some controller reports, and none of those that report is better off: the state service is out for all. */
+    /** Whether some controller reports, and none of those that report is better off: the store is out for all. */
     fun noneHearsState(now: Long): Boolean {
         val reporting = peers.values.filter { peer -> peer.askedAt?.let { now - it < REPORT_VALID_MS } ?: false }
         return reporting.isNotEmpty() && reporting.all { peer -> outOfTouch(peer, now) }
     }
 
     private fun outOfTouch(peer: Peer, now: Long): Boolean {
-        val age = peer.stateAgeMs ?: return true
+        val age = peer.storeAgeMs ?: return true
         return age + now - (peer.askedAt ?: now) > OUT_OF_TOUCH_MS
     }
 
--- a/src/main/kotlin/io/reedmast/ownership/ShardTable.kt
+++ b/src/main/kotlin/io/reedmast/ownership/ShardTable.kt
@@ -1,15 +1,15 @@
 package io.reedmast.ownership
 
+import io.reedmast.kvstore.Keys
+import io.reedmast.kvstore.ReadResult
 import io.reedmast.ports.Gateway
 import io.reedmast.settings.ShardId
-import io.reedmast.state.Fetched
-import io.reedmast.state.Keys
 import io.reedmast.wire.Fields
 
 /** A shard record as last seen, with its version. */
 data class StoredRecord(val record: ShardRecord, val version: Long)
 
-/** The shards' records and the token counter, as last seen in the state service or in answers to this node's changes. */
+/** The shards' records and the token counter, as last seen in the store or in answers to this node's changes. */
 class ShardTable(
     shards: Int,
     private val out: Gateway,
@@ -56,7 +56,7 @@
     }
 
     /** Reads the shard's record again, unless that is being done. */
-    fun refresh(shard: ShardId, read: (Fetched) -> Unit) {
+    fun refresh(shard: ShardId, read: (ReadResult) -> Unit) {
         if (refreshing[shard.value]) return
         refreshing[shard.value] = true
         out.get(Keys.shard(shard.value)) { fetched ->
--- a/src/main/kotlin/io/reedmast/ownership/Takeover.kt
+++ b/src/main/kotlin/io/reedmast/ownership/Takeover.kt
@@ -2,18 +2,18 @@
 
 import io.reedmast.jobs.JobIndex
 import io.reedmast.jobs.ShardOwner
+import io.reedmast.kvstore.CasTransaction
+import io.reedmast.kvstore.CommitOutcome
+import io.reedmast.kvstore.Keys
+import io.reedmast.kvstore.Precondition
+import io.reedmast.kvstore.ReadResult
+import io.reedmast.kvstore.StoredItem
+import io.reedmast.kvstore.Write
 import io.reedmast.peers.PeerMessage
 import io.reedmast.ports.Clock
 import io.reedmast.ports.Gateway
 import io.reedmast.settings.Settings
 import io.reedmast.settings.ShardId
-import io.reedmast.state.Change
-import io.reedmast.state.Fetched
-import io.reedmast.state.Guard
-import io.reedmast.state.Item
-import io.reedmast.state.Keys
-import io.reedmast.state.Outcome
-import io.reedmast.state.Write
 import io.reedmast.wire.Reply
 import io.reedmast.workers.HostDirectory
 import org.slf4j.LoggerFactory
@@ -64,12 +64,12 @@
     private var homeNotBefore = 0L
     private var homePauseMs = FIRST_HOME_PAUSE_MS
 
-    /** Considers each shard; called while the state service is heard. */
+    /** Considers each shard; called while the store is heard. */
     fun tick(now: Long) {
         for (index in taking.indices) consider(ShardId(index), now)
     }
 
-    /** This node hears nothing from the state service. */
+    /** This node hears nothing from the store. */
     fun outOfTouch(now: Long) = misdirected.outOfTouch(now)
 
     /** Another controller has taken a shard of this node's, and has a reason that may not be visible here. */
@@ -195,20 +195,20 @@
         val mine = Claim(shard, record).also { claim = it }
         // A process that has not heard of a move of the gates takes nothing: it may not be able to read what it would own.
         val counter = TokenFence.moveTo(fresh, shards.tokenVersion, rollout.gates)
-        val guards = counter.guards + Guard(Keys.shard(shard.value), held?.version ?: 0L)
+        val preconditions = counter.preconditions + Precondition(Keys.shard(shard.value), held?.version ?: 0L)
         val writes = listOf(Write.Put(Keys.shard(shard.value), record.toFields()), counter.write)
         out.commit(
-            Change(guards, writes) { outcome ->
-                if (claim !== mine) return@Change
+            CasTransaction(preconditions, writes) { outcome ->
+                if (claim !== mine) return@CasTransaction
                 claim = null
-                if (outcome is Outcome.Applied) {
+                if (outcome is CommitOutcome.Applied) {
                     taken(shard, record, outcome.revision)
                 } else {
                     // Mostly another node took the token we wanted.
                     retrySoon(shard)
                     reread(Keys.shard(shard.value))
                     reread(Keys.TOKEN)
-                    if (outcome is Outcome.Conflict && Keys.ROLLOUT in outcome.failed) rollout.refreshGates()
+                    if (outcome is CommitOutcome.Conflict && Keys.ROLLOUT in outcome.failed) rollout.refreshGates()
                 }
             },
         )
@@ -252,8 +252,8 @@
     /** Reads the progress of a shard just taken: stored before the new term, it cannot change any more. */
     private fun read(owner: ShardOwner) {
         val shard = owner.index
-        var pages: List<Item>? = null
-        var totals: Fetched = Fetched.Failed
+        var pages: List<StoredItem>? = null
+        var totals: ReadResult = ReadResult.Failed
         var open = 2
         val startedAt = clock.now()
 
@@ -271,18 +271,18 @@
         }
     }
 
-    private fun finishReading(owner: ShardOwner, pages: List<Item>?, totals: Fetched, since: Long) {
+    private fun finishReading(owner: ShardOwner, pages: List<StoredItem>?, totals: ReadResult, since: Long) {
         val shard = owner.index
         taking[shard.value] = false
         if (owner.dropped) return
-        if (pages == null || totals is Fetched.Failed) {
+        if (pages == null || totals is ReadResult.Failed) {
             log.info("shard {}: could not be read; tried again", shard.value)
             owner.dropped = true
             owners[shard.value] = null
             retrySoon(shard)
             return
         }
-        owner.load(jobs.liveOf(shard), pages, (totals as? Fetched.Found)?.item)
+        owner.load(jobs.liveOf(shard), pages, (totals as? ReadResult.Found)?.item)
         log.info("shard {}: read in {} ms", shard.value, clock.now() - since)
     }
 
--- a/src/main/kotlin/io/reedmast/ownership/WorkerContact.kt
+++ b/src/main/kotlin/io/reedmast/ownership/WorkerContact.kt
@@ -8,7 +8,7 @@
 /**
  * Whether this controller and the workers reach each other.
  *
- * A controller that has lost only the workers still has its keys and hears the state service. If it took over a shard, the
+ * A controller that has lost only the workers still has its keys and hears the store. If it took over a shard, the
  * shard's workers would lose their leases before another controller noticed.
  */
 class WorkerContact(private val clock: Clock, private val out: Gateway) {
--- a/src/main/kotlin/io/reedmast/peers/PeerCodec.kt
+++ b/src/main/kotlin/io/reedmast/peers/PeerCodec.kt
@@ -65,7 +65,7 @@
     private fun writeReport(sink: BufferedSink, report: PeerMessage.StatusReport) {
         val frame = Buffer().writeByte(REPORT)
         frame.writeInt(report.from.value).text(report.incarnation).writeLong(report.sequence)
-        frame.writeLong(report.uptimeMs).writeLong(report.stateAgeMs ?: NEVER_HEARD)
+        frame.writeLong(report.uptimeMs).writeLong(report.storeAgeMs ?: NEVER_HEARD)
         val cancellations = report.cancellations
         frame.writeInt(cancellations?.size ?: NO_CANCELLATION_LIST)
         cancellations?.forEach { frame.text(it.jobId).writeLong(it.version) }
@@ -117,11 +117,11 @@
         val incarnation = frame.readText()
         val sequence = frame.readLong()
         val uptimeMs = frame.readLong()
-        val stateAgeMs = frame.readLong().takeIf { it >= 0 }
+        val storeAgeMs = frame.readLong().takeIf { it >= 0 }
         val count = frame.readInt()
         if (count > PeerMessage.MAX_CANCELLATIONS) throw IOException("$count cancellations")
         val cancellations = if (count < 0) null else List(count) { Cancellation(frame.readText(), frame.readLong()) }
-        return PeerMessage.StatusReport(from, incarnation, sequence, uptimeMs, stateAgeMs, cancellations)
+        return PeerMessage.StatusReport(from, incarnation, sequence, uptimeMs, storeAgeMs, cancellations)
     }
 
     private fun Buffer.readText(): String = readUtf8(readSmall().toLong())
--- a/src/main/kotlin/io/reedmast/peers/PeerMessage.kt
+++ b/src/main/kotlin/io/reedmast/peers/PeerMessage.kt
@@ -32,8 +32,8 @@
         val sequence: Long,
         /** How long the answering process has been running. */
         val uptimeMs: Long,
-        /** How long ago it last heard the state service on both watches; null if it never did. */
-        val stateAgeMs: Long?,
+        /** How long ago it last heard the store on both watches; null if it never did. */
+        val storeAgeMs: Long?,
         /** All cancellations it may have told a user of, as far as the jobs are not over; null if there are too many. */
         val cancellations: List<Cancellation>?,
     ) : PeerMessage
--- a/src/main/kotlin/io/reedmast/placement/Choice.kt
+++ b/src/main/kotlin/io/reedmast/placement/Choice.kt
@@ -84,13 +84,13 @@
 internal fun score(spec: JobSpec, machine: Machine): Double {
     val machineType = machine.machineType ?: return Double.MAX_VALUE
     val fetch = if (spec.image in machine.images) 0.0 else spec.imageGb / machineType.fetchGbPerS
-    val fullness = FULLNESS_S * machine.freeCpus / maxOf(machineType.cpus, 1e-3)
+    val permitLevel = FULLNESS_S * machine.freeCpus / maxOf(machineType.cpus, 1e-3)
     val cost =
         when {
             spec.spot && (machine.held || machine.record.spot) -> 0.0
             else -> COST_S * machine.hourlyPrice / maxOf(machineType.cpus, 1e-3)
         }
-    return fetch + fullness + cost + if (spec.service && !machine.held) LONE_S else 0.0
+    return fetch + permitLevel + cost + if (spec.service && !machine.held) LONE_S else 0.0
 }
 
 private const val FULLNESS_S = 1.0
--- a/src/main/kotlin/io/reedmast/ports/Gateway.kt
+++ b/src/main/kotlin/io/reedmast/ports/Gateway.kt
@@ -1,11 +1,11 @@
 package io.reedmast.ports
 
 import io.reedmast.fleet.Rental
+import io.reedmast.kvstore.CasTransaction
+import io.reedmast.kvstore.ReadResult
+import io.reedmast.kvstore.StoredItem
 import io.reedmast.peers.PeerMessage
 import io.reedmast.settings.ControllerId
-import io.reedmast.state.Change
-import io.reedmast.state.Fetched
-import io.reedmast.state.Item
 import io.reedmast.wire.ListedHost
 import io.reedmast.wire.MachineType
 import io.reedmast.wire.Order
@@ -28,17 +28,17 @@
  */
 interface Gateway {
     /** False if refused because too much waits already; only a [refusable] change can be. */
-    fun commit(change: Change, refusable: Boolean = false): Boolean
+    fun commit(change: CasTransaction, refusable: Boolean = false): Boolean
 
-    /** False while the state service is known not to take changes. */
-    val stateAnswers: Boolean
+    /** False while the store is known not to take changes. */
+    val isStoreAvailable: Boolean
 
-    /** How many changes this node's part of the state service's limit allows now, as a part of a second's worth. */
-    fun writeFullness(): Double
+    /** How many changes this node's part of the store's limit allows now, as a part of a second's worth. */
+    fun writePermitLevel(): Double
 
-    fun get(path: String, done: (Fetched) -> Unit)
+    fun get(path: String, done: (ReadResult) -> Unit)
 
-    fun list(prefix: String, done: (List<Item>?) -> Unit)
+    fun list(prefix: String, done: (List<StoredItem>?) -> Unit)
 
     /** Sends [message] to every other controller; no rule depends on its arrival. */
     fun sendToPeers(message: PeerMessage)
@@ -60,7 +60,7 @@
 
     fun extendLease(lease: Long?, lifeMs: Long, done: (LeaseState) -> Unit)
 
-    /** How many nodes share the limits of state service and cloud. */
+    /** How many nodes share the limits of store and cloud. */
     fun shareLimits(aliveNodes: Int, leading: Boolean)
 
     /** This process must not go on, for [reason]: it ends without touching anything more. */
--- a/src/main/kotlin/io/reedmast/rollout/ClusterPicture.kt
+++ b/src/main/kotlin/io/reedmast/rollout/ClusterPicture.kt
@@ -1,7 +1,7 @@
 package io.reedmast.rollout
 
-import io.reedmast.state.Guard
-import io.reedmast.state.Keys
+import io.reedmast.kvstore.Keys
+import io.reedmast.kvstore.Precondition
 import io.reedmast.wire.Fields
 import io.reedmast.wire.MalformedException
 import io.reedmast.wire.asFields
@@ -66,7 +66,7 @@
     }
 }
 
-/** What is known of the cluster when a decision about gates is made; all of it read from the state service. */
+/** What is known of the cluster when a decision about gates is made; all of it read from the store. */
 class ClusterPicture(
     val configured: Set<String>,
     val present: Map<String, PresentMember>,
@@ -99,14 +99,14 @@
     fun counted(record: RolloutRecord): Set<String> = configured - record.excluded.keys
 
     /** Conditions that every counted controller is still the process that was seen, and every shard still has the owner that was seen. */
-    fun guards(record: RolloutRecord): List<Guard> = memberGuards(counted(record)) + shardGuards()
+    fun preconditions(record: RolloutRecord): List<Precondition> = memberPreconditions(counted(record)) + shardPreconditions()
 
     /** Conditions that [label] has the membership key that was seen, or none, and that no shard has changed hands. */
-    fun guardsOf(label: String): List<Guard> = memberGuards(setOf(label)) + shardGuards()
+    fun preconditionsOf(label: String): List<Precondition> = memberPreconditions(setOf(label)) + shardPreconditions()
 
-    private fun memberGuards(labels: Set<String>) = labels.map { Guard(Keys.node(it), present[it]?.keyVersion ?: 0L) }
+    private fun memberPreconditions(labels: Set<String>) = labels.map { Precondition(Keys.node(it), present[it]?.keyVersion ?: 0L) }
 
-    private fun shardGuards() = shards.mapIndexed { index, shard -> Guard(Keys.shard(index), shard?.version ?: 0L) }
+    private fun shardPreconditions() = shards.mapIndexed { index, shard -> Precondition(Keys.shard(index), shard?.version ?: 0L) }
 
     /** The units that a migration of [feature] consists of. */
     fun unitsOf(feature: Feature): List<MigrationUnit> = when (feature.migration?.scope) {
--- a/src/main/kotlin/io/reedmast/rollout/GateDecision.kt
+++ b/src/main/kotlin/io/reedmast/rollout/GateDecision.kt
@@ -1,13 +1,13 @@
 package io.reedmast.rollout
 
-import io.reedmast.state.Guard
+import io.reedmast.kvstore.Precondition
 
 /**
  * The next move of a gate.
  *
- * @property guards what must still hold when the move is stored, besides the leader's key and the record itself
+ * @property preconditions what must still hold when the move is stored, besides the leader's key and the record itself
  */
-class GateMove(val feature: Feature, val to: GateState, val why: String, val guards: List<Guard>)
+class GateMove(val feature: Feature, val to: GateState, val why: String, val preconditions: List<Precondition>)
 
 /** What follows from a picture of the cluster: at most one move, and why the other gates stay as they are although they should not. */
 class RolloutPlan(val move: GateMove?, val waiting: Map<FeatureName, String>)
@@ -54,12 +54,13 @@
             }
         }
 
-        private fun moves(to: GateState, why: String, guards: List<Guard> = emptyList()) = Verdict.Moves(GateMove(feature, to, why, guards))
+        private fun moves(to: GateState, why: String, preconditions: List<Precondition> = emptyList()) =
+            Verdict.Moves(GateMove(feature, to, why, preconditions))
 
         private fun ready(): Verdict =
-            missing()?.let { Verdict.Waits(it) } ?: moves(GateState.READY, "every controller reads version ${feature.requires}", guards())
+            missing()?.let { Verdict.Waits(it) } ?: moves(GateState.READY, "every controller reads version ${feature.requires}", preconditions())
 
-        private fun guards() = picture.guards(record)
+        private fun preconditions() = picture.preconditions(record)
 
         private fun missing(): String? = when {
             unfit != null -> "$unfit has versions ${picture.present[unfit]?.versions?.range}, ${feature.requires} is required"
@@ -71,7 +72,7 @@
             unfit != null -> moves(GateState.DORMANT, missing().orEmpty())
             !target.wantsEnabled -> target.orStays()
             else -> (missing() ?: dependenciesMissing(finalized = false) ?: shardInOtherHands())?.let { Verdict.Waits(it) }
-                ?: moves(GateState.ENABLED, target.why, guards())
+                ?: moves(GateState.ENABLED, target.why, preconditions())
         }
 
         private fun dependenciesMissing(finalized: Boolean): String? = feature.dependsOn.firstNotNullOfOrNull { name ->
@@ -104,7 +105,7 @@
 
         private fun finalizing(target: Wanted): Verdict {
             val reason = missing() ?: dependenciesMissing(finalized = true) ?: migrationMissing()
-            return if (reason != null) Verdict.Waits(reason) else moves(GateState.FINALIZED, target.why, guards())
+            return if (reason != null) Verdict.Waits(reason) else moves(GateState.FINALIZED, target.why, preconditions())
         }
 
         private fun migrationMissing(): String? {
@@ -114,7 +115,7 @@
         }
 
         private fun revertingNext(target: Wanted): Verdict = when {
-            target.wantsEnabled -> missing()?.let { Verdict.Waits(it) } ?: moves(GateState.ENABLED, target.why, guards())
+            target.wantsEnabled -> missing()?.let { Verdict.Waits(it) } ?: moves(GateState.ENABLED, target.why, preconditions())
             else -> migrationMissing()?.let { Verdict.Waits(it) } ?: moves(GateState.DORMANT, "all records have the old form again")
         }
 
--- a/src/main/kotlin/io/reedmast/rollout/GateSnapshot.kt
+++ b/src/main/kotlin/io/reedmast/rollout/GateSnapshot.kt
@@ -1,7 +1,7 @@
 package io.reedmast.rollout
 
-import io.reedmast.state.Guard
-import io.reedmast.state.Keys
+import io.reedmast.kvstore.Keys
+import io.reedmast.kvstore.Precondition
 
 /**
  * The gates as they stood at one moment. A decision takes one snapshot and keeps to it from beginning to end.
@@ -13,7 +13,7 @@
      * The condition that no gate has moved since. It goes with every write whose form depends on a gate: a process that has not heard of a
      * move, however long ago, can then store nothing in a form that the others no longer expect.
      */
-    val guard = Guard(Keys.ROLLOUT, version)
+    val precondition = Precondition(Keys.ROLLOUT, version)
 
     /** Whether new records have the form of [feature]. */
     fun writes(feature: FeatureName): Boolean = when (record.stateOf(feature)) {
--- a/src/main/kotlin/io/reedmast/rollout/MigrationReconciler.kt
+++ b/src/main/kotlin/io/reedmast/rollout/MigrationReconciler.kt
@@ -1,16 +1,16 @@
 package io.reedmast.rollout
 
-import io.reedmast.state.Change
-import io.reedmast.state.Fetched
-import io.reedmast.state.Guard
-import io.reedmast.state.Item
-import io.reedmast.state.Keys
-import io.reedmast.state.Outcome
-import io.reedmast.state.Write
-import io.reedmast.state.WritePriority
+import io.reedmast.kvstore.CasTransaction
+import io.reedmast.kvstore.CommitOutcome
+import io.reedmast.kvstore.Keys
+import io.reedmast.kvstore.Precondition
+import io.reedmast.kvstore.ReadResult
+import io.reedmast.kvstore.StoredItem
+import io.reedmast.kvstore.Write
+import io.reedmast.kvstore.WritePriority
 import io.reedmast.wire.Fields
 import io.reedmast.wire.MalformedException
-import io.reedmast.wire.StateMessages
+import io.reedmast.wire.StoreMessages
 import io.reedmast.wire.Tree
 import org.slf4j.LoggerFactory
 import java.util.ArrayDeque
@@ -55,7 +55,13 @@
     private val log = LoggerFactory.getLogger("rollout")
 
     /** One pass over the records, for one generation of a gate and under one fence. */
-    private class Pass(val feature: Feature, val migration: RecordMigration, val gates: GateSnapshot, val fence: Guard, var progress: MigrationProgress) {
+    private class Pass(
+        val feature: Feature,
+        val migration: RecordMigration,
+        val gates: GateSnapshot,
+        val fence: Precondition,
+        var progress: MigrationProgress,
+    ) {
         /** Keys that are yet to be dealt with; null until they have been listed. */
         var keys: ArrayDeque<String>? = null
         var progressVersion = 0L
@@ -72,7 +78,7 @@
     val inDoubt: Boolean get() = busy
 
     /** Does the next piece of work. [fence] proves that this process may still write the unit's records. */
-    fun tick(gates: GateSnapshot, fence: Guard, view: RolloutView) {
+    fun tick(gates: GateSnapshot, fence: Precondition, view: RolloutView) {
         if (busy || now() < due) return
         val current = pass?.takeIf { it.gates.version == gates.version && it.fence == fence } ?: begin(gates, fence, view)
         pass = current
@@ -82,9 +88,9 @@
         if (keys == null) list(current) else next(current, keys)
     }
 
-    private fun isAffordable() = store.writeFullness() >= pace.leastFullness || now() >= overdueAt
+    private fun isAffordable() = store.writePermitLevel() >= pace.leastFullness || now() >= overdueAt
 
-    private fun begin(gates: GateSnapshot, fence: Guard, view: RolloutView): Pass? = registry.inOrder.firstNotNullOfOrNull { feature ->
+    private fun begin(gates: GateSnapshot, fence: Precondition, view: RolloutView): Pass? = registry.inOrder.firstNotNullOfOrNull { feature ->
         val migration = feature.migration?.takeIf { concerns(it) } ?: return@firstNotNullOfOrNull null
         val gate = gates.record.gates[feature.name] ?: return@firstNotNullOfOrNull null
         val direction = Direction.of(gate.state) ?: return@firstNotNullOfOrNull null
@@ -126,15 +132,15 @@
         store.get(path) { fetched ->
             busy = false
             when (fetched) {
-                is Fetched.Found -> migrate(of, fetched.item)
-                Fetched.Missing -> done(of, path) { it }
-                Fetched.Failed -> Unit
+                is ReadResult.Found -> migrate(of, fetched.item)
+                ReadResult.Missing -> done(of, path) { it }
+                ReadResult.Failed -> Unit
             }
         }
     }
 
-    private fun migrate(of: Pass, item: Item) {
-        val record = StateMessages.withoutTransactionId(item.value)
+    private fun migrate(of: Pass, item: StoredItem) {
+        val record = StoreMessages.withoutTransactionId(item.value)
         val wanted = try {
             if (of.progress.direction == Direction.FORWARD) of.migration.forward(record) else of.migration.back(record)
         } catch (e: MalformedException) {
@@ -150,21 +156,21 @@
         }
     }
 
-    private fun write(of: Pass, item: Item, wanted: Fields) {
+    private fun write(of: Pass, item: StoredItem, wanted: Fields) {
         busy = true
         overdueAt = now() + pace.overdueMs
-        val guards = listOf(of.fence, of.gates.guard, Guard(item.path, item.version)).distinct()
+        val preconditions = listOf(of.fence, of.gates.precondition, Precondition(item.path, item.version)).distinct()
         store.commit(
-            Change(guards, listOf(Write.Put(item.path, wanted)), WritePriority.LAZY) { outcome ->
+            CasTransaction(preconditions, listOf(Write.Put(item.path, wanted)), WritePriority.DEFERRED) { outcome ->
                 busy = false
-                access.release(item.path, (outcome as? Outcome.Applied)?.revision)
+                access.release(item.path, (outcome as? CommitOutcome.Applied)?.revision)
                 when (outcome) {
-                    is Outcome.Applied -> done(of, item.path) { it.copy(migrated = it.migrated + 1) }
+                    is CommitOutcome.Applied -> done(of, item.path) { it.copy(migrated = it.migrated + 1) }
 
                     // The record has moved on, and is read again; or the gates or the fence have, and the pass is over.
-                    is Outcome.Conflict -> Unit
+                    is CommitOutcome.Conflict -> Unit
 
-                    is Outcome.Refused -> done(of, item.path) { it.copy(oversized = it.oversized + 1) }
+                    is CommitOutcome.Refused -> done(of, item.path) { it.copy(oversized = it.oversized + 1) }
                 }
             },
         )
@@ -194,11 +200,11 @@
     private fun save(of: Pass, progress: MigrationProgress, then: () -> Unit = {}) {
         busy = true
         val path = Keys.migration(of.feature.name.value, unit.key)
-        val guards = listOf(of.fence, of.gates.guard, Guard(path, of.progressVersion))
+        val preconditions = listOf(of.fence, of.gates.precondition, Precondition(path, of.progressVersion))
         store.commit(
-            Change(guards, listOf(Write.Put(path, progress.toFields())), WritePriority.LAZY) { outcome ->
+            CasTransaction(preconditions, listOf(Write.Put(path, progress.toFields())), WritePriority.DEFERRED) { outcome ->
                 busy = false
-                if (outcome is Outcome.Applied) {
+                if (outcome is CommitOutcome.Applied) {
                     of.progressVersion = outcome.revision
                     of.sinceSaved = 0
                     then()
--- a/src/main/kotlin/io/reedmast/rollout/RolloutAdministration.kt
+++ b/src/main/kotlin/io/reedmast/rollout/RolloutAdministration.kt
@@ -1,12 +1,12 @@
 package io.reedmast.rollout
 
-import io.reedmast.state.Change
-import io.reedmast.state.Guard
-import io.reedmast.state.Item
-import io.reedmast.state.Keys
-import io.reedmast.state.Outcome
-import io.reedmast.state.Write
-import io.reedmast.state.WritePriority
+import io.reedmast.kvstore.CasTransaction
+import io.reedmast.kvstore.CommitOutcome
+import io.reedmast.kvstore.Keys
+import io.reedmast.kvstore.Precondition
+import io.reedmast.kvstore.StoredItem
+import io.reedmast.kvstore.Write
+import io.reedmast.kvstore.WritePriority
 import io.reedmast.wire.Fields
 import io.reedmast.wire.MalformedException
 
@@ -26,9 +26,9 @@
 
 /** Reads shards' owners and features with records of their own from the cluster's keys, whose forms are not the rollout's. */
 interface ClusterRecords {
-    fun shardOwners(items: List<Item>): List<ShardOwnership?>
+    fun shardOwners(items: List<StoredItem>): List<ShardOwnership?>
 
-    fun externallyFinalized(items: List<Item>): Set<FeatureName>
+    fun externallyFinalized(items: List<StoredItem>): Set<FeatureName>
 }
 
 /**
@@ -73,7 +73,7 @@
             label in status.picture.present -> refused("$label is alive; stop it first")
             owned >= 0 -> refused("$label still owns shard $owned; another controller takes it within seconds")
             // Its key must not be there, and no shard may have been taken, at the moment of the change.
-            else -> Planned.Put(record.excluding(label, made(act)), status.picture.guardsOf(label))
+            else -> Planned.Put(record.excluding(label, made(act)), status.picture.preconditionsOf(label))
         }
     }
 
@@ -116,7 +116,7 @@
     private sealed interface Planned {
         class Refused(val reason: String) : Planned
 
-        class Put(val record: RolloutRecord, val guards: List<Guard>) : Planned
+        class Put(val record: RolloutRecord, val preconditions: List<Precondition>) : Planned
 
         class Drain(val label: String, val order: DrainOrder, val version: Long) : Planned
 
@@ -127,7 +127,7 @@
 
     private fun read(done: (RolloutStatus?, String) -> Unit) = store.list(Keys.CLUSTER) { items ->
         if (items == null) {
-            done(null, "the state service does not answer")
+            done(null, "the store does not answer")
             return@list
         }
         try {
@@ -137,7 +137,7 @@
         }
     }
 
-    private fun statusOf(items: List<Item>): RolloutStatus {
+    private fun statusOf(items: List<StoredItem>): RolloutStatus {
         val view = RolloutView(registry, OPERATOR)
         items.forEach { view.see(it.path, it.value, it.version) }
         val picture = view.picture(configured, records.shardOwners(items), records.externallyFinalized(items))
@@ -155,9 +155,9 @@
             is Admission.Unfit -> done(ActResult.Refused(admission.reason))
             Admission.Admitted, Admission.Excluded -> when (val planned = plan(status)) {
                 is Planned.Refused -> done(ActResult.Refused(planned.reason))
-                is Planned.Put -> commit(gates.guard, planned.guards, Write.Put(Keys.ROLLOUT, planned.record.toFields()), done)
+                is Planned.Put -> commit(gates.precondition, planned.preconditions, Write.Put(Keys.ROLLOUT, planned.record.toFields()), done)
                 is Planned.Drain -> put(planned, gates, done)
-                is Planned.EndDrain -> Keys.drain(planned.label).let { commit(Guard(it, planned.version), emptyList(), Write.Delete(it), done) }
+                is Planned.EndDrain -> Keys.drain(planned.label).let { commit(Precondition(it, planned.version), emptyList(), Write.Delete(it), done) }
             }
         }
     }
@@ -165,16 +165,16 @@
     private fun put(planned: Planned.Drain, gates: GateSnapshot, done: (ActResult) -> Unit) {
         val path = Keys.drain(planned.label)
         val fields: Fields = planned.order.toFields()
-        commit(Guard(path, planned.version), listOf(gates.guard), Write.Put(path, fields), done)
+        commit(Precondition(path, planned.version), listOf(gates.precondition), Write.Put(path, fields), done)
     }
 
-    private fun commit(guard: Guard, others: List<Guard>, write: Write, done: (ActResult) -> Unit) = store.commit(
-        Change(listOf(guard) + others, listOf(write), WritePriority.USER) { outcome ->
+    private fun commit(precondition: Precondition, others: List<Precondition>, write: Write, done: (ActResult) -> Unit) = store.commit(
+        CasTransaction(listOf(precondition) + others, listOf(write), WritePriority.USER) { outcome ->
             done(
                 when (outcome) {
-                    is Outcome.Applied -> ActResult.Done
-                    is Outcome.Conflict -> ActResult.Refused("${outcome.failed.joinToString()} changed meanwhile; look again")
-                    is Outcome.Refused -> ActResult.Refused(outcome.reason)
+                    is CommitOutcome.Applied -> ActResult.Done
+                    is CommitOutcome.Conflict -> ActResult.Refused("${outcome.failed.joinToString()} changed meanwhile; look again")
+                    is CommitOutcome.Refused -> ActResult.Refused(outcome.reason)
                 },
             )
         },
--- a/src/main/kotlin/io/reedmast/rollout/RolloutCoordinator.kt
+++ b/src/main/kotlin/io/reedmast/rollout/RolloutCoordinator.kt
@@ -1,11 +1,11 @@
 package io.reedmast.rollout
 
-import io.reedmast.state.Change
-import io.reedmast.state.Guard
-import io.reedmast.state.Keys
-import io.reedmast.state.Outcome
-import io.reedmast.state.Write
-import io.reedmast.state.WritePriority
+import io.reedmast.kvstore.CasTransaction
+import io.reedmast.kvstore.CommitOutcome
+import io.reedmast.kvstore.Keys
+import io.reedmast.kvstore.Precondition
+import io.reedmast.kvstore.Write
+import io.reedmast.kvstore.WritePriority
 import org.slf4j.LoggerFactory
 
 /**
@@ -23,7 +23,7 @@
     private val wall: () -> Long,
     private val store: RolloutStore,
     private val view: RolloutView,
-    private val mostGuards: Int,
+    private val mostPreconditions: Int,
     private val reread: () -> Unit,
 ) {
     private val log = LoggerFactory.getLogger("rollout")
@@ -49,25 +49,25 @@
     }
 
     private fun store(move: GateMove, gates: GateSnapshot, leaderVersion: Long) {
-        val guards = listOf(Guard(Keys.LEADER, leaderVersion), gates.guard) + move.guards
-        if (guards.size > mostGuards) {
-            report(said + (move.feature.name to "${guards.size} conditions are needed, a transaction takes $mostGuards"))
+        val preconditions = listOf(Precondition(Keys.LEADER, leaderVersion), gates.precondition) + move.preconditions
+        if (preconditions.size > mostPreconditions) {
+            report(said + (move.feature.name to "${preconditions.size} conditions are needed, a transaction takes $mostPreconditions"))
             return
         }
         storing = true
         val moved = gates.record.moved(move.feature, move.to, Provenance.of(self, wall(), move.why))
         store.commit(
-            Change(guards, listOf(Write.Put(Keys.ROLLOUT, moved.toFields())), WritePriority.PROMPT) { outcome ->
+            CasTransaction(preconditions, listOf(Write.Put(Keys.ROLLOUT, moved.toFields())), WritePriority.URGENT) { outcome ->
                 storing = false
                 when (outcome) {
-                    is Outcome.Applied -> {
+                    is CommitOutcome.Applied -> {
                         log.info("{}: {}, since {}", move.feature.name, move.to.storedName, move.why)
                         view.see(Keys.ROLLOUT, moved.toFields(), outcome.revision)
                     }
 
-                    is Outcome.Conflict -> reread()
+                    is CommitOutcome.Conflict -> reread()
 
-                    is Outcome.Refused -> log.error("the move of {} was refused: {}", move.feature.name, outcome.reason)
+                    is CommitOutcome.Refused -> log.error("the move of {} was refused: {}", move.feature.name, outcome.reason)
                 }
             },
         )
@@ -82,9 +82,9 @@
         log.info("this controller was excluded by {} ({}); it asks to count again", by?.by, by?.why)
         val included = gates.record.including(self, Provenance.of(self, wall(), "back with versions ${registry.range}"))
         store.commit(
-            Change(listOf(gates.guard), listOf(Write.Put(Keys.ROLLOUT, included.toFields()))) { outcome ->
+            CasTransaction(listOf(gates.precondition), listOf(Write.Put(Keys.ROLLOUT, included.toFields()))) { outcome ->
                 storing = false
-                if (outcome is Outcome.Applied) view.see(Keys.ROLLOUT, included.toFields(), outcome.revision) else reread()
+                if (outcome is CommitOutcome.Applied) view.see(Keys.ROLLOUT, included.toFields(), outcome.revision) else reread()
             },
         )
     }
--- a/src/main/kotlin/io/reedmast/rollout/RolloutStore.kt
+++ b/src/main/kotlin/io/reedmast/rollout/RolloutStore.kt
@@ -1,8 +1,8 @@
 package io.reedmast.rollout
 
-import io.reedmast.state.Change
-import io.reedmast.state.Fetched
-import io.reedmast.state.Item
+import io.reedmast.kvstore.CasTransaction
+import io.reedmast.kvstore.ReadResult
+import io.reedmast.kvstore.StoredItem
 
 /**
  * The state store as the rollout needs it: conditional changes, and reads of the newest values.
@@ -11,13 +11,13 @@
  * whether it was applied.
  */
 interface RolloutStore {
-    fun commit(change: Change)
+    fun commit(change: CasTransaction)
 
-    fun get(path: String, done: (Fetched) -> Unit)
+    fun get(path: String, done: (ReadResult) -> Unit)
 
     /** All records whose keys begin with [prefix], in key order; null if they could not be read. */
-    fun list(prefix: String, done: (List<Item>?) -> Unit)
+    fun list(prefix: String, done: (List<StoredItem>?) -> Unit)
 
     /** How much of the budget of changes is left, as a part of a second's worth. */
-    fun writeFullness(): Double
+    fun writePermitLevel(): Double
 }
--- a/src/main/kotlin/io/reedmast/rollout/RolloutView.kt
+++ b/src/main/kotlin/io/reedmast/rollout/RolloutView.kt
@@ -1,6 +1,6 @@
 package io.reedmast.rollout
 
-import io.reedmast.state.Keys
+import io.reedmast.kvstore.Keys
 import io.reedmast.wire.Fields
 import io.reedmast.wire.MalformedException
 import io.reedmast.wire.map
--- a/src/main/kotlin/io/reedmast/settings/Settings.kt
+++ b/src/main/kotlin/io/reedmast/settings/Settings.kt
@@ -38,7 +38,7 @@
 /** [gangWaitS]: how long a task waits for the rest of its gang. [gangPeerS]: how soon the tasks of a gang notice that one is gone. */
 data class WorkerRules(val reportS: Double, val leaseS: Double, val cancelS: Double, val gangWaitS: Double = 50.0, val gangPeerS: Double = 5.0)
 
-data class StateLimits(val requestsPerS: Double, val writesPerS: Double, val valueBytes: Int, val opsPerCommit: Int)
+data class StoreLimits(val requestsPerS: Double, val writesPerS: Double, val valueBytes: Int, val opsPerCommit: Int)
 
 data class CloudLimits(val requestsPerS: Double, val listLagS: Double)
 
@@ -51,15 +51,15 @@
     val clusterListen: InetSocketAddress,
     val members: List<Member>,
     val self: ControllerId,
-    val cloud: String,
-    val state: String,
+    val cloudAddress: String,
+    val storeAddress: String,
     val zones: List<String>,
     val teams: List<TeamShare>,
     val objectives: List<Objective>,
     val workers: WorkerRules,
-    val stateLimits: StateLimits,
-    /** What the state service will allow from some moment after an upgrade, which it does not announce. */
-    val nextStateLimits: StateLimits?,
+    val storeLimits: StoreLimits,
+    /** What the store will allow from some moment after an upgrade, which it does not announce. */
+    val nextStoreLimits: StoreLimits?,
     val cloudLimits: CloudLimits,
     val maxConnections: Int,
 ) {
@@ -121,17 +121,17 @@
                 }
             if (rules.cancelS <= rules.leaseS) throw SettingsException("facts.workers.cancel_s must be above lease_s")
             val state = at("facts.") { facts.map("state") }
-            val stateLimits =
+            val storeLimits =
                 at("facts.state.") {
-                    StateLimits(
+                    StoreLimits(
                         positive(state, "rps"),
                         positive(state, "write_rps"),
                         (positive(state, "value_kb") * 1024).toInt(),
                         positive(state, "txn_ops").toInt(),
                     )
                 }
-            val nextStateLimits = if (state["next"] == null) null else at("facts.state.next: ") { state.map("next") }.let { nextLimits(it, stateLimits) }
-            if (stateLimits.opsPerCommit < 4) throw SettingsException("facts.state.txn_ops must be at least 4")
+            val nextStoreLimits = if (state["next"] == null) null else at("facts.state.next: ") { state.map("next") }.let { nextLimits(it, storeLimits) }
+            if (storeLimits.opsPerCommit < 4) throw SettingsException("facts.state.txn_ops must be at least 4")
             val cloud = at("facts.") { facts.map("cloud") }
             val cloudLimits = at("facts.cloud.") { CloudLimits(positive(cloud, "rps"), cloud.amount("list_lag_s")) }
             val connections = (facts["resources"]?.let { at("facts.") { facts.map("resources") } })?.optionalAmountOr("max_connections", 1000.0) ?: 1000.0
@@ -141,23 +141,23 @@
                 clusterListen = clusterListen,
                 members = members,
                 self = ControllerId(members.indexOfFirst { it.label == label }),
-                cloud = at("outside.") { outside.text("cloud").also { address("cloud", it) } },
-                state = at("outside.") { outside.text("state").also { address("state", it) } },
+                cloudAddress = at("outside.") { outside.text("cloud").also { address("cloud", it) } },
+                storeAddress = at("outside.") { outside.text("state").also { address("state", it) } },
                 zones = at("facts.") { facts.list("zones").map { it as? String ?: throw MalformedException("zones holds something that is not text") } },
                 teams = teams(facts),
                 objectives = objectives(facts),
                 workers = rules,
-                stateLimits = stateLimits,
-                nextStateLimits = nextStateLimits,
+                storeLimits = storeLimits,
+                nextStoreLimits = nextStoreLimits,
                 cloudLimits = cloudLimits,
                 maxConnections = connections.toInt(),
             )
         }
 
         /** A limit that is not named stays as it is. */
-        private fun nextLimits(next: Fields, now: StateLimits): StateLimits = at("facts.state.next.") {
+        private fun nextLimits(next: Fields, now: StoreLimits): StoreLimits = at("facts.state.next.") {
             fun limit(name: String) = if (next[name] == null) null else positive(next, name)
-            StateLimits(
+            StoreLimits(
                 limit("rps") ?: now.requestsPerS,
                 limit("write_rps") ?: now.writesPerS,
                 limit("value_kb")?.let { (it * 1024).toInt() } ?: now.valueBytes,
--- a/src/main/kotlin/io/reedmast/wire/StateMessages.kt
+++ b/src/main/kotlin/io/reedmast/wire/StoreMessages.kt
@@ -1,10 +1,10 @@
 package io.reedmast.wire
 
-/** A key of the state service as a message tells of it; a null [value] is a deletion. */
+/** A key of the store as a message tells of it; a null [value] is a deletion. */
 data class KeyedValue(val key: String, val value: Fields?, val version: Long)
 
-/** The bodies that the state service takes and gives. */
-object StateMessages {
+/** The bodies that the store takes and gives. */
+object StoreMessages {
     fun condition(key: String, version: Long): Fields = mapOf("path" to key, "stamp" to version)
 
     /** The field of a stored value that names the transaction which stored it. */
--- a/src/main/kotlin/io/reedmast/wire/Tree.kt
+++ b/src/main/kotlin/io/reedmast/wire/Tree.kt
@@ -11,7 +11,7 @@
 import java.math.BigDecimal
 import java.math.BigInteger
 
-/** Something on the wire, or in the state service, that does not have the form it should have. */
+/** Something on the wire, or in the store, that does not have the form it should have. */
 class MalformedException(message: String) : Exception(message)
 
 /** A message body: a map keyed by text, as it comes from CBOR or from the JSON settings file. */
@@ -111,7 +111,7 @@
         return out.toByteArray()
     }
 
-    /** The size that the state service counts a value by: its length as JSON. */
+    /** The size that the store counts a value by: its length as JSON. */
     fun jsonSize(value: Fields): Int = json(value).size()
 
     fun writeJson(fields: Fields): ByteArray = json(fields).toByteArray()
--- a/src/main/kotlin/io/reedmast/workers/MachineLifecycle.kt
+++ b/src/main/kotlin/io/reedmast/workers/MachineLifecycle.kt
@@ -94,7 +94,7 @@
 
     /**
      * Nearly all machines falling silent within one report's time is this node's loss of its workers. It still has its keys and
-     * hears the state service, so nobody else can tell as soon, and the workers' leases are short.
+     * hears the store, so nobody else can tell as soon, and the workers' leases are short.
      */
     private fun noticeLossOfWorkers(now: Long) {
         val overdueMs = shardState.reportOverdueMs
@@ -170,7 +170,7 @@
         // A machine that has just booted has been empty for all of its boot: it was returned before anything could be placed.
         if (now - machine.trustedAt < JUST_UP_MS) return false
         val patience = spareMachines.patienceMs(machine)
-        // While this node heard nothing from the state service, nothing could be placed there.
+        // While this node heard nothing from the store, nothing could be placed there.
         return now - maxOf(machine.emptySince, deafUntil) > patience && now - shardState.activeAt > patience && !spare.needs(machine)
     }
 
--- a/src/main/kotlin/io/reedmast/workers/Reports.kt
+++ b/src/main/kotlin/io/reedmast/workers/Reports.kt
@@ -247,7 +247,7 @@
                 shardState.finish(placement, done = false)
                 return
             }
-            // The worker is back, and has the image. Placed anew, all tasks of a fleet waited for the state service's limit and for
+            // The worker is back, and has the image. Placed anew, all tasks of a fleet waited for the store's limit and for
             // images after an outage that was longer than the fence.
             placement.job.noteLost(placement)
         }
--- a/src/test/kotlin/io/reedmast/ArchitectureTest.kt
+++ b/src/test/kotlin/io/reedmast/ArchitectureTest.kt
@@ -38,7 +38,7 @@
                     "io.reedmast.$it.."
                 }.toTypedArray(),
             )
-            .orShould().dependOnClassesThat().haveFullyQualifiedName("io.reedmast.state.StateClient")
+            .orShould().dependOnClassesThat().haveFullyQualifiedName("io.reedmast.kvstore.StateClient")
             .orShould().dependOnClassesThat().haveFullyQualifiedName("io.reedmast.wire.Caller")
             .check(production)
     }
--- a/src/test/kotlin/io/reedmast/CountedWorkTest.kt
+++ b/src/test/kotlin/io/reedmast/CountedWorkTest.kt
@@ -1,16 +1,16 @@
 package io.reedmast
 
+import io.reedmast.kvstore.WritePriority
+import io.reedmast.kvstore.WriteRateLimiter
 import io.reedmast.ownership.HostPart
 import io.reedmast.settings.CloudLimits
 import io.reedmast.settings.ControllerId
 import io.reedmast.settings.Member
 import io.reedmast.settings.Settings
-import io.reedmast.settings.StateLimits
+import io.reedmast.settings.StoreLimits
 import io.reedmast.settings.TeamShare
 import io.reedmast.settings.WorkerRules
 import io.reedmast.sim.World
-import io.reedmast.state.WriteBudget
-import io.reedmast.state.WritePriority
 import io.reedmast.wire.MachineType
 import io.reedmast.wire.Tree
 import io.reedmast.workers.HostRecord
@@ -32,14 +32,14 @@
         clusterListen = World.address(node, 8081),
         members = (0 until nodes).map { Member("n$it", World.address(it, 8081)) },
         self = ControllerId(node),
-        cloud = "10.2.0.2:1",
-        state = "10.2.0.1:1",
+        cloudAddress = "10.2.0.2:1",
+        storeAddress = "10.2.0.1:1",
         zones = listOf("x"),
         teams = (0 until 6).map { TeamShare("t$it", cpus, cpus * 1.5, 0.0, 0.0) },
         objectives = emptyList(),
         workers = WorkerRules(3.0, 16.0, 41.0),
-        stateLimits = StateLimits(150.0, 50.0, valueBytes, 16),
-        nextStateLimits = null,
+        storeLimits = StoreLimits(150.0, 50.0, valueBytes, 16),
+        nextStoreLimits = null,
         cloudLimits = CloudLimits(2.0, 5.0),
         maxConnections = 1000,
     )
@@ -154,19 +154,19 @@
     @Test
     fun `clean-up leaves part of the budget to work, and work to users`() {
         var now = 0L
-        val budget = WriteBudget(10.0) { now }
-        assertEquals(0L, budget.take(5, WritePriority.LAZY))
-        assertTrue(budget.take(1, WritePriority.LAZY) > 0)
-        assertEquals(0L, budget.take(2, WritePriority.PROMPT))
-        assertEquals(100L, budget.take(1, WritePriority.PROMPT))
-        assertEquals(0L, budget.take(3, WritePriority.USER))
-        assertEquals(100L, budget.take(1, WritePriority.USER))
+        val writeLimiter = WriteRateLimiter(10.0) { now }
+        assertEquals(0L, writeLimiter.take(5, WritePriority.DEFERRED))
+        assertTrue(writeLimiter.take(1, WritePriority.DEFERRED) > 0)
+        assertEquals(0L, writeLimiter.take(2, WritePriority.URGENT))
+        assertEquals(100L, writeLimiter.take(1, WritePriority.URGENT))
+        assertEquals(0L, writeLimiter.take(3, WritePriority.USER))
+        assertEquals(100L, writeLimiter.take(1, WritePriority.USER))
         now += 100
-        assertEquals(300L, budget.take(1, WritePriority.PROMPT))
-        assertEquals(0L, budget.take(1, WritePriority.USER))
+        assertEquals(300L, writeLimiter.take(1, WritePriority.URGENT))
+        assertEquals(0L, writeLimiter.take(1, WritePriority.USER))
         // A transaction larger than a second's worth goes out once the bucket is full, and is paid for afterwards.
         now += 1_000
-        assertEquals(0L, budget.take(16, WritePriority.PROMPT))
-        assertTrue(budget.take(1, WritePriority.USER) >= 700)
+        assertEquals(0L, writeLimiter.take(16, WritePriority.URGENT))
+        assertTrue(writeLimiter.take(1, WritePriority.USER) >= 700)
     }
 }
--- a/src/test/kotlin/io/reedmast/LargeFaultTest.kt
+++ b/src/test/kotlin/io/reedmast/LargeFaultTest.kt
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.TestFactory
 
 /**
- * Days by chance at production size: hundreds of machines and jobs, the state service's true limits, records that fill many
+ * Days by chance at production size: hundreds of machines and jobs, the store's true limits, records that fill many
  * values and many pages of a listing, and troubles over each other.
  *
  * At size the changes of a moment share transactions, watches fall so far behind that everything is read anew, and listings are
@@ -16,7 +16,7 @@
     @TestFactory
     fun days(): List<DynamicTest> = seeds().map { seed -> play("day $seed", LargeDay(seed)) }
 
-    /** Controllers are upgraded among the other troubles, gangs come after that, and the state service lowers its limits. */
+    /** Controllers are upgraded among the other troubles, gangs come after that, and the store lowers its limits. */
     @TestFactory
     fun `days of an upgrade`(): List<DynamicTest> = seeds(UPGRADE_DAYS).map { seed -> play("upgrade day $seed", LargeDay(seed, upgrade = true)) }
 
--- a/src/test/kotlin/io/reedmast/ProductionFormatTest.kt
+++ b/src/test/kotlin/io/reedmast/ProductionFormatTest.kt
@@ -39,7 +39,7 @@
 
     private fun record(name: String): Fields = records.map(name)
 
-    /** As it comes back from the state service. */
+    /** As it comes back from the store. */
     private fun stored(fields: Fields): Fields = Tree.readCbor(Tree.writeCbor(fields))
 
     private fun assertSameForm(name: String, written: Fields) = assertEquals(record(name), stored(written), name)
--- a/src/test/kotlin/io/reedmast/RandomizedFaultTest.kt
+++ b/src/test/kotlin/io/reedmast/RandomizedFaultTest.kt
@@ -19,7 +19,7 @@
     @TestFactory
     fun `days with gangs`(): List<DynamicTest> = play("gang day") { RandomDay(it, gangs = true) }
 
-    /** Controllers are upgraded one after the other, and at some moment after the last one the state service takes less. */
+    /** Controllers are upgraded one after the other, and at some moment after the last one the store takes less. */
     @TestFactory
     fun `days of an upgrade`(): List<DynamicTest> = play("upgrade day") { RandomDay(it, gangs = true, upgrade = true) }
 
--- a/src/test/kotlin/io/reedmast/SettingsTest.kt
+++ b/src/test/kotlin/io/reedmast/SettingsTest.kt
@@ -2,7 +2,7 @@
 
 import io.reedmast.settings.Settings
 import io.reedmast.settings.SettingsException
-import io.reedmast.settings.StateLimits
+import io.reedmast.settings.StoreLimits
 import io.reedmast.wire.Tree
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertThrows
@@ -45,9 +45,9 @@
 
     @Test
     fun `limits that come later are read as far as they are named`() {
-        assertEquals(null, parse(good).nextStateLimits)
+        assertEquals(null, parse(good).nextStoreLimits)
         val later = parse(good.replaceFirst("\"txn_ops\": 16", "\"txn_ops\": 16, \"next\": { \"value_kb\": 2, \"txn_ops\": 5, \"novelty\": 1 }"))
-        assertEquals(StateLimits(100.0, 20.0, 2048, 5), later.nextStateLimits)
+        assertEquals(StoreLimits(100.0, 20.0, 2048, 5), later.nextStoreLimits)
         for ((next, field) in listOf(
             "{ \"value_kb\": 0 }" to "facts.state.next.value_kb",
             "{ \"txn_ops\": [] }" to "facts.state.next.txn_ops",
--- a/src/test/kotlin/io/reedmast/SocketTest.kt
+++ b/src/test/kotlin/io/reedmast/SocketTest.kt
@@ -8,6 +8,8 @@
 import io.reedmast.app.Node
 import io.reedmast.app.Timings
 import io.reedmast.app.Watches
+import io.reedmast.kvstore.EffectiveLimits
+import io.reedmast.kvstore.StoreClient
 import io.reedmast.peers.JobProgress
 import io.reedmast.peers.PeerClient
 import io.reedmast.peers.PeerMessage
@@ -15,8 +17,6 @@
 import io.reedmast.ports.Clock
 import io.reedmast.settings.Settings
 import io.reedmast.settings.Tuning
-import io.reedmast.state.LimitsInForce
-import io.reedmast.state.StateClient
 import io.reedmast.wire.Caller
 import io.reedmast.wire.Fields
 import io.reedmast.wire.Tree
@@ -39,7 +39,7 @@
 import java.util.concurrent.LinkedBlockingQueue
 import java.util.concurrent.TimeUnit
 
-/** The real server and the real clients on loopback, against a small stand-in for state service and cloud. */
+/** The real server and the real clients on loopback, against a small stand-in for store and cloud. */
 @TestInstance(TestInstance.Lifecycle.PER_CLASS)
 class SocketTest {
     private object SystemClock : Clock {
@@ -93,8 +93,8 @@
             .replace("18393", backend.address.port.toString()).replace("18394", backend.address.port.toString())
         val settings = Settings.parse(Tree.readJson(text.toByteArray()))
         val eventLoop = EventLoop(SystemClock, 100)
-        val limits = LimitsInForce(settings.stateLimits, settings.nextStateLimits)
-        val client = StateClient(settings.state, limits, 1, Caller(500, 1000))
+        val limits = EffectiveLimits(settings.storeLimits, settings.nextStoreLimits)
+        val client = StoreClient(settings.storeAddress, limits, 1, Caller(500, 1000))
         val out = NetworkGateway(settings, eventLoop, client, limits, "test") {}
         val timings = Timings(SystemClock)
         val node = Node(eventLoop, Controller(settings, Tuning(), SystemClock, out, limits, "test"), timings)
@@ -114,8 +114,8 @@
 
     @Synchronized
     private fun commit(body: Fields): Pair<Int, Fields> {
-        val guards = (body["when"] as List<*>).map { it as Map<*, *> }
-        val failed = guards.filter { (stored[it["path"]]?.second ?: 0L) != (it["stamp"] as Number).toLong() }.map { it["path"] }
+        val preconditions = (body["when"] as List<*>).map { it as Map<*, *> }
+        val failed = preconditions.filter { (stored[it["path"]]?.second ?: 0L) != (it["stamp"] as Number).toLong() }.map { it["path"] }
         if (failed.isNotEmpty()) return 409 to mapOf("failed" to failed, "epoch" to revision)
         revision++
         for (write in (body["writes"] as List<*>).map { it as Map<*, *> }) {
--- a/src/test/kotlin/io/reedmast/jobs/DensePagesProperties.kt
+++ b/src/test/kotlin/io/reedmast/jobs/DensePagesProperties.kt
@@ -1,9 +1,9 @@
 package io.reedmast.jobs
 
+import io.reedmast.kvstore.Write
 import io.reedmast.ownership.TokenFence
 import io.reedmast.settings.TeamId
 import io.reedmast.sim.World
-import io.reedmast.state.Write
 import io.reedmast.wire.Fields
 import io.reedmast.wire.MalformedException
 import io.reedmast.wire.Tree
@@ -23,7 +23,7 @@
 
 /** The steps between the forms of pages: nothing is lost either way, and every half-migrated state reads the same. */
 class DensePagesProperties {
-    /** As it comes back from the state service. */
+    /** As it comes back from the store. */
     private fun stored(fields: Fields): Fields = Tree.readCbor(Tree.writeCbor(fields))
 
     private fun plain(chunks: List<StoredChunk>): Fields = stored(PageForm.SIZED.toFields(chunks))
--- a/src/test/kotlin/io/reedmast/jobs/JobIndexTest.kt
+++ b/src/test/kotlin/io/reedmast/jobs/JobIndexTest.kt
@@ -1,9 +1,9 @@
 package io.reedmast.jobs
 
+import io.reedmast.kvstore.StoredItem
+import io.reedmast.kvstore.WatchEvent
 import io.reedmast.sim.World
 import io.reedmast.sim.testSettings
-import io.reedmast.state.Event
-import io.reedmast.state.Item
 import io.reedmast.wire.Fields
 import io.reedmast.wire.JobState
 import io.reedmast.wire.Tree
@@ -35,7 +35,7 @@
     @Test
     fun `nor after the watch has told of the end`() {
         index.load(emptyList(), 80)
-        index.follow(listOf(Event(path, record(), 90), Event(path, null, 95)), 95)
+        index.follow(listOf(WatchEvent(path, record(), 90), WatchEvent(path, null, 95)), 95)
         index.see(path, record(), 90)
         assertNull(index.live("wk-1"))
     }
@@ -48,7 +48,7 @@
         index.follow(emptyList(), 85)
         index.load(emptyList(), 86)
         assertNotNull(index.live("wk-1"))
-        index.follow(listOf(Event(path, record(), 90), Event(path, null, 95)), 95)
+        index.follow(listOf(WatchEvent(path, record(), 90), WatchEvent(path, null, 95)), 95)
         assertNull(index.live("wk-1"))
     }
 
@@ -57,7 +57,7 @@
         index.load(emptyList(), 80)
         index.see("j/end/wk-1", EndRecord(JobState.DONE, 1).toFields(), 95)
         index.see(path, null, 95)
-        index.follow(listOf(Event(path, record(), 90)), 92)
+        index.follow(listOf(WatchEvent(path, record(), 90)), 92)
         assertNull(index.live("wk-1"))
     }
 
@@ -66,24 +66,24 @@
     fun `an end of our own holds until the watch has told it, whatever else ends meanwhile`() {
         index.load(emptyList(), 80)
         index.see(path, null, 95)
-        index.load(listOf(Item(path, record(), 90)), 91)
+        index.load(listOf(StoredItem(path, record(), 90)), 91)
         assertNull(index.live("wk-1"))
-        index.follow(listOf(Event(path, null, 95)), 95)
+        index.follow(listOf(WatchEvent(path, null, 95)), 95)
         assertNull(index.live("wk-1"))
     }
 
     /** The first page of a listing is older than the last one: a job that came meanwhile may be listed or not. */
     @Test
     fun `a listing whose pages are of different moments loses nothing`() {
-        index.load(listOf(Item(path, record(), 104)), 100)
-        index.follow(listOf(Event("j/live/0/wk-2", record(), 102), Event(path, record(), 104)), 110)
+        index.load(listOf(StoredItem(path, record(), 104)), 100)
+        index.follow(listOf(WatchEvent("j/live/0/wk-2", record(), 102), WatchEvent(path, record(), 104)), 110)
         assertNotNull(index.live("wk-1"))
     }
 
     @Test
     fun `an older state never replaces a newer one`() {
         index.load(emptyList(), 80)
-        index.follow(listOf(Event(path, record(), 90), Event(path, record(aborted = true), 93)), 93)
+        index.follow(listOf(WatchEvent(path, record(), 90), WatchEvent(path, record(aborted = true), 93)), 93)
         index.see(path, record(), 90)
         assertTrue(checkNotNull(index.live("wk-1")).record.aborted)
         assertEquals(93, index.live("wk-1")?.version)
--- a/src/test/kotlin/io/reedmast/jobs/PageDivisionTest.kt
+++ b/src/test/kotlin/io/reedmast/jobs/PageDivisionTest.kt
@@ -1,20 +1,20 @@
 package io.reedmast.jobs
 
+import io.reedmast.kvstore.CasTransaction
+import io.reedmast.kvstore.CommitOutcome
+import io.reedmast.kvstore.EffectiveLimits
+import io.reedmast.kvstore.Keys
+import io.reedmast.kvstore.StoredItem
+import io.reedmast.kvstore.Write
 import io.reedmast.ports.Clock
 import io.reedmast.settings.ShardId
-import io.reedmast.settings.StateLimits
+import io.reedmast.settings.StoreLimits
 import io.reedmast.settings.TeamId
 import io.reedmast.settings.TeamShare
 import io.reedmast.settings.Tuning
 import io.reedmast.sim.RecordingGateway
 import io.reedmast.sim.World
 import io.reedmast.sim.testSettings
-import io.reedmast.state.Change
-import io.reedmast.state.Item
-import io.reedmast.state.Keys
-import io.reedmast.state.LimitsInForce
-import io.reedmast.state.Outcome
-import io.reedmast.state.Write
 import io.reedmast.wire.Fields
 import io.reedmast.wire.maps
 import io.reedmast.workers.HostRecord
@@ -24,7 +24,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** A page of an earlier version is divided for lowered limits: two pages speak for the same tasks until the old one is cleared. */
+/** A page of an earlier version is divided for reduced limits: two pages speak for the same tasks until the old one is cleared. */
 class PageDivisionTest {
     private var now = 10_000L
     private val clock = object : Clock {
@@ -34,11 +34,11 @@
     }
     private val settings = testSettings(
         team = TeamShare("a", 800.0, 1200.0, 0.0, 0.0),
-        stateLimits = StateLimits(100.0, 50.0, 32 * 1024, 16),
-        nextStateLimits = StateLimits(100.0, 35.0, 2 * 1024, 5),
+        storeLimits = StoreLimits(100.0, 50.0, 32 * 1024, 16),
+        nextStoreLimits = StoreLimits(100.0, 35.0, 2 * 1024, 5),
     )
     private val out = RecordingGateway()
-    private val limits = LimitsInForce(settings.stateLimits, settings.nextStateLimits).apply { lower() }
+    private val limits = EffectiveLimits(settings.storeLimits, settings.nextStoreLimits).apply { reduce() }
     private val shardState = ShardState(ShardId(0), settings, Tuning(), clock, { emptyList() }, { true }, limits)
     private val launchable = ArrayList<Placement>()
     private val store = ProgressStore(
@@ -53,7 +53,7 @@
 
             override fun gatesInDoubt() = Unit
 
-            override fun recordChanged(path: String, item: Item?) = Unit
+            override fun recordChanged(path: String, item: StoredItem?) = Unit
 
             override fun ended(job: Job, end: EndRecord, revision: Long) = Unit
         },
@@ -64,16 +64,16 @@
     private fun chunk(first: Int, size: Int?, vararg on: Any): Fields = mapOf("job" to "wk-1", "first" to first.toLong(), "done" to "", "on" to on.toList()) +
         (if (size == null) emptyMap() else mapOf("size" to size.toLong()))
 
-    private fun page(index: Int, version: Long, vararg chunks: Fields) = Item(Keys.page(0, index), mapOf("chunks" to chunks.toList()), version)
+    private fun page(index: Int, version: Long, vararg chunks: Fields) = StoredItem(Keys.page(0, index), mapOf("chunks" to chunks.toList()), version)
 
-    private fun load(vararg pages: Item) = store.load(pages.toList(), mapOf("wk-1" to OLD_SIZE)) { of, stored ->
+    private fun load(vararg pages: StoredItem) = store.load(pages.toList(), mapOf("wk-1" to OLD_SIZE)) { of, stored ->
         val machine = Machine(HostRecord(stored.host, "m", "x", false), null, 0L, 0L)
         shardState.place(Placement(of, stored.task, stored.attempt, machine, now).apply { committed = true })
     }
 
     private fun tasksPlaced() = job.placements().map { it.task }.toList()
 
-    private fun flush(): List<Change> {
+    private fun flush(): List<CasTransaction> {
         val before = out.commits.size
         store.flush(now)
         // What nobody waits for is stored a little later.
@@ -82,7 +82,7 @@
         return out.commits.drop(before)
     }
 
-    private fun putOf(change: Change) = change.writes.single() as Write.Put
+    private fun putOf(change: CasTransaction) = change.writes.single() as Write.Put
 
     @Test
     fun `an older copy does not bring back a placement that has ended`() {
@@ -107,11 +107,11 @@
         assertTrue(first.isNotEmpty() && first.none { putOf(it).path == Keys.page(0, 0) }, "${first.map { putOf(it).path }}")
         assertTrue(flush().none { putOf(it).path == Keys.page(0, 0) })
         assertFalse(job.chunkOf(0).stored)
-        first.forEach { it.done(Outcome.Applied(11L)) }
+        first.forEach { it.done(CommitOutcome.Applied(11L)) }
         val cleared = flush().single { putOf(it).path == Keys.page(0, 0) }
         assertEquals(PageForm.SIZED.toFields(emptyList()), putOf(cleared).value)
-        assertTrue(cleared.guards.any { it.path == Keys.page(0, 0) && it.version == 5L })
-        cleared.done(Outcome.Applied(12L))
+        assertTrue(cleared.preconditions.any { it.path == Keys.page(0, 0) && it.version == 5L })
+        cleared.done(CommitOutcome.Applied(12L))
         assertTrue(job.chunkOf(0).stored && job.chunkOf(40).stored)
     }
 
--- a/src/test/kotlin/io/reedmast/state/CommitQueueTest.kt
+++ b/src/test/kotlin/io/reedmast/kvstore/CommitQueueTest.kt
@@ -1,6 +1,6 @@
-package io.reedmast.state
+package io.reedmast.kvstore
 
-import io.reedmast.settings.StateLimits
+import io.reedmast.settings.StoreLimits
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertTrue
@@ -8,11 +8,11 @@
 
 class CommitQueueTest {
     private var now = 0L
-    private val limits = StateLimits(100.0, 10.0, 8192, 4)
-    private val queue = CommitQueue(limits, WriteBudget(10.0) { now }, maxQueued = 8) { now }
+    private val limits = StoreLimits(100.0, 10.0, 8192, 4)
+    private val queue = CommitQueue(limits, WriteRateLimiter(10.0) { now }, maxQueued = 8) { now }
 
-    private fun change(path: String, writePriority: WritePriority = WritePriority.PROMPT) =
-        Change(listOf(Guard(path, 1), Guard("term", 3)), listOf(Write.Put(path, emptyMap())), writePriority) {}
+    private fun change(path: String, writePriority: WritePriority = WritePriority.URGENT) =
+        CasTransaction(listOf(Precondition(path, 1), Precondition("term", 3)), listOf(Write.Put(path, emptyMap())), writePriority) {}
 
     private fun paths() = (queue.poll() as CommitQueue.Polled.Batch).changes.map { it.writes.single().path }
 
@@ -67,7 +67,7 @@
     /** A page that waits here lazily takes up no placements: for as long as others kept coming, its jobs did not start. */
     @Test
     fun `a lazy change is not kept waiting for ever by prompt ones`() {
-        queue.offer(change("lazy", WritePriority.LAZY), refusable = false)
+        queue.offer(change("lazy", WritePriority.DEFERRED), refusable = false)
         val sent = ArrayList<String>()
         repeat(60) {
             now += 100
--- a/src/test/kotlin/io/reedmast/state/CommitterTest.kt
+++ b/src/test/kotlin/io/reedmast/kvstore/CommitterTest.kt
@@ -1,7 +1,7 @@
-package io.reedmast.state
+package io.reedmast.kvstore
 
-import io.reedmast.state.LimitsInForce
-import io.reedmast.state.StateServiceStub.Fate
+import io.reedmast.kvstore.EffectiveLimits
+import io.reedmast.kvstore.StoreStub.Fate
 import org.junit.jupiter.api.AfterEach
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
@@ -12,19 +12,20 @@
 
 /** What the committer reports of changes whose transaction got no answer must be what became of them. */
 class CommitterTest {
-    private val service = StateServiceStub()
-    private val outcomes = ConcurrentHashMap<String, Outcome>()
+    private val service = StoreStub()
+    private val outcomes = ConcurrentHashMap<String, CommitOutcome>()
 
     @AfterEach
     fun close() = service.close()
 
-    private fun change(name: String, guards: List<Guard>, vararg writes: Write, done: CountDownLatch) = Change(guards, writes.toList()) {
-        outcomes[name] = it
-        done.countDown()
-    }
+    private fun change(name: String, preconditions: List<Precondition>, vararg writes: Write, done: CountDownLatch) =
+        CasTransaction(preconditions, writes.toList()) {
+            outcomes[name] = it
+            done.countDown()
+        }
 
-    private fun commit(changes: List<Change>, done: CountDownLatch) {
-        val committer = Committer(service.client, LimitsInForce(service.limits), 64, TransactionIds("test")) { change, outcome -> change.done(outcome) }
+    private fun commit(changes: List<CasTransaction>, done: CountDownLatch) {
+        val committer = Committer(service.client, EffectiveLimits(service.limits), 64, TransactionIds("test")) { change, outcome -> change.done(outcome) }
         changes.forEach { committer.offer(it, refusable = false) }
         Thread(committer::run).apply { isDaemon = true }.start()
         assertTrue(done.await(20, TimeUnit.SECONDS), "some changes are never settled")
@@ -43,12 +44,12 @@
         val done = CountDownLatch(3)
         service.plan(Fate.LOST)
         service.whenLost = { service.store("j/live/0/wk-1", cancelled) }
-        val cancel = change("cancel", listOf(Guard("j/live/0/wk-1", before)), Write.Put("j/live/0/wk-1", cancelled), done = done)
-        val accept = change("accept", listOf(Guard("j/live/0/wk-2", 0)), Write.Put("j/live/0/wk-2", mapOf("spec" to "wk-2")), done = done)
-        val page = change("page", listOf(Guard("page/0/0", 0)), Write.Put("page/0/0", mapOf("chunks" to listOf("wk-3"))), done = done)
+        val cancel = change("cancel", listOf(Precondition("j/live/0/wk-1", before)), Write.Put("j/live/0/wk-1", cancelled), done = done)
+        val accept = change("accept", listOf(Precondition("j/live/0/wk-2", 0)), Write.Put("j/live/0/wk-2", mapOf("spec" to "wk-2")), done = done)
+        val page = change("page", listOf(Precondition("page/0/0", 0)), Write.Put("page/0/0", mapOf("chunks" to listOf("wk-3"))), done = done)
         commit(listOf(cancel, accept, page), done)
-        assertEquals(Outcome.Conflict(setOf("j/live/0/wk-1")), outcomes["cancel"])
-        assertEquals(Outcome.Applied(service.versionOf("j/live/0/wk-2")), outcomes["accept"])
-        assertEquals(Outcome.Applied(service.versionOf("page/0/0")), outcomes["page"])
+        assertEquals(CommitOutcome.Conflict(setOf("j/live/0/wk-1")), outcomes["cancel"])
+        assertEquals(CommitOutcome.Applied(service.versionOf("j/live/0/wk-2")), outcomes["accept"])
+        assertEquals(CommitOutcome.Applied(service.versionOf("page/0/0")), outcomes["page"])
     }
 }
--- a/src/test/kotlin/io/reedmast/state/StateServiceStub.kt
+++ b/src/test/kotlin/io/reedmast/kvstore/StoreStub.kt
@@ -1,9 +1,9 @@
-package io.reedmast.state
+package io.reedmast.kvstore
 
 import com.sun.net.httpserver.HttpExchange
 import com.sun.net.httpserver.HttpServer
-import io.reedmast.settings.StateLimits
-import io.reedmast.state.LimitsInForce
+import io.reedmast.kvstore.EffectiveLimits
+import io.reedmast.settings.StoreLimits
 import io.reedmast.wire.Caller
 import io.reedmast.wire.Fields
 import io.reedmast.wire.Tree
@@ -12,8 +12,8 @@
 import java.util.TreeMap
 import java.util.concurrent.Executors
 
-/** A state service on loopback whose transactions can be lost, held back and carried out late, for tests of its clients. */
-class StateServiceStub : AutoCloseable {
+/** A store on loopback whose transactions can be lost, held back and carried out late, for tests of its clients. */
+class StoreStub : AutoCloseable {
     private class Entry(val value: Any?, val version: Long)
 
     /** What becomes of a transaction. */
@@ -33,14 +33,14 @@
     /** Transactions that arrived, lost ones included. */
     val transactions = ArrayList<Fields>()
 
-    val limits = StateLimits(requestsPerS = 10_000.0, writesPerS = 1_000.0, valueBytes = 8192, opsPerCommit = 16)
-    val client: StateClient
+    val limits = StoreLimits(requestsPerS = 10_000.0, writesPerS = 1_000.0, valueBytes = 8192, opsPerCommit = 16)
+    val client: StoreClient
 
     init {
         server.executor = threads
         server.createContext("/", ::serve)
         server.start()
-        client = StateClient("127.0.0.1:${server.address.port}", LimitsInForce(limits), 1, Caller(connectMs = 500, readMs = 300))
+        client = StoreClient("127.0.0.1:${server.address.port}", EffectiveLimits(limits), 1, Caller(connectMs = 500, readMs = 300))
     }
 
     override fun close() {
