--- a/src/test/kotlin/io/reedmast/loopback/LoopbackCluster.kt
+++ b/src/test/kotlin/io/reedmast/loopback/LoopbackCluster.kt
@@ -2,16 +2,16 @@
 
 import com.sun.net.httpserver.HttpExchange
 import com.sun.net.httpserver.HttpServer
-import io.reedmast.sim.SimState
+import io.reedmast.kvstore.CommitReply
+import io.reedmast.kvstore.Keys
+import io.reedmast.kvstore.Precondition
+import io.reedmast.kvstore.StoreTransaction
+import io.reedmast.kvstore.StoredItem
+import io.reedmast.kvstore.WatchEvent
+import io.reedmast.kvstore.Write
+import io.reedmast.sim.SimStore
 import io.reedmast.sim.World
 import io.reedmast.sim.testSettings
-import io.reedmast.state.CommitReply
-import io.reedmast.state.Event
-import io.reedmast.state.Guard
-import io.reedmast.state.Item
-import io.reedmast.state.Keys
-import io.reedmast.state.Transaction
-import io.reedmast.state.Write
 import io.reedmast.wire.Caller
 import io.reedmast.wire.Fields
 import io.reedmast.wire.JobSpec
@@ -28,9 +28,9 @@
 import java.util.concurrent.TimeUnit
 
 /**
- * Controllers as real processes on loopback, beside stand-ins for state service, cloud and workers that live in this process.
+ * Controllers as real processes on loopback, beside stand-ins for store, cloud and workers that live in this process.
  *
- * The stand-in state service is that of the simulated world, driven by real time.
+ * The stand-in store is that of the simulated world, driven by real time.
  */
 class LoopbackCluster(controllers: Int, private val machines: Int, private val classPath: (controller: Int) -> String) : AutoCloseable {
     val labels = (0 until controllers).map { "n$it" }
@@ -46,7 +46,7 @@
     private val beganAt = System.nanoTime()
     private val types = listOf(MachineType("m", 16.0, 0.0, 64.0, 50.0, 0.5, 1.0, 0.3, 1.0, listOf("x")))
     private val world = World({ testSettings(nodes = labels) }, controllers, types)
-    private val state: SimState = world.state
+    private val state: SimStore = world.state
     private val server = HttpServer.create(InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 200)
     private val threads = Executors.newCachedThreadPool { Thread(it).apply { isDaemon = true } }
     private val workers = LinkedHashMap<String, LoopbackWorker>()
@@ -149,8 +149,8 @@
         }
     }
 
-    /** What the state service holds. */
-    fun stored(prefix: String): List<Item> = locked { state.all(prefix) }
+    /** What the store holds. */
+    fun stored(prefix: String): List<StoredItem> = locked { state.all(prefix) }
 
     // ---- the stand-in services ----------------------------------------------------------------------------------------
 
@@ -189,7 +189,7 @@
         else -> 404 to emptyMap()
     }
 
-    private fun item(of: Item): Fields = mapOf("path" to of.path, "v" to of.value, "stamp" to of.version)
+    private fun item(of: StoredItem): Fields = mapOf("path" to of.path, "v" to of.value, "stamp" to of.version)
 
     private fun follow(query: Map<String, String>): Pair<Int, Fields> {
         val prefix = query.getValue("prefix")
@@ -203,20 +203,20 @@
         }
     }
 
-    private fun event(of: Event): Fields =
+    private fun event(of: WatchEvent): Fields =
         if (of.value == null) mapOf("delete" to of.path, "stamp" to of.version) else mapOf("put" to of.path, "v" to of.value, "stamp" to of.version)
 
     private fun commit(body: Fields): Pair<Int, Fields> {
-        val guards = (body["when"] as List<*>).map { asFields(it) }.map { Guard(it["path"] as String, (it["stamp"] as Number).toLong()) }
+        val preconditions = (body["when"] as List<*>).map { asFields(it) }.map { Precondition(it["path"] as String, (it["stamp"] as Number).toLong()) }
         val writes = (body["writes"] as List<*>).map { asFields(it) }.map { write ->
             val put = write["put"] as? String ?: return@map Write.Delete(write["delete"] as String)
             Write.Put(put, asFields(write["v"]), (write["holding"] as? Number)?.toLong())
         }
         // The values carry their transaction's id already.
         val id = writes.filterIsInstance<Write.Put>().firstOrNull()?.value?.get("txn") as? String ?: "delete-${++transactions}"
-        return when (val reply = state.commit(Transaction(id, guards, writes))) {
+        return when (val reply = state.commit(StoreTransaction(id, preconditions, writes))) {
             is CommitReply.Applied -> 200 to mapOf("epoch" to reply.revision)
-            is CommitReply.Failed -> 409 to mapOf("failed" to reply.paths.toList(), "epoch" to state.revision)
+            is CommitReply.PreconditionFailed -> 409 to mapOf("failed" to reply.paths.toList(), "epoch" to state.revision)
             else -> 400 to mapOf("error" to "$reply")
         }
     }
@@ -248,7 +248,7 @@
         threads.awaitTermination(1, TimeUnit.SECONDS)
     }
 
-    /** Broken rules: of the stand-in state service's checks of stored forms and moves of gates, and of what ran. */
+    /** Broken rules: of the stand-in store's checks of stored forms and moves of gates, and of what ran. */
     fun broken(): List<String> = locked { world.rules.broken.toList() } + history.broken
 
     private companion object {
--- a/src/test/kotlin/io/reedmast/ownership/PeerStatusesTest.kt
+++ b/src/test/kotlin/io/reedmast/ownership/PeerStatusesTest.kt
@@ -18,9 +18,9 @@
         query: PeerMessage.StatusQuery,
         uptimeMs: Long = 1_000_000,
         incarnation: String = query.incarnation,
-        stateAgeMs: Long? = 10_000,
+        storeAgeMs: Long? = 10_000,
         cancellations: List<Cancellation>? = emptyList(),
-    ) = PeerMessage.StatusReport(ControllerId(from), incarnation, query.sequence, uptimeMs, stateAgeMs, cancellations)
+    ) = PeerMessage.StatusReport(ControllerId(from), incarnation, query.sequence, uptimeMs, storeAgeMs, cancellations)
 
     @Test
     fun `all others must have answered, and the earliest query counts`() {
@@ -80,7 +80,7 @@
         val query = statuses.query(10_000)
         statuses.heard(report(1, query), 10_100, KNOWN_AT)
         assertTrue(statuses.noneHearsState(10_100))
-        statuses.heard(report(2, query, stateAgeMs = 1_500), 10_100, KNOWN_AT)
+        statuses.heard(report(2, query, storeAgeMs = 1_500), 10_100, KNOWN_AT)
         assertFalse(statuses.noneHearsState(10_100))
         // What was heard long ago says nothing of now.
         assertFalse(statuses.noneHearsState(20_000))
--- a/src/test/kotlin/io/reedmast/ownership/TakeoverTest.kt
+++ b/src/test/kotlin/io/reedmast/ownership/TakeoverTest.kt
@@ -1,17 +1,17 @@
 package io.reedmast.ownership
 
+import io.reedmast.kvstore.CasTransaction
+import io.reedmast.kvstore.CommitOutcome
+import io.reedmast.kvstore.EffectiveLimits
+import io.reedmast.kvstore.Keys
+import io.reedmast.kvstore.WatchEvent
+import io.reedmast.kvstore.Write
 import io.reedmast.ports.Clock
 import io.reedmast.rollout.RolloutOptions
 import io.reedmast.settings.ShardId
 import io.reedmast.settings.Tuning
 import io.reedmast.sim.RecordingGateway
 import io.reedmast.sim.testSettings
-import io.reedmast.state.Change
-import io.reedmast.state.Event
-import io.reedmast.state.Keys
-import io.reedmast.state.LimitsInForce
-import io.reedmast.state.Outcome
-import io.reedmast.state.Write
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.BeforeEach
 import org.junit.jupiter.api.Test
@@ -27,10 +27,10 @@
     private val settings = testSettings(nodes = listOf("n0", "n1"))
     private val out = RecordingGateway()
     private val cluster =
-        Cluster(settings, Tuning(), clock, out, LimitsInForce(settings.stateLimits), { emptyList() }, "n0-1", RolloutOptions(ClusterFeatures.registry))
+        Cluster(settings, Tuning(), clock, out, EffectiveLimits(settings.storeLimits), { emptyList() }, "n0-1", RolloutOptions(ClusterFeatures.registry))
     private val key = Keys.shard(0)
 
-    private fun take(): Change = out.commits.first { change -> change.writes.any { it.path == key } }
+    private fun take(): CasTransaction = out.commits.first { change -> change.writes.any { it.path == key } }
 
     private fun taking(): Write.Put = take().writes.filterIsInstance<Write.Put>().first { it.path == key }
 
@@ -43,23 +43,23 @@
 
     @Test
     fun `a take that was applied makes this node the owner`() {
-        take().done(Outcome.Applied(20))
+        take().done(CommitOutcome.Applied(20))
         assertEquals(listOf(0), cluster.owned().map { it.index.value })
     }
 
     @Test
     fun `the watch tells of it first, and the answer changes nothing more`() {
-        cluster.clusterEvents(listOf(Event(key, taking().value, 20)), revision = 20, askedAt = now)
+        cluster.clusterEvents(listOf(WatchEvent(key, taking().value, 20)), revision = 20, askedAt = now)
         val owner = cluster.owned().single()
-        take().done(Outcome.Applied(20))
+        take().done(CommitOutcome.Applied(20))
         assertEquals(owner, cluster.owned().single())
     }
 
     /** The answer is made up for after an outage of this node alone, in which another has taken the shard. */
     @Test
     fun `a take that is settled after another controller's is not acted on`() {
-        cluster.clusterEvents(listOf(Event(key, ShardRecord("n1", 5L shl 20).toFields(), 30)), revision = 30, askedAt = now)
-        take().done(Outcome.Applied(20))
+        cluster.clusterEvents(listOf(WatchEvent(key, ShardRecord("n1", 5L shl 20).toFields(), 30)), revision = 30, askedAt = now)
+        take().done(CommitOutcome.Applied(20))
         assertEquals(emptyList<Int>(), cluster.owned().map { it.index.value })
         assertEquals("n1", cluster.ownerOf(ShardId(0)))
     }
--- a/src/test/kotlin/io/reedmast/peers/PeerClientTest.kt
+++ b/src/test/kotlin/io/reedmast/peers/PeerClientTest.kt
@@ -13,7 +13,7 @@
 /** Messages to a controller whose old connection leads nowhere. */
 class PeerClientTest {
     /**
-     * Guards against confirmations that are written to the connection of a process that has lost its power: on a day of 1.5 times
+     * Preconditions against confirmations that are written to the connection of a process that has lost its power: on a day of 1.5 times
      * the machines a controller was down for 90 s, and in the outage after it all leases ended, since no query reached it.
      */
     @Test
--- a/src/test/kotlin/io/reedmast/rollout/EmbeddedRolloutTest.kt
+++ b/src/test/kotlin/io/reedmast/rollout/EmbeddedRolloutTest.kt
@@ -1,7 +1,7 @@
 package io.reedmast.rollout
 
-import io.reedmast.state.Guard
-import io.reedmast.state.Keys
+import io.reedmast.kvstore.Keys
+import io.reedmast.kvstore.Precondition
 import io.reedmast.wire.Fields
 import io.reedmast.wire.MalformedException
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -37,7 +37,7 @@
     private val feature = Feature(FeatureName("numbers"), FormatVersion(1), migration = Numbers)
     private val registry = FeatureRegistry(listOf(feature), VersionRange(FormatVersion.NONE, FormatVersion(1)))
     private val act = Provenance.of("a test", 0L, "a reason")
-    private val fence = Guard("counter-owner", 1L)
+    private val fence = Precondition("counter-owner", 1L)
     private val view = RolloutView(registry, "a")
 
     private fun refresh() = store.items.values.forEach { view.see(it.path, it.value, it.version) }
@@ -130,7 +130,7 @@
     @Test
     fun `records wait while the budget is needed by others, but not for ever`() {
         begin(GateState.ENABLED, records = 2)
-        store.fullness = 0.5
+        store.permitLevel = 0.5
         val reconciler = reconciler().apply { run(10) }
         assertEquals(listOf("0", "1"), counts())
         // Where that is always so, a record goes now and then.
@@ -166,7 +166,7 @@
         store.put(Keys.node("a"), member)
         store.put(Keys.shard(0), mapOf("owner" to "a"))
         refresh()
-        val coordinator = RolloutCoordinator(registry, "a", { now }, store, view, mostGuards = 20) {}
+        val coordinator = RolloutCoordinator(registry, "a", { now }, store, view, mostPreconditions = 20) {}
         fun picture() = view.picture(setOf("a"), listOf(ShardOwnership("a", store.items.getValue(Keys.shard(0)).version)), emptySet())
         val seen = store.items.getValue(Keys.LEADER).version
         store.put(Keys.LEADER, mapOf("label" to "b"))
@@ -179,7 +179,7 @@
         refresh()
         coordinator.tick(store.items.getValue(Keys.LEADER).version, picture())
         assertEquals(GateState.READY, view.gates.record.stateOf(feature.name))
-        val few = RolloutCoordinator(registry, "a", { now }, store, view, mostGuards = 3) {}
+        val few = RolloutCoordinator(registry, "a", { now }, store, view, mostPreconditions = 3) {}
         few.tick(store.items.getValue(Keys.LEADER).version, picture())
         assertEquals(GateState.READY, view.gates.record.stateOf(feature.name))
         assertTrue("4 conditions" in few.waiting.getValue(feature.name))
--- a/src/test/kotlin/io/reedmast/rollout/GateDecisionTest.kt
+++ b/src/test/kotlin/io/reedmast/rollout/GateDecisionTest.kt
@@ -1,6 +1,6 @@
 package io.reedmast.rollout
 
-import io.reedmast.state.Keys
+import io.reedmast.kvstore.Keys
 import io.reedmast.wire.Fields
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertNull
@@ -81,7 +81,7 @@
         val move = decision.plan(ready, picture()).also { it.moves(GateState.ENABLED, base) }.move
         assertEquals(
             listOf("n0", "n1", "n2").map { Keys.node(it) to 13L } + (0..2).map { Keys.shard(it) to 100L + it },
-            move?.guards?.map { it.path to it.version },
+            move?.preconditions?.map { it.path to it.version },
         )
     }
 
--- a/src/test/kotlin/io/reedmast/rollout/RolloutAdministrationTest.kt
+++ b/src/test/kotlin/io/reedmast/rollout/RolloutAdministrationTest.kt
@@ -1,7 +1,7 @@
 package io.reedmast.rollout
 
-import io.reedmast.state.Item
-import io.reedmast.state.Keys
+import io.reedmast.kvstore.Keys
+import io.reedmast.kvstore.StoredItem
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
@@ -15,9 +15,9 @@
     private var owners = listOf("n0", "n1")
 
     private val records = object : ClusterRecords {
-        override fun shardOwners(items: List<Item>) = owners.mapIndexed { i, owner -> ShardOwnership(owner, store.items[Keys.shard(i)]?.version ?: 0L) }
+        override fun shardOwners(items: List<StoredItem>) = owners.mapIndexed { i, owner -> ShardOwnership(owner, store.items[Keys.shard(i)]?.version ?: 0L) }
 
-        override fun externallyFinalized(items: List<Item>) = emptySet<FeatureName>()
+        override fun externallyFinalized(items: List<StoredItem>) = emptySet<FeatureName>()
     }
     private val administration = RolloutAdministration(registry, setOf("n0", "n1"), records, { 0L }, store)
     private val act = Act("somebody", "a reason")
--- a/src/test/kotlin/io/reedmast/sim/RecordingGateway.kt
+++ b/src/test/kotlin/io/reedmast/sim/RecordingGateway.kt
@@ -1,14 +1,14 @@
 package io.reedmast.sim
 
 import io.reedmast.fleet.Rental
+import io.reedmast.kvstore.CasTransaction
+import io.reedmast.kvstore.ReadResult
+import io.reedmast.kvstore.StoredItem
 import io.reedmast.peers.PeerMessage
 import io.reedmast.ports.Gateway
 import io.reedmast.ports.LeaseState
 import io.reedmast.ports.Rented
 import io.reedmast.settings.ControllerId
-import io.reedmast.state.Change
-import io.reedmast.state.Fetched
-import io.reedmast.state.Item
 import io.reedmast.wire.ListedHost
 import io.reedmast.wire.MachineType
 import io.reedmast.wire.Order
@@ -16,17 +16,17 @@
 
 /** Notes what a class asks of the world, and answers nothing: for tests of one class alone. */
 class RecordingGateway : Gateway {
-    val commits = ArrayList<Change>()
+    val commits = ArrayList<CasTransaction>()
     val directOrders = ArrayList<Order>()
-    override val stateAnswers = true
+    override val isStoreAvailable = true
 
-    override fun commit(change: Change, refusable: Boolean): Boolean = commits.add(change)
+    override fun commit(change: CasTransaction, refusable: Boolean): Boolean = commits.add(change)
 
-    override fun writeFullness(): Double = 1.0
+    override fun writePermitLevel(): Double = 1.0
 
-    override fun get(path: String, done: (Fetched) -> Unit) = Unit
+    override fun get(path: String, done: (ReadResult) -> Unit) = Unit
 
-    override fun list(prefix: String, done: (List<Item>?) -> Unit) = Unit
+    override fun list(prefix: String, done: (List<StoredItem>?) -> Unit) = Unit
 
     override fun sendToPeers(message: PeerMessage) = Unit
 
--- a/src/test/kotlin/io/reedmast/sim/RolloutRules.kt
+++ b/src/test/kotlin/io/reedmast/sim/RolloutRules.kt
@@ -1,18 +1,18 @@
 package io.reedmast.sim
 
 import io.reedmast.jobs.DensePages
+import io.reedmast.kvstore.Keys
+import io.reedmast.kvstore.StoreTransaction
+import io.reedmast.kvstore.Write
 import io.reedmast.ownership.ClusterFeatures
 import io.reedmast.rollout.GateState
 import io.reedmast.rollout.RolloutRecord
-import io.reedmast.state.Keys
-import io.reedmast.state.Transaction
-import io.reedmast.state.Write
 import io.reedmast.wire.Fields
 import io.reedmast.wire.MalformedException
-import io.reedmast.wire.StateMessages
+import io.reedmast.wire.StoreMessages
 
 /**
- * The rules of the rollout, checked on every value that is stored and every page that is read, by what the state service holds: gates move
+ * The rules of the rollout, checked on every value that is stored and every page that is read, by what the store holds: gates move
  * only as they may, and nothing is written or read by a process in a form that the gates do not allow to it.
  */
 class RolloutRules(private val world: World) {
@@ -43,15 +43,15 @@
 
     /** A version from before the rollout may take shards until the counter has been migrated; what depends on the fence waits for that. */
     private fun takesOpenCounter(value: Fields): Boolean {
-        val sender = StateMessages.transactionId(value) ?: return false
+        val sender = StoreMessages.transactionId(value) ?: return false
         return counterIsOpen && world.nodes.any { it.wasOld(sender) }
     }
 
     /** Whatever lets a process take part, or has a form that depends on the gates, is on condition that they are as the process has read them. */
-    fun sent(transaction: Transaction) {
+    fun sent(transaction: StoreTransaction) {
         val sender = world.nodes.firstOrNull { transaction.id.startsWith("${it.label}-") } ?: return
         // What is carried out late was sent by the process of then, whatever runs there now.
-        if (sender.wasOld(transaction.id) || transaction.guards.any { it.path == Keys.ROLLOUT }) return
+        if (sender.wasOld(transaction.id) || transaction.preconditions.any { it.path == Keys.ROLLOUT }) return
         transaction.writes.filterIsInstance<Write.Put>().filter { put -> conditional.any { put.path.startsWith(it) } }
             .forEach { world.rules.breach("unconditional ${it.path} by ${sender.label}") }
     }
--- a/src/test/kotlin/io/reedmast/sim/RuleChecker.kt
+++ b/src/test/kotlin/io/reedmast/sim/RuleChecker.kt
@@ -1,16 +1,16 @@
 package io.reedmast.sim
 
+import io.reedmast.kvstore.Keys
 import io.reedmast.placement.allows
-import io.reedmast.state.Keys
 import io.reedmast.wire.TaskId
 import io.reedmast.wire.UserAnswer
 
 /**
- * The rules of the protocol, checked by what users were told, what runs on each worker and what the state service holds. The
+ * The rules of the protocol, checked by what users were told, what runs on each worker and what the store holds. The
  * controllers' own books are not asked.
  *
  * Besides the rules, two conditions on which they rest are checked, since they fail long before a user sees it: a job that a
- * user was told of stands in the state service, and a task is launched only where a stored page places it.
+ * user was told of stands in the store, and a task is launched only where a stored page places it.
  */
 class RuleChecker(private val world: World) {
     private class RunningTasks {
--- a/src/test/kotlin/io/reedmast/sim/RuleCheckerTest.kt
+++ b/src/test/kotlin/io/reedmast/sim/RuleCheckerTest.kt
@@ -1,9 +1,9 @@
 package io.reedmast.sim
 
-import io.reedmast.state.Guard
-import io.reedmast.state.Keys
-import io.reedmast.state.Transaction
-import io.reedmast.state.Write
+import io.reedmast.kvstore.Keys
+import io.reedmast.kvstore.Precondition
+import io.reedmast.kvstore.StoreTransaction
+import io.reedmast.kvstore.Write
 import io.reedmast.wire.JobState
 import io.reedmast.wire.JobStatus
 import io.reedmast.wire.TaskId
@@ -27,7 +27,7 @@
     }
 
     private fun stored() {
-        world.state.commit(Transaction("t", listOf(Guard(Keys.live(0, "wk-1"), 0)), listOf(Write.Put(Keys.live(0, "wk-1"), emptyMap()))))
+        world.state.commit(StoreTransaction("t", listOf(Precondition(Keys.live(0, "wk-1"), 0)), listOf(Write.Put(Keys.live(0, "wk-1"), emptyMap()))))
     }
 
     private fun answer(state: JobState) = UserAnswer(200, JobStatus("wk-1", state))
--- a/src/test/kotlin/io/reedmast/sim/Scenario.kt
+++ b/src/test/kotlin/io/reedmast/sim/Scenario.kt
@@ -11,7 +11,7 @@
 import io.reedmast.settings.Member
 import io.reedmast.settings.Objective
 import io.reedmast.settings.Settings
-import io.reedmast.settings.StateLimits
+import io.reedmast.settings.StoreLimits
 import io.reedmast.settings.TeamShare
 import io.reedmast.settings.WorkerRules
 import io.reedmast.wire.MachineType
@@ -32,7 +32,7 @@
     private val teams = given("team").map { TeamShare(it[1], it[2].toDouble(), it[3].toDouble(), 0.0, 0.0) }
     private val nodes = given("nodes").firstOrNull()?.get(1)?.toInt() ?: 3
     private val valueBytes = ((given("value-kb").firstOrNull()?.get(1)?.toDouble() ?: 8.0) * 1024).toInt()
-    private val nextLimits = given("next-limits").firstOrNull()?.let { StateLimits(100.0, 50.0, (it[1].toDouble() * 1024).toInt(), it[2].toInt()) }
+    private val nextLimits = given("next-limits").firstOrNull()?.let { StoreLimits(100.0, 50.0, (it[1].toDouble() * 1024).toInt(), it[2].toInt()) }
     private val machineTypes = given("machine-type").map {
         MachineType(it[1], it[2].toDouble(), 0.0, 64.0, 50.0, 0.5, 1.0, 0.3, it[3].toDouble(), listOf("x", "y"))
     }
@@ -52,14 +52,14 @@
         clusterListen = World.address(node, 8081),
         members = (0 until nodes).map { Member("n$it", World.address(it, 8081)) },
         self = ControllerId(node),
-        cloud = "10.2.0.2:1",
-        state = "10.2.0.1:1",
+        cloudAddress = "10.2.0.2:1",
+        storeAddress = "10.2.0.1:1",
         zones = listOf("x", "y"),
         teams = teams,
         objectives = emptyList<Objective>(),
         workers = WorkerRules(3.0, 16.0, 41.0),
-        stateLimits = StateLimits(100.0, 50.0, valueBytes, 16),
-        nextStateLimits = nextLimits,
+        storeLimits = StoreLimits(100.0, 50.0, valueBytes, 16),
+        nextStoreLimits = nextLimits,
         cloudLimits = CloudLimits(2.0, 5.0),
         maxConnections = 1000,
     )
@@ -81,7 +81,7 @@
         assertEquals(emptyList<String>(), world.rules.broken)
     }
 
-    /** The state service as it is at size: so many changes a second, so many items in a page of a listing, so many changes kept. */
+    /** The store as it is at size: so many changes a second, so many items in a page of a listing, so many changes kept. */
     private fun limit(writesPerS: Double, pageItems: Int, keptChanges: Int) {
         world.writesPerS = writesPerS
         world.state.pageItems = pageItems
@@ -186,8 +186,8 @@
             "clock-error" -> world.nodes.first { it.label == words[1] }.clockErrorMs = words[2].toLong()
             "note-writes" -> notedWrites = world.state.changes
             "operator" -> rolloutOperator.act(words.drop(1))
-            // The state service takes less from now on, without a word.
-            "lower-limits" -> world.state.lowered = nextLimits ?: error("no next-limits are given")
+            // The store takes less from now on, without a word.
+            "lower-limits" -> world.state.reduced = nextLimits ?: error("no next-limits are given")
             "outage" -> world.state.outage((words[1].toDouble() * 1000).toLong())
             "cut-state" -> world.nodes.first { it.label == words[1] }.stateCut = words[2] == "on"
             "cut-workers" -> world.nodes.first { it.label == words[1] }.workersCut = words[2] == "on"
--- a/src/test/kotlin/io/reedmast/sim/SimGateway.kt
+++ b/src/test/kotlin/io/reedmast/sim/SimGateway.kt
@@ -1,47 +1,47 @@
 package io.reedmast.sim
 
 import io.reedmast.fleet.Rental
+import io.reedmast.kvstore.CasTransaction
+import io.reedmast.kvstore.CommitQueue
+import io.reedmast.kvstore.CommitReply
+import io.reedmast.kvstore.EffectiveLimits
+import io.reedmast.kvstore.InDoubtResolution
+import io.reedmast.kvstore.Keys
+import io.reedmast.kvstore.ReadResult
+import io.reedmast.kvstore.ResolutionStep
+import io.reedmast.kvstore.StoreTransaction
+import io.reedmast.kvstore.StoredItem
+import io.reedmast.kvstore.TransactionIds
+import io.reedmast.kvstore.Write
+import io.reedmast.kvstore.WriteRateLimiter
 import io.reedmast.peers.PeerMessage
 import io.reedmast.ports.Gateway
 import io.reedmast.ports.LeaseState
 import io.reedmast.ports.Rented
 import io.reedmast.settings.ControllerId
-import io.reedmast.state.Change
-import io.reedmast.state.CommitQueue
-import io.reedmast.state.CommitReply
-import io.reedmast.state.Fetched
-import io.reedmast.state.Item
-import io.reedmast.state.Keys
-import io.reedmast.state.LimitsInForce
-import io.reedmast.state.Settlement
-import io.reedmast.state.Step
-import io.reedmast.state.Transaction
-import io.reedmast.state.TransactionIds
-import io.reedmast.state.Write
-import io.reedmast.state.WriteBudget
 import io.reedmast.wire.CloudMessages
 import io.reedmast.wire.Fields
 import io.reedmast.wire.ListedHost
 import io.reedmast.wire.MachineType
 import io.reedmast.wire.Order
 import io.reedmast.wire.Reply
-import io.reedmast.wire.StateMessages
+import io.reedmast.wire.StoreMessages
 import io.reedmast.wire.WorkerReplies
 import kotlin.random.Random
 
 /** All I/O of one process of a [SimNode], its life number [life]: what it gets back depends on the world's troubles. */
-class SimGateway(private val world: World, private val node: SimNode, private val life: Int, private val limits: LimitsInForce, incarnation: String) :
+class SimGateway(private val world: World, private val node: SimNode, private val life: Int, private val limits: EffectiveLimits, incarnation: String) :
     Gateway {
     private val state get() = world.state
     private val slow get() = world.stateSlow
-    private val budget = WriteBudget(world.writesPerS, world::now)
-    private val queue = CommitQueue(limits.target, budget, MAX_SUBMISSIONS_QUEUED, world::now)
+    private val writeLimiter = WriteRateLimiter(world.writesPerS, world::now)
+    private val queue = CommitQueue(limits.target, writeLimiter, MAX_SUBMISSIONS_QUEUED, world::now)
     private val ids = TransactionIds(incarnation)
     private val jitter = Random(life * 31 + node.index)
     private var idleCommitters = COMMITTERS
     private var waiting = false
 
-    override var stateAnswers = true
+    override var isStoreAvailable = true
         private set
 
     private val reachable: Boolean get() = node.hearsState && node.life == life
@@ -55,17 +55,17 @@
         if (node.life == life) make().let { made -> node.later(0) { if (node.life == life) done(made) } }
     }
 
-    // ---- the state service --------------------------------------------------------------------------------------------
+    // ---- the store --------------------------------------------------------------------------------------------
 
-    override fun commit(change: Change, refusable: Boolean): Boolean {
+    override fun commit(change: CasTransaction, refusable: Boolean): Boolean {
         if (node.old && change.writes.any { it.path == Keys.FORMAT }) return true
         if (!queue.offer(if (node.old) asBeforeRollouts(change) else change, refusable)) return false
         drain()
         return true
     }
 
-    private fun asBeforeRollouts(change: Change) = Change(
-        change.guards.filter { it.path != Keys.ROLLOUT },
+    private fun asBeforeRollouts(change: CasTransaction) = CasTransaction(
+        change.preconditions.filter { it.path != Keys.ROLLOUT },
         change.writes.map { if (it is Write.Put) it.copy(value = SimNode.asBeforeRollouts(it.path, it.value)) else it },
         change.writePriority,
         change.done,
@@ -76,7 +76,7 @@
             when (val polled = queue.poll()) {
                 is CommitQueue.Polled.Batch -> {
                     idleCommitters--
-                    settle(Settlement(polled.changes, ids, jitter::nextDouble) { change, outcome -> change.done(outcome) })
+                    resolve(InDoubtResolution(polled.changes, ids, jitter::nextDouble) { change, outcome -> change.done(outcome) })
                 }
 
                 is CommitQueue.Polled.Wait -> {
@@ -95,48 +95,48 @@
         }
     }
 
-    private fun settle(settlement: Settlement) {
-        when (val step = settlement.next()) {
-            is Step.Send -> node.later(step.afterMs) {
+    private fun resolve(resolution: InDoubtResolution) {
+        when (val step = resolution.next()) {
+            is ResolutionStep.Send -> node.later(step.afterMs) {
                 if (node.life == life) {
                     send(step.transaction) {
-                        stateAnswers = it !is CommitReply.NotExecuted && it !is CommitReply.Unknown
-                        if (it is CommitReply.Bad && limits.onlyFormerlyAllowed(step.transaction)) limits.lower()
-                        if (it is CommitReply.Limited) budget.empty()
-                        settlement.replied(it)
-                        settle(settlement)
+                        isStoreAvailable = it !is CommitReply.NotExecuted && it !is CommitReply.Unknown
+                        if (it is CommitReply.Malformed && limits.exceedsOnlyReduced(step.transaction)) limits.reduce()
+                        if (it is CommitReply.RateLimited) writeLimiter.empty()
+                        resolution.replied(it)
+                        resolve(resolution)
                     }
                 }
             }
 
-            is Step.Read -> node.later(step.afterMs) {
+            is ResolutionStep.Read -> node.later(step.afterMs) {
                 if (node.life == life) {
                     get(step.path) {
-                        settlement.read(it)
-                        settle(settlement)
+                        resolution.read(it)
+                        resolve(resolution)
                     }
                 }
             }
 
-            Step.Done -> {
+            ResolutionStep.Done -> {
                 idleCommitters++
                 drain()
             }
         }
     }
 
-    private fun record(transaction: Transaction) {
-        val conditions = transaction.guards.map { StateMessages.condition(it.path, it.version) }
+    private fun record(transaction: StoreTransaction) {
+        val conditions = transaction.preconditions.map { StoreMessages.condition(it.path, it.version) }
         val writes = transaction.writes.map {
             when (it) {
-                is Write.Put -> StateMessages.put(it.path, it.value, it.lease, transaction.id)
-                is Write.Delete -> StateMessages.delete(it.path)
+                is Write.Put -> StoreMessages.put(it.path, it.value, it.lease, transaction.id)
+                is Write.Delete -> StoreMessages.delete(it.path)
             }
         }
-        record("commit", StateMessages.transaction(conditions, writes))
+        record("commit", StoreMessages.transaction(conditions, writes))
     }
 
-    private fun send(transaction: Transaction, done: (CommitReply) -> Unit) {
+    private fun send(transaction: StoreTransaction, done: (CommitReply) -> Unit) {
         record(transaction)
         val late = node.lateCommitMs
         if (late > 0L && transaction.writes.any { node.lateCommitOf in it.path }) {
@@ -178,22 +178,22 @@
         }
     }
 
-    override fun get(path: String, done: (Fetched) -> Unit) {
+    override fun get(path: String, done: (ReadResult) -> Unit) {
         record("get $path", emptyMap())
         reply(GET_MS * slow, done) {
-            if (!reachable) Fetched.Failed else state.get(path)?.let { Fetched.Found(node.visible(it)) } ?: Fetched.Missing
+            if (!reachable) ReadResult.Failed else state.get(path)?.let { ReadResult.Found(node.visible(it)) } ?: ReadResult.Missing
         }
     }
 
-    override fun list(prefix: String, done: (List<Item>?) -> Unit) {
+    override fun list(prefix: String, done: (List<StoredItem>?) -> Unit) {
         record("list $prefix", emptyMap())
         reply(LIST_MS * slow, { _: Unit -> node.list(life, prefix) { items, _ -> done(items) } }) {}
     }
 
-    override fun writeFullness(): Double = budget.fullness()
+    override fun writePermitLevel(): Double = writeLimiter.permitLevel()
 
     override fun extendLease(lease: Long?, lifeMs: Long, done: (LeaseState) -> Unit) {
-        record("lease $lease", StateMessages.leaseRequest(lifeMs))
+        record("lease $lease", StoreMessages.leaseRequest(lifeMs))
         reply(GET_MS, done) {
             when {
                 !reachable -> LeaseState.Unknown
@@ -204,7 +204,7 @@
         }
     }
 
-    override fun shareLimits(aliveNodes: Int, leading: Boolean) = budget.setRate(world.writesPerS * SAFETY / aliveNodes)
+    override fun shareLimits(aliveNodes: Int, leading: Boolean) = writeLimiter.setRate(world.writesPerS * SAFETY / aliveNodes)
 
     // ---- other controllers and workers --------------------------------------------------------------------------------
 
--- a/src/test/kotlin/io/reedmast/sim/SimNode.kt
+++ b/src/test/kotlin/io/reedmast/sim/SimNode.kt
@@ -1,6 +1,9 @@
 package io.reedmast.sim
 
 import io.reedmast.app.Controller
+import io.reedmast.kvstore.EffectiveLimits
+import io.reedmast.kvstore.Keys
+import io.reedmast.kvstore.StoredItem
 import io.reedmast.ownership.ClusterFeatures
 import io.reedmast.peers.PeerMessage
 import io.reedmast.ports.Clock
@@ -10,9 +13,6 @@
 import io.reedmast.rollout.RolloutOptions
 import io.reedmast.rollout.Target
 import io.reedmast.rollout.VersionRange
-import io.reedmast.state.Item
-import io.reedmast.state.Keys
-import io.reedmast.state.LimitsInForce
 import io.reedmast.wire.Fields
 import io.reedmast.wire.UserAnswer
 
@@ -38,7 +38,7 @@
     var life = 0
 
     /**
-     * The process has the version before lowered limits and formats: it knows only the limits of today, names no format of its own
+     * The process has the version before reduced limits and formats: it knows only the limits of today, names no format of its own
      * and does not see what others name.
      */
     var old = false
@@ -98,8 +98,8 @@
         loaded = false
         val incarnation = "$label-$life"
         if (old) oldIncarnations.add(incarnation)
-        val settings = world.settingsOf(index).let { if (old) it.copy(nextStateLimits = null) else it }
-        val limits = LimitsInForce(settings.stateLimits, settings.nextStateLimits)
+        val settings = world.settingsOf(index).let { if (old) it.copy(nextStoreLimits = null) else it }
+        val limits = EffectiveLimits(settings.storeLimits, settings.nextStoreLimits)
         val gateway = SimGateway(world, this, life, limits, incarnation)
         controller = Controller(settings, world.tuning, clock, gateway, limits, incarnation, RolloutOptions(registry(), desired))
         tick(life)
@@ -173,7 +173,7 @@
 
     private fun isVisible(path: String) = !old || (path != Keys.FORMAT && path != Keys.ROLLOUT)
 
-    fun visible(item: Item): Item = item.copy(value = visible(item.path, item.value))
+    fun visible(item: StoredItem): StoredItem = item.copy(value = visible(item.path, item.value))
 
     private fun visible(path: String, value: Fields): Fields = if (old) asBeforeRollouts(path, value) else value
 
@@ -198,9 +198,9 @@
         c.cluster.jobEvents(jobNews.filter { it.path.startsWith(Keys.JOBS) }, state.revision, world.now())
     }
 
-    /** Reads the keys with [prefix] page by page, each at its own moment; null if the state service is lost meanwhile. */
-    fun list(of: Int, prefix: String, done: (List<Item>?, Long) -> Unit) {
-        val items = ArrayList<Item>()
+    /** Reads the keys with [prefix] page by page, each at its own moment; null if the store is lost meanwhile. */
+    fun list(of: Int, prefix: String, done: (List<StoredItem>?, Long) -> Unit) {
+        val items = ArrayList<StoredItem>()
         var revision = -1L
         fun page(after: String?) {
             if (life != of) return
--- a/src/test/kotlin/io/reedmast/sim/SimOperator.kt
+++ b/src/test/kotlin/io/reedmast/sim/SimOperator.kt
@@ -1,6 +1,13 @@
 package io.reedmast.sim
 
 import io.reedmast.jobs.DensePages
+import io.reedmast.kvstore.CasTransaction
+import io.reedmast.kvstore.CommitOutcome
+import io.reedmast.kvstore.CommitReply
+import io.reedmast.kvstore.Keys
+import io.reedmast.kvstore.ReadResult
+import io.reedmast.kvstore.StoreTransaction
+import io.reedmast.kvstore.StoredItem
 import io.reedmast.ownership.ClusterFeatures
 import io.reedmast.ownership.StoredClusterRecords
 import io.reedmast.rollout.Act
@@ -11,13 +18,6 @@
 import io.reedmast.rollout.RolloutStatus
 import io.reedmast.rollout.RolloutStore
 import io.reedmast.rollout.Target
-import io.reedmast.state.Change
-import io.reedmast.state.CommitReply
-import io.reedmast.state.Fetched
-import io.reedmast.state.Item
-import io.reedmast.state.Keys
-import io.reedmast.state.Outcome
-import io.reedmast.state.Transaction
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 
@@ -26,21 +26,21 @@
     private var transactions = 0
 
     private val store = object : RolloutStore {
-        override fun commit(change: Change) {
-            val transaction = Transaction("operator-${++transactions}", change.guards, change.writes)
+        override fun commit(change: CasTransaction) {
+            val transaction = StoreTransaction("operator-${++transactions}", change.preconditions, change.writes)
             val outcome = when (val reply = if (world.state.up) world.state.commit(transaction) else CommitReply.NotExecuted) {
-                is CommitReply.Applied -> Outcome.Applied(reply.revision)
-                is CommitReply.Failed -> Outcome.Conflict(reply.paths)
-                else -> Outcome.Refused("$reply")
+                is CommitReply.Applied -> CommitOutcome.Applied(reply.revision)
+                is CommitReply.PreconditionFailed -> CommitOutcome.Conflict(reply.paths)
+                else -> CommitOutcome.Refused("$reply")
             }
             change.done(outcome)
         }
 
-        override fun get(path: String, done: (Fetched) -> Unit) = done(world.state.get(path)?.let { Fetched.Found(it) } ?: Fetched.Missing)
+        override fun get(path: String, done: (ReadResult) -> Unit) = done(world.state.get(path)?.let { ReadResult.Found(it) } ?: ReadResult.Missing)
 
-        override fun list(prefix: String, done: (List<Item>?) -> Unit) = done(if (world.state.up) world.state.all(prefix) else null)
+        override fun list(prefix: String, done: (List<StoredItem>?) -> Unit) = done(if (world.state.up) world.state.all(prefix) else null)
 
-        override fun writeFullness(): Double = 1.0
+        override fun writePermitLevel(): Double = 1.0
     }
 
     private fun administration(): RolloutAdministration {
--- a/src/test/kotlin/io/reedmast/sim/SimState.kt
+++ b/src/test/kotlin/io/reedmast/sim/SimStore.kt
@@ -1,28 +1,28 @@
 package io.reedmast.sim
 
 import io.reedmast.jobs.PageForm
+import io.reedmast.kvstore.CommitReply
+import io.reedmast.kvstore.EffectiveLimits
+import io.reedmast.kvstore.Keys
+import io.reedmast.kvstore.StoreTransaction
+import io.reedmast.kvstore.StoredItem
+import io.reedmast.kvstore.WatchEvent
+import io.reedmast.kvstore.Write
 import io.reedmast.ownership.HostPart
-import io.reedmast.settings.StateLimits
-import io.reedmast.state.CommitReply
-import io.reedmast.state.Event
-import io.reedmast.state.Item
-import io.reedmast.state.Keys
-import io.reedmast.state.LimitsInForce
-import io.reedmast.state.Transaction
-import io.reedmast.state.Write
+import io.reedmast.settings.StoreLimits
 import io.reedmast.wire.Fields
-import io.reedmast.wire.StateMessages
+import io.reedmast.wire.StoreMessages
 import io.reedmast.wire.TaskId
 import io.reedmast.wire.Tree
 import io.reedmast.wire.maps
 import java.util.TreeMap
 
-/** The state service of PROTOCOL: conditional transactions, stamps, leases. */
-class SimState(private val world: World) {
+/** The store of PROTOCOL: conditional transactions, stamps, leases. */
+class SimStore(private val world: World) {
     private class Entry(val value: Fields, val version: Long, val lease: Long?)
 
     private val entries = TreeMap<String, Entry>()
-    private val log = ArrayList<Event>()
+    private val log = ArrayList<WatchEvent>()
     private val leases = HashMap<Long, Long>()
     private var leaseCount = 0L
     private var droppedTo = 0L
@@ -43,30 +43,30 @@
         }
     }
 
-    fun get(path: String): Item? {
+    fun get(path: String): StoredItem? {
         expire()
-        return entries[path]?.let { Item(path, it.value, it.version) }
+        return entries[path]?.let { StoredItem(path, it.value, it.version) }
     }
 
     /** All keys with a prefix, at once. */
-    fun all(prefix: String): List<Item> {
+    fun all(prefix: String): List<StoredItem> {
         expire()
-        return entries.tailMap(prefix).entries.takeWhile { it.key.startsWith(prefix) }.map { Item(it.key, it.value.value, it.value.version) }
+        return entries.tailMap(prefix).entries.takeWhile { it.key.startsWith(prefix) }.map { StoredItem(it.key, it.value.value, it.value.version) }
     }
 
     /** Some of the keys with a prefix, and whether there are more. */
-    class Page(val items: List<Item>, val more: Boolean)
+    class Page(val items: List<StoredItem>, val more: Boolean)
 
     fun page(prefix: String, after: String?): Page {
         expire()
         val from = if (after == null) entries.tailMap(prefix) else entries.tailMap(after, false)
         val items = from.entries.asSequence().takeWhile { it.key.startsWith(prefix) }.take(pageItems + 1)
-            .map { Item(it.key, it.value.value, it.value.version) }.toList()
+            .map { StoredItem(it.key, it.value.value, it.value.version) }.toList()
         return Page(items.take(pageItems), items.size > pageItems)
     }
 
     /** All changes after the revision, null if they are no longer kept. */
-    fun since(after: Long): List<Event>? {
+    fun since(after: Long): List<WatchEvent>? {
         expire()
         if (after < droppedTo) return null
         var from = log.size
@@ -93,7 +93,7 @@
     fun spoil(path: String) {
         revision++
         entries[path] = Entry(mapOf("form" to 0L), revision, null)
-        log.add(Event(path, mapOf("form" to 0L), revision))
+        log.add(WatchEvent(path, mapOf("form" to 0L), revision))
     }
 
     /** Puts a chunk that cannot be read before the others of a page. */
@@ -102,36 +102,36 @@
         val value = held.value + ("chunks" to listOf(mapOf("form" to 0L)) + held.value.maps("chunks"))
         revision++
         entries[path] = Entry(value, revision, null)
-        log.add(Event(path, value, revision))
+        log.add(WatchEvent(path, value, revision))
     }
 
     /** The limits that hold instead of those in the settings, since some moment that nobody was told of. */
-    var lowered: StateLimits? = null
-    private val limits get() = lowered ?: world.settings.stateLimits
+    var reduced: StoreLimits? = null
+    private val limits get() = reduced ?: world.settings.storeLimits
 
     /** What the service never took is a mistake of ours, whatever becomes of it. */
-    private fun checkLimits(transaction: Transaction) {
-        val limits = world.settings.stateLimits
+    private fun checkLimits(transaction: StoreTransaction) {
+        val limits = world.settings.storeLimits
         if (transaction.writes.size > limits.opsPerCommit) world.rules.breach("${transaction.writes.size} changes in a transaction")
-        if (transaction.guards.size > limits.opsPerCommit * 4) world.rules.breach("${transaction.guards.size} conditions in a transaction")
+        if (transaction.preconditions.size > limits.opsPerCommit * 4) world.rules.breach("${transaction.preconditions.size} conditions in a transaction")
         transaction.writes.filterIsInstance<Write.Put>().forEach {
-            val size = Tree.jsonSize(StateMessages.stored(it.value, transaction.id))
+            val size = Tree.jsonSize(StoreMessages.stored(it.value, transaction.id))
             if (size > limits.valueBytes) world.rules.breach("${it.path} holds $size bytes")
         }
     }
 
-    private fun isTooLarge(transaction: Transaction) = transaction.writes.size > limits.opsPerCommit ||
-        transaction.guards.size > limits.opsPerCommit * LimitsInForce.CONDITIONS_PER_CHANGE ||
+    private fun isTooLarge(transaction: StoreTransaction) = transaction.writes.size > limits.opsPerCommit ||
+        transaction.preconditions.size > limits.opsPerCommit * EffectiveLimits.CONDITIONS_PER_CHANGE ||
         transaction.writes.any { it is Write.Put && it.storedSize(transaction.id) > limits.valueBytes }
 
-    fun commit(transaction: Transaction): CommitReply {
+    fun commit(transaction: StoreTransaction): CommitReply {
         expire()
         checkLimits(transaction)
         world.rolloutRules.sent(transaction)
-        if (isTooLarge(transaction)) return CommitReply.Bad("the value is too large")
-        val failed = transaction.guards.filter { (entries[it.path]?.version ?: 0L) != it.version }.mapTo(HashSet()) { it.path }
-        if (transaction.writes.any { it is Write.Put && it.lease != null && it.lease !in leases }) return CommitReply.Bad("no such lease")
-        if (failed.isNotEmpty()) return CommitReply.Failed(failed)
+        if (isTooLarge(transaction)) return CommitReply.Malformed("the value is too large")
+        val failed = transaction.preconditions.filter { (entries[it.path]?.version ?: 0L) != it.version }.mapTo(HashSet()) { it.path }
+        if (transaction.writes.any { it is Write.Put && it.lease != null && it.lease !in leases }) return CommitReply.Malformed("no such lease")
+        if (failed.isNotEmpty()) return CommitReply.PreconditionFailed(failed)
         revision++
         changes += transaction.writes.size
         for (write in transaction.writes) {
@@ -174,17 +174,17 @@
 
     private fun put(write: Write.Put, transactionId: String) {
         // Through the wire and back, as the real service would give it.
-        val value = Tree.readCbor(Tree.writeCbor(StateMessages.stored(write.value, transactionId)))
+        val value = Tree.readCbor(Tree.writeCbor(StoreMessages.stored(write.value, transactionId)))
         entries[write.path] = Entry(value, revision, write.lease)
         notePage(write.path, value)
         putsByKind.merge(write.path.substringBefore('/'), 1, Int::plus)
         world.rolloutRules.written(write.path, value)
         if (write.path.startsWith(Keys.HOSTS)) checkMoved(write.path, value)
-        log.add(Event(write.path, value, revision))
+        log.add(WatchEvent(write.path, value, revision))
     }
 
     private fun remove(path: String) {
-        if (entries.remove(path) != null) log.add(Event(path, null, revision))
+        if (entries.remove(path) != null) log.add(WatchEvent(path, null, revision))
     }
 
     fun lease(lifeMs: Long): Long {
--- a/src/test/kotlin/io/reedmast/sim/TestSettings.kt
+++ b/src/test/kotlin/io/reedmast/sim/TestSettings.kt
@@ -4,7 +4,7 @@
 import io.reedmast.settings.ControllerId
 import io.reedmast.settings.Member
 import io.reedmast.settings.Settings
-import io.reedmast.settings.StateLimits
+import io.reedmast.settings.StoreLimits
 import io.reedmast.settings.TeamShare
 import io.reedmast.settings.WorkerRules
 
@@ -12,22 +12,22 @@
 fun testSettings(
     nodes: List<String> = listOf("n0"),
     team: TeamShare = TeamShare("a", 8.0, 12.0, 0.0, 0.0),
-    stateLimits: StateLimits = StateLimits(100.0, 50.0, 8192, 16),
-    nextStateLimits: StateLimits? = null,
+    storeLimits: StoreLimits = StoreLimits(100.0, 50.0, 8192, 16),
+    nextStoreLimits: StoreLimits? = null,
 ) = Settings(
     label = "n0",
     front = World.address(0, 8080),
     clusterListen = World.address(0, 8081),
     members = nodes.mapIndexed { i, label -> Member(label, World.address(i, 8081)) },
     self = ControllerId(0),
-    cloud = "10.2.0.2:1",
-    state = "10.2.0.1:1",
+    cloudAddress = "10.2.0.2:1",
+    storeAddress = "10.2.0.1:1",
     zones = listOf("x"),
     teams = listOf(team),
     objectives = emptyList(),
     workers = WorkerRules(3.0, 16.0, 41.0),
-    stateLimits = stateLimits,
-    nextStateLimits = nextStateLimits,
+    storeLimits = storeLimits,
+    nextStoreLimits = nextStoreLimits,
     cloudLimits = CloudLimits(2.0, 5.0),
     maxConnections = 100,
 )
--- a/src/test/kotlin/io/reedmast/sim/World.kt
+++ b/src/test/kotlin/io/reedmast/sim/World.kt
@@ -3,6 +3,10 @@
 import io.reedmast.app.Controller
 import io.reedmast.app.WorkerAnswer
 import io.reedmast.fleet.Rental
+import io.reedmast.kvstore.CasTransaction
+import io.reedmast.kvstore.CommitOutcome
+import io.reedmast.kvstore.ReadResult
+import io.reedmast.kvstore.StoredItem
 import io.reedmast.peers.PeerMessage
 import io.reedmast.placement.allows
 import io.reedmast.ports.Clock
@@ -12,10 +16,6 @@
 import io.reedmast.settings.ControllerId
 import io.reedmast.settings.Settings
 import io.reedmast.settings.Tuning
-import io.reedmast.state.Change
-import io.reedmast.state.Fetched
-import io.reedmast.state.Item
-import io.reedmast.state.Outcome
 import io.reedmast.wire.JobShape
 import io.reedmast.wire.JobSpec
 import io.reedmast.wire.ListedHost
@@ -31,14 +31,14 @@
 import java.util.PriorityQueue
 import kotlin.random.Random
 
-/** A deterministic world: simulated time, a state service, a cloud, workers and users, around real controllers. */
+/** A deterministic world: simulated time, a store, a cloud, workers and users, around real controllers. */
 class World(val settingsOf: (Int) -> Settings, nodes: Int, var machineTypes: List<MachineType>, val tuning: Tuning = Tuning()) : Clock {
     private class Event(val at: Long, val order: Long, val work: () -> Unit)
 
     private var time = 1_000L
     private var order = 0L
     private val events = PriorityQueue<Event>(compareBy<Event>({ it.at }, { it.order }))
-    val state = SimState(this)
+    val state = SimStore(this)
     val workers = LinkedHashMap<String, SimWorker>()
     private val workersByAddr = HashMap<String, SimWorker>()
     val nodes = (0 until nodes).map { SimNode(this, it) }
@@ -55,7 +55,7 @@
     private var hosts = 0
     var capacity = Int.MAX_VALUE
 
-    /** How many times longer the state service takes than usual. */
+    /** How many times longer the store takes than usual. */
     var stateSlow = 1L
 
     /** Reports and direct commands that have arrived somewhere. */
@@ -70,7 +70,7 @@
     /** The share of transactions that are carried out at once and get no answer. */
     var lostAnswers = 0.0
 
-    /** How many changes a second the nodes allow themselves together; the state service refuses more if it is told to. */
+    /** How many changes a second the nodes allow themselves together; the store refuses more if it is told to. */
     var writesPerS = UNLIMITED
 
     /** Since when no trouble is left. */
