--- a/src/main/kotlin/io/reedmast/app/DirectStore.kt
+++ b/src/main/kotlin/io/reedmast/app/DirectStore.kt
@@ -21,7 +21,7 @@
 
     /** It takes a controller's part of the limits for the moment that it runs. */
     private val client = StoreClient(settings.storeAddress, limits, settings.members.size, Caller(CONNECT_MS, READ_MS))
-    private val committer = Committer(client, limits, MOST_QUEUED, TransactionIds(incarnation)) { change, outcome -> change.done(outcome) }
+    private val committer = Committer(client, limits, MAX_QUEUED, TransactionIds(incarnation)) { change, outcome -> change.done(outcome) }
 
     init {
         NetworkGateway.startThread("commit", committer::run)
@@ -47,7 +47,7 @@
     private companion object {
         const val CONNECT_MS = 800
         const val READ_MS = 2_500
-        const val MOST_QUEUED = 4
+        const val MAX_QUEUED = 4
         const val PATIENCE_S = 30L
     }
 }
--- a/src/main/kotlin/io/reedmast/app/EventLoop.kt
+++ b/src/main/kotlin/io/reedmast/app/EventLoop.kt
@@ -34,14 +34,14 @@
     private var served = 0
 
     /** False if there is too much to do already. */
-    fun offer(urgency: Urgency, work: () -> Unit): Boolean = take(urgency, work, maxQueued)
+    fun offer(urgency: Urgency, work: () -> Unit): Boolean = enqueue(urgency, work, maxQueued)
 
     /** A result the node has waited for. */
     fun post(work: () -> Unit) {
-        take(Urgency.DECISION, work, Int.MAX_VALUE)
+        enqueue(Urgency.DECISION, work, Int.MAX_VALUE)
     }
 
-    private fun take(urgency: Urgency, work: () -> Unit, most: Int): Boolean {
+    private fun enqueue(urgency: Urgency, work: () -> Unit, most: Int): Boolean {
         synchronized(lock) {
             messages++
             if (deciding || queued > 0 || clock.now() >= nextTick) {
--- a/src/main/kotlin/io/reedmast/app/HttpApi.kt
+++ b/src/main/kotlin/io/reedmast/app/HttpApi.kt
@@ -5,10 +5,10 @@
 import io.reedmast.wire.Fields
 import io.reedmast.wire.JobSpec
 import io.reedmast.wire.MalformedException
-import io.reedmast.wire.Report
 import io.reedmast.wire.Tree
 import io.reedmast.wire.UserAnswer
 import io.reedmast.wire.WorkerReplies
+import io.reedmast.wire.WorkerStatus
 import org.http4k.core.Body
 import org.http4k.core.HttpHandler
 import org.http4k.core.Method
@@ -40,11 +40,11 @@
         val job = path.removePrefix(JOB_PREFIX).takeIf { path.startsWith(JOB_PREFIX) }
         val method = request.method
         when {
-            path == "/checkin" -> only(Method.POST, method) { timings.time("checkin") { checkin(request) } }
+            path == "/checkin" -> only(Method.POST, method) { timings.time("checkin") { onHeartbeat(request) } }
             path == "/submissions" -> only(Method.POST, method) { timings.time("submission") { submit(request) } }
             path == "/healthz" -> only(Method.GET, method) { Response(if (node.healthy()) Status.OK else Status.SERVICE_UNAVAILABLE) }
             job == null -> Response(Status.NOT_FOUND)
-            job.endsWith(ABORT) -> only(Method.POST, method) { ask(job.removeSuffix(ABORT), node::abort) }
+            job.endsWith(ABORT) -> only(Method.POST, method) { ask(job.removeSuffix(ABORT), node::cancel) }
             else -> only(Method.GET, method) { ask(job, node::poll) }
         }
     }
@@ -64,12 +64,12 @@
         server.start()
     }
 
-    private fun checkin(request: Request): Response = reading(request) { fields ->
-        val report = Report.parse(fields)
-        val answer = await(WORKER_PATIENCE_MS) { node.checkin(report, it) }
+    private fun onHeartbeat(request: Request): Response = reading(request) { fields ->
+        val status = WorkerStatus.parse(fields)
+        val answer = await(WORKER_PATIENCE_MS) { node.onHeartbeat(status, it) }
         when (answer) {
             null, WorkerAnswer.Unavailable -> Response(Status.SERVICE_UNAVAILABLE)
-            is WorkerAnswer.Orders -> cbor(Status.OK, WorkerReplies.commands(answer.token, answer.orders))
+            is WorkerAnswer.Commands -> cbor(Status.OK, WorkerReplies.heartbeatReply(answer.token, answer.commands))
             is WorkerAnswer.Elsewhere -> cbor(MISDIRECTED, WorkerReplies.redirect(answer.label))
         }
     }
@@ -106,11 +106,11 @@
     private fun busy() = Response(Status.TOO_MANY_REQUESTS).header("Retry-After", "1")
 
     /** Null if the deciding thread has too much to do, or gives no answer in time. */
-    private fun <T : Any> await(patienceMs: Long, ask: ((T) -> Unit) -> Boolean): T? {
+    private fun <T : Any> await(scaleInDelayMs: Long, ask: ((T) -> Unit) -> Boolean): T? {
         val future = CompletableFuture<T>()
         if (!ask { future.complete(it) }) return null
         return try {
-            future.get(patienceMs, TimeUnit.MILLISECONDS)
+            future.get(scaleInDelayMs, TimeUnit.MILLISECONDS)
         } catch (e: TimeoutException) {
             null
         }
--- a/src/main/kotlin/io/reedmast/app/Main.kt
+++ b/src/main/kotlin/io/reedmast/app/Main.kt
@@ -122,7 +122,7 @@
         val node = Node(eventLoop, controller, timings)
         try {
             HttpApi(settings, node, timings).start()
-            val peers = PeerServer(settings.clusterListen, WorkPool("peer-in", settings.members.size * 2, settings.members.size), node::peerSent)
+            val peers = PeerServer(settings.clusterListen, WorkPool("peer-in", settings.members.size * 2, settings.members.size), node::onPeerMessage)
             val listening = peers.open()
             NetworkGateway.startThread("peers") { peers.run(listening) }
         } catch (e: IOException) {
--- a/src/main/kotlin/io/reedmast/app/NetworkGateway.kt
+++ b/src/main/kotlin/io/reedmast/app/NetworkGateway.kt
@@ -1,7 +1,7 @@
 package io.reedmast.app
 
 import com.google.common.util.concurrent.RateLimiter
-import io.reedmast.fleet.Rental
+import io.reedmast.fleet.ProvisioningRequest
 import io.reedmast.kvstore.CasTransaction
 import io.reedmast.kvstore.Committer
 import io.reedmast.kvstore.EffectiveLimits
@@ -13,17 +13,17 @@
 import io.reedmast.peers.PeerMessage
 import io.reedmast.ports.Gateway
 import io.reedmast.ports.LeaseState
-import io.reedmast.ports.Rented
+import io.reedmast.ports.ProvisioningResult
 import io.reedmast.settings.ControllerId
 import io.reedmast.settings.Member
 import io.reedmast.settings.Settings
 import io.reedmast.wire.Caller
 import io.reedmast.wire.CloudMessages
-import io.reedmast.wire.ListedHost
+import io.reedmast.wire.ListedMachine
 import io.reedmast.wire.MachineType
 import io.reedmast.wire.MalformedException
-import io.reedmast.wire.Order
 import io.reedmast.wire.Reply
+import io.reedmast.wire.WorkerCommand
 import io.reedmast.wire.WorkerReplies
 import org.slf4j.LoggerFactory
 import java.util.concurrent.RejectedExecutionException
@@ -89,48 +89,48 @@
         val calls = WorkPool("peer-${member.label}", 1, PEER_CALLS_QUEUED)
     }
 
-    override fun direct(addr: String, token: Long, session: Long, orders: List<Order>, done: (Reply) -> Unit) {
-        val body = WorkerReplies.direct(token, session, orders)
+    override fun direct(addr: String, token: Long, epoch: Long, commands: List<WorkerCommand>, done: (Reply) -> Unit) {
+        val body = WorkerReplies.directCall(token, epoch, commands)
         call(directs, { workerCaller.call("POST", addr, "/do", body) }, Reply.NotSent("too many calls"), done, STALE_DIRECT_MS)
     }
 
-    override fun rent(rental: Rental, done: (Rented) -> Unit) {
+    override fun provision(rental: ProvisioningRequest, done: (ProvisioningResult) -> Unit) {
         val body = CloudMessages.rental(rental.requestName, rental.typeName, rental.zone, rental.spot, rental.count)
-        call(cloudCalls, { rented(cloud("POST", "/machines", body)) }, Rented.Failed, done)
+        call(cloudCalls, { provisioned(cloud("POST", "/machines", body)) }, ProvisioningResult.Failed, done)
     }
 
-    private fun rented(reply: Reply): Rented {
-        if (reply !is Reply.Answer) return Rented.Failed
+    private fun provisioned(reply: Reply): ProvisioningResult {
+        if (reply !is Reply.Answer) return ProvisioningResult.Failed
         return when (reply.status) {
-            200 -> reading { Rented.Hosts(CloudMessages.rentedHosts(reply.body)) } ?: Rented.Failed
-            503 -> if (CloudMessages.isOutOfCapacity(reply.body)) Rented.NoCapacity else Rented.Failed
-            400 -> Rented.NoCapacity
-            else -> Rented.Failed
+            200 -> reading { ProvisioningResult.Machines(CloudMessages.rentedMachines(reply.body)) } ?: ProvisioningResult.Failed
+            503 -> if (CloudMessages.isOutOfCapacity(reply.body)) ProvisioningResult.NoCapacity else ProvisioningResult.Failed
+            400 -> ProvisioningResult.NoCapacity
+            else -> ProvisioningResult.Failed
         }
     }
 
-    override fun giveBack(hosts: List<String>, done: (Boolean) -> Unit) = call(
+    override fun returnMachines(machineNames: List<String>, done: (Boolean) -> Unit) = call(
         cloudCalls,
-        { (cloud("POST", "/machines/return", CloudMessages.returnOf(hosts)) as? Reply.Answer)?.status == 200 },
+        { (cloud("POST", "/machines/return", CloudMessages.returnOf(machineNames)) as? Reply.Answer)?.status == 200 },
         false,
         done,
         STALE_RETURN_MS,
     )
 
-    override fun listHosts(done: (List<ListedHost>?) -> Unit) = call(cloudCalls, ::allHosts, null, done)
+    override fun listMachines(done: (List<ListedMachine>?) -> Unit) = call(cloudCalls, ::allMachines, null, done)
 
-    private fun allHosts(): List<ListedHost>? {
-        val hosts = ArrayList<ListedHost>()
+    private fun allMachines(): List<ListedMachine>? {
+        val machines = ArrayList<ListedMachine>()
         while (true) {
-            val after = hosts.lastOrNull()?.let { "after=${it.name}&" }.orEmpty()
-            val reply = cloud("GET", "/machines?${after}most=$HOSTS_PER_PAGE") as? Reply.Answer ?: return null
+            val after = machines.lastOrNull()?.let { "after=${it.name}&" }.orEmpty()
+            val reply = cloud("GET", "/machines?${after}most=$MACHINES_PER_PAGE") as? Reply.Answer ?: return null
             if (reply.status != 200) return null
             val more =
                 reading {
-                    hosts.addAll(CloudMessages.listedHosts(reply.body))
+                    machines.addAll(CloudMessages.listedMachines(reply.body))
                     CloudMessages.hasMore(reply.body)
                 } ?: return null
-            if (!more) return hosts
+            if (!more) return machines
         }
     }
 
@@ -145,10 +145,10 @@
         leases,
         {
             if (lease == null) {
-                client.lease(lifeMs)?.let { LeaseState.StoredRecord(it, fresh = true) } ?: LeaseState.Unknown
+                client.lease(lifeMs)?.let { LeaseState.Held(it, isNew = true) } ?: LeaseState.Unknown
             } else {
                 when (client.extend(lease)) {
-                    true -> LeaseState.StoredRecord(lease, fresh = false)
+                    true -> LeaseState.Held(lease, isNew = false)
                     false -> LeaseState.Lost
                     null -> LeaseState.Unknown
                 }
@@ -164,15 +164,15 @@
         scarceSockets = count > settings.maxConnections * SCARCE_AT
     }
 
-    override fun shareLimits(aliveNodes: Int, leading: Boolean) {
-        client.shareAmong(aliveNodes)
+    override fun shareLimits(aliveControllers: Int, leading: Boolean) {
+        client.shareAmong(aliveControllers)
         // The leader rents and lists; the others only return machines.
-        val part = if (aliveNodes == 1) {
+        val part = if (aliveControllers == 1) {
             1.0
         } else if (leading) {
             LEADERS_PART
         } else {
-            (1.0 - LEADERS_PART) / (aliveNodes - 1)
+            (1.0 - LEADERS_PART) / (aliveControllers - 1)
         }
         cloudLimit.rate = settings.cloudLimits.requestsPerS * part * SAFETY
     }
@@ -226,7 +226,7 @@
         private const val CLOUD_CONNECT_MS = 2000
         private const val CLOUD_READ_MS = 6000
         private const val CLOUD_PATIENCE_S = 10L
-        private const val HOSTS_PER_PAGE = 500
+        private const val MACHINES_PER_PAGE = 500
         private const val LEADERS_PART = 0.6
         private const val SAFETY = 0.95
         private const val SCARCE_AT = 0.6
--- a/src/main/kotlin/io/reedmast/app/Node.kt
+++ b/src/main/kotlin/io/reedmast/app/Node.kt
@@ -1,13 +1,13 @@
 package io.reedmast.app
 
-import io.reedmast.fleet.Leader
-import io.reedmast.jobs.JobRequests
+import io.reedmast.fleet.Autoscaler
+import io.reedmast.jobs.JobRequestHandler
 import io.reedmast.kvstore.EffectiveLimits
 import io.reedmast.kvstore.StoredItem
 import io.reedmast.kvstore.WatchEvent
 import io.reedmast.ownership.Cluster
 import io.reedmast.ownership.ClusterFeatures
-import io.reedmast.ownership.Token
+import io.reedmast.ownership.FencingToken
 import io.reedmast.peers.PeerMessage
 import io.reedmast.ports.Clock
 import io.reedmast.ports.Gateway
@@ -16,14 +16,14 @@
 import io.reedmast.settings.Tuning
 import io.reedmast.wire.JobSpec
 import io.reedmast.wire.MachineType
-import io.reedmast.wire.Order
-import io.reedmast.wire.Report
 import io.reedmast.wire.UserAnswer
+import io.reedmast.wire.WorkerCommand
+import io.reedmast.wire.WorkerStatus
 import org.slf4j.LoggerFactory
 
 /** The answer to a worker's report. */
 sealed interface WorkerAnswer {
-    data class Orders(val token: Long, val orders: List<Order>) : WorkerAnswer
+    data class Commands(val token: Long, val commands: List<WorkerCommand>) : WorkerAnswer
 
     /** Another node answers this worker; null: nobody is known to. */
     data class Elsewhere(val label: String?) : WorkerAnswer
@@ -45,8 +45,8 @@
     private var machineTypesAsked = false
     private var machineTypesDue = 0L
     val cluster = Cluster(settings, tuning, clock, out, limits, { machineTypes.values }, incarnation, rollout)
-    private val leader = Leader(settings, tuning, clock, out, cluster, { machineTypes }, incarnation)
-    private val jobs = JobRequests(settings, clock, out, limits, cluster) { machineTypes }
+    private val autoscaler = Autoscaler(settings, tuning, clock, out, cluster, { machineTypes }, incarnation)
+    private val jobs = JobRequestHandler(settings, clock, out, limits, cluster) { machineTypes }
 
     private var tickDue = 0L
 
@@ -59,7 +59,7 @@
             tickDue = now + TICK_MS
             askMachineTypes()
             cluster.tick()
-            leader.tick()
+            autoscaler.tick()
         }
     }
 
@@ -79,38 +79,38 @@
         }
     }
 
-    fun checkin(report: Report): WorkerAnswer {
-        cluster.workerHeard()
-        if (!cluster.mayAnswerWorkers()) return WorkerAnswer.Unavailable
-        val shard = cluster.shardOfHost(report.host)
+    fun onHeartbeat(status: WorkerStatus): WorkerAnswer {
+        cluster.onWorkerContact()
+        if (!cluster.mayAcknowledgeHeartbeats()) return WorkerAnswer.Unavailable
+        val shard = cluster.shardOfMachine(status.machineName)
         if (shard == null) {
             if (!cluster.leading) return WorkerAnswer.Elsewhere(cluster.leader)
-            leader.stranger(report)
-            return WorkerAnswer.Elsewhere(cluster.shardOfHost(report.host)?.let { cluster.ownerOf(it) })
+            autoscaler.onUnassignedWorker(status)
+            return WorkerAnswer.Elsewhere(cluster.shardOfMachine(status.machineName)?.let { cluster.ownerOf(it) })
         }
         val owner = cluster.owners[shard.value]
-        if (owner == null || owner.dropped) return WorkerAnswer.Elsewhere(cluster.sendOn(shard, report.host, report.addr))
+        if (owner == null || owner.dropped) return WorkerAnswer.Elsewhere(cluster.redirectTarget(shard, status.machineName, status.addr))
         // While the shard is still being read, the answer shows the worker our token and renews its lease.
-        if (!owner.active) return WorkerAnswer.Orders(cluster.records[shard.value]?.record?.token ?: 0L, emptyList())
-        val orders = owner.checkin(report)
+        if (!owner.active) return WorkerAnswer.Commands(cluster.records[shard.value]?.record?.token ?: 0L, emptyList())
+        val commands = owner.onHeartbeat(status)
         // The worker would drop our answer and stay here until its lease is over: it must look for the shard's new owner.
-        if (report.token > Token.last(owner.token)) return WorkerAnswer.Elsewhere(null)
-        return WorkerAnswer.Orders(owner.tokenFor(report.host), orders)
+        if (status.token > FencingToken.last(owner.token)) return WorkerAnswer.Elsewhere(null)
+        return WorkerAnswer.Commands(owner.tokenFor(status.machineName), commands)
     }
 
     fun submit(spec: JobSpec, answer: (UserAnswer) -> Unit) = jobs.submit(spec, answer)
 
     fun poll(jobId: String, answer: (UserAnswer) -> Unit) = jobs.poll(jobId, answer)
 
-    fun abort(jobId: String, answer: (UserAnswer) -> Unit) = jobs.abort(jobId, answer)
+    fun cancel(jobId: String, answer: (UserAnswer) -> Unit) = jobs.cancel(jobId, answer)
 
-    fun peerSent(message: PeerMessage) = cluster.peerSent(message)
+    fun onPeerMessage(message: PeerMessage) = cluster.onPeerMessage(message)
 
     /**
      * Whether users should come here. During an outage for all controllers none is better than another, and one that the load
      * balancer has removed gets its users back only a while after the outage.
      */
-    fun healthy(): Boolean = cluster.ready && machineTypes.isNotEmpty() && (cluster.fresh() || cluster.outageForAll())
+    fun healthy(): Boolean = cluster.ready && machineTypes.isNotEmpty() && (cluster.isCurrent() || cluster.outageForAll())
 
     private companion object {
         const val TICK_MS = 250L
@@ -134,43 +134,43 @@
     /** Whether somebody waits to be told what the watch on jobs does not know yet. */
     fun questionsWait(): Boolean = waiting
 
-    private fun noteWaiting() {
-        waiting = controller.cluster.freshness.hasWaiters
+    private fun updateQuestionsWaiting() {
+        waiting = controller.cluster.staleness.hasWaiters
     }
 
     fun tick() {
         controller.tick()
         timings.tick()
         val healthy = controller.healthy()
-        if (healthy != healthyNow) log.info(if (healthy) "healthy: users are served" else "not healthy: {}", controller.cluster.freshness.describe())
+        if (healthy != healthyNow) log.info(if (healthy) "healthy: users are served" else "not healthy: {}", controller.cluster.staleness.describe())
         healthyNow = healthy
-        noteWaiting()
+        updateQuestionsWaiting()
     }
 
-    fun checkin(report: Report, answer: (WorkerAnswer) -> Unit): Boolean = eventLoop.offer(Urgency.REPORT) { answer(controller.checkin(report)) }
+    fun onHeartbeat(status: WorkerStatus, answer: (WorkerAnswer) -> Unit): Boolean = eventLoop.offer(Urgency.REPORT) { answer(controller.onHeartbeat(status)) }
 
     fun submit(spec: JobSpec, answer: (UserAnswer) -> Unit): Boolean = eventLoop.offer(Urgency.SUBMISSION) {
         controller.submit(spec, answer)
-        noteWaiting()
+        updateQuestionsWaiting()
     }
 
     fun poll(jobId: String, answer: (UserAnswer) -> Unit): Boolean = eventLoop.offer(Urgency.SUBMISSION) {
         controller.poll(jobId, answer)
-        noteWaiting()
+        updateQuestionsWaiting()
     }
 
-    fun abort(jobId: String, answer: (UserAnswer) -> Unit): Boolean = eventLoop.offer(Urgency.SUBMISSION) {
-        controller.abort(jobId, answer)
-        noteWaiting()
+    fun cancel(jobId: String, answer: (UserAnswer) -> Unit): Boolean = eventLoop.offer(Urgency.SUBMISSION) {
+        controller.cancel(jobId, answer)
+        updateQuestionsWaiting()
     }
 
     /**
      * No rule depends on the arrival of a peer's message. News for display wait behind the questions of users; what controllers
      * confirm to each other must not, or many questions would end all work in an outage.
      */
-    fun peerSent(message: PeerMessage) {
+    fun onPeerMessage(message: PeerMessage) {
         val urgency = if (message is PeerMessage.ShardStatusUpdate) Urgency.SUBMISSION else Urgency.DECISION
-        eventLoop.offer(urgency) { controller.peerSent(message) }
+        eventLoop.offer(urgency) { controller.onPeerMessage(message) }
     }
 
     fun snapshot(items: List<StoredItem>, revision: Long, askedAt: Long) = eventLoop.post { controller.cluster.snapshot(items, revision, askedAt) }
@@ -183,6 +183,6 @@
 
     fun jobEvents(events: List<WatchEvent>, revision: Long, askedAt: Long) = eventLoop.post {
         controller.cluster.jobEvents(events, revision, askedAt)
-        noteWaiting()
+        updateQuestionsWaiting()
     }
 }
--- a/src/main/kotlin/io/reedmast/app/RolloutCommand.kt
+++ b/src/main/kotlin/io/reedmast/app/RolloutCommand.kt
@@ -85,8 +85,8 @@
 
     private fun gates(status: RolloutStatus): List<String> = ClusterFeatures.registry.inOrder.map { feature ->
         val record = status.view.gates.record
-        val state = status.picture.stateOf(feature.name, record).storedName
-        val progress = status.picture.unitsOf(feature).mapNotNull { unit -> status.view.progressOf(feature.name, unit)?.let { unit.key to it.progress } }
+        val state = status.snapshot.stateOf(feature.name, record).storedName
+        val progress = status.snapshot.unitsOf(feature).mapNotNull { unit -> status.view.progressOf(feature.name, unit)?.let { unit.key to it.progress } }
         val migration = progress.joinToString("") { (unit, of) -> " [$unit: ${describe(of)}]" }
         "feature ${feature.name}: $state$migration" + status.waiting[feature.name]?.let { "; waits: $it" }.orEmpty()
     }
@@ -96,9 +96,9 @@
         return "${progress.direction.storedName} ${progress.migrated}$blocked${if (progress.complete) ", complete" else ""}"
     }
 
-    private fun controllers(status: RolloutStatus): List<String> = status.picture.configured.sorted().map { label ->
-        val versions = status.picture.present[label]?.versions
-        val shards = status.picture.shards.withIndex().filter { it.value?.owner == label }.map { it.index }
+    private fun controllers(status: RolloutStatus): List<String> = status.snapshot.configured.sorted().map { label ->
+        val versions = status.snapshot.present[label]?.versions
+        val shards = status.snapshot.shards.withIndex().filter { it.value?.owner == label }.map { it.index }
         val excluded = status.view.gates.record.excluded[label]?.let { ", excluded by ${it.by}: ${it.why}" }.orEmpty()
         val drain = if (status.isDraining(label)) ", draining" else ""
         "controller $label: ${versions?.let { "versions ${it.range}" } ?: "silent"}, shards $shards$drain$excluded"
--- a/src/main/kotlin/io/reedmast/app/Watches.kt
+++ b/src/main/kotlin/io/reedmast/app/Watches.kt
@@ -53,8 +53,8 @@
             node.jobsSnapshot(items, revision, askedAt)
             var after = revision
             while (true) {
-                val spare = askedAt + JOBS_EVERY_MS - clock.now()
-                if (spare > 0) Thread.sleep(spare)
+                val remainingMs = askedAt + JOBS_EVERY_MS - clock.now()
+                if (remainingMs > 0) Thread.sleep(remainingMs)
                 askedAt = clock.now()
                 val watched = client.follow(Keys.JOBS, after, if (node.questionsWait()) 0 else JOBS_HOLD_MS)
                 if (watched is WatchResult.Compacted) break
--- a/src/main/kotlin/io/reedmast/fairshare/Usage.kt
+++ b/src/main/kotlin/io/reedmast/fairshare/Usage.kt
@@ -34,10 +34,10 @@
         return sum
     }
 
-    /** At most [mostBuckets] of each team: the oldest are added to the next ones, which a small record has room for. */
-    fun toFields(teams: Collection<TeamId>, mostBuckets: Int = BUCKETS + 1): Fields = teams.filter { it in charged }.associate { team ->
+    /** At most [maxBuckets] of each team: the oldest are added to the next ones, which a small record has room for. */
+    fun toFields(teams: Collection<TeamId>, maxBuckets: Int = BUCKETS + 1): Fields = teams.filter { it in charged }.associate { team ->
         val buckets = charged.getValue(team)
-        val kept = buckets.entries.drop(maxOf(0, buckets.size - mostBuckets))
+        val kept = buckets.entries.drop(maxOf(0, buckets.size - maxBuckets))
         val older = buckets.entries.take(buckets.size - kept.size).sumOf { it.value }
         team.value.toString() to kept.flatMapIndexed { i, (bucket, amount) -> listOf(bucket, (if (i == 0) amount + older else amount).roundToLong()) }
     }
@@ -64,8 +64,8 @@
 /** Work of the lowest rank declares no minimum run time: it is not charged, and any funded request may take its place. */
 val Priority.funded: Boolean get() = this != Priority.BEST_EFFORT
 
-/** What [mayYield] needs to know of a running task. */
-data class Runner(
+/** What [mayPreempt] needs to know of a running task. */
+data class PreemptionCandidate(
     val priority: Priority,
     val resumable: Boolean,
     val sameTeam: Boolean,
@@ -76,7 +76,7 @@
     val teamRatio: Double,
 )
 
-/** What [mayYield] needs to know of a waiting request. */
+/** What [mayPreempt] needs to know of a waiting request. */
 data class Request(val priority: Priority, val withinGuarantee: Boolean, val teamRatio: Double)
 
 /**
@@ -86,7 +86,7 @@
  * its share. The protocol asks that the request have a higher rank, or that it be within its team's guarantee and the
  * runner beyond its own.
  */
-fun mayYield(runner: Runner, request: Request): Boolean {
+fun mayPreempt(runner: PreemptionCandidate, request: Request): Boolean {
     if (!request.priority.funded) return false
     val protocol = request.priority < runner.priority || (!runner.sameTeam && request.withinGuarantee && runner.teamBeyondGuarantee)
     if (!protocol) return false
--- a/src/main/kotlin/io/reedmast/fleet/Leader.kt
+++ b/src/main/kotlin/io/reedmast/fleet/Autoscaler.kt
@@ -11,11 +11,11 @@
 import io.reedmast.settings.Tuning
 import io.reedmast.wire.MachineType
 import io.reedmast.wire.MalformedException
-import io.reedmast.wire.Report
+import io.reedmast.wire.WorkerStatus
 import org.slf4j.LoggerFactory
 
 /** The leader's duties and when each is due: renting for what shards ask, resizing shards, taking in machines of no shard. */
-class Leader(
+class Autoscaler(
     private val settings: Settings,
     private val tuning: Tuning,
     private val clock: Clock,
@@ -28,7 +28,7 @@
     private val log = LoggerFactory.getLogger("fleet")
     private val unreadable = UnreadableRecordLog()
     private val intake = MachineIntake(settings, clock, out, cluster, machineTypes)
-    private val renter = MachineRenter(clock, out, cluster, machineTypes, intake, incarnation)
+    private val provisioner = MachineProvisioner(clock, out, cluster, machineTypes, intake, incarnation)
     private val resizer = ShardRebalancer(clock, cluster, machineTypes)
     private var wasLeading = false
     private var totalsAsked = false
@@ -38,7 +38,7 @@
     private var resizeDue = 0L
 
     fun tick() {
-        if (!cluster.leading || !cluster.fresh()) {
+        if (!cluster.leading || !cluster.isCurrent()) {
             wasLeading = false
             return
         }
@@ -61,9 +61,9 @@
         if (now < listDue || listAsked) return
         listAsked = true
         listDue = now + maxOf(LIST_MIN_MS, (settings.cloudLimits.listLagS * 1000).toLong())
-        out.listHosts {
+        out.listMachines {
             listAsked = false
-            if (it != null && cluster.leading) intake.seeList(it)
+            if (it != null && cluster.leading) intake.onMachineList(it)
         }
     }
 
@@ -73,7 +73,7 @@
         totalsDue = now + READ_TOTALS_MS
         out.list(Keys.TOTALS) { items ->
             totalsAsked = false
-            if (items != null && cluster.leading && cluster.fresh()) serve(items.mapNotNull { parse(it) })
+            if (items != null && cluster.leading && cluster.isCurrent()) serve(items.mapNotNull { parse(it) })
         }
     }
 
@@ -96,17 +96,17 @@
             resizeDue = now + (tuning.resizeS * 1000).toLong()
             resizer.resize(wanting, totals)
         }
-        val darkZones = totals.flatMapTo(HashSet()) { it.darkZones }
+        val unavailableZones = totals.flatMapTo(HashSet()) { it.unavailableZones }
         resizer.relieve(totals, now)
-        renter.rent(wanting.filter { !resizer.isMovingTo(it.shard) }, darkZones, now)
+        provisioner.provision(wanting.filter { !resizer.isMovingTo(it.shard) }, unavailableZones, now)
     }
 
     /** Whether the totals show all machines that are on their way to the shard: else more would come than it wants. */
     private fun isSettled(totals: ShardUsageSummary): Boolean =
-        intake.isCurrent(totals) && !renter.isRentingFor(totals.shard) && !resizer.isMovingTo(totals.shard) && !intake.awaits(totals.shard)
+        intake.isCurrent(totals) && !provisioner.isProvisioningFor(totals.shard) && !resizer.isMovingTo(totals.shard) && !intake.awaits(totals.shard)
 
     /** A worker of no shard reports. */
-    fun stranger(report: Report) = intake.stranger(report)
+    fun onUnassignedWorker(status: WorkerStatus) = intake.onUnassignedWorker(status)
 
     private companion object {
         const val READ_TOTALS_MS = 1_000L
--- a/src/main/kotlin/io/reedmast/fleet/Demand.kt
+++ b/src/main/kotlin/io/reedmast/fleet/Demand.kt
@@ -105,4 +105,4 @@
 }
 
 /** A request to the cloud. The request name is never used for another request, by any node. */
-data class Rental(val requestName: String, val typeName: String, val zone: String, val spot: Boolean, val count: Int)
+data class ProvisioningRequest(val requestName: String, val typeName: String, val zone: String, val spot: Boolean, val count: Int)
--- a/src/main/kotlin/io/reedmast/fleet/DemandEstimator.kt
+++ b/src/main/kotlin/io/reedmast/fleet/DemandEstimator.kt
@@ -2,7 +2,7 @@
 
 import io.reedmast.jobs.Job
 import io.reedmast.jobs.ShardState
-import io.reedmast.placement.zonesOpen
+import io.reedmast.placement.openZones
 import io.reedmast.settings.TeamId
 import io.reedmast.workers.Machine
 import kotlin.math.ceil
@@ -14,21 +14,21 @@
      *
      * One that was up before and does not report is rather dead than booting: its room must not hide what is wanted.
      */
-    fun coming(): List<Room> {
+    fun coming(): List<FreeCapacity> {
         val justTaken = shardState.clock.now() - shardState.activeAt < shardState.settings.workers.reportS * 1000 * REPORTS_TO_SHOW_UP
         return shardState.machines.values
-            .filter { !it.trusted && it.retirement == null && it.machineType != null && (justTaken || !it.everHeard) }
-            .map { Room(it.record, it.freeCpus, it.freeGpus, it.freeMemoryGb) }
+            .filter { !it.trusted && it.decommissionReason == null && it.machineType != null && (justTaken || !it.everReported) }
+            .map { FreeCapacity(it.record, it.freeCpus, it.freeGpus, it.freeMemoryGb) }
     }
 
     /** What a task of each job takes of which nothing has run for long, and since how many seconds, the longest first. */
     fun starving(now: Long): List<Starving> = shardState.jobs.values
-        .filter { shardState.hungry(it) && !it.ending && shardState.allowance(it) >= tasksAtOnce(it) }
-        .sortedBy { shardState.hungrySince(it) }.take(MAX_STARVING)
-        .map { Starving(Demand.of(it.spec, true, tasksAtOnce(it), onlyZone(it)), (now - shardState.hungrySince(it)) / 1000.0) }
+        .filter { shardState.isNearlyStarving(it) && !it.ending && shardState.remainingQuota(it) >= tasksAtOnce(it) }
+        .sortedBy { shardState.starvingSince(it) }.take(MAX_STARVING)
+        .map { Starving(Demand.of(it.spec, true, tasksAtOnce(it), onlyZone(it)), (now - shardState.starvingSince(it)) / 1000.0) }
 
     /** The zone in which new room for the job must be, if its other tasks or its user leave only one. */
-    private fun onlyZone(job: Job): String? = zonesOpen(job, zones())?.singleOrNull() ?: zoneForGang(job)
+    private fun onlyZone(job: Job): String? = openZones(job, zones())?.singleOrNull() ?: zoneForGang(job)
 
     /** How many tasks of the job start at once, or not at all. */
     private fun tasksAtOnce(job: Job): Int = if (job.spec.gang) job.spec.taskCount else 1
@@ -57,7 +57,7 @@
         for (zone in zonesByFreeRoom()) {
             if (left <= 0) break
             val tasks = minOf(left, inOneZone)
-            demands.add(Demand.of(spec, shardState.late(job), tasks, zone))
+            demands.add(Demand.of(spec, shardState.isPastDeadline(job), tasks, zone))
             left -= tasks
         }
         return demands
@@ -73,10 +73,10 @@
         val pace = Pace(rooms)
         val now = shardState.clock.wall()
         val zones = zones()
-        val waiting = shardState.jobs.values.filter { it.waitingCount > 0 && !it.ending && !shardState.looksBad(it) }
-        for (job in waiting.sortedWith(compareBy({ !it.spec.service }, { it.spec.priority }, { shardState.dueMs(it) }))) {
+        val waiting = shardState.jobs.values.filter { it.pendingCount > 0 && !it.ending && !shardState.isSuspectedFaulty(it) }
+        for (job in waiting.sortedWith(compareBy({ !it.spec.service }, { it.spec.priority }, { shardState.deadlineMs(it) }))) {
             val spec = job.spec
-            var tasks = minOf(job.waitingCount, shardState.allowance(job))
+            var tasks = minOf(job.pendingCount, shardState.remainingQuota(job))
             val share = shardState.settings.teams[job.team.value]
             if (tasks < tasksAtOnce(job)) continue
             if (share.maxCpus > 0 && spec.cpus > 0) {
@@ -85,13 +85,13 @@
                 if (tasks < tasksAtOnce(job)) continue
                 left[job.team] = cpus - tasks * spec.cpus
             }
-            val open = zonesOpen(job, zones) ?: if (spec.gang) zoneForGang(job)?.let { setOf(it) } else null
-            tasks = countWithoutRoom(spec, tasks, if (open == null) rooms else rooms.filter { it.host.zone in open })
+            val open = openZones(job, zones) ?: if (spec.gang) zoneForGang(job)?.let { setOf(it) } else null
+            tasks = countWithoutRoom(spec, tasks, if (open == null) rooms else rooms.filter { it.record.zone in open })
             // The pace takes any room of the shard for room of the job. Where it is in another zone, say, the job would wait for ever.
-            if (!spec.service && !spec.gang) tasks = minOf(tasks, maxOf(pace.tasksToRentFor(job, tasks, now), if (shardState.starves(job)) 1 else 0))
+            if (!spec.service && !spec.gang) tasks = minOf(tasks, maxOf(pace.tasksToProvisionFor(job, tasks, now), if (shardState.isStarving(job)) 1 else 0))
             if (tasks <= 0 || open?.isEmpty() == true) continue
             val zone = if (open == null || open.size == zones.size) spec.zone else open.minBy { machinesIn(it) }
-            val wanted = if (spec.gang && spec.spread) demandOfSpreadGang(job) else listOf(Demand.of(spec, shardState.late(job), tasks, zone))
+            val wanted = if (spec.gang && spec.spread) demandOfSpreadGang(job) else listOf(Demand.of(spec, shardState.isPastDeadline(job), tasks, zone))
             wanted.forEach { kinds.merge(it.kind(), it, Demand::plus) }
         }
         return kinds.values.toList()
@@ -103,7 +103,7 @@
      * Run times are the owners' estimates. Work that the machines at hand get through by its due time needs no more of them,
      * and no new machine is up in time for what is due before it has booted.
      */
-    private inner class Pace(rooms: List<Room>) {
+    private inner class Pace(rooms: List<FreeCapacity>) {
         private val bootS = shardState.shortestBootS() ?: 0.0
         private var cpus = 0.0
         private var work = 0.0
@@ -122,10 +122,10 @@
             }
         }
 
-        fun tasksToRentFor(job: Job, tasks: Int, now: Long): Int {
+        fun tasksToProvisionFor(job: Job, tasks: Int, now: Long): Int {
             val spec = job.spec
-            work += job.waitingCount * spec.cpus * spec.estimateS
-            val leftS = (shardState.dueMs(job) - now) / 1000.0 - spec.estimateS
+            work += job.pendingCount * spec.cpus * spec.estimateS
+            val leftS = (shardState.deadlineMs(job) - now) / 1000.0 - spec.estimateS
             val seconds = maxOf(leftS, bootS * LATEST_BOOTS)
             val lacking = maxOf(work * ESTIMATE_SLACK / seconds, arriving) - cpus
             if (lacking <= 0.0) return 0
@@ -136,7 +136,8 @@
     }
 
     /** Whether machines that are on their way have room for all that [job] may still start. */
-    fun comingHolds(job: Job, rooms: List<Room>): Boolean = countWithoutRoom(job.spec, minOf(job.waitingCount, shardState.allowance(job)), rooms) == 0
+    fun comingHolds(job: Job, rooms: List<FreeCapacity>): Boolean =
+        countWithoutRoom(job.spec, minOf(job.pendingCount, shardState.remainingQuota(job)), rooms) == 0
 
     private companion object {
         const val ESTIMATE_SLACK = 1.5
--- a/src/main/kotlin/io/reedmast/fleet/Room.kt
+++ b/src/main/kotlin/io/reedmast/fleet/FreeCapacity.kt
@@ -1,17 +1,17 @@
 package io.reedmast.fleet
 
-import io.reedmast.placement.allows
+import io.reedmast.placement.isEligible
 import io.reedmast.wire.JobSpec
-import io.reedmast.workers.HostRecord
 import io.reedmast.workers.Machine
+import io.reedmast.workers.MachineRecord
 
 /** Free room of a machine, which is filled up in thought. */
-class Room(val host: HostRecord, private var cpus: Double, private var gpus: Double, private var memoryGb: Double) {
+class FreeCapacity(val record: MachineRecord, private var cpus: Double, private var gpus: Double, private var memoryGb: Double) {
     val freeCpus: Double get() = cpus
 
     /** Takes as many of [most] tasks as fit, and returns how many. */
-    fun take(spec: JobSpec, most: Int): Int {
-        if (!allows(spec, host.typeName, host.zone, host.spot)) return 0
+    fun allocate(spec: JobSpec, most: Int): Int {
+        if (!isEligible(spec, record.typeName, record.zone, record.spot)) return 0
         var fit = most
         if (spec.cpus > 0) fit = minOf(fit, ((cpus + Machine.EPSILON) / spec.cpus).toInt())
         if (spec.gpus > 0) fit = minOf(fit, ((gpus + Machine.EPSILON) / spec.gpus).toInt())
@@ -25,11 +25,11 @@
 }
 
 /** How many of [count] tasks find no room in [rooms]. */
-fun countWithoutRoom(spec: JobSpec, count: Int, rooms: List<Room>): Int {
+fun countWithoutRoom(spec: JobSpec, count: Int, rooms: List<FreeCapacity>): Int {
     var left = count
     for (room in rooms) {
         if (left <= 0) break
-        left -= room.take(spec, left)
+        left -= room.allocate(spec, left)
     }
     return left
 }
--- a/src/main/kotlin/io/reedmast/fleet/MachineIntake.kt
+++ b/src/main/kotlin/io/reedmast/fleet/MachineIntake.kt
@@ -5,12 +5,12 @@
 import io.reedmast.ports.Gateway
 import io.reedmast.settings.Settings
 import io.reedmast.settings.ShardId
-import io.reedmast.wire.ListedHost
+import io.reedmast.wire.ListedMachine
 import io.reedmast.wire.MachineType
 import io.reedmast.wire.MalformedException
 import io.reedmast.wire.Reply
-import io.reedmast.wire.Report
-import io.reedmast.workers.HostRecord
+import io.reedmast.wire.WorkerStatus
+import io.reedmast.workers.MachineRecord
 import org.slf4j.LoggerFactory
 
 /** Gives machines that belong to no shard to one, whether they were rented or nobody expected them, and returns those that only cost. */
@@ -30,34 +30,34 @@
     private val outdated = HashMap<ShardId, Long>()
 
     /** Not yet given to a shard. */
-    private val unassigned = LinkedHashMap<HostRecord, Destination>()
-    private val strangers = HashMap<String, Long>()
+    private val unassigned = LinkedHashMap<MachineRecord, Destination>()
+    private val unassignedSince = HashMap<String, Long>()
     private val returning = HashSet<String>()
     private val assigning = HashSet<ShardId>()
     private val calling = HashSet<String>()
 
     /** Another node has led before: what it knew of machines of no shard is not known here. */
-    fun startLeading() = strangers.clear()
+    fun startLeading() = unassignedSince.clear()
 
     /** Whether machines wait to be given to the shard. */
     fun awaits(shard: ShardId): Boolean = unassigned.values.any { it.shard == shard }
 
     /** Whether the totals were written in knowledge of all machines that were given to their shard from here. */
-    fun isCurrent(totals: ShardUsageSummary): Boolean = totals.hostsVersion >= (outdated[totals.shard] ?: 0L)
+    fun isCurrent(totals: ShardUsageSummary): Boolean = totals.machinesVersion >= (outdated[totals.shard] ?: 0L)
 
     /** A machine is to be given to [shard]; [seenToken] is the highest token that its worker has seen. */
-    fun add(host: HostRecord, shard: ShardId, seenToken: Long) {
-        unassigned[host] = Destination(shard, seenToken)
+    fun add(record: MachineRecord, shard: ShardId, seenToken: Long) {
+        unassigned[record] = Destination(shard, seenToken)
     }
 
     /** Gives machines that wait for it to their shards. */
     fun assign() {
         if (unassigned.isEmpty()) return
-        unassigned.keys.removeIf { cluster.shardOfHost(it.name) != null }
-        for ((shard, hosts) in unassigned.entries.groupBy { it.value.shard }) {
-            val records = hosts.map { it.key }
+        unassigned.keys.removeIf { cluster.shardOfMachine(it.name) != null }
+        for ((shard, waiting) in unassigned.entries.groupBy { it.value.shard }) {
+            val records = waiting.map { it.key }
             if (!assigning.add(shard)) continue
-            cluster.addHosts(shard, records, hosts.maxOf { it.value.seen }) { added ->
+            cluster.addMachines(shard, records, waiting.maxOf { it.value.seen }) { added ->
                 assigning.remove(shard)
                 if (added.isNotEmpty()) {
                     outdated[shard] = cluster.machinesVersion(shard)
@@ -73,69 +73,69 @@
      * The report alone proves nothing: it may be a late copy from a machine that was returned, and such a machine must not
      * come back into a shard; and a machine that hears nothing is of no use.
      */
-    fun stranger(report: Report) {
-        if (!cluster.leading || !cluster.fresh() || report.host in returning || cluster.departedLately(report.host)) return
+    fun onUnassignedWorker(status: WorkerStatus) {
+        if (!cluster.leading || !cluster.isCurrent() || status.machineName in returning || cluster.departedLately(status.machineName)) return
         // At a first start the shards appear one by one; waiting for all of them spreads the machines evenly.
         if (cluster.records.any { it == null }) return
-        if (unassigned.keys.any { it.name == report.host } || calling.size >= MOST_CALLED || !calling.add(report.host)) return
+        if (unassigned.keys.any { it.name == status.machineName } || calling.size >= MAX_CALLS || !calling.add(status.machineName)) return
         // Neither token nor session are the worker's: nothing is executed, and the refusal is its newest report.
-        out.direct(report.addr, 0L, 0L, emptyList()) { reply ->
-            calling.remove(report.host)
+        out.direct(status.addr, 0L, 0L, emptyList()) { reply ->
+            calling.remove(status.machineName)
             val answer = (reply as? Reply.Answer)?.takeIf { it.status == 200 || it.status == 409 } ?: return@direct
             try {
-                val now = Report.parse(answer.body)
-                if (now.host == report.host && cluster.leading) accept(now)
+                val now = WorkerStatus.parse(answer.body)
+                if (now.machineName == status.machineName && cluster.leading) accept(now)
             } catch (e: MalformedException) {
-                log.error("the answer of {} cannot be read: {}", report.host, e.message)
+                log.error("the answer of {} cannot be read: {}", status.machineName, e.message)
             }
         }
     }
 
-    private fun accept(report: Report) {
-        if (cluster.shardOfHost(report.host) != null || report.host in returning || cluster.departedLately(report.host)) return
-        val host = HostRecord(report.host, report.typeName, report.zone, report.spot)
+    private fun accept(status: WorkerStatus) {
+        if (cluster.shardOfMachine(status.machineName) != null || status.machineName in returning || cluster.departedLately(status.machineName)) return
+        val record = MachineRecord(status.machineName, status.typeName, status.zone, status.spot)
         val shard = emptiest()
-        log.info("{}: a worker of no shard reports; it goes to shard {}", report.host, shard.value)
-        add(host, shard, report.token)
+        log.info("{}: a worker of no shard reports; it goes to shard {}", status.machineName, shard.value)
+        add(record, shard, status.token)
         assign()
     }
 
     /** The shard with the fewest CPUs, so that machines found at the start are spread evenly. */
     private fun emptiest(): ShardId {
         val cpus = DoubleArray(cluster.records.size)
-        for (shard in cpus.indices) cpus[shard] = cluster.hostsOf(ShardId(shard)).sumOf { machineTypes()[it.typeName]?.cpus ?: 1.0 }
-        for ((host, to) in unassigned) cpus[to.shard.value] += machineTypes()[host.typeName]?.cpus ?: 1.0
+        for (shard in cpus.indices) cpus[shard] = cluster.machinesOf(ShardId(shard)).sumOf { machineTypes()[it.typeName]?.cpus ?: 1.0 }
+        for ((record, to) in unassigned) cpus[to.shard.value] += machineTypes()[record.typeName]?.cpus ?: 1.0
         return ShardId(cpus.indices.minByOrNull { cpus[it] } ?: 0)
     }
 
     /** Machines that nobody expected use themselves by reporting; those that only cost are returned. */
-    fun seeList(hosts: List<ListedHost>) {
+    fun onMachineList(machines: List<ListedMachine>) {
         val now = clock.now()
-        val listed = hosts.mapTo(HashSet()) { it.name }
-        strangers.keys.retainAll(listed)
+        val listed = machines.mapTo(HashSet()) { it.name }
+        unassignedSince.keys.retainAll(listed)
         val expected = unassigned.keys.mapTo(HashSet()) { it.name }
         val lost = ArrayList<String>()
-        for (host in hosts) {
-            if (cluster.shardOfHost(host.name) != null || cluster.departedLately(host.name) || host.name in expected) {
-                strangers.remove(host.name)
+        for (machine in machines) {
+            if (cluster.shardOfMachine(machine.name) != null || cluster.departedLately(machine.name) || machine.name in expected) {
+                unassignedSince.remove(machine.name)
                 continue
             }
-            val since = strangers.getOrPut(host.name) { now }
-            val patience = ((machineTypes()[host.typeName]?.bootS ?: 60.0) * 2 + settings.cloudLimits.listLagS * 2) * 1000
-            if ((host.stage == "failed" || now - since > patience) && host.name !in returning) lost.add(host.name)
+            val since = unassignedSince.getOrPut(machine.name) { now }
+            val patience = ((machineTypes()[machine.typeName]?.bootS ?: 60.0) * 2 + settings.cloudLimits.listLagS * 2) * 1000
+            if ((machine.stage == "failed" || now - since > patience) && machine.name !in returning) lost.add(machine.name)
         }
         if (lost.isEmpty()) return
-        val names = lost.take(MOST_RETURNED)
+        val names = lost.take(MAX_MACHINES_PER_RETURN)
         log.info("returned, since they belong to no shard and do not report: {}", names)
         returning.addAll(names)
-        out.giveBack(names) { ok ->
+        out.returnMachines(names) { ok ->
             returning.removeAll(names.toSet())
-            if (ok) names.forEach { strangers.remove(it) }
+            if (ok) names.forEach { unassignedSince.remove(it) }
         }
     }
 
     private companion object {
-        const val MOST_CALLED = 64
-        const val MOST_RETURNED = 100
+        const val MAX_CALLS = 64
+        const val MAX_MACHINES_PER_RETURN = 100
     }
 }
--- a/src/main/kotlin/io/reedmast/fleet/SpareMachines.kt
+++ b/src/main/kotlin/io/reedmast/fleet/ScaleInPolicy.kt
@@ -6,9 +6,9 @@
 import io.reedmast.workers.MachineLifecycle
 
 /** Which machines a shard can spare: those to be returned, to be moved to another shard, or to be emptied for it. */
-class SpareMachines(private val shardState: ShardState, private val arrivals: ArrivalRates) {
+class ScaleInPolicy(private val shardState: ShardState, private val arrivals: ArrivalRates) {
     /** Whether the shard would have too little free room for the services that arrive while a machine boots. */
-    inner class Spare(private var free: Double, private val wanted: Double) {
+    inner class Headroom(private var free: Double, private val wanted: Double) {
         fun needs(machine: Machine) = wanted > 0.0 && !machine.record.spot && free - machine.freeCpus < wanted
 
         fun without(machine: Machine) {
@@ -16,18 +16,18 @@
         }
     }
 
-    fun spareCpus(now: Long) = Spare(shardState.machines.values.filter { it.usable && !it.record.spot }.sumOf { it.freeCpus }, headroom(now))
+    fun spareCpus(now: Long) = Headroom(shardState.machines.values.filter { it.usable && !it.record.spot }.sumOf { it.freeCpus }, serviceHeadroom(now))
 
     /** CPUs of the services that arrive within a boot. */
-    private fun headroom(now: Long): Double = shardState.shortestBootS()?.let { arrivals.serviceCpus(now, it) } ?: 0.0
+    private fun serviceHeadroom(now: Long): Double = shardState.shortestBootS()?.let { arrivals.serviceCpus(now, it) } ?: 0.0
 
-    /** Room that other work leaves free on machines with services, for the services that arrive within a few seconds. */
-    fun reserve(now: Long): Double = arrivals.serviceCpus(now, RESERVE_S)
+    /** FreeCapacity that other work leaves free on machines with services, for the services that arrive within a few seconds. */
+    fun serviceReserve(now: Long): Double = arrivals.serviceCpus(now, RESERVE_S)
 
     private var meanImageGb = 0.0
 
     /** Takes up the size of the images that the shard's jobs need. */
-    fun noteImages() {
+    fun recordImages() {
         meanImageGb = if (shardState.jobs.isEmpty()) 0.0 else shardState.jobs.values.sumOf { it.spec.imageGb } / shardState.jobs.size
     }
 
@@ -37,12 +37,12 @@
      * What is lost with it is its boot and its images; a boot is partly hidden, since machines are rented as work comes.
      * Spot machines cost a fraction, and are kept longer by the same measure.
      */
-    fun patienceMs(machine: Machine): Double {
+    fun scaleInDelayMs(machine: Machine): Double {
         val machineType = machine.machineType ?: return 0.0
         val ordinary =
             shardState.tuning.idleS
                 ?: maxOf(machineType.bootS * BOOT_WORTH + meanImageGb / machineType.fetchGbPerS, shardState.settings.workers.reportS * KEPT_REPORTS)
-        return ordinary * 1000 * if (machine.record.spot) SPOT_PATIENCE else 1.0
+        return ordinary * 1000 * if (machine.record.spot) SPOT_DELAY_FACTOR else 1.0
     }
 
     /**
@@ -50,12 +50,12 @@
      * covers what was wanted, so that nothing is, and went on to the next shard before it could be used.
      */
     fun movable(now: Long): List<String> {
-        val spare = spareCpus(now)
+        val headroom = spareCpus(now)
         return shardState.machines.values.filter { machine ->
-            machine.placements.isEmpty() && machine.retirement == null && !machine.returning && machine.machineType != null &&
+            machine.placements.isEmpty() && machine.decommissionReason == null && !machine.returning && machine.machineType != null &&
                 (
-                    (!machine.everHeard && now - machine.firstSeenAt > JUST_COME_MS) ||
-                        (machine.trusted && now - machine.emptySince > IDLE_TO_MOVE_MS && !spare.needs(machine))
+                    (!machine.everReported && now - machine.firstSeenAt > JUST_COME_MS) ||
+                        (machine.trusted && now - machine.emptySince > IDLE_TO_MOVE_MS && !headroom.needs(machine))
                     )
         }.take(MAX_IDLE).map { it.name }
     }
@@ -94,19 +94,19 @@
      * Zones most of whose machines fell silent lately: a zone that is cut off. What is rented there cannot be reached either,
      * and with its machines returned it would look like the zone with the most room.
      */
-    fun darkZones(now: Long): List<String> = shardState.givenUp.filter { (zone, times) ->
-        while (times.isNotEmpty() && now - times.first() > DARK_MS) times.removeFirst()
-        times.size >= LEAST_DARK &&
-            times.size > shardState.machines.values.count { it.record.zone == zone && it.trusted && now - it.lastHeardAt <= shardState.reportOverdueMs }
+    fun unavailableZones(now: Long): List<String> = shardState.silentMachinesByZone.filter { (zone, times) ->
+        while (times.isNotEmpty() && now - times.first() > UNAVAILABLE_ZONE_MS) times.removeFirst()
+        times.size >= MIN_SILENT_IN_ZONE &&
+            times.size > shardState.machines.values.count { it.record.zone == zone && it.trusted && now - it.lastHeartbeatAt <= shardState.heartbeatLateMs }
     }.keys.toList()
 
     private companion object {
-        const val SPOT_PATIENCE = 2.0
+        const val SPOT_DELAY_FACTOR = 2.0
         const val KEPT_REPORTS = 4
         const val BOOT_WORTH = 0.25
         const val RESERVE_S = 10.0
-        const val DARK_MS = 45_000L
-        const val LEAST_DARK = 4
+        const val UNAVAILABLE_ZONE_MS = 45_000L
+        const val MIN_SILENT_IN_ZONE = 4
         const val IDLE_TO_MOVE_MS = 2_000L
         const val JUST_COME_MS = 8_000L
         const val JUST_PLACED_MS = 15_000L
--- a/src/main/kotlin/io/reedmast/fleet/ShardRebalancer.kt
+++ b/src/main/kotlin/io/reedmast/fleet/ShardRebalancer.kt
@@ -32,18 +32,18 @@
             for (giver in givers) {
                 val idle = giver.idle.toHashSet()
                 val given = ArrayList<String>()
-                for (host in cluster.hostsOf(giver.shard)) {
-                    if (host.name !in idle || cluster.isLeaving(giver.shard, host.name)) continue
-                    val machineType = machineTypes()[host.typeName] ?: continue
+                for (record in cluster.machinesOf(giver.shard)) {
+                    if (record.name !in idle || cluster.isMarkedForTransfer(giver.shard, record.name)) continue
+                    val machineType = machineTypes()[record.typeName] ?: continue
                     val demand =
-                        left.entries.firstOrNull { it.value > 0 && it.key.runsOn(host.typeName, host.zone, host.spot) && it.key.heldBy(machineType) > 0 }
+                        left.entries.firstOrNull { it.value > 0 && it.key.runsOn(record.typeName, record.zone, record.spot) && it.key.heldBy(machineType) > 0 }
                             ?: continue
                     demand.setValue(demand.value - demand.key.heldBy(machineType))
-                    given.add(host.name)
+                    given.add(record.name)
                 }
                 if (given.isEmpty()) continue
                 log.info("shard {} gives {} machines to shard {}", giver.shard.value, given.size, needy.shard.value)
-                cluster.markLeaving(giver.shard, given, needy.shard)
+                cluster.markForTransfer(giver.shard, given, needy.shard)
                 // Their room is not known to the needy shard before they have moved.
                 moving[needy.shard] = clock.now() + MOVE_MS
             }
@@ -60,46 +60,46 @@
         for (needy in totals.filter { it.shard !in relieving }) {
             for (starving in needy.starving) {
                 val demand = starving.demand
-                if (starving.waitedS < RENTED_BY_NOW_S) continue
-                val (giver, hosts) = totals.filter { it.shard != needy.shard }.firstNotNullOfOrNull { giver ->
-                    hostsFor(demand, giver).takeIf { it.isNotEmpty() }?.let { giver to it }
+                if (starving.waitedS < PROVISIONED_BY_NOW_S) continue
+                val (giver, machineNames) = totals.filter { it.shard != needy.shard }.firstNotNullOfOrNull { giver ->
+                    machinesFor(demand, giver).takeIf { it.isNotEmpty() }?.let { giver to it }
                 } ?: continue
-                log.info("shard {} empties {} for shard {}, where a job starves", giver.shard.value, hosts, needy.shard.value)
-                cluster.markLeaving(giver.shard, hosts, needy.shard)
+                log.info("shard {} empties {} for shard {}, where a job starves", giver.shard.value, machineNames, needy.shard.value)
+                cluster.markForTransfer(giver.shard, machineNames, needy.shard)
                 relieving[needy.shard] = now + RELIEVED_MS
                 break
             }
         }
     }
 
-    /** Machines of a shard that hold what starves: a single task, or a whole gang, as far as [MOST_EMPTIED] machines do. */
-    private fun hostsFor(demand: Demand, giver: ShardUsageSummary): List<String> {
-        val hosts = ArrayList<String>()
+    /** Machines of a shard that hold what starves: a single task, or a whole gang, as far as [MAX_EMPTIED] machines do. */
+    private fun machinesFor(demand: Demand, giver: ShardUsageSummary): List<String> {
+        val machineNames = ArrayList<String>()
         var left = demand.count
-        for (host in giver.idle + giver.lendable) {
-            if (left <= 0 || hosts.size >= MOST_EMPTIED) break
-            if (host in hosts || !suits(giver.shard, host, demand)) continue
-            hosts.add(host)
-            left -= heldBy(giver.shard, host, demand)
+        for (machineName in giver.idle + giver.lendable) {
+            if (left <= 0 || machineNames.size >= MAX_EMPTIED) break
+            if (machineName in machineNames || !suits(giver.shard, machineName, demand)) continue
+            machineNames.add(machineName)
+            left -= heldBy(giver.shard, machineName, demand)
         }
-        return hosts
+        return machineNames
     }
 
     private fun heldBy(shard: ShardId, name: String, demand: Demand): Int =
-        cluster.hostsOf(shard).firstOrNull { it.name == name }?.let { machineTypes()[it.typeName] }?.let { demand.heldBy(it) } ?: 0
+        cluster.machinesOf(shard).firstOrNull { it.name == name }?.let { machineTypes()[it.typeName] }?.let { demand.heldBy(it) } ?: 0
 
     private fun suits(shard: ShardId, name: String, demand: Demand): Boolean {
-        val host = cluster.hostsOf(shard).firstOrNull { it.name == name } ?: return false
-        val machineType = machineTypes()[host.typeName] ?: return false
-        return !cluster.isLeaving(shard, name) && demand.runsOn(host.typeName, host.zone, host.spot) && demand.heldBy(machineType) > 0
+        val record = cluster.machinesOf(shard).firstOrNull { it.name == name } ?: return false
+        val machineType = machineTypes()[record.typeName] ?: return false
+        return !cluster.isMarkedForTransfer(shard, name) && demand.runsOn(record.typeName, record.zone, record.spot) && demand.heldBy(machineType) > 0
     }
 
     private companion object {
         const val MOVE_MS = 2_000L
-        const val MOST_EMPTIED = 4
+        const val MAX_EMPTIED = 4
         const val RELIEVED_MS = 25_000L
 
         /** A machine that was rented when the job began to starve is mostly up by then. */
-        const val RENTED_BY_NOW_S = 55.0
+        const val PROVISIONED_BY_NOW_S = 55.0
     }
 }
--- a/src/main/kotlin/io/reedmast/fleet/ShardUsageSummary.kt
+++ b/src/main/kotlin/io/reedmast/fleet/ShardUsageSummary.kt
@@ -14,7 +14,7 @@
 class ShardUsageSummary(
     val shard: ShardId,
     /** The version of the newest change to the shard's machines that the owner knew. */
-    val hostsVersion: Long,
+    val machinesVersion: Long,
     /** Charged use of the shard's teams within the window. */
     val usage: Fields,
     /** Charged use against allocation of the waiting team that is furthest below its share. */
@@ -26,17 +26,17 @@
     val lendable: List<String>,
     val starving: List<Starving>,
     /** Zones that seem to be cut off. */
-    val darkZones: List<String>,
+    val unavailableZones: List<String>,
 ) {
     fun toFields(): Fields = mapOf(
-        "hosts" to hostsVersion,
+        "hosts" to machinesVersion,
         "usage" to usage,
         "ratio" to ratio,
         "demand" to demand.map { it.toFields() },
         "idle" to idle,
         "lendable" to lendable,
         "starving" to starving.map { it.toFields() },
-        "dark" to darkZones,
+        "dark" to unavailableZones,
     )
 
     /** With fewer machines, and then fewer wishes, named, as far as needed for a stored value of so many bytes. */
@@ -47,8 +47,8 @@
     }
 
     private fun shortened(): ShardUsageSummary? = when {
-        idle.size > FEW_HOSTS -> copy(idle = idle.take(idle.size / 2))
-        lendable.size > FEW_HOSTS -> copy(lendable = lendable.take(lendable.size / 2))
+        idle.size > FEW_MACHINES -> copy(idle = idle.take(idle.size / 2))
+        lendable.size > FEW_MACHINES -> copy(lendable = lendable.take(lendable.size / 2))
         demand.size > 1 -> copy(demand = demand.dropLast(1))
         starving.size > 1 -> copy(starving = starving.dropLast(1))
         idle.isNotEmpty() || lendable.isNotEmpty() -> copy(idle = emptyList(), lendable = emptyList())
@@ -60,10 +60,10 @@
         lendable: List<String> = this.lendable,
         demand: List<Demand> = this.demand,
         starving: List<Starving> = this.starving,
-    ) = ShardUsageSummary(shard, hostsVersion, usage, ratio, demand, idle, lendable, starving, darkZones)
+    ) = ShardUsageSummary(shard, machinesVersion, usage, ratio, demand, idle, lendable, starving, unavailableZones)
 
     companion object {
-        private const val FEW_HOSTS = 6
+        private const val FEW_MACHINES = 6
 
         fun parse(shard: ShardId, fields: Fields) = ShardUsageSummary(
             shard,
--- a/src/main/kotlin/io/reedmast/fleet/UsageSummaryWriter.kt
+++ b/src/main/kotlin/io/reedmast/fleet/UsageSummaryWriter.kt
@@ -19,8 +19,8 @@
     private val shardState: ShardState,
     private val out: Gateway,
     private val demandEstimator: DemandEstimator,
-    private val spareMachines: SpareMachines,
-    private val hostsVersion: () -> Long,
+    private val scaleInPolicy: ScaleInPolicy,
+    private val machinesVersion: () -> Long,
     /** The shard may have another owner: its record is to be read again. */
     private val termInDoubt: () -> Unit,
 ) {
@@ -46,7 +46,7 @@
 
     fun tick(now: Long) {
         if (writing || now - lastWritten < MIN_TOTALS_MS) return
-        spareMachines.noteImages()
+        scaleInPolicy.recordImages()
         val demand = demandEstimator.demand()
         val starving = demandEstimator.starving(now)
         val wanted = demand.isNotEmpty() || lastDemand.isNotEmpty() || starving.isNotEmpty()
@@ -60,22 +60,22 @@
 
     private fun totals(demand: List<Demand>, starving: List<Starving>, now: Long): ShardUsageSummary {
         val wall = shardState.clock.wall()
-        val waiting = shardState.jobs.values.filter { it.waitingCount > 0 }.mapTo(HashSet()) { it.team }
+        val waiting = shardState.jobs.values.filter { it.pendingCount > 0 }.mapTo(HashSet()) { it.team }
         return ShardUsageSummary(
             shard,
-            hostsVersion(),
-            shardState.usage.toFields(shardState.teams, mostBuckets()),
+            machinesVersion(),
+            shardState.usage.toFields(shardState.teams, maxBuckets()),
             ratio = waiting.minOfOrNull { shardState.ratio(it, wall) } ?: 0.0,
             demand = demand.take(MAX_KINDS),
-            idle = spareMachines.movable(now),
-            lendable = spareMachines.lendable(now),
+            idle = scaleInPolicy.movable(now),
+            lendable = scaleInPolicy.lendable(now),
             starving = starving,
-            darkZones = spareMachines.darkZones(now),
+            unavailableZones = scaleInPolicy.unavailableZones(now),
         ).within(shardState.limits.target.valueBytes * FILLED_PERCENT / 100 - ENVELOPE_BYTES)
     }
 
     /** Charged use may take a third of the value, whatever it is made of. */
-    private fun mostBuckets(): Int = maxOf(2, shardState.limits.target.valueBytes / 3 / maxOf(1, shardState.teams.size) / BYTES_PER_BUCKET)
+    private fun maxBuckets(): Int = maxOf(2, shardState.limits.target.valueBytes / 3 / maxOf(1, shardState.teams.size) / BYTES_PER_BUCKET)
 
     private fun store(totals: ShardUsageSummary, writePriority: WritePriority) {
         writing = true
@@ -108,7 +108,7 @@
             up.sumOf { it.freeCpus }.toInt(),
             up.sumOf { it.machineType?.cpus ?: 0.0 }.toInt(),
             shardState.jobs.size,
-            shardState.jobs.values.sumOf { it.waitingCount },
+            shardState.jobs.values.sumOf { it.pendingCount },
             demand.map { "${it.count} of ${"%.1f".format(it.cpus)} CPUs" },
         )
     }
--- a/src/main/kotlin/io/reedmast/gangs/GangChoice.kt
+++ b/src/main/kotlin/io/reedmast/gangs/GangChoice.kt
@@ -1,7 +1,7 @@
 package io.reedmast.gangs
 
 import io.reedmast.jobs.Job
-import io.reedmast.placement.allows
+import io.reedmast.placement.isEligible
 import io.reedmast.placement.score
 import io.reedmast.wire.JobSpec
 import io.reedmast.workers.Machine
@@ -15,10 +15,10 @@
  * A gang starts when its slowest machine is ready, so among the zones that have room the one whose worst machine is best is taken.
  * [mayUse] leaves out machines that the job must not or should not use.
  */
-fun chooseForGang(job: Job, machines: List<Machine>, mayUse: (Machine) -> Boolean): GangAssignment? {
+fun packGang(job: Job, machines: List<Machine>, mayUse: (Machine) -> Boolean): GangAssignment? {
     val spec = job.spec
     val usable = machines
-        .filter { allows(spec, it.record.typeName, it.record.zone, it.record.spot) && tasksThatFit(spec, it) > 0 && mayUse(it) }
+        .filter { isEligible(spec, it.record.typeName, it.record.zone, it.record.spot) && tasksThatFit(spec, it) > 0 && mayUse(it) }
         .sortedBy { score(spec, it) }
     val groups = if (spec.oneZone) usable.groupBy { it.record.zone }.values else listOf(usable)
     return groups.mapNotNull { pack(spec, it) }.minByOrNull { packed -> packed.tasksByMachine.keys.maxOf { score(spec, it) } }
@@ -32,7 +32,7 @@
     for (machine in machines) {
         if (left == 0) break
         val inZone = perZone[machine.record.zone] ?: 0
-        val count = minOf(left, tasksThatFit(spec, machine), mostInOneZone(spec) - inZone)
+        val count = minOf(left, tasksThatFit(spec, machine), maxInOneZone(spec) - inZone)
         if (count <= 0) continue
         chosen[machine] = count
         perZone[machine.record.zone] = inZone + count
@@ -42,7 +42,7 @@
 }
 
 /** How many tasks of the gang one zone may hold. */
-private fun mostInOneZone(spec: JobSpec) = if (spec.spread) (spec.taskCount + 1) / 2 else spec.taskCount
+private fun maxInOneZone(spec: JobSpec) = if (spec.spread) (spec.taskCount + 1) / 2 else spec.taskCount
 
 /** How many tasks of this shape fit into what is free on the machine. */
 fun tasksThatFit(spec: JobSpec, machine: Machine): Int = tasksThatFit(spec, machine.freeCpus, machine.freeGpus, machine.freeMemoryGb)
@@ -54,8 +54,8 @@
 }
 
 /** Whether the zones of the cloud can never hold the whole gang by its own rules, however much room there is. */
-fun zonesNeverHold(spec: JobSpec, zones: Set<String>): Boolean {
+fun zoneRulesNeverHold(spec: JobSpec, zones: Set<String>): Boolean {
     if (!spec.gang || !spec.spread) return false
     val usableZones = if (spec.oneZone || spec.zone != null) 1 else zones.size
-    return usableZones > 0 && mostInOneZone(spec).toLong() * usableZones < spec.taskCount
+    return usableZones > 0 && maxInOneZone(spec).toLong() * usableZones < spec.taskCount
 }
--- a/src/main/kotlin/io/reedmast/gangs/GangCoordinator.kt
+++ b/src/main/kotlin/io/reedmast/gangs/GangCoordinator.kt
@@ -5,7 +5,7 @@
 import io.reedmast.jobs.ShardState
 import io.reedmast.jobs.StopReason
 import io.reedmast.wire.Cause
-import io.reedmast.workers.Commands
+import io.reedmast.workers.CommandDispatcher
 import org.slf4j.LoggerFactory
 
 /**
@@ -14,7 +14,7 @@
  * A gang that has lost a task cannot go on. Its other tasks are stopped, and only when the evidence for the end of each of them is
  * there is the gang placed again, under a new attempt number. Until then a task of it may still run somewhere.
  */
-class GangCoordinator(private val shardState: ShardState, private val commands: Commands) {
+class GangCoordinator(private val shardState: ShardState, private val dispatcher: CommandDispatcher) {
     private val log = LoggerFactory.getLogger("gangs")
 
     /** Stops what is left of gangs that have lost a task. */
@@ -32,7 +32,7 @@
             if (!placement.committed && job.chunkOf(placement.task).page?.writing != true) {
                 shardState.finish(placement, done = false)
             } else {
-                commands.stop(placement, reason)
+                dispatcher.stop(placement, reason)
             }
         }
     }
@@ -68,7 +68,7 @@
     private fun markAllDone(job: Job) {
         for (task in 0 until job.spec.taskCount) {
             job.markDone(task)
-            shardState.touched(job.chunkOf(task))
+            shardState.markDirty(job.chunkOf(task))
         }
     }
 
@@ -82,7 +82,7 @@
     }
 
     /** The shard has just been read. What is stored of a gang may be a part of it. */
-    fun taken(job: Job) {
+    fun onRestored(job: Job) {
         if (!job.spec.gang || job.placedCount + job.doneCount == 0) return
         if (job.doneCount > 0) {
             complete(job)
--- a/src/main/kotlin/io/reedmast/gangs/GangReservations.kt
+++ b/src/main/kotlin/io/reedmast/gangs/GangReservations.kt
@@ -1,7 +1,7 @@
 package io.reedmast.gangs
 
 import io.reedmast.jobs.Job
-import io.reedmast.placement.allows
+import io.reedmast.placement.isEligible
 import io.reedmast.wire.JobSpec
 import io.reedmast.workers.Machine
 
@@ -24,7 +24,7 @@
 
     /** Drops what has expired long ago and what is of no use any more. */
     fun prune(now: Long) {
-        val over = reservations.filter { (job, held) -> job.waitingCount == 0 || job.placedCount > 0 || now >= held.until + HELD_MS }.keys.toList()
+        val over = reservations.filter { (job, held) -> job.pendingCount == 0 || job.placedCount > 0 || now >= held.until + HELD_MS }.keys.toList()
         over.forEach { reservations.remove(it) }
         holders.clear()
         for ((job, held) in reservations) if (now < held.until) held.machines.forEach { holders[it] = job }
@@ -37,7 +37,7 @@
     val isEmpty: Boolean get() = holders.isEmpty() && forNext.isEmpty()
 
     /** The machines whose room is kept for the gang. */
-    fun machinesOf(job: Job): Set<Machine> = reservations[job]?.machines?.filterTo(LinkedHashSet()) { holders[it] === job }.orEmpty()
+    fun transferTargetsOf(job: Job): Set<Machine> = reservations[job]?.machines?.filterTo(LinkedHashSet()) { holders[it] === job }.orEmpty()
 
     /**
      * Keeps arrays off some machines of one zone, so that the gangs which arrive next find room at once: as much as the largest one of
@@ -50,8 +50,8 @@
             return
         }
         val images = recent.mapTo(HashSet()) { it.image }
-        val tasks = largest.taskCount * minOf(MOST_ROOMS, 1 + expected.toInt())
-        val able = machines.filter { allows(largest, it.record.typeName, it.record.zone, it.record.spot) && it !in holders && !it.record.spot }
+        val tasks = largest.taskCount * minOf(MAX_GANGS_RESERVED_FOR, 1 + expected.toInt())
+        val able = machines.filter { isEligible(largest, it.record.typeName, it.record.zone, it.record.spot) && it !in holders && !it.record.spot }
         val groups = if (recent.any { it.oneZone }) able.groupBy { it.record.zone }.values else listOf(able)
         val most = maxOf(FEWEST, machines.size / PART_FOR_NEXT)
         fun warmth(machine: Machine) = images.count { it in machine.images }
@@ -88,7 +88,7 @@
     /** Machines of one zone, if the gang needs that, on which it fits once work that ends by itself has ended: those with most room now. */
     private fun machinesToKeep(job: Job, machines: List<Machine>): Set<Machine>? {
         val spec = job.spec
-        val able = machines.filter { allows(spec, it.record.typeName, it.record.zone, it.record.spot) && it !in job.failedOn }
+        val able = machines.filter { isEligible(spec, it.record.typeName, it.record.zone, it.record.spot) && it !in job.failedOn }
         val groups = if (spec.oneZone) able.groupBy { it.record.zone }.values else listOf(able)
         return groups.mapNotNull { fewest(job, it) }.maxByOrNull { kept -> kept.sumOf { tasksThatFit(spec, it) } }
     }
@@ -115,7 +115,7 @@
         const val FEWEST = 4
         const val PART_OF_MACHINES = 4
         const val PART_FOR_NEXT = 8
-        const val MOST_ROOMS = 3
+        const val MAX_GANGS_RESERVED_FOR = 3
 
         /** What a machine that is kept already is worth against tasks that others hold: room is gathered where it has begun to be. */
         const val STAYS = 4
--- a/src/main/kotlin/io/reedmast/jobs/DensePages.kt
+++ b/src/main/kotlin/io/reedmast/jobs/DensePages.kt
@@ -39,14 +39,14 @@
 
     /** A page with [chunks] in the dense form. */
     fun toFields(chunks: List<StoredChunk>): Fields {
-        val machines = chunks.flatMap { chunk -> chunk.placements.map { it.host } }.distinct()
+        val machines = chunks.flatMap { chunk -> chunk.placements.map { it.machineName } }.distinct()
         val indexOf = machines.withIndex().associate { (index, name) -> name to index.toLong() }
         val lowest = chunks.flatMap { chunk -> chunk.placements.map { it.attempt } }.minOrNull() ?: 0L
         return mapOf(
             MACHINES to machines,
             LOWEST_ATTEMPT to lowest,
             CHUNKS to chunks.map { chunk ->
-                val placements = chunk.placements.flatMap { listOf(it.task.toLong() - chunk.first, it.attempt - lowest, indexOf.getValue(it.host)) }
+                val placements = chunk.placements.flatMap { listOf(it.task.toLong() - chunk.first, it.attempt - lowest, indexOf.getValue(it.machineName)) }
                 listOf(chunk.jobId, chunk.first.toLong(), chunk.size?.toLong(), StoredChunk.hex(chunk.done), placements)
             },
         )
@@ -78,8 +78,8 @@
             taskCount?.let { integer(it).toInt() },
             StoredChunk.bits(done as? String ?: throw MalformedException("done is no text")),
             flat.chunked(StoredChunk.PARTS_OF_A_PLACEMENT).map { (task, attempt, machine) ->
-                val host = machines.getOrNull(integer(machine).toInt()) ?: throw MalformedException("a placement names no machine")
-                StoredPlacement(first + integer(task).toInt(), lowest + integer(attempt), host)
+                val machineName = machines.getOrNull(integer(machine).toInt()) ?: throw MalformedException("a placement names no machine")
+                StoredPlacement(first + integer(task).toInt(), lowest + integer(attempt), machineName)
             },
         )
     }
--- a/src/main/kotlin/io/reedmast/jobs/Job.kt
+++ b/src/main/kotlin/io/reedmast/jobs/Job.kt
@@ -9,7 +9,7 @@
 
 /** Why an owner wants an attempt stopped. */
 enum class StopReason {
-    ABORTED,
+    CANCELLED,
     PREEMPTED,
     DRAINED,
 
@@ -29,7 +29,7 @@
     var committed = false
 
     /** The worker's session for which a launch was last sent, 0 if this owner sent none. */
-    var launchSession = 0L
+    var launchEpoch = 0L
 
     /** The sequence of the report in whose answer a launch was last sent. */
     var answeredSequence = -1L
@@ -80,21 +80,21 @@
     var version: Long,
 ) {
     val chunks: Array<Chunk?> = arrayOfNulls((spec.taskCount + chunkSize - 1) / chunkSize)
-    var aborted = false
+    var isCancelled = false
     var doneCount = 0
     var placedCount = 0
     var runningCount = 0
 
     /** What was last told of it to the other nodes. */
-    var toldDone = 0
-    var toldRunning = 0
+    var publishedDone = 0
+    var publishedRunning = 0
     var ending = false
     var endNotBefore = 0L
 
     /** Tasks with neither result nor placement, lowest number first. */
     private val waiting = BitSet(spec.taskCount).apply { set(0, spec.taskCount) }
-    val waitingCount: Int get() = if (aborted) 0 else spec.taskCount - doneCount - placedCount
-    val over: Boolean get() = placedCount == 0 && (aborted || (!spec.service && doneCount == spec.taskCount))
+    val pendingCount: Int get() = if (isCancelled) 0 else spec.taskCount - doneCount - placedCount
+    val isFinished: Boolean get() = placedCount == 0 && (isCancelled || (!spec.service && doneCount == spec.taskCount))
 
     /** Machines on which attempts of this job failed, and how many failed in a row. */
     val failedOn = HashSet<Machine>()
@@ -112,10 +112,10 @@
     var idleSince = 0L
 
     /** Since when none of its tasks has run for longer than a moment. */
-    var unservedSince = 0L
+    var underservedSince = 0L
 
     /** Which machine types are too dear for it, as long as prices stay as they are. */
-    val dearTypes = HashMap<String, Boolean>(4)
+    val expensiveTypes = HashMap<String, Boolean>(4)
 
     fun chunkOf(task: Int): Chunk {
         val index = task / chunkSize
@@ -132,7 +132,7 @@
     /** Whether all tasks of the gang have placements, and the store holds each: nothing of it is launched before. */
     val isWholeGangStored: Boolean get() = placedCount == spec.taskCount && placements().all { it.committed && it.stopReason == null }
 
-    fun nextWaiting(): Int = waiting.nextSetBit(0)
+    fun nextPending(): Int = waiting.nextSetBit(0)
 
     fun placements(): Sequence<Placement> = chunks.asSequence().filterNotNull().flatMap { it.placements.values }
 
@@ -163,15 +163,15 @@
     }
 
     /** The worker has forgotten the attempt, with its session, and may be told to launch it again. */
-    fun noteLost(placement: Placement) {
+    fun recordLost(placement: Placement) {
         if (placement.running) runningCount--
         placement.runningSince = 0L
         placement.seen = false
-        placement.launchSession = 0L
+        placement.launchEpoch = 0L
         placement.launchesAnswered = 0
     }
 
-    fun noteRunning(placement: Placement, now: Long) {
+    fun recordRunning(placement: Placement, now: Long) {
         if (placement.running) return
         placement.runningSince = now
         runningCount++
--- a/src/main/kotlin/io/reedmast/jobs/JobIndex.kt
+++ b/src/main/kotlin/io/reedmast/jobs/JobIndex.kt
@@ -18,13 +18,13 @@
 import io.reedmast.wire.optionalFlag
 
 /** The record of an unfinished job, under its shard. Whoever cancels the job rewrites it. */
-class LiveRecord(val spec: JobSpec, val chunkSize: Int, val acceptedAtMs: Long, val aborted: Boolean) {
+class LiveRecord(val spec: JobSpec, val chunkSize: Int, val acceptedAtMs: Long, val isCancelled: Boolean) {
     fun toFields(): Fields {
         val fields = mapOf("spec" to spec.toFields(), "chunk" to chunkSize, "at" to acceptedAtMs)
-        return if (aborted) fields + ("aborted" to true) else fields
+        return if (isCancelled) fields + ("aborted" to true) else fields
     }
 
-    fun aborted() = LiveRecord(spec, chunkSize, acceptedAtMs, true)
+    fun cancelled() = LiveRecord(spec, chunkSize, acceptedAtMs, true)
 
     companion object {
         fun parse(fields: Fields) =
@@ -62,7 +62,7 @@
     private val live = HashMap<String, LiveJob>()
 
     /** The revision up to which the watch has told of every change; 0 before the first reading. */
-    private var toldTo = 0L
+    private var observedRevision = 0L
 
     /** Jobs whose end this node knows from its own change, by the change's revision, until the watch has told as much. */
     private val endedHere = HashMap<String, Long>()
@@ -80,28 +80,28 @@
 
     fun end(jobId: String): EndRecord? = ends.getIfPresent(jobId)
 
-    fun noteEnd(jobId: String, end: EndRecord) = ends.put(jobId, end)
+    fun recordEnd(jobId: String, end: EndRecord) = ends.put(jobId, end)
 
     fun liveOf(shard: ShardId): List<LiveJob> = live.values.filter { it.shard == shard }
 
     /** Takes up a complete reading; [revision] is what it is at least as new as. */
     fun load(items: List<StoredItem>, revision: Long) {
-        noteTold(revision)
+        recordObserved(revision)
         val listed = items.mapTo(HashSet()) { it.path.substringAfterLast('/') }
         live.filter { (jobId, job) -> jobId !in listed && job.version <= revision }.keys.toList().forEach { remove(it, Long.MAX_VALUE) }
         unreadableLive.entries.removeIf { (jobId, version) -> jobId !in listed && version <= revision }
-        items.forEach { take(it.path, it.value, it.version) }
+        items.forEach { accept(it.path, it.value, it.version) }
     }
 
     /** Takes up what the watch tells: all changes up to [revision]. */
     fun follow(events: List<WatchEvent>, revision: Long) {
-        events.forEach { take(it.path, it.value, it.version) }
-        noteTold(revision)
+        events.forEach { accept(it.path, it.value, it.version) }
+        recordObserved(revision)
     }
 
-    private fun noteTold(revision: Long) {
-        toldTo = maxOf(toldTo, revision)
-        endedHere.values.removeIf { it <= toldTo }
+    private fun recordObserved(revision: Long) {
+        observedRevision = maxOf(observedRevision, revision)
+        endedHere.values.removeIf { it <= observedRevision }
     }
 
     /**
@@ -110,20 +110,20 @@
      * It may be long ago: an answer that was lost is made up for seconds later. If the watch has told of all changes up to then and
      * the job is not among the unfinished, it is over: taken up again, it was called queued after its user had been told of its end.
      */
-    fun see(path: String, value: Fields?, version: Long) {
+    fun applyRecord(path: String, value: Fields?, version: Long) {
         val jobId = path.substringAfterLast('/')
         if (path.startsWith(Keys.LIVE)) {
-            if (value == null && version > toldTo) endedHere[jobId] = version
-            if (value != null && version <= toldTo && jobId !in live) return
+            if (value == null && version > observedRevision) endedHere[jobId] = version
+            if (value != null && version <= observedRevision && jobId !in live) return
         }
-        take(path, value, version)
+        accept(path, value, version)
     }
 
-    private fun take(path: String, value: Fields?, version: Long) {
+    private fun accept(path: String, value: Fields?, version: Long) {
         val jobId = path.substringAfterLast('/')
         try {
             when {
-                path.startsWith(Keys.ENDS) -> if (value != null) noteEnd(jobId, EndRecord.parse(value))
+                path.startsWith(Keys.ENDS) -> if (value != null) recordEnd(jobId, EndRecord.parse(value))
                 !path.startsWith(Keys.LIVE) -> {}
                 value == null -> remove(jobId, version)
                 else -> put(jobId, path.removePrefix(Keys.LIVE).substringBefore('/').toIntOrNull(), value, version)
@@ -150,7 +150,7 @@
             job.running = it.running
         }
         live[jobId] = job
-        owned().forEach { if (it.index == job.shard) it.jobSeen(job) }
+        owned().forEach { if (it.index == job.shard) it.onJobChanged(job) }
     }
 
     private fun remove(jobId: String, version: Long) {
@@ -158,19 +158,19 @@
         val known = live[jobId] ?: return
         if (known.version > version) return
         live.remove(jobId)
-        owned().forEach { if (it.index == known.shard) it.jobGone(jobId) }
+        owned().forEach { if (it.index == known.shard) it.onJobGone(jobId) }
     }
 
     /** All cancelled jobs that are not over. */
-    fun cancellations(): List<Cancellation> = live.filterValues { it.record.aborted }.map { (jobId, job) -> Cancellation(jobId, job.version) }
+    fun cancellations(): List<Cancellation> = live.filterValues { it.record.isCancelled }.map { (jobId, job) -> Cancellation(jobId, job.version) }
 
     /** Another controller knows that a job is cancelled, while the watch tells nothing. */
-    fun noteCancellation(cancellation: Cancellation) {
+    fun applyCancellation(cancellation: Cancellation) {
         val job = live[cancellation.jobId] ?: return
-        if (job.version < cancellation.version) put(cancellation.jobId, LiveJob(job.shard, job.record.aborted(), cancellation.version))
+        if (job.version < cancellation.version) put(cancellation.jobId, LiveJob(job.shard, job.record.cancelled(), cancellation.version))
     }
 
-    fun noteProgress(progress: List<JobProgress>) {
+    fun applyProgressUpdates(progress: List<JobProgress>) {
         for (of in progress) {
             live[of.jobId]?.apply {
                 done = of.done
--- a/src/main/kotlin/io/reedmast/jobs/JobRequests.kt
+++ b/src/main/kotlin/io/reedmast/jobs/JobRequestHandler.kt
@@ -1,6 +1,6 @@
 package io.reedmast.jobs
 
-import io.reedmast.gangs.zonesNeverHold
+import io.reedmast.gangs.zoneRulesNeverHold
 import io.reedmast.kvstore.CasTransaction
 import io.reedmast.kvstore.CommitOutcome
 import io.reedmast.kvstore.EffectiveLimits
@@ -28,7 +28,7 @@
  * What a user is told is stored before, and a poll waits until this node knows all that was stored when it came, so every
  * later answer of every node agrees with it. Only final states are answered from memory at once, since they never change.
  */
-class JobRequests(
+class JobRequestHandler(
     private val settings: Settings,
     private val clock: Clock,
     private val out: Gateway,
@@ -59,7 +59,7 @@
             answer(later())
             return
         }
-        if (zonesNeverHold(spec, machineTypes().values.flatMapTo(HashSet()) { it.zones })) {
+        if (zoneRulesNeverHold(spec, machineTypes().values.flatMapTo(HashSet()) { it.zones })) {
             refuse(spec.jobId, "the gang's zone rules leave it no place", answer)
             return
         }
@@ -69,7 +69,7 @@
         }
         val askedAt = clock.now()
         val shard = settings.shardOf(team).value
-        val record = LiveRecord(spec, PageForm.chunkSizeFor(limits.target.valueBytes), clock.wall(), aborted = false).toFields()
+        val record = LiveRecord(spec, PageForm.chunkSizeFor(limits.target.valueBytes), clock.wall(), isCancelled = false).toFields()
         val path = Keys.live(shard, spec.jobId)
         // A late copy of a submission must not bring back a job that is over: its end is a condition too.
         val change =
@@ -81,7 +81,7 @@
                 when (outcome) {
                     is CommitOutcome.Applied -> {
                         log.info("{}: accepted, {} tasks of {} for {}", spec.jobId, spec.taskCount, spec.jobClass, spec.teamName)
-                        jobs.see(path, record, outcome.revision)
+                        jobs.applyRecord(path, record, outcome.revision)
                         accepted(spec.jobId, askedAt, answer)
                     }
 
@@ -125,14 +125,14 @@
         return UserAnswer(200, JobStatus(jobId, end.state, done, running = 0))
     }
 
-    private fun aborted(jobId: String) = ended(jobId, EndRecord(JobState.ABORTED, 0))
+    private fun cancelledAnswer(jobId: String) = ended(jobId, EndRecord(JobState.CANCELLED, 0))
 
     /** Counts are for display; a job of which no owner has told is shown as queued, which is never too new. */
     private fun unfinished(jobId: String, job: LiveJob) =
         UserAnswer(200, JobStatus(jobId, if (job.running > 0) JobState.RUNNING else JobState.QUEUED, job.done, job.running))
 
     fun poll(jobId: String, answer: (UserAnswer) -> Unit) = find(jobId, answer) { job ->
-        answer(if (job.record.aborted) aborted(jobId) else unfinished(jobId, job))
+        answer(if (job.record.isCancelled) cancelledAnswer(jobId) else unfinished(jobId, job))
     }
 
     /** Answers for a job that is over, unknown, or cannot be looked up now; leaves an unfinished one to [use]. */
@@ -145,11 +145,11 @@
             answer(ended(jobId, it))
             return
         }
-        if (!cluster.fresh()) {
+        if (!cluster.isCurrent()) {
             answer(later())
             return
         }
-        cluster.freshness.whenJobsKnown { known ->
+        cluster.staleness.awaitJobsBarrier { known ->
             val job = jobs.live(jobId)
             val end = jobs.end(jobId)
             when {
@@ -171,7 +171,7 @@
 
             is ReadResult.Found -> try {
                 val end = EndRecord.parse(fetched.item.value)
-                jobs.noteEnd(jobId, end)
+                jobs.recordEnd(jobId, end)
                 answer(ended(jobId, end))
             } catch (e: MalformedException) {
                 jobs.unreadable.report(Keys.end(jobId), e.message)
@@ -180,9 +180,9 @@
         }
     }
 
-    fun abort(jobId: String, answer: (UserAnswer) -> Unit, tries: Int = ABORT_TRIES): Unit = find(jobId, answer) { job ->
-        if (job.record.aborted) {
-            answer(aborted(jobId))
+    fun cancel(jobId: String, answer: (UserAnswer) -> Unit, tries: Int = ABORT_TRIES): Unit = find(jobId, answer) { job ->
+        if (job.record.isCancelled) {
+            answer(cancelledAnswer(jobId))
             return@find
         }
         if (!out.isStoreAvailable) {
@@ -190,15 +190,15 @@
             return@find
         }
         val path = Keys.live(job.shard.value, jobId)
-        val record = job.record.aborted().toFields()
+        val record = job.record.cancelled().toFields()
         out.commit(
             CasTransaction(listOf(Precondition(path, job.version)), listOf(Write.Put(path, record)), WritePriority.USER) { outcome ->
                 if (outcome is CommitOutcome.Applied) {
                     log.info("{}: cancelled by its user", jobId)
-                    answer(aborted(jobId))
-                    jobs.see(path, record, outcome.revision)
+                    answer(cancelledAnswer(jobId))
+                    jobs.applyRecord(path, record, outcome.revision)
                 } else if (tries > 1) {
-                    abort(jobId, answer, tries - 1)
+                    cancel(jobId, answer, tries - 1)
                 } else {
                     answer(later())
                 }
--- a/src/main/kotlin/io/reedmast/jobs/PageReader.kt
+++ b/src/main/kotlin/io/reedmast/jobs/PageReader.kt
@@ -18,7 +18,7 @@
 class PageReader(
     private val shardState: ShardState,
     private val pages: MutableList<ProgressPage>,
-    private val retirement: PageRetirement,
+    private val decommissionReason: PageRetirement,
     private val pageBytes: Int,
     private val chunkSizes: Map<String, Int>,
     private val place: (Job, StoredPlacement) -> Unit,
@@ -45,9 +45,9 @@
     }
 
     private fun chunksOf(item: StoredItem): List<StoredChunk> = try {
-        PageForm.chunksOf(item.value) { noteUnreadable(item.path, it) }.filter { isOfUnfinishedJob(it, item.path) }
+        PageForm.chunksOf(item.value) { recordUnreadable(item.path, it) }.filter { isOfUnfinishedJob(it, item.path) }
     } catch (e: MalformedException) {
-        noteUnreadable(item.path, e)
+        recordUnreadable(item.path, e)
         emptyList()
     }
 
@@ -55,7 +55,7 @@
     private fun isOfUnfinishedJob(stored: StoredChunk, path: String): Boolean {
         val job = shardState.jobs[stored.jobId] ?: return false
         if (stored.first in 0 until job.spec.taskCount) return true
-        noteUnreadable(path, MalformedException("first is out of range"))
+        recordUnreadable(path, MalformedException("first is out of range"))
         return false
     }
 
@@ -80,7 +80,13 @@
     private fun load(stored: StoredChunk, page: ProgressPage, divided: Boolean) {
         val job = shardState.jobs.getValue(stored.jobId)
         val tasks = tasksOf(stored)
-        if (divided) tasks.mapTo(LinkedHashSet()) { job.chunkOf(it) }.forEach { retirement.supersede(page, it) } else page.add(job.chunkOf(stored.first))
+        if (divided) {
+            tasks.mapTo(LinkedHashSet()) {
+                job.chunkOf(it)
+            }.forEach { decommissionReason.supersede(page, it) }
+        } else {
+            page.add(job.chunkOf(stored.first))
+        }
         // What is done stays done, whichever copy says so.
         stored.done.stream().forEach { if (stored.first + it < job.spec.taskCount) job.markDone(stored.first + it) }
         val newer = known.getOrPut(job) { BitSet() }
@@ -93,9 +99,9 @@
      * Something stored cannot be read, so tasks may run that nobody knows of. Nothing is placed before their workers have been told to stop
      * them, or have lost their leases.
      */
-    private fun noteUnreadable(path: String, e: MalformedException) {
+    private fun recordUnreadable(path: String, e: MalformedException) {
         log.error("shard {}: stored record {} cannot be read: {}", shardState.index.value, path, e.message)
-        shardState.placeNotBefore = shardState.clock.now() + (shardState.settings.workers.leaseS * LEASES_UNTIL_UNKNOWN_WORK_IS_GONE * 1000).toLong()
+        shardState.passNotBefore = shardState.clock.now() + (shardState.settings.workers.leaseS * LEASES_UNTIL_UNKNOWN_WORK_IS_GONE * 1000).toLong()
     }
 
     private companion object {
--- a/src/main/kotlin/io/reedmast/jobs/ProgressStore.kt
+++ b/src/main/kotlin/io/reedmast/jobs/ProgressStore.kt
@@ -14,7 +14,7 @@
 import org.slf4j.LoggerFactory
 
 /** What an owner's storing tells the rest of it. */
-interface Stored {
+interface ProgressListener {
     /** The placement is in the store now, and may be launched. */
     fun placed(placement: Placement)
 
@@ -32,7 +32,7 @@
 }
 
 /** The storing of a shard: pages of progress, and the ends of jobs. */
-class ProgressStore(private val shardState: ShardState, private val out: Gateway, private val told: Stored) {
+class ProgressStore(private val shardState: ShardState, private val out: Gateway, private val listener: ProgressListener) {
     private val log = LoggerFactory.getLogger("shard")
     private val shard = shardState.index.value
     private val pages = ArrayList<ProgressPage>()
@@ -40,7 +40,7 @@
 
     /** Whether the pages were read when the reduced limits were known to hold, so that they were divided accordingly. */
     private val dividedForReduced = shardState.limits.isReduced
-    private val retirement = PageRetirement(shardState, out)
+    private val decommissionReason = PageRetirement(shardState, out)
     private val toEnd = LinkedHashSet<Job>()
     private var endings = 0
 
@@ -61,13 +61,13 @@
 
     /** Takes up stored pages as they were read; [place] takes up each placement. [chunkSizes] are those of the jobs' records. */
     fun load(items: List<StoredItem>, chunkSizes: Map<String, Int>, place: (Job, StoredPlacement) -> Unit) =
-        PageReader(shardState, pages, retirement, pageBytes, chunkSizes, place).load(items)
+        PageReader(shardState, pages, decommissionReason, pageBytes, chunkSizes, place).load(items)
 
     /** Stores what differs from what is stored, as far as the limit on changes allows. */
     fun flush(now: Long) {
         for (job in shardState.changed) {
             if (shardState.jobs[job.spec.jobId] !== job) continue
-            if (job.over) toEnd.add(job)
+            if (job.isFinished) toEnd.add(job)
             for (chunk in job.chunks) {
                 if (chunk == null || !chunk.dirty) continue
                 val page = chunk.page ?: pageFor(chunk)
@@ -76,16 +76,16 @@
             }
         }
         shardState.changed.clear()
-        if (!shardState.fresh()) return
+        if (!shardState.isCurrent()) return
         endJobs()
-        retirement.clear(pages, shard)
+        decommissionReason.clear(pages, shard)
         var onTheirWay = pages.count { it.writing && it.waitedFor }
         val due = pages.filter { it.dirtySince != 0L && !it.writing && now >= it.refusedUntil && !isOverfull(it) }
         for (page in due.sortedWith(compareBy({ -it.waiting.ordinal }, { it.dirtySince }))) {
             if (page.waiting != ProgressPage.Waiting.NOTHING) {
                 // Not to the last change that is allowed: an acceptance, whose user waits, takes one and should find it. Nor more at once
                 // than it may wait behind: what is placed meanwhile shares the page's next put.
-                if (out.writePermitLevel() <= FULL_ENOUGH_TO_PLACE || onTheirWay >= mostAtOnce(page.waiting)) continue
+                if (out.writePermitLevel() <= FULL_ENOUGH_TO_PLACE || onTheirWay >= maxPagesAtOnce(page.waiting)) continue
                 store(page, WritePriority.URGENT)
                 onTheirWay++
             } else if (isTimeForResults(page, now)) {
@@ -104,11 +104,11 @@
 
     private fun waitingFor(chunk: Chunk): ProgressPage.Waiting = when {
         chunk.placements.values.all { it.committed } -> ProgressPage.Waiting.NOTHING
-        shardState.startsSoon(chunk.job) -> ProgressPage.Waiting.SOON
+        shardState.isLatencySensitive(chunk.job) -> ProgressPage.Waiting.SOON
         else -> ProgressPage.Waiting.ARRAYS
     }
 
-    private fun mostAtOnce(waiting: ProgressPage.Waiting) = when {
+    private fun maxPagesAtOnce(waiting: ProgressPage.Waiting) = when {
         out.writePermitLevel() > NEARLY_FULL -> PAGES_AT_ONCE
         waiting == ProgressPage.Waiting.SOON -> SOME_PAGES_AT_ONCE
         else -> FEW_PAGES_AT_ONCE
@@ -150,7 +150,7 @@
                     is CommitOutcome.Applied -> {
                         page.version = outcome.revision
                         page.storedDense = form == PageForm.DENSE
-                        included.forEach { told.placed(it) }
+                        included.forEach { listener.placed(it) }
                     }
 
                     is CommitOutcome.Conflict -> {
@@ -173,7 +173,7 @@
     }
 
     private fun again(page: ProgressPage) {
-        page.chunks.forEach { shardState.touched(it) }
+        page.chunks.forEach { shardState.markDirty(it) }
         page.dirtySince = shardState.clock.now()
         page.waiting = page.chunks.maxOfOrNull { waitingFor(it) } ?: ProgressPage.Waiting.NOTHING
         if (page.waiting == ProgressPage.Waiting.NOTHING) page.waiting = ProgressPage.Waiting.ARRAYS
@@ -181,9 +181,9 @@
 
     /** Something had moved on: the term, a job that its user has cancelled, or the page, if an answer of ours was lost. */
     private fun conflict(failed: Set<String>, page: ProgressPage?, included: List<Placement>) {
-        if (Keys.shard(shard) in failed) told.termInDoubt()
+        if (Keys.shard(shard) in failed) listener.termInDoubt()
         if (Keys.ROLLOUT in failed) {
-            told.gatesInDoubt()
+            listener.gatesInDoubt()
             page?.refusedUntil = shardState.clock.now() + REREAD_GATES_MS
         }
         for (path in failed) {
@@ -191,7 +191,7 @@
             // Sent again as it is, it would only fail again: nothing is placed before the record is known.
             included.filter { it.job.spec.jobId == jobId && !it.committed }.forEach { shardState.finish(it, done = false) }
             shardState.jobs[jobId]?.let { it.notBefore = shardState.clock.now() + REREAD_MS }
-            out.get(path) { if (!shardState.dropped && it !is ReadResult.Failed) told.recordChanged(path, (it as? ReadResult.Found)?.item) }
+            out.get(path) { if (!shardState.dropped && it !is ReadResult.Failed) listener.recordChanged(path, (it as? ReadResult.Found)?.item) }
         }
         if (page != null && Keys.page(shard, page.index) in failed) {
             page.writing = true
@@ -207,11 +207,11 @@
         val each = toEnd.iterator()
         while (each.hasNext() && endings < MAX_ENDINGS) {
             val job = each.next()
-            if (!job.over || job.ending || shardState.jobs[job.spec.jobId] !== job) {
+            if (!job.isFinished || job.ending || shardState.jobs[job.spec.jobId] !== job) {
                 each.remove()
                 continue
             }
-            if (shardState.clock.now() < job.endNotBefore || (job.aborted && out.writePermitLevel() < FULL_ENOUGH)) continue
+            if (shardState.clock.now() < job.endNotBefore || (job.isCancelled && out.writePermitLevel() < FULL_ENOUGH)) continue
             each.remove()
             end(job)
         }
@@ -222,16 +222,16 @@
         endings++
         val jobId = job.spec.jobId
         val live = Keys.live(shard, jobId)
-        val end = EndRecord(if (job.aborted) JobState.ABORTED else JobState.DONE, job.spec.taskCount)
+        val end = EndRecord(if (job.isCancelled) JobState.CANCELLED else JobState.DONE, job.spec.taskCount)
         val preconditions = listOf(shardState.termPrecondition, Precondition(live, job.version), Precondition(Keys.end(jobId), 0))
         val writes = listOf(Write.Put(Keys.end(jobId), end.toFields()), Write.Delete(live))
         out.commit(
-            CasTransaction(preconditions, writes, if (job.aborted) WritePriority.DEFERRED else WritePriority.URGENT) { outcome ->
+            CasTransaction(preconditions, writes, if (job.isCancelled) WritePriority.DEFERRED else WritePriority.URGENT) { outcome ->
                 endings--
                 if (shardState.dropped) return@CasTransaction
                 job.ending = false
                 when (outcome) {
-                    is CommitOutcome.Applied -> told.ended(job, end, outcome.revision)
+                    is CommitOutcome.Applied -> listener.ended(job, end, outcome.revision)
 
                     is CommitOutcome.Conflict -> {
                         job.endNotBefore = shardState.clock.now() + REREAD_MS
--- a/src/main/kotlin/io/reedmast/jobs/ShardOwner.kt
+++ b/src/main/kotlin/io/reedmast/jobs/ShardOwner.kt
@@ -2,7 +2,7 @@
 
 import io.reedmast.fleet.ArrivalRates
 import io.reedmast.fleet.DemandEstimator
-import io.reedmast.fleet.SpareMachines
+import io.reedmast.fleet.ScaleInPolicy
 import io.reedmast.fleet.UsageSummaryWriter
 import io.reedmast.gangs.GangCoordinator
 import io.reedmast.kvstore.EffectiveLimits
@@ -10,7 +10,7 @@
 import io.reedmast.kvstore.StoredItem
 import io.reedmast.ownership.ClusterRollout
 import io.reedmast.ownership.ShardRecord
-import io.reedmast.placement.Placer
+import io.reedmast.placement.Scheduler
 import io.reedmast.ports.Clock
 import io.reedmast.ports.Gateway
 import io.reedmast.rollout.MigrationUnit
@@ -19,25 +19,25 @@
 import io.reedmast.settings.Tuning
 import io.reedmast.wire.MachineType
 import io.reedmast.wire.MalformedException
-import io.reedmast.wire.Order
-import io.reedmast.wire.Report
-import io.reedmast.workers.Commands
-import io.reedmast.workers.HostDirectory
-import io.reedmast.workers.HostRecord
+import io.reedmast.wire.WorkerCommand
+import io.reedmast.wire.WorkerStatus
+import io.reedmast.workers.CommandDispatcher
+import io.reedmast.workers.HeartbeatHandler
+import io.reedmast.workers.MachineDirectory
 import io.reedmast.workers.MachineLifecycle
-import io.reedmast.workers.Reports
+import io.reedmast.workers.MachineRecord
 import org.slf4j.LoggerFactory
 
 /** The records of shards and their machines, which their owner asks to change and others may change too. */
 interface ShardRecords {
     val jobs: JobIndex
-    val hostDirectory: HostDirectory
+    val machineDirectory: MachineDirectory
 
     /** What is rolled out, and this controller's part in it. */
     val rollout: ClusterRollout
 
     /** The machines that the records name for the shard, and the shards that they are to move to. */
-    fun machinesOf(shard: ShardId): Map<HostRecord, Int?>
+    fun transferTargetsOf(shard: ShardId): Map<MachineRecord, Int?>
 
     /** Stamp of the newest change to them. */
     fun machinesVersion(shard: ShardId): Long
@@ -49,12 +49,12 @@
     fun refresh(shard: ShardId)
 
     /** Asks the other controllers to take the shard, since its workers do not reach this one. */
-    fun requestTakeover(shard: ShardId)
+    fun requestFailover(shard: ShardId)
 
-    fun removeHosts(shard: ShardId, hosts: Set<String>)
+    fun removeMachines(shard: ShardId, machineNames: Set<String>)
 
     /** Gives empty machines to the shards that they are marked to leave for. */
-    fun handOver(shard: ShardId, hosts: Collection<String>)
+    fun transferMachines(shard: ShardId, machineNames: Collection<String>)
 }
 
 /**
@@ -71,26 +71,26 @@
     private val out: Gateway,
     private val limits: EffectiveLimits,
     machineTypes: () -> Collection<MachineType>,
-    fresh: () -> Boolean,
+    isCurrent: () -> Boolean,
     private val records: ShardRecords,
 ) {
     private val log = LoggerFactory.getLogger("shard")
     private val shard = index.value
-    val shardState = ShardState(index, settings, tuning, clock, machineTypes, fresh, limits) { records.rollout.gates }
-    private val commands = Commands(shardState, out) { machine, report -> reports.answered(machine, report) }
-    private val gangs = GangCoordinator(shardState, commands)
-    private val reports: Reports = Reports(shardState, commands, gangs) { records.renewToken(index) }
+    val shardState = ShardState(index, settings, tuning, clock, machineTypes, isCurrent, limits) { records.rollout.gates }
+    private val dispatcher = CommandDispatcher(shardState, out) { machine, status -> heartbeats.onStatusReport(machine, status) }
+    private val gangs = GangCoordinator(shardState, dispatcher)
+    private val heartbeats: HeartbeatHandler = HeartbeatHandler(shardState, dispatcher, gangs) { records.renewToken(index) }
     private val arrivals = ArrivalRates(shardState)
     private val demandEstimator = DemandEstimator(shardState, arrivals)
-    private val spareMachines = SpareMachines(shardState, arrivals)
+    private val scaleInPolicy = ScaleInPolicy(shardState, arrivals)
     private val usageSummaryWriter =
-        UsageSummaryWriter(shardState, out, demandEstimator, spareMachines, { records.machinesVersion(index) }, { records.refresh(index) })
-    val placer = Placer(shardState, commands, demandEstimator, spareMachines)
+        UsageSummaryWriter(shardState, out, demandEstimator, scaleInPolicy, { records.machinesVersion(index) }, { records.refresh(index) })
+    val scheduler = Scheduler(shardState, dispatcher, demandEstimator, scaleInPolicy)
     private val progressStore = ProgressStore(shardState, out, Storing())
     private val lifecycle =
-        MachineLifecycle(shardState, out, commands, spareMachines, {
-            records.removeHosts(index, it)
-        }, { records.handOver(index, it) }, { records.requestTakeover(index) })
+        MachineLifecycle(shardState, out, dispatcher, scaleInPolicy, {
+            records.removeMachines(index, it)
+        }, { records.transferMachines(index, it) }, { records.requestFailover(index) })
     private val migration = records.rollout.reconciler(MigrationUnit.Shard(shard), progressStore.access)
     private val machines = ShardMachines(shardState, lifecycle, records)
     private val news = ShardStatusPublisher(shardState, out, records)
@@ -98,7 +98,7 @@
     val token: Long get() = shardState.token
 
     /** The token that answers to this machine's reports carry. */
-    fun tokenFor(host: String): Long = shardState.machines[host]?.let { shardState.tokenFor(it) } ?: shardState.token
+    fun tokenFor(machineName: String): Long = shardState.machines[machineName]?.let { shardState.tokenFor(it) } ?: shardState.token
 
     /** Whether it holds progress in parts that the reduced limits do not allow, read before these were known to hold. */
     val needsReload: Boolean get() = active && !dropped && progressStore.needsReload
@@ -117,23 +117,23 @@
     /** Reads what is stored of the shard: [pages] were listed, and [live] is at least as new, after our token was stored. */
     fun load(live: List<LiveJob>, pages: List<StoredItem>, totals: StoredItem?) {
         if (pages.any { isSized(it) }) limits.reduce()
-        syncHosts()
+        syncMachines()
         totals?.let { usageSummaryWriter.load(it) }
         live.forEach { addJob(it) }
         val chunkSizes = live.associate { it.record.spec.jobId to it.record.chunkSize }
         progressStore.load(pages, chunkSizes) { job, stored ->
-            val placement = Placement(job, stored.task, stored.attempt, machines.named(stored.host), clock.now())
+            val placement = Placement(job, stored.task, stored.attempt, machines.named(stored.machineName), clock.now())
             placement.committed = true
             shardState.place(placement)
         }
-        shardState.jobs.values.forEach { gangs.taken(it) }
+        shardState.jobs.values.forEach { gangs.onRestored(it) }
         shardState.jobs.values.forEach { countWaitFromAcceptance(it) }
-        shardState.jobs.values.filter { it.aborted }.forEach { stopAll(it) }
+        shardState.jobs.values.filter { it.isCancelled }.forEach { stopAll(it) }
         shardState.changed.addAll(shardState.jobs.values)
         shardState.active = true
         shardState.activeAt = clock.now()
-        shardState.placeWanted = true
-        commands.begin()
+        shardState.passRequested = true
+        dispatcher.begin()
         log.info("shard {}: took over under token {}: {} jobs, {} machines", shard, token, shardState.jobs.size, shardState.machines.size)
     }
 
@@ -151,7 +151,7 @@
         val since = clock.now() - maxOf(0L, clock.wall() - job.acceptedAtMs)
         job.waitsSince = since
         job.idleSince = since
-        job.unservedSince = since
+        job.underservedSince = since
     }
 
     /** Takes up the shard's record as it now stands: our token may have been raised for a machine that moves here. */
@@ -165,23 +165,23 @@
     }
 
     /** Takes up the machines that the records now name for the shard. */
-    fun syncHosts() = machines.sync()
+    fun syncMachines() = machines.sync()
 
     fun machineTypesChanged() = machines.typesChanged()
 
     // ---- jobs -----------------------------------------------------------------------------------------------------
 
     /** A job of the shard is new, or its user has cancelled it. While the shard is being read, the index remembers. */
-    fun jobSeen(live: LiveJob) {
+    fun onJobChanged(live: LiveJob) {
         if (!active) return
         val job = shardState.jobs[live.record.spec.jobId] ?: addJob(live) ?: return
         job.version = maxOf(job.version, live.version)
-        if (live.record.aborted && !job.aborted) {
-            job.aborted = true
+        if (live.record.isCancelled && !job.isCancelled) {
+            job.isCancelled = true
             shardState.changed.add(job)
             stopAll(job)
         }
-        shardState.placeWanted = true
+        shardState.passRequested = true
     }
 
     private fun addJob(live: LiveJob): Job? {
@@ -191,12 +191,12 @@
             log.error("{}: its team {} is not in the settings", spec.jobId, spec.teamName)
             return null
         }
-        val job = Job(spec, team, chunkSizeOf(live.record), live.record.acceptedAtMs, live.version).apply { aborted = live.record.aborted }
+        val job = Job(spec, team, chunkSizeOf(live.record), live.record.acceptedAtMs, live.version).apply { isCancelled = live.record.isCancelled }
         shardState.jobs[spec.jobId] = job
         shardState.changed.add(job)
         job.waitsSince = clock.now()
         job.idleSince = clock.now()
-        job.unservedSince = clock.now()
+        job.underservedSince = clock.now()
         if (spec.gang) shardState.gangArrivals.addLast(ShardState.GangArrival(clock.now(), spec))
         if (active) {
             val (arrivals, amount) = if (spec.service || spec.gang) {
@@ -215,13 +215,13 @@
         if (limits.isReduced) minOf(record.chunkSize, PageForm.chunkSizeFor(limits.target.valueBytes)) else record.chunkSize
 
     /** The record of the job is gone. What still runs of it, if anything could, is stopped. */
-    fun jobGone(jobId: String) {
+    fun onJobGone(jobId: String) {
         val job = shardState.jobs[jobId] ?: return
         if (job.placedCount == 0) {
             forget(job)
-        } else if (!job.aborted) {
+        } else if (!job.isCancelled) {
             log.error("{}: its record is gone while {} tasks are placed", jobId, job.placedCount)
-            job.aborted = true
+            job.isCancelled = true
             stopAll(job)
         }
     }
@@ -229,7 +229,7 @@
     private fun forget(job: Job) {
         shardState.jobs.remove(job.spec.jobId)
         progressStore.forget(job)
-        shardState.placeWanted = true
+        shardState.passRequested = true
     }
 
     private fun stopAll(job: Job) {
@@ -237,20 +237,20 @@
             if (!placement.committed && job.chunkOf(placement.task).page?.writing != true) {
                 shardState.finish(placement, done = false)
             } else {
-                commands.stop(placement, StopReason.ABORTED)
+                dispatcher.stop(placement, StopReason.CANCELLED)
             }
         }
     }
 
-    private inner class Storing : Stored {
+    private inner class Storing : ProgressListener {
         override fun placed(placement: Placement) {
             if (placement.committed) return
             placement.committed = true
             if (placement.job.chunkOf(placement.task).placements[placement.task] !== placement) return
-            if (placement.job.aborted) commands.stop(placement, StopReason.ABORTED)
+            if (placement.job.isCancelled) dispatcher.stop(placement, StopReason.CANCELLED)
             if (placement.stopReason == null) {
                 launchStored(placement)
-            } else if (placement.launchSession == 0L) {
+            } else if (placement.launchEpoch == 0L) {
                 shardState.finish(placement, done = false)
             }
         }
@@ -258,8 +258,8 @@
         private fun launchStored(placement: Placement) {
             val job = placement.job
             when {
-                !job.spec.gang -> commands.launch(placement)
-                job.isWholeGangStored -> job.placements().forEach { commands.launch(it) }
+                !job.spec.gang -> dispatcher.launch(placement)
+                job.isWholeGangStored -> job.placements().forEach { dispatcher.launch(it) }
             }
         }
 
@@ -268,30 +268,30 @@
         override fun gatesInDoubt() = records.rollout.refreshGates()
 
         override fun recordChanged(path: String, item: StoredItem?) {
-            if (item == null) jobGone(path.substringAfterLast('/')) else records.jobs.see(path, item.value, item.version)
+            if (item == null) onJobGone(path.substringAfterLast('/')) else records.jobs.applyRecord(path, item.value, item.version)
         }
 
         override fun ended(job: Job, end: EndRecord, revision: Long) {
             val jobId = job.spec.jobId
-            log.info("{}: {}", jobId, if (job.aborted) "cleared away" else "done")
+            log.info("{}: {}", jobId, if (job.isCancelled) "cleared away" else "done")
             forget(job)
-            records.jobs.see(Keys.end(jobId), end.toFields(), revision)
-            records.jobs.see(Keys.live(shard, jobId), null, revision)
+            records.jobs.applyRecord(Keys.end(jobId), end.toFields(), revision)
+            records.jobs.applyRecord(Keys.live(shard, jobId), null, revision)
         }
     }
 
     // ---- messages and time ------------------------------------------------------------------------------------------
 
-    fun checkin(report: Report): List<Order> = reports.checkin(report)
+    fun onHeartbeat(status: WorkerStatus): List<WorkerCommand> = heartbeats.onHeartbeat(status)
 
     /** Brings decisions, stored records and commands up to date after something has changed; called every few milliseconds. */
     fun pump() {
         if (!active || dropped) return
         val now = clock.now()
         gangs.reconcile()
-        placer.passIfDue(now)
+        scheduler.passIfDue(now)
         progressStore.flush(now)
-        commands.send()
+        dispatcher.send()
     }
 
     /** Whether nothing of what was decided here is yet to be stored: the shard may then change hands without a trace. */
@@ -301,16 +301,16 @@
     fun tick() {
         if (!active || dropped) return
         val now = clock.now()
-        if (shardState.fresh()) migration.tick(records.rollout.gates, shardState.termPrecondition, records.rollout.view)
+        if (shardState.isCurrent()) migration.tick(records.rollout.gates, shardState.termPrecondition, records.rollout.view)
         compareWithIndex(now)
         chargeIfDue(now)
-        commands.announceToken(now)
+        dispatcher.announceToken(now)
         lifecycle.tick(now)
         // Waiting may itself let work start: after a failure's pause, or once it has waited long enough to preempt.
-        if (shardState.jobs.values.any { it.waitingCount > 0 }) shardState.placeWanted = true
+        if (shardState.jobs.values.any { it.pendingCount > 0 }) shardState.passRequested = true
         // Also while this node has not heard the store for a moment: what it wants goes out as soon as that answers again.
         if (records.rollout.isAdmitted) usageSummaryWriter.tick(now)
-        news.tellIfDue(now)
+        news.publishIfDue(now)
     }
 
     private var compareDue = 0L
@@ -323,7 +323,7 @@
             val jobId = live.record.spec.jobId
             if (jobId in shardState.jobs || live.record.spec.teamName !in settings.teamsByName) continue
             log.error("{}: it is unfinished, and the owner of shard {} had no knowledge of it", jobId, shard)
-            jobSeen(live)
+            onJobChanged(live)
         }
     }
 
@@ -333,13 +333,13 @@
         val seconds = (now - lastCharged) / 1000.0
         if (seconds < CHARGE_EVERY_S) return
         lastCharged = now
-        if (seconds > MOST_CHARGED_S) return
+        if (seconds > MAX_CHARGED_S) return
         shardState.charge(seconds)
     }
 
     private companion object {
         const val COMPARE_EVERY_MS = 5_000L
         const val CHARGE_EVERY_S = 1.0
-        const val MOST_CHARGED_S = 60.0
+        const val MAX_CHARGED_S = 60.0
     }
 }
--- a/src/main/kotlin/io/reedmast/jobs/ShardState.kt
+++ b/src/main/kotlin/io/reedmast/jobs/ShardState.kt
@@ -28,7 +28,7 @@
     val clock: Clock,
     private val machineTypeList: () -> Collection<MachineType>,
     /** Whether this node has lately heard enough from the store to act. */
-    val fresh: () -> Boolean,
+    val isCurrent: () -> Boolean,
     val limits: EffectiveLimits = EffectiveLimits(settings.storeLimits, settings.nextStoreLimits),
     /** The gates of the rollout as they now stand. */
     val gates: () -> GateSnapshot = { GateSnapshot.NONE },
@@ -52,16 +52,16 @@
     val preemptedFor = HashMap<Placement, Job>()
 
     /** Machines of a zone that were given up as silent or never came up, by when. */
-    val givenUp = HashMap<String, ArrayDeque<Long>>()
+    val silentMachinesByZone = HashMap<String, ArrayDeque<Long>>()
 
     /** Until then nothing is placed: what runs is not fully known. */
-    var placeNotBefore = 0L
+    var passNotBefore = 0L
 
     /** Gangs that have lost a task, what is left of which is to be stopped. */
     val incompleteGangs = LinkedHashSet<Job>()
 
     /** Something has changed that may let waiting work start. */
-    var placeWanted = false
+    var passRequested = false
 
     /** A service accepted lately, and what it takes. */
     class Arrival(val at: Long, val cpus: Double)
@@ -97,25 +97,25 @@
     /** There is evidence that the attempt is over. */
     fun finish(placement: Placement, done: Boolean) {
         val job = placement.job
-        if (job.waitingCount == 0) job.waitsSince = clock.now()
+        if (job.pendingCount == 0) job.waitsSince = clock.now()
         preemptedFor.remove(placement)?.let { it.preempting-- }
         job.remove(placement, done)
         if (job.placedCount == 0) {
             job.idleSince = clock.now()
-            if (hasRun(placement, done)) job.unservedSince = clock.now()
+            if (hasRun(placement, done)) job.underservedSince = clock.now()
         }
         if (job.spec.gang && !done && job.placedCount > 0) incompleteGangs.add(job)
-        touched(job.chunkOf(placement.task))
+        markDirty(job.chunkOf(placement.task))
         count(placement, -1)
         if (placement.machine.placements.isEmpty()) placement.machine.emptySince = clock.now()
-        placeWanted = true
+        passRequested = true
     }
 
     /** Whether the attempt ran long enough to count as service of its job: one that was stopped at once does not. */
     private fun hasRun(placement: Placement, done: Boolean) = done || (placement.running && clock.now() - placement.runningSince >= COUNTS_AS_RUN_MS)
 
     /** A chunk differs from what is stored. */
-    fun touched(chunk: Chunk) {
+    fun markDirty(chunk: Chunk) {
         chunk.dirty = true
         chunk.page?.let { if (it.dirtySince == 0L) it.dirtySince = clock.now() }
         changed.add(chunk.job)
@@ -166,23 +166,23 @@
     }
 
     /** Whether one more task of this shape is within the team's guarantee. */
-    fun within(team: TeamId, spec: JobSpec): Boolean {
+    fun isWithinGuarantee(team: TeamId, spec: JobSpec): Boolean {
         val share = settings.teams[team.value]
         return usedCpus[team.value] + spec.cpus <= share.cpus + Machine.EPSILON &&
             (spec.gpus == 0.0 || usedGpus[team.value] + spec.gpus <= share.gpus + Machine.EPSILON)
     }
 
     /** Whether all tasks of a gang are within the team's guarantee. */
-    fun withinAsGang(job: Job): Boolean {
+    fun isGangWithinGuarantee(job: Job): Boolean {
         val share = settings.teams[job.team.value]
         return usedCpus[job.team.value] + job.spec.cpus * job.spec.taskCount <= share.cpus + Machine.EPSILON &&
             (job.spec.gpus == 0.0 || usedGpus[job.team.value] + job.spec.gpus * job.spec.taskCount <= share.gpus + Machine.EPSILON)
     }
 
-    fun beyondGuarantee(team: TeamId): Boolean = usedCpus[team.value] > settings.teams[team.value].cpus + Machine.EPSILON
+    fun isBeyondGuarantee(team: TeamId): Boolean = usedCpus[team.value] > settings.teams[team.value].cpus + Machine.EPSILON
 
     /** How many more tasks of this shape the team's limit allows. */
-    fun allowance(job: Job): Int {
+    fun remainingQuota(job: Job): Int {
         val share = settings.teams[job.team.value]
         var most = Int.MAX_VALUE
         if (share.maxCpus > 0 && job.spec.cpus > 0) {
@@ -194,12 +194,12 @@
         return maxOf(0, most)
     }
 
-    fun dueMs(job: Job): Long {
+    fun deadlineMs(job: Job): Long {
         val due = job.spec.deadlineS ?: settings.objectives.firstOrNull { it.kind == "finished" && it.jobClass == job.spec.jobClass }?.withinS
         return if (due == null) job.acceptedAtMs else job.acceptedAtMs + (due * 1000).toLong()
     }
 
-    fun late(job: Job): Boolean = clock.wall() > dueMs(job) + if (job.spec.deadlineS == null) LATE_WITHOUT_DUE_MS else 0L
+    fun isPastDeadline(job: Job): Boolean = clock.wall() > deadlineMs(job) + if (job.spec.deadlineS == null) LATE_WITHOUT_DUE_MS else 0L
 
     /**
      * Nothing of it runs, or a service lacks replicas, and has for so long that what a machine costs, whose room it is or where
@@ -207,54 +207,54 @@
      *
      * Not sooner: at 30 s, a swarm of small jobs took the room that services were to find.
      */
-    fun starves(job: Job): Boolean = hungry(job) && hungrySince(job) < clock.now() - STARVES_MS
+    fun isStarving(job: Job): Boolean = isNearlyStarving(job) && starvingSince(job) < clock.now() - STARVING_MS
 
     /** No task of it has run for longer than a moment for so long that its next task comes before other work of its team. */
-    fun isUnserved(job: Job): Boolean = unservedForMs(job) > STARVES_MS
+    fun isUnderserved(job: Job): Boolean = underservedForMs(job) > STARVING_MS
 
-    /** As [isUnserved], for so long that its next task yields to nothing. */
-    fun isOverdue(job: Job): Boolean = unservedForMs(job) > OVERDUE_MS
+    /** As [isUnderserved], for so long that its next task yields to nothing. */
+    fun isOverdue(job: Job): Boolean = underservedForMs(job) > OVERDUE_MS
 
     /** How long a job that waits has got nothing that lasted, a service: lacked replicas; 0 if it does not wait for that. */
-    fun unservedForMs(job: Job): Long {
-        if (job.waitingCount <= 0 || looksBad(job)) return 0L
+    fun underservedForMs(job: Job): Long {
+        if (job.pendingCount <= 0 || isSuspectedFaulty(job)) return 0L
         return when {
             job.spec.service -> clock.now() - job.waitsSince
-            job.placedCount == 0 -> clock.now() - job.unservedSince
+            job.placedCount == 0 -> clock.now() - job.underservedSince
             else -> 0L
         }
     }
 
     /** It may starve before a machine of another shard is emptied for it, so that is thought of sooner. */
-    fun hungry(job: Job): Boolean = job.waitingCount > 0 && !looksBad(job) && hungrySince(job) < clock.now() - HUNGRY_MS
+    fun isNearlyStarving(job: Job): Boolean = job.pendingCount > 0 && !isSuspectedFaulty(job) && starvingSince(job) < clock.now() - NEARLY_STARVING_MS
 
     /** Since when the job lacks what it must not lack for long; in the future if it does not. */
-    fun hungrySince(job: Job): Long = when {
+    fun starvingSince(job: Job): Long = when {
         job.spec.service -> job.waitsSince
         job.placedCount == 0 -> job.idleSince
         else -> Long.MAX_VALUE
     }
 
-    fun startsSoon(job: Job) = job.spec.service || job.spec.gang || settings.objectives.any { it.kind == "wait" && it.jobClass == job.spec.jobClass }
+    fun isLatencySensitive(job: Job) = job.spec.service || job.spec.gang || settings.objectives.any { it.kind == "wait" && it.jobClass == job.spec.jobClass }
 
     /** It failed on several machines in a row: the job has a mistake, and the machines have not. */
-    fun looksBad(job: Job) = job.failures >= FAILURES_OF_A_BAD_JOB
+    fun isSuspectedFaulty(job: Job) = job.failures >= FAILURES_OF_FAULTY_JOB
 
     /** When a worker's report is overdue: reports go out a quarter early or late. */
-    val reportOverdueMs: Long = (settings.workers.reportS * 1250).toLong() + REPORT_SLACK_MS
+    val heartbeatLateMs: Long = (settings.workers.reportS * 1250).toLong() + REPORT_SLACK_MS
 
     private companion object {
         const val LOOKAHEAD_S = 60.0
         const val LATE_WITHOUT_DUE_MS = 120_000L
-        const val STARVES_MS = 60_000L
-        const val HUNGRY_MS = 30_000L
+        const val STARVING_MS = 60_000L
+        const val NEARLY_STARVING_MS = 30_000L
 
         /** Half of the time within which the largest jobs must have begun. */
         const val OVERDUE_MS = 120_000L
 
         /** A start counts for users if no command stops the task for this long. */
         const val COUNTS_AS_RUN_MS = 30_000L
-        const val FAILURES_OF_A_BAD_JOB = 4
+        const val FAILURES_OF_FAULTY_JOB = 4
         const val REPORT_SLACK_MS = 1_000L
     }
 }
--- a/src/main/kotlin/io/reedmast/jobs/ShardStatusPublisher.kt
+++ b/src/main/kotlin/io/reedmast/jobs/ShardStatusPublisher.kt
@@ -7,33 +7,33 @@
 /** Tells the other controllers how far jobs are, for their users' display, and what helps whoever takes the shard over. */
 class ShardStatusPublisher(private val shardState: ShardState, private val out: Gateway, private val records: ShardRecords) {
     private var due = 0L
-    private var tellings = 0
+    private var publications = 0
 
-    fun tellIfDue(now: Long) {
+    fun publishIfDue(now: Long) {
         if (now < due) return
-        due = now + TELL_EVERY_MS
+        due = now + PUBLISH_INTERVAL_MS
         // A controller that has just come back knows nothing: now and then all is told again.
-        val all = ++tellings % TELL_ALL_EACH == 0
+        val all = ++publications % PUBLISH_ALL_TURN == 0
         val progress = progress(all)
-        val hosts = records.hostDirectory.news(shardState.machines.keys, all)
-        if (progress.isEmpty() && hosts.isEmpty()) return
-        records.jobs.noteProgress(progress)
-        out.sendToPeers(PeerMessage.ShardStatusUpdate(progress, hosts))
+        val hints = records.machineDirectory.hints(shardState.machines.keys, all)
+        if (progress.isEmpty() && hints.isEmpty()) return
+        records.jobs.applyProgressUpdates(progress)
+        out.sendToPeers(PeerMessage.ShardStatusUpdate(progress, hints))
     }
 
     private fun progress(all: Boolean): List<JobProgress> {
         val news = ArrayList<JobProgress>()
         for (job in shardState.jobs.values) {
-            if (!all && job.doneCount == job.toldDone && job.runningCount == job.toldRunning) continue
-            job.toldDone = job.doneCount
-            job.toldRunning = job.runningCount
+            if (!all && job.doneCount == job.publishedDone && job.runningCount == job.publishedRunning) continue
+            job.publishedDone = job.doneCount
+            job.publishedRunning = job.runningCount
             news.add(JobProgress(job.spec.jobId, job.doneCount, job.runningCount))
         }
         return news
     }
 
     private companion object {
-        const val TELL_EVERY_MS = 1_000L
-        const val TELL_ALL_EACH = 10
+        const val PUBLISH_INTERVAL_MS = 1_000L
+        const val PUBLISH_ALL_TURN = 10
     }
 }
--- a/src/main/kotlin/io/reedmast/jobs/StoredChunk.kt
+++ b/src/main/kotlin/io/reedmast/jobs/StoredChunk.kt
@@ -9,7 +9,7 @@
 import java.util.HexFormat
 
 /** One placement as it is stored. */
-data class StoredPlacement(val task: Int, val attempt: Long, val host: String)
+data class StoredPlacement(val task: Int, val attempt: Long, val machineName: String)
 
 /**
  * One chunk as it is stored: the results and placements of some tasks of a job.
@@ -23,7 +23,7 @@
             "job" to jobId,
             "first" to first,
             "done" to hex(done),
-            "on" to placements.flatMap { listOf(it.task, it.attempt, it.host) },
+            "on" to placements.flatMap { listOf(it.task, it.attempt, it.machineName) },
         )
         return if (size == null) fields else fields + (SIZE to size)
     }
@@ -58,11 +58,11 @@
         }
 
         private fun placement(parts: List<Any?>): StoredPlacement {
-            val (task, attempt, host) = parts
+            val (task, attempt, machineName) = parts
             return StoredPlacement(
                 (task as? Long)?.toInt() ?: throw MalformedException("task is no integer"),
                 attempt as? Long ?: throw MalformedException("attempt is no integer"),
-                host as? String ?: throw MalformedException("host is no text"),
+                machineName as? String ?: throw MalformedException("host is no text"),
             )
         }
     }
--- a/src/main/kotlin/io/reedmast/kvstore/CasTransaction.kt
+++ b/src/main/kotlin/io/reedmast/kvstore/CasTransaction.kt
@@ -82,7 +82,7 @@
 
     /** The format that every controller reads. */
     const val FORMAT = "c/format"
-    const val NODES = "c/node/"
+    const val MEMBERS = "c/node/"
 
     /** Which features have been rolled out, and what operators wish of them. */
     const val ROLLOUT = "c/rollout"
@@ -93,7 +93,7 @@
     /** Controllers that are to give their shards up before they are stopped. */
     const val DRAINS = "c/drain/"
     const val SHARDS = "c/slice/"
-    const val HOSTS = "c/hosts/"
+    const val MACHINES = "c/hosts/"
 
     /** Jobs, unfinished and ended: watched by every node. */
     const val JOBS = "j/"
@@ -103,9 +103,9 @@
 
     fun shard(index: Int) = "$SHARDS$index"
 
-    fun hosts(shard: Int, part: Int) = "$HOSTS$shard/$part"
+    fun machineNames(shard: Int, part: Int) = "$MACHINES$shard/$part"
 
-    fun node(label: String) = "$NODES$label"
+    fun node(label: String) = "$MEMBERS$label"
 
     fun migration(feature: String, unit: String) = "$MIGRATIONS$feature/$unit"
 
--- a/src/main/kotlin/io/reedmast/kvstore/CommitQueue.kt
+++ b/src/main/kotlin/io/reedmast/kvstore/CommitQueue.kt
@@ -41,7 +41,7 @@
     fun poll(): Polled {
         var shortestWait = Long.MAX_VALUE
         for (candidate in candidates()) {
-            val wait = writeLimiter.take(candidate.queue.peek().change.writes.size, candidate.priority)
+            val wait = writeLimiter.tryAcquire(candidate.queue.peek().change.writes.size, candidate.priority)
             if (wait == 0L) return Polled.Batch(batchOf(candidate))
             shortestWait = minOf(shortestWait, wait)
         }
@@ -55,7 +55,7 @@
         val batch = Batch(limits).apply { add(queue.poll().change) }
         while (true) {
             val next = queue.peek()?.change ?: break
-            if (!batch.accepts(next) || writeLimiter.take(next.writes.size, candidate.priority) > 0L) break
+            if (!batch.accepts(next) || writeLimiter.tryAcquire(next.writes.size, candidate.priority) > 0L) break
             batch.add(queue.poll().change)
         }
         return batch.changes
--- a/src/main/kotlin/io/reedmast/kvstore/StoreClient.kt
+++ b/src/main/kotlin/io/reedmast/kvstore/StoreClient.kt
@@ -121,7 +121,7 @@
     }
 
     fun follow(prefix: String, after: Long, holdMs: Int): WatchResult {
-        val reply = ask("GET", "/follow?prefix=${encode(prefix)}&after=$after&holdMs=$holdMs", patienceMs = holdMs + FOLLOW_GRACE_MS)
+        val reply = ask("GET", "/follow?prefix=${encode(prefix)}&after=$after&holdMs=$holdMs", scaleInDelayMs = holdMs + FOLLOW_GRACE_MS)
         // Asked again, it would only have grown: reading all keys takes their present values alone, page by page.
         if (reply is Reply.TooLarge) return WatchResult.Compacted
         if (reply !is Reply.Answer) return WatchResult.Failed
@@ -145,10 +145,10 @@
 
     private fun item(of: KeyedValue) = StoredItem(of.key, of.value.orEmpty(), of.version)
 
-    private fun ask(method: String, path: String, body: Fields? = null, patienceMs: Int? = null): Reply {
+    private fun ask(method: String, path: String, body: Fields? = null, scaleInDelayMs: Int? = null): Reply {
         if (!requests.tryAcquire(PATIENCE_MS, TimeUnit.MILLISECONDS)) return Reply.NotSent("over this node's part of the limit")
         val reply =
-            if (patienceMs == null) caller.call(method, address, path, body) else caller.call(method, address, path, body, patienceMs)
+            if (scaleInDelayMs == null) caller.call(method, address, path, body) else caller.call(method, address, path, body, scaleInDelayMs)
         if (reply !is Reply.Answer || reply.status >= 500) log.debug("{} {}: {}", method, path, reply)
         return reply
     }
--- a/src/main/kotlin/io/reedmast/kvstore/WriteRateLimiter.kt
+++ b/src/main/kotlin/io/reedmast/kvstore/WriteRateLimiter.kt
@@ -26,7 +26,7 @@
 
     /** Takes [count] and returns 0, or takes nothing and returns after how many milliseconds to ask again. */
     @Synchronized
-    fun take(count: Int, writePriority: WritePriority): Long {
+    fun tryAcquire(count: Int, writePriority: WritePriority): Long {
         fill()
         val full = maxOf(rate, 1.0)
         val needed = minOf(count + full * reservedAgainst(writePriority), full)
--- a/src/main/kotlin/io/reedmast/ownership/Cluster.kt
+++ b/src/main/kotlin/io/reedmast/ownership/Cluster.kt
@@ -19,8 +19,8 @@
 import io.reedmast.wire.Fields
 import io.reedmast.wire.MachineType
 import io.reedmast.wire.MalformedException
-import io.reedmast.workers.HostDirectory
-import io.reedmast.workers.HostRecord
+import io.reedmast.workers.MachineDirectory
+import io.reedmast.workers.MachineRecord
 import org.slf4j.LoggerFactory
 
 /**
@@ -43,19 +43,21 @@
     private val unreadable = UnreadableRecordLog()
     private val startedAt = clock.now()
     override val jobs = JobIndex(settings, ::owned)
-    override val hostDirectory = HostDirectory()
+    override val machineDirectory = MachineDirectory()
     val owners = arrayOfNulls<ShardOwner>(settings.shardCount)
 
     /** How recent the view of the store is. */
-    val freshness = Freshness(clock, settings.workers)
+    val staleness = WatchStaleness(clock, settings.workers)
     private val shards = ShardTable(settings.shardCount, out, ::shardChanged)
     override val rollout = ClusterRollout(settings, clock, out, limits, rolloutOptions, incarnation, shards) { reread(it) }
     private val membership = Membership(settings, clock, out, ::memberFields) { rollout.gates.precondition }
-    private val machines = MachineTable(settings, clock, out, limits, { owners[it.value]?.syncHosts() }, hostDirectory::forget)
-    private val contact = WorkerContact(clock, out)
+    private val machines = MachineTable(settings, clock, out, limits, { owners[it.value]?.syncMachines() }, machineDirectory::forget)
+    private val reachability = WorkerReachability(clock, out)
     private val assignment = MachineAssignment(settings, out, limits, shards, machines, rollout, { membership.leaderVersion }, ::reread)
-    private val takeover =
-        Takeover(settings, clock, out, freshness, membership, shards, machines, jobs, hostDirectory, contact, rollout, owners, ::newOwner) { reread(it) }
+    private val acquisition =
+        ShardAcquisition(settings, clock, out, staleness, membership, shards, machines, jobs, machineDirectory, reachability, rollout, owners, ::newOwner) {
+            reread(it)
+        }
     private var sharedReduced = false
     private val peerStatuses = PeerStatuses(settings.self, settings.members.size, incarnation)
     private var statusQueryDue = 0L
@@ -64,50 +66,50 @@
     val leading: Boolean get() = membership.leading
     val records: Array<StoredRecord?> get() = shards.records
 
-    private fun newOwner(shard: ShardId) = ShardOwner(shard, settings, tuning, clock, out, limits, machineTypes, ::fresh, this)
+    private fun newOwner(shard: ShardId) = ShardOwner(shard, settings, tuning, clock, out, limits, machineTypes, ::isCurrent, this)
 
     private fun memberFields() = rollout.memberFields(ownsNothing = shards.countOf(settings.label) == 0)
 
     /** Whether this node has lately heard enough from the store to decide anything, and may. */
-    fun fresh(): Boolean = freshness.isFresh && rollout.isAdmitted
+    fun isCurrent(): Boolean = staleness.isCurrent && rollout.isAdmitted
 
     /**
      * Whether this node may still answer workers with 200: it knows all cancellations that users were told of, up to a short
      * time ago, from the store or, during an outage, from every other controller.
      */
-    fun mayAnswerWorkers(): Boolean {
-        if (!rollout.mayAnswerWorkers) return false
-        val known = freshness.knownAt ?: return false
-        return freshness.isWithinFence(maxOf(known, peerStatuses.confirmedAt() ?: known))
+    fun mayAcknowledgeHeartbeats(): Boolean {
+        if (!rollout.mayAcknowledgeHeartbeats) return false
+        val known = staleness.observedThrough ?: return false
+        return staleness.isWithinSelfFence(maxOf(known, peerStatuses.confirmedAt() ?: known))
     }
 
     /** Whether the store is out for all controllers, as far as the others tell: none could serve users better. */
-    fun outageForAll(): Boolean = peerStatuses.noneHearsState(clock.now())
+    fun outageForAll(): Boolean = peerStatuses.noneReachesStore(clock.now())
 
     /** Whether requests of users can be taken. */
-    val ready: Boolean get() = freshness.loaded && rollout.isAdmitted
+    val ready: Boolean get() = staleness.loaded && rollout.isAdmitted
 
-    fun shardOfHost(host: String): ShardId? = machines.shardOf(host)
+    fun shardOfMachine(machineName: String): ShardId? = machines.shardOf(machineName)
 
     fun ownerOf(shard: ShardId): String? = shards.ownerOf(shard)
 
     fun owned(): List<ShardOwner> = owners.filterNotNull().filter { !it.dropped }
 
-    fun hostsOf(shard: ShardId): Sequence<HostRecord> = machines.hostsOf(shard)
+    fun machinesOf(shard: ShardId): Sequence<MachineRecord> = machines.machinesOf(shard)
 
     override fun machinesVersion(shard: ShardId): Long = machines.versionOf(shard)
 
-    override fun machinesOf(shard: ShardId): Map<HostRecord, Int?> = machines.destinationsOf(shard)
+    override fun transferTargetsOf(shard: ShardId): Map<MachineRecord, Int?> = machines.transferTargetsOf(shard)
 
-    fun isLeaving(shard: ShardId, host: String) = machines.isLeaving(shard, host)
+    fun isMarkedForTransfer(shard: ShardId, machineName: String) = machines.isMarkedForTransfer(shard, machineName)
 
-    fun departedLately(host: String): Boolean = machines.departedLately(host)
+    fun departedLately(machineName: String): Boolean = machines.departedLately(machineName)
 
     /** A worker has reported to this node. */
-    fun workerHeard() = contact.noteHeard()
+    fun onWorkerContact() = reachability.recordContact()
 
     /** Where to send a worker of [shard], which is not ours. */
-    fun sendOn(shard: ShardId, host: String, addr: String): String? = takeover.sendOn(shard, host, addr)
+    fun redirectTarget(shard: ShardId, machineName: String, addr: String): String? = acquisition.redirectTarget(shard, machineName, addr)
 
     // ---- what the watches tell --------------------------------------------------------------------------------------
 
@@ -115,43 +117,43 @@
     fun snapshot(items: List<StoredItem>, revision: Long, askedAt: Long) {
         membership.reset(revision)
         rollout.reset()
-        items.forEach { see(it.path, it.value, it.version) }
-        membership.noteAbsent(items.mapTo(HashSet()) { it.path })
-        if (!freshness.clusterLoaded) {
+        items.forEach { applyRecord(it.path, it.value, it.version) }
+        membership.recordAbsent(items.mapTo(HashSet()) { it.path })
+        if (!staleness.clusterLoaded) {
             log.info("read the state: {} shards, {} nodes", shards.records.count { it != null }, membership.presentCount)
         }
-        freshness.clusterHeard(askedAt)
+        staleness.onClusterObserved(askedAt)
         membership.shareLimits()
         keepLease()
     }
 
     /** What the watch on the cluster's keys tells: all changes up to [revision]. */
     fun clusterEvents(events: List<WatchEvent>, revision: Long, askedAt: Long) {
-        events.forEach { see(it.path, it.value, it.version) }
-        membership.noteTold(revision)
-        freshness.clusterHeard(askedAt)
+        events.forEach { applyRecord(it.path, it.value, it.version) }
+        membership.recordObserved(revision)
+        staleness.onClusterObserved(askedAt)
     }
 
     /** All unfinished jobs, read at the start and after a gap in the watch on jobs. */
     fun jobsSnapshot(items: List<StoredItem>, revision: Long, askedAt: Long) {
         jobs.load(items, revision)
-        if (!freshness.jobsLoaded) log.info("read {} unfinished jobs", items.size)
-        freshness.jobsHeard(askedAt)
+        if (!staleness.jobsLoaded) log.info("read {} unfinished jobs", items.size)
+        staleness.onJobsObserved(askedAt)
     }
 
     /** What the watch on jobs tells: all changes up to [revision]. */
     fun jobEvents(events: List<WatchEvent>, revision: Long, askedAt: Long) {
         jobs.follow(events, revision)
-        freshness.jobsHeard(askedAt)
+        staleness.onJobsObserved(askedAt)
     }
 
     /** Each table takes up the keys that are its own. */
-    private fun see(path: String, value: Fields?, version: Long) {
+    private fun applyRecord(path: String, value: Fields?, version: Long) {
         try {
-            membership.see(path, value, version)
-            rollout.see(path, value, version)
-            shards.see(path, value, version)
-            machines.see(path, value, version)
+            membership.applyRecord(path, value, version)
+            rollout.applyRecord(path, value, version)
+            shards.applyRecord(path, value, version)
+            machines.applyRecord(path, value, version)
         } catch (e: MalformedException) {
             unreadable.report(path, e.message)
         }
@@ -159,8 +161,8 @@
 
     private fun shardChanged(shard: ShardId, before: StoredRecord?, now: StoredRecord) {
         val record = now.record
-        if (before?.record?.owner != record.owner) takeover.noteNewOwner(shard)
-        if (takeover.settledByWatch(shard, record, now.version)) return
+        if (before?.record?.owner != record.owner) acquisition.onNewOwner(shard)
+        if (acquisition.confirmedByWatch(shard, record, now.version)) return
         val owner = owners[shard.value] ?: return
         if (record.owner == settings.label) {
             owner.sync(record, now.version)
@@ -168,39 +170,39 @@
         }
         if (!owner.dropped) {
             log.info("shard {}: taken over by {} under token {}", shard.value, record.owner, record.token)
-            if (!rollout.isDraining) takeover.noteTakenByAnother()
+            if (!rollout.isDraining) acquisition.onAcquiredByAnother()
         }
         owner.dropped = true
         owners[shard.value] = null
     }
 
     private fun reread(path: String, then: () -> Unit = {}) = out.get(path) {
-        seeFetched(it)
+        applyReadResult(it)
         then()
     }
 
-    private fun seeFetched(fetched: ReadResult) {
-        if (fetched is ReadResult.Found) see(fetched.item.path, fetched.item.value, fetched.item.version)
+    private fun applyReadResult(fetched: ReadResult) {
+        if (fetched is ReadResult.Found) applyRecord(fetched.item.path, fetched.item.value, fetched.item.version)
     }
 
     // ---- time -------------------------------------------------------------------------------------------------------
 
     fun tick() {
-        freshness.resumeWaiters()
-        if (!freshness.clusterLoaded) return
+        staleness.resumeWaiters()
+        if (!staleness.clusterLoaded) return
         rollout.checkAdmission()
         keepLease()
         val now = clock.now()
         queryPeers(now)
         machines.tick(now)
-        if (fresh()) {
+        if (isCurrent()) {
             membership.claimKeys(mayLead = !rollout.isDraining)
             rollout.tick(membership.leaderVersion.takeIf { membership.leading })
-            takeover.tick(now)
-            giveShardsUp(now)
+            acquisition.tick(now)
+            releaseShards(now)
             divideForReducedLimits()
         } else {
-            takeover.outOfTouch(now)
+            acquisition.isCutOff(now)
         }
         owned().forEach { it.tick() }
     }
@@ -210,13 +212,13 @@
         if (rollout.isAdmitted) membership.keepLease()
     }
 
-    private var giveUpDue = 0L
+    private var releaseDue = 0L
 
     /** Before it is stopped, a drained controller has the others take its shards, each one when all that it decided there is stored. */
-    private fun giveShardsUp(now: Long) {
-        if (!rollout.isDraining || now < giveUpDue) return
-        giveUpDue = now + GIVE_UP_EVERY_MS
-        owned().filter { it.isSettled }.forEach { requestTakeover(it.index) }
+    private fun releaseShards(now: Long) {
+        if (!rollout.isDraining || now < releaseDue) return
+        releaseDue = now + RELEASE_INTERVAL_MS
+        owned().filter { it.isSettled }.forEach { requestFailover(it.index) }
     }
 
     /** Once no earlier version reads the records any more, what is too large for the reduced limits is stored anew in smaller parts. */
@@ -225,7 +227,7 @@
         if (!sharedReduced) membership.shareLimits()
         sharedReduced = true
         for (owner in owned()) {
-            if (owner.needsReload) takeover.reload(owner.index)
+            if (owner.needsReload) acquisition.reload(owner.index)
             assignment.divideOversized(owner.index)
         }
     }
@@ -235,19 +237,19 @@
     // ---- other controllers --------------------------------------------------------------------------------------------
 
     /** Another controller has sent a message. */
-    fun peerSent(message: PeerMessage) = when (message) {
+    fun onPeerMessage(message: PeerMessage) = when (message) {
         is PeerMessage.ShardStatusUpdate -> {
-            jobs.noteProgress(message.jobs)
-            hostDirectory.heard(message.hosts, machines::contains)
+            jobs.applyProgressUpdates(message.jobs)
+            machineDirectory.heard(message.machines, machines::contains)
         }
 
-        is PeerMessage.TakeoverRequest -> takeover.requested(message)
+        is PeerMessage.FailoverRequest -> acquisition.requested(message)
 
         is PeerMessage.StatusQuery -> out.sendToPeer(message.from, statusFor(message))
 
         is PeerMessage.StatusReport -> {
-            message.cancellations?.forEach { jobs.noteCancellation(it) }
-            peerStatuses.heard(message, clock.now(), freshness.knownAt)
+            message.cancellations?.forEach { jobs.applyCancellation(it) }
+            peerStatuses.heard(message, clock.now(), staleness.observedThrough)
         }
     }
 
@@ -256,13 +258,13 @@
         incarnation = query.incarnation,
         sequence = query.sequence,
         uptimeMs = clock.now() - startedAt,
-        storeAgeMs = freshness.ageMs(),
+        storeAgeMs = staleness.ageMs(),
         cancellations = jobs.cancellations().takeIf { it.size <= PeerMessage.MAX_CANCELLATIONS },
     )
 
     /** Asks the other controllers how they are, while the store does not answer this one. */
     private fun queryPeers(now: Long) {
-        val age = freshness.ageMs() ?: return
+        val age = staleness.ageMs() ?: return
         if (age < QUERY_PEERS_AFTER_MS || now < statusQueryDue) return
         statusQueryDue = now + QUERY_PEERS_EVERY_MS
         out.sendToPeers(peerStatuses.query(now))
@@ -270,29 +272,29 @@
 
     // ---- changes to records -------------------------------------------------------------------------------------------
 
-    override fun renewToken(shard: ShardId) = takeover.renewToken(shard)
+    override fun renewToken(shard: ShardId) = acquisition.renewToken(shard)
 
-    override fun requestTakeover(shard: ShardId) {
+    override fun requestFailover(shard: ShardId) {
         val term = shards.records[shard.value]?.takeIf { it.record.owner == settings.label }?.version ?: return
         log.info("shard {}: the other nodes are asked to take it", shard.value)
-        out.sendToPeers(PeerMessage.TakeoverRequest(shard, term))
+        out.sendToPeers(PeerMessage.FailoverRequest(shard, term))
     }
 
-    override fun refresh(shard: ShardId) = shards.refresh(shard, ::seeFetched)
+    override fun refresh(shard: ShardId) = shards.refresh(shard, ::applyReadResult)
 
-    override fun removeHosts(shard: ShardId, hosts: Set<String>) = assignment.removeHosts(shard, hosts)
+    override fun removeMachines(shard: ShardId, machineNames: Set<String>) = assignment.removeMachines(shard, machineNames)
 
-    override fun handOver(shard: ShardId, hosts: Collection<String>) = assignment.handOver(shard, hosts)
+    override fun transferMachines(shard: ShardId, machineNames: Collection<String>) = assignment.transferMachines(shard, machineNames)
 
     /** The leader gives machines to a shard; [seen] is the highest token that any of them has seen. [done] tells which were. */
-    fun addHosts(shard: ShardId, hosts: List<HostRecord>, seen: Long, done: (Set<String>) -> Unit) = assignment.addHosts(shard, hosts, seen, done)
+    fun addMachines(shard: ShardId, records: List<MachineRecord>, seen: Long, done: (Set<String>) -> Unit) = assignment.addMachines(shard, records, seen, done)
 
     /** The leader marks machines that are to leave for another shard as soon as they are empty. */
-    fun markLeaving(shard: ShardId, hosts: Collection<String>, to: ShardId) = assignment.markLeaving(shard, hosts, to)
+    fun markForTransfer(shard: ShardId, machineNames: Collection<String>, to: ShardId) = assignment.markForTransfer(shard, machineNames, to)
 
     private companion object {
         const val QUERY_PEERS_AFTER_MS = 3_500L
         const val QUERY_PEERS_EVERY_MS = 1_000L
-        const val GIVE_UP_EVERY_MS = 2_000L
+        const val RELEASE_INTERVAL_MS = 2_000L
     }
 }
--- a/src/main/kotlin/io/reedmast/ownership/ClusterFeatures.kt
+++ b/src/main/kotlin/io/reedmast/ownership/ClusterFeatures.kt
@@ -32,7 +32,7 @@
     private val WITH_DENSE_PAGES = FormatVersion(3)
 
     val dividedRecords = Feature(DIVIDED_RECORDS, WITH_DIVIDED_RECORDS, revertible = false)
-    val fencedTokens = Feature(FENCED_TOKENS, WITH_ROLLOUT, setOf(DIVIDED_RECORDS), migration = TokenFence)
+    val fencedTokens = Feature(FENCED_TOKENS, WITH_ROLLOUT, setOf(DIVIDED_RECORDS), migration = TokenCounter)
     val densePages = Feature(DensePages.FEATURE, WITH_DENSE_PAGES, setOf(FENCED_TOKENS), migration = DensePages)
 
     val registry = FeatureRegistry(listOf(dividedRecords, fencedTokens, densePages), VersionRange(OLDEST, WITH_DENSE_PAGES))
@@ -44,7 +44,7 @@
  * Versions before the rollout record take a shard without looking at any gate. They find no `token` in the fenced form, so their condition
  * on the counter's version never holds, and they come by no term under which they could write.
  */
-object TokenFence : RecordMigration {
+object TokenCounter : RecordMigration {
     private const val OPEN = "token"
     private const val FENCED = "fencedToken"
     override val scope = MigrationScope.CLUSTER
@@ -59,14 +59,14 @@
     fun tokenOf(record: Fields): Long = record.count(if (FENCED in record) FENCED else OPEN)
 
     /** Moves the counter from its version [seen] to [token], in the form that [gates] want and on condition that they have not moved. */
-    fun moveTo(token: Long, seen: Long, gates: GateSnapshot): CounterMove {
+    fun moveTo(token: Long, seen: Long, gates: GateSnapshot): CounterUpdate {
         val field = if (gates.writes(ClusterFeatures.FENCED_TOKENS)) FENCED else OPEN
-        return CounterMove(listOf(Precondition(Keys.TOKEN, seen), gates.precondition), Write.Put(Keys.TOKEN, mapOf(field to token)))
+        return CounterUpdate(listOf(Precondition(Keys.TOKEN, seen), gates.precondition), Write.Put(Keys.TOKEN, mapOf(field to token)))
     }
 }
 
 /** A write of the token counter, and the conditions without which it must not be made. */
-class CounterMove(val preconditions: List<Precondition>, val write: Write.Put)
+class CounterUpdate(val preconditions: List<Precondition>, val write: Write.Put)
 
 /** The cluster's records as the rollout's administration needs them. */
 class StoredClusterRecords(private val shards: Int) : ClusterRecords {
--- a/src/main/kotlin/io/reedmast/ownership/ClusterRollout.kt
+++ b/src/main/kotlin/io/reedmast/ownership/ClusterRollout.kt
@@ -6,7 +6,7 @@
 import io.reedmast.ports.Clock
 import io.reedmast.ports.Gateway
 import io.reedmast.rollout.Admission
-import io.reedmast.rollout.ClusterPicture
+import io.reedmast.rollout.ClusterSnapshot
 import io.reedmast.rollout.GateSnapshot
 import io.reedmast.rollout.MemberVersions
 import io.reedmast.rollout.MigrationReconciler
@@ -55,7 +55,7 @@
     val isAdmitted: Boolean get() = view.admission == Admission.Admitted
 
     /** Whether workers may be answered: while the record cannot be read what runs goes on, but a process that does not fit is silent. */
-    val mayAnswerWorkers: Boolean get() = view.admission.let { it == Admission.Admitted || it is Admission.Withheld }
+    val mayAcknowledgeHeartbeats: Boolean get() = view.admission.let { it == Admission.Admitted || it is Admission.Withheld }
 
     /** Whether an operator has ordered this process to give its shards up. */
     val isDraining: Boolean get() = view.drainOf(settings.label)?.order?.incarnation == incarnation
@@ -73,9 +73,9 @@
     fun reset() = view.reset()
 
     /** Takes up the value under [path], if it is one of the rollout's keys. */
-    fun see(path: String, value: Fields?, version: Long) {
-        formatGate.see(path, value)
-        view.see(path, value, version)
+    fun applyRecord(path: String, value: Fields?, version: Long) {
+        formatGate.applyRecord(path, value)
+        view.applyRecord(path, value, version)
     }
 
     fun refreshGates() = reread(Keys.ROLLOUT)
@@ -103,12 +103,12 @@
     fun tick(leaderVersion: Long?) {
         formatGate.tick()
         if (leaderVersion == null) return
-        coordinator.tick(leaderVersion, picture())
+        coordinator.tick(leaderVersion, snapshot())
         clusterMigration.tick(gates, Precondition(Keys.LEADER, leaderVersion), view)
     }
 
-    private fun picture(): ClusterPicture =
-        view.picture(configured, shards.records.map { stored -> stored?.let { ShardOwnership(it.record.owner, it.version) } }, formatGate.finalized)
+    private fun snapshot(): ClusterSnapshot =
+        view.snapshot(configured, shards.records.map { stored -> stored?.let { ShardOwnership(it.record.owner, it.version) } }, formatGate.finalized)
 
     /** Nobody keeps a copy of the cluster's records that a migration could make stale: whoever writes one reads it again after a conflict. */
     private object UncontendedRecords : RecordAccess {
--- a/src/main/kotlin/io/reedmast/ownership/Token.kt
+++ b/src/main/kotlin/io/reedmast/ownership/FencingToken.kt
@@ -6,15 +6,15 @@
  * The owner commands under the first one. It moves on within its range, for one worker at a time, where copies of its own
  * earlier commands must become void: no record is written for that, and no term moves.
  */
-object Token {
+object FencingToken {
     private const val RANGE = 1L shl 20
 
     /** The first token of the range after the one that [token] belongs to. */
-    fun after(token: Long): Long = (takings(token) + 1) * RANGE
+    fun after(token: Long): Long = (acquisitions(token) + 1) * RANGE
 
     /** The last one of the range that begins with [first]. */
     fun last(first: Long): Long = first + RANGE - 1
 
     /** How many ranges were given up to this one. Records of an earlier form counted takings alone, below a range's size. */
-    fun takings(token: Long): Long = if (token < RANGE) token else token / RANGE
+    fun acquisitions(token: Long): Long = if (token < RANGE) token else token / RANGE
 }
--- a/src/main/kotlin/io/reedmast/ownership/FormatGate.kt
+++ b/src/main/kotlin/io/reedmast/ownership/FormatGate.kt
@@ -31,13 +31,13 @@
     val finalized: Set<FeatureName> get() = if (stored) setOf(feature.name) else emptySet()
 
     /** Takes up the value under [path], if it tells of a controller's version or of that of all. */
-    fun see(path: String, value: Fields?) {
+    fun applyRecord(path: String, value: Fields?) {
         if (value == null) return
         if (path == Keys.FORMAT && isReached(value)) {
             stored = true
             reached()
         }
-        if (path.startsWith(Keys.NODES) && isReached(value)) upgraded.add(path.removePrefix(Keys.NODES))
+        if (path.startsWith(Keys.MEMBERS) && isReached(value)) upgraded.add(path.removePrefix(Keys.MEMBERS))
     }
 
     private fun reached() {
--- a/src/main/kotlin/io/reedmast/ownership/MachineAssignment.kt
+++ b/src/main/kotlin/io/reedmast/ownership/MachineAssignment.kt
@@ -11,7 +11,7 @@
 import io.reedmast.settings.Settings
 import io.reedmast.settings.ShardId
 import io.reedmast.wire.Tree
-import io.reedmast.workers.HostRecord
+import io.reedmast.workers.MachineRecord
 import org.slf4j.LoggerFactory
 
 /**
@@ -37,23 +37,23 @@
     private val writing = HashSet<String>()
 
     /** The shard's owner removes machines that are gone. */
-    fun removeHosts(shard: ShardId, hosts: Set<String>) {
+    fun removeMachines(shard: ShardId, machineNames: Set<String>) {
         val term = shards.records[shard.value]?.takeIf { it.record.owner == settings.label }?.version ?: return
         for ((index, held) in machines.partsOf(shard)) {
-            if (held.part.hosts.none { it.name in hosts }) continue
-            rewrite(shard, index, held.part.without(hosts), Precondition(Keys.shard(shard.value), term), writePriority = WritePriority.DEFERRED) {}
+            if (held.part.records.none { it.name in machineNames }) continue
+            rewrite(shard, index, held.part.without(machineNames), Precondition(Keys.shard(shard.value), term), writePriority = WritePriority.DEFERRED) {}
         }
     }
 
     /** Moves empty machines, as many as share a record and a destination; the others follow with the next call. */
-    fun handOver(shard: ShardId, hosts: Collection<String>) {
+    fun transferMachines(shard: ShardId, machineNames: Collection<String>) {
         val from = shards.records[shard.value] ?: return
-        val (index, held) = machines.partsOf(shard).entries.firstOrNull { (_, held) -> hosts.any { it in held.part.leaving } } ?: return
-        val to = hosts.firstNotNullOfOrNull { held.part.leaving[it] }?.let { ShardId(it) } ?: return
+        val (index, held) = machines.partsOf(shard).entries.firstOrNull { (_, held) -> machineNames.any { it in held.part.transfers } } ?: return
+        val to = machineNames.firstNotNullOfOrNull { held.part.transfers[it] }?.let { ShardId(it) } ?: return
         val target = shards.records.getOrNull(to.value) ?: return
         if (to == shard) return
         val divided = namedTwice(shard)
-        val moving = held.part.hosts.filter { it.name in hosts && it.name !in divided && held.part.leaving[it.name] == to.value }
+        val moving = held.part.records.filter { it.name in machineNames && it.name !in divided && held.part.transfers[it.name] == to.value }
         val destination = machines.roomIn(to, moving)
         val moved = moving.filter { destination.part.holds(it.name) }.mapTo(HashSet()) { it.name }
         if (moved.isEmpty() || !isStorable(held.part.without(moved))) return
@@ -62,11 +62,11 @@
     }
 
     /** The record that machines leave. */
-    private class Source(val shard: ShardId, val index: Int, val held: StoredPart, val owner: StoredRecord)
+    private class Source(val shard: ShardId, val index: Int, val held: StoredMachineListPart, val owner: StoredRecord)
 
-    private fun move(source: Source, left: HostPart, to: ShardId, target: StoredRecord, destination: MachineTable.Grown, moved: Set<String>) {
-        val fromPath = Keys.hosts(source.shard.value, source.index)
-        val toPath = Keys.hosts(to.value, destination.index)
+    private fun move(source: Source, left: MachineListPart, to: ShardId, target: StoredRecord, destination: MachineTable.Grown, moved: Set<String>) {
+        val fromPath = Keys.machineNames(source.shard.value, source.index)
+        val toPath = Keys.machineNames(to.value, destination.index)
         if (fromPath in writing || toPath in writing) return
         val preconditions = arrayListOf(
             Precondition(Keys.shard(source.shard.value), source.owner.version),
@@ -76,9 +76,9 @@
         )
         val writes = arrayListOf<Write>(Write.Put(fromPath, left.toFields()), Write.Put(toPath, destination.part.toFields()))
         // The other shard's owner must have a token above all that these machines have seen, which is at most ours.
-        val renewed = if (target.record.token > source.owner.record.token) null else target.record.copy(token = Token.after(shards.token))
+        val renewed = if (target.record.token > source.owner.record.token) null else target.record.copy(token = FencingToken.after(shards.token))
         if (renewed != null) {
-            val counter = TokenFence.moveTo(renewed.token, shards.tokenVersion, rollout.gates)
+            val counter = TokenCounter.moveTo(renewed.token, shards.tokenVersion, rollout.gates)
             preconditions.addAll(counter.preconditions)
             writes.add(Write.Put(Keys.shard(to.value), renewed.toFields()))
             writes.add(counter.write)
@@ -92,11 +92,11 @@
                 if (outcome is CommitOutcome.Applied) {
                     log.info("{}: moved from shard {} to shard {}", moved, source.shard.value, to.value)
                     if (renewed != null) {
-                        shards.seeToken(renewed.token, outcome.revision)
-                        shards.seeShard(to, renewed, outcome.revision)
+                        shards.applyToken(renewed.token, outcome.revision)
+                        shards.applyShard(to, renewed, outcome.revision)
                     }
-                    machines.seePart(to, destination.index, destination.part, outcome.revision)
-                    machines.seePart(source.shard, source.index, left, outcome.revision)
+                    machines.applyPart(to, destination.index, destination.part, outcome.revision)
+                    machines.applyPart(source.shard, source.index, left, outcome.revision)
                 } else {
                     listOf(Keys.shard(source.shard.value), Keys.shard(to.value), Keys.TOKEN, fromPath, toPath).forEach { reread(it) {} }
                 }
@@ -105,22 +105,22 @@
     }
 
     /** The leader gives machines to a shard; [seen] is the highest token that any of them has seen. [done] tells which were. */
-    fun addHosts(shard: ShardId, hosts: List<HostRecord>, seen: Long, done: (Set<String>) -> Unit) {
+    fun addMachines(shard: ShardId, records: List<MachineRecord>, seen: Long, done: (Set<String>) -> Unit) {
         val owner = shards.records[shard.value]
-        val grown = machines.roomIn(shard, hosts)
-        val names = hosts.mapTo(HashSet()) { it.name }.apply { removeIf { !grown.part.holds(it) } }
+        val grown = machines.roomIn(shard, records)
+        val names = records.mapTo(HashSet()) { it.name }.apply { removeIf { !grown.part.holds(it) } }
         if (owner == null || names.isEmpty()) {
             done(emptySet())
             return
         }
         val lead = Precondition(Keys.LEADER, leaderVersion())
-        val sofar = grown.held ?: StoredPart(HostPart.EMPTY, 0L)
+        val sofar = grown.held ?: StoredMachineListPart(MachineListPart.EMPTY, 0L)
         if (seen <= owner.record.token) {
             rewrite(shard, grown.index, grown.part, lead, sofar) { done(if (it) names else emptySet()) }
             return
         }
-        val renewed = owner.record.copy(token = Token.after(maxOf(shards.token, seen)))
-        val counter = TokenFence.moveTo(renewed.token, shards.tokenVersion, rollout.gates)
+        val renewed = owner.record.copy(token = FencingToken.after(maxOf(shards.token, seen)))
+        val counter = TokenCounter.moveTo(renewed.token, shards.tokenVersion, rollout.gates)
         val preconditions = counter.preconditions + Precondition(Keys.shard(shard.value), owner.version)
         val writes = listOf(Write.Put(Keys.shard(shard.value), renewed.toFields()), counter.write)
         rewrite(shard, grown.index, grown.part, lead, sofar, preconditions, writes) { ok ->
@@ -130,24 +130,24 @@
     }
 
     /** The leader marks machines that are to leave for another shard as soon as they are empty. */
-    fun markLeaving(shard: ShardId, hosts: Collection<String>, to: ShardId) {
+    fun markForTransfer(shard: ShardId, machineNames: Collection<String>, to: ShardId) {
         for ((index, held) in machines.partsOf(shard)) {
-            val mine = held.part.hosts.filter { it.name in hosts }
+            val mine = held.part.records.filter { it.name in machineNames }
             if (mine.isEmpty()) continue
             var marks = mine.size
-            fun marked() = held.part.copy(leaving = held.part.leaving + mine.take(marks).associate { it.name to to.value })
+            fun marked() = held.part.copy(transfers = held.part.transfers + mine.take(marks).associate { it.name to to.value })
             while (marks > 0 && Tree.jsonSize(marked().toFields()) > limits.allowed.valueBytes * MARKED) marks /= 2
             if (marks > 0) rewrite(shard, index, marked(), Precondition(Keys.LEADER, leaderVersion())) {}
         }
     }
 
     /** Whether the store takes the record; one that an earlier version stored may be too large until it has been divided. */
-    private fun isStorable(part: HostPart) = Tree.jsonSize(part.toFields()) <= limits.allowed.valueBytes * MARKED
+    private fun isStorable(part: MachineListPart) = Tree.jsonSize(part.toFields()) <= limits.allowed.valueBytes * MARKED
 
     /** Machines that stand in two records of a shard, one of which is being divided. */
     private fun namedTwice(shard: ShardId): Set<String> {
         val names = HashSet<String>()
-        return machines.partsOf(shard).values.flatMap { it.part.hosts }.map { it.name }.filterTo(HashSet()) { !names.add(it) }
+        return machines.partsOf(shard).values.flatMap { it.part.records }.map { it.name }.filterTo(HashSet()) { !names.add(it) }
     }
 
     /**
@@ -164,14 +164,14 @@
         val bytes = limits.target.valueBytes
         for ((index, held) in parts) {
             if (Tree.jsonSize(held.part.toFields()) <= bytes * MARKED) continue
-            val elsewhere = parts.filterKeys { it != index }.values.flatMapTo(HashSet()) { it.part.hosts.map { host -> host.name } }
+            val elsewhere = parts.filterKeys { it != index }.values.flatMapTo(HashSet()) { it.part.records.map { record -> record.name } }
             val rest = held.part.without(elsewhere)
             if (rest.fits(bytes)) {
                 rewrite(shard, index, rest, entitled) {}
             } else {
-                val copied = HostPart.EMPTY.with(rest.hosts, bytes).let { part -> part.copy(leaving = rest.leaving.filterKeys { part.holds(it) }) }
-                val unchanged = Precondition(Keys.hosts(shard.value, index), held.version)
-                rewrite(shard, parts.keys.max() + 1, copied, entitled, StoredPart(HostPart.EMPTY, 0L), listOf(unchanged)) {}
+                val copied = MachineListPart.EMPTY.with(rest.records, bytes).let { part -> part.copy(transfers = rest.transfers.filterKeys { part.holds(it) }) }
+                val unchanged = Precondition(Keys.machineNames(shard.value, index), held.version)
+                rewrite(shard, parts.keys.max() + 1, copied, entitled, StoredMachineListPart(MachineListPart.EMPTY, 0L), listOf(unchanged)) {}
             }
             return
         }
@@ -180,15 +180,15 @@
     private fun rewrite(
         shard: ShardId,
         index: Int,
-        part: HostPart,
+        part: MachineListPart,
         entitled: Precondition,
-        held: StoredPart? = machines.partsOf(shard)[index],
+        held: StoredMachineListPart? = machines.partsOf(shard)[index],
         morePreconditions: List<Precondition> = emptyList(),
         moreWrites: List<Write.Put> = emptyList(),
         writePriority: WritePriority = WritePriority.URGENT,
         done: (Boolean) -> Unit,
     ) {
-        val path = Keys.hosts(shard.value, index)
+        val path = Keys.machineNames(shard.value, index)
         if (held == null || !isStorable(part) || !writing.add(path)) {
             done(false)
             return
@@ -198,8 +198,8 @@
             CasTransaction(preconditions, listOf(Write.Put(path, part.toFields())) + moreWrites, writePriority) { outcome ->
                 writing.remove(path)
                 if (outcome is CommitOutcome.Applied) {
-                    moreWrites.forEach { shards.see(it.path, it.value, outcome.revision) }
-                    machines.seePart(shard, index, part, outcome.revision)
+                    moreWrites.forEach { shards.applyRecord(it.path, it.value, outcome.revision) }
+                    machines.applyPart(shard, index, part, outcome.revision)
                     done(true)
                 } else {
                     // The change may have been applied and replaced since. Whoever asked for it must see that before asking again: a
--- a/src/main/kotlin/io/reedmast/ownership/Membership.kt
+++ b/src/main/kotlin/io/reedmast/ownership/Membership.kt
@@ -35,8 +35,8 @@
     private var leaseAsked = false
     private var leaseDue = 0L
     private var claimingLeader = false
-    private var claimingNode = false
-    private var nodeKeyLease: Long? = null
+    private var claimingMemberKey = false
+    private var memberKeyLease: Long? = null
     private var published: Fields? = null
 
     /** The label of the leader, if there is one. */
@@ -61,7 +61,7 @@
     fun absentForMs(label: String, now: Long): Long = now - (absentSince[label] ?: now)
 
     /** The revision up to which the watch has told of every change. */
-    private var toldTo = 0L
+    private var observedRevision = 0L
 
     /**
      * All keys have been read anew, and follow; they are at least as new as [revision].
@@ -73,28 +73,28 @@
         present.clear()
         leader = null
         leaderVersion = 0L
-        noteTold(revision)
+        recordObserved(revision)
     }
 
     /** The watch has told of all changes up to [revision]. */
-    fun noteTold(revision: Long) {
-        toldTo = maxOf(toldTo, revision)
+    fun recordObserved(revision: Long) {
+        observedRevision = maxOf(observedRevision, revision)
     }
 
     /** All keys have been read: those of controllers that are not among [paths] are gone. */
-    fun noteAbsent(paths: Set<String>) {
+    fun recordAbsent(paths: Set<String>) {
         settings.members.filter { Keys.node(it.label) !in paths }.forEach { absentSince.putIfAbsent(it.label, clock.now()) }
     }
 
     /** Takes up the value under [path], if it is one of these keys; a null [value] is a deletion. */
-    fun see(path: String, value: Fields?, version: Long) {
+    fun applyRecord(path: String, value: Fields?, version: Long) {
         when {
-            path == Keys.LEADER -> seeLeader(value?.text("label"), version)
-            path.startsWith(Keys.NODES) -> seeNode(path.removePrefix(Keys.NODES), value != null)
+            path == Keys.LEADER -> applyLeader(value?.text("label"), version)
+            path.startsWith(Keys.MEMBERS) -> applyMemberKey(path.removePrefix(Keys.MEMBERS), value != null)
         }
     }
 
-    private fun seeLeader(label: String?, version: Long) {
+    private fun applyLeader(label: String?, version: Long) {
         if (version <= leaderVersion) return
         leader = label
         leaderVersion = version
@@ -102,14 +102,14 @@
         shareLimits()
     }
 
-    private fun seeNode(label: String, here: Boolean) {
+    private fun applyMemberKey(label: String, here: Boolean) {
         if (here) {
             present.add(label)
             absentSince.remove(label)
         } else {
             present.remove(label)
             absentSince[label] = clock.now()
-            if (label == settings.label) nodeKeyLease = null
+            if (label == settings.label) memberKeyLease = null
         }
         shareLimits()
     }
@@ -126,14 +126,14 @@
         out.extendLease(lease, LEASE_MS) { state ->
             leaseAsked = false
             when (state) {
-                is LeaseState.StoredRecord -> {
-                    if (state.fresh) nodeKeyLease = null
+                is LeaseState.Held -> {
+                    if (state.isNew) memberKeyLease = null
                     lease = state.lease
                 }
 
                 LeaseState.Lost -> {
                     lease = null
-                    nodeKeyLease = null
+                    memberKeyLease = null
                     leaseDue = 0
                 }
 
@@ -144,7 +144,7 @@
 
     /** Puts this node's key under its lease, and the leader's if there is none and this node [mayLead]. */
     fun claimKeys(mayLead: Boolean) {
-        claimNode()
+        claimMemberKey()
         if (leader == null && mayLead) claimLeader()
         if (leading && !mayLead) resign()
     }
@@ -159,28 +159,28 @@
         out.commit(CasTransaction(listOf(Precondition(Keys.LEADER, leaderVersion)), listOf(Write.Delete(Keys.LEADER))) { resigning = false })
     }
 
-    private fun claimNode() {
+    private fun claimMemberKey() {
         val held = lease ?: return
         val fields = memberFields()
-        if (claimingNode || (nodeKeyLease == held && published == fields)) return
-        claimingNode = true
+        if (claimingMemberKey || (memberKeyLease == held && published == fields)) return
+        claimingMemberKey = true
         out.get(Keys.node(settings.label)) { fetched ->
             when (fetched) {
-                is ReadResult.Found -> putNode(held, fields, fetched.item.version)
-                is ReadResult.Missing -> putNode(held, fields, 0L)
-                is ReadResult.Failed -> claimingNode = false
+                is ReadResult.Found -> putMemberKey(held, fields, fetched.item.version)
+                is ReadResult.Missing -> putMemberKey(held, fields, 0L)
+                is ReadResult.Failed -> claimingMemberKey = false
             }
         }
     }
 
-    private fun putNode(held: Long, fields: Fields, version: Long) {
+    private fun putMemberKey(held: Long, fields: Fields, version: Long) {
         val path = Keys.node(settings.label)
         out.commit(
             CasTransaction(listOf(Precondition(path, version), gatesPrecondition()), listOf(Write.Put(path, fields, held))) { outcome ->
-                claimingNode = false
+                claimingMemberKey = false
                 when (outcome) {
                     is CommitOutcome.Applied -> {
-                        nodeKeyLease = held
+                        memberKeyLease = held
                         published = fields
                     }
 
@@ -194,7 +194,7 @@
 
     private fun claimLeader() {
         val held = lease ?: return
-        if (claimingLeader || nodeKeyLease != held) return
+        if (claimingLeader || memberKeyLease != held) return
         claimingLeader = true
         out.commit(
             CasTransaction(
@@ -203,7 +203,7 @@
             ) { outcome ->
                 claimingLeader = false
                 // The watch tells the same: whichever is first counts. What it has told of may be over by now.
-                if (outcome is CommitOutcome.Applied && outcome.revision > toldTo) seeLeader(settings.label, outcome.revision)
+                if (outcome is CommitOutcome.Applied && outcome.revision > observedRevision) applyLeader(settings.label, outcome.revision)
                 if (outcome is CommitOutcome.Refused && lease == held) lease = null
             },
         )
--- a/src/main/kotlin/io/reedmast/ownership/PeerStatuses.kt
+++ b/src/main/kotlin/io/reedmast/ownership/PeerStatuses.kt
@@ -35,10 +35,10 @@
     }
 
     /**
-     * Takes up a report, whose cancellations have been noted already. [knownAt] is the time up to which all that was stored
+     * Takes up a report, whose cancellations have been noted already. [observedThrough] is the time up to which all that was stored
      * is known here.
      */
-    fun heard(report: PeerMessage.StatusReport, now: Long, knownAt: Long?) {
+    fun heard(report: PeerMessage.StatusReport, now: Long, observedThrough: Long?) {
         val peer = peers[report.from] ?: return
         // A late copy, or the answer to a query of this controller's earlier process, names no query of ours.
         if (report.incarnation != incarnation) return
@@ -47,7 +47,7 @@
         peer.askedAt = asked
         peer.storeAgeMs = report.storeAgeMs
         val latestStart = now - (report.uptimeMs * (1 - CLOCK_DRIFT)).toLong()
-        if (report.cancellations != null && knownAt != null && latestStart < knownAt) peer.confirmedAt = asked
+        if (report.cancellations != null && observedThrough != null && latestStart < observedThrough) peer.confirmedAt = asked
     }
 
     /** All cancellations that any other controller has told a user of before this time are known here; null if unknown. */
@@ -58,12 +58,12 @@
     }
 
     /** Whether some controller reports, and none of those that report is better off: the store is out for all. */
-    fun noneHearsState(now: Long): Boolean {
+    fun noneReachesStore(now: Long): Boolean {
         val reporting = peers.values.filter { peer -> peer.askedAt?.let { now - it < REPORT_VALID_MS } ?: false }
-        return reporting.isNotEmpty() && reporting.all { peer -> outOfTouch(peer, now) }
+        return reporting.isNotEmpty() && reporting.all { peer -> isCutOff(peer, now) }
     }
 
-    private fun outOfTouch(peer: Peer, now: Long): Boolean {
+    private fun isCutOff(peer: Peer, now: Long): Boolean {
         val age = peer.storeAgeMs ?: return true
         return age + now - (peer.askedAt ?: now) > OUT_OF_TOUCH_MS
     }
--- a/src/main/kotlin/io/reedmast/ownership/Takeover.kt
+++ b/src/main/kotlin/io/reedmast/ownership/ShardAcquisition.kt
@@ -15,7 +15,7 @@
 import io.reedmast.settings.Settings
 import io.reedmast.settings.ShardId
 import io.reedmast.wire.Reply
-import io.reedmast.workers.HostDirectory
+import io.reedmast.workers.MachineDirectory
 import org.slf4j.LoggerFactory
 
 /**
@@ -24,17 +24,17 @@
  * Taking is a conditional write of the shard's record under a fresh token. It is safe at any time; the rules here only choose
  * a good moment for it.
  */
-class Takeover(
+class ShardAcquisition(
     private val settings: Settings,
     private val clock: Clock,
     private val out: Gateway,
-    private val freshness: Freshness,
+    private val staleness: WatchStaleness,
     private val membership: Membership,
     private val shards: ShardTable,
     private val machines: MachineTable,
     private val jobs: JobIndex,
-    private val hostDirectory: HostDirectory,
-    private val contact: WorkerContact,
+    private val machineDirectory: MachineDirectory,
+    private val reachability: WorkerReachability,
     private val rollout: ClusterRollout,
     /** The owners of this node's shards, by shard. */
     private val owners: Array<ShardOwner?>,
@@ -43,7 +43,7 @@
     private val reread: (String) -> Unit,
 ) {
     private val log = LoggerFactory.getLogger("cluster")
-    private val misdirected = MisdirectedReports(settings.shardCount, settings.workers.reportS)
+    private val misdirected = MisdirectedHeartbeats(settings.shardCount, settings.workers.reportS)
     private val startedAt = clock.now()
 
     /** A shard's record that this node is about to store. */
@@ -51,7 +51,7 @@
 
     /** The take that is not settled: two at once would both want the next token. */
     private var claim: Claim? = null
-    private val taking = BooleanArray(settings.shardCount)
+    private val acquiring = BooleanArray(settings.shardCount)
     private val asking = BooleanArray(settings.shardCount)
     private val notBefore = LongArray(settings.shardCount)
 
@@ -61,62 +61,62 @@
     private class Request(val at: Long, val term: Long)
 
     /** Until then a shard that others have taken from this node is left to them, and how long that is the next time. */
-    private var homeNotBefore = 0L
-    private var homePauseMs = FIRST_HOME_PAUSE_MS
+    private var failbackNotBefore = 0L
+    private var failbackDelayMs = MIN_FAILBACK_DELAY_MS
 
     /** Considers each shard; called while the store is heard. */
     fun tick(now: Long) {
-        for (index in taking.indices) consider(ShardId(index), now)
+        for (index in acquiring.indices) checkShard(ShardId(index), now)
     }
 
     /** This node hears nothing from the store. */
-    fun outOfTouch(now: Long) = misdirected.outOfTouch(now)
+    fun isCutOff(now: Long) = misdirected.isCutOff(now)
 
     /** Another controller has taken a shard of this node's, and has a reason that may not be visible here. */
-    fun noteTakenByAnother() {
+    fun onAcquiredByAnother() {
         // Taken home at once, the shard would go to and fro.
-        homeNotBefore = clock.now() + homePauseMs
-        homePauseMs = minOf(homePauseMs * 2, MOST_HOME_PAUSE_MS)
+        failbackNotBefore = clock.now() + failbackDelayMs
+        failbackDelayMs = minOf(failbackDelayMs * 2, MAX_FAILBACK_DELAY_MS)
     }
 
     /** The owner of a shard does not hear its workers. A late copy of its request names a term that is over. */
-    fun requested(message: PeerMessage.TakeoverRequest) {
+    fun requested(message: PeerMessage.FailoverRequest) {
         val shard = message.shard
         if (shards.records.getOrNull(shard.value)?.version != message.term) return
         if (requests[shard]?.term != message.term) requests[shard] = Request(clock.now(), message.term)
     }
 
-    fun noteNewOwner(shard: ShardId) = misdirected.newOwner(shard, clock.now())
+    fun onNewOwner(shard: ShardId) = misdirected.newOwner(shard, clock.now())
 
     /** Where to send a worker of [shard], which is not ours: to its owner, but not twice in a row to one that is silent. */
-    fun sendOn(shard: ShardId, host: String, addr: String): String? {
-        val facts = hostDirectory.of(host)
+    fun redirectTarget(shard: ShardId, machineName: String, addr: String): String? {
+        val facts = machineDirectory.of(machineName)
         // A new machine reports to any node first: with a shard that grows fast, most of its workers are new ones.
         val known = facts.addr == addr
         facts.addr = addr
-        val again = known && misdirected.sentOn(shard, host, addr, clock.now())
+        val again = known && misdirected.recordRedirect(shard, machineName, addr, clock.now())
         return shards.ownerOf(shard)?.takeIf { it != settings.label && !again }
     }
 
-    private fun consider(shard: ShardId, now: Long) {
-        if (taking[shard.value] || owners[shard.value] != null) return
+    private fun checkShard(shard: ShardId, now: Long) {
+        if (acquiring[shard.value] || owners[shard.value] != null) return
         val owner = shards.ownerOf(shard)
         if (rollout.isDraining && owner != settings.label) return
         val wanted = isWanted(shard, owner, now)
-        if (wanted && now > notBefore[shard.value]) takeIfInContact(shard, owner, now)
-        if (!wanted && owner != null && membership.isPresent(owner)) considerMisdirected(shard, now)
+        if (wanted && now > notBefore[shard.value]) acquireIfReachable(shard, owner, now)
+        if (!wanted && owner != null && membership.isPresent(owner)) checkMisdirected(shard, now)
     }
 
     /** Takes the shard of another controller only if its workers can be reached, or if nobody else has taken it for long. */
-    private fun takeIfInContact(shard: ShardId, owner: String?, now: Long) {
-        val addresses = machines.hostsOf(shard).mapNotNull { hostDirectory.of(it.name).addr }.toList()
+    private fun acquireIfReachable(shard: ShardId, owner: String?, now: Long) {
+        val addresses = machines.machinesOf(shard).mapNotNull { machineDirectory.of(it.name).addr }.toList()
         val ofAnother = owner != null && owner != settings.label
         val abandoned = ofAnother && !membership.isPresent(owner) && membership.absentForMs(owner, now) > ABANDONED_MS
-        if (!ofAnother || abandoned || contact.isRecent || addresses.isEmpty()) {
-            take(shard)
+        if (!ofAnother || abandoned || reachability.isRecent || addresses.isEmpty()) {
+            acquire(shard)
             return
         }
-        contact.probe(shard, addresses) {
+        reachability.probe(shard, addresses) {
             log.info("shard {}: its workers are not reached from here; it is not taken", shard.value)
             notBefore[shard.value] = clock.now() + UNREACHED_PAUSE_MS
         }
@@ -135,7 +135,7 @@
 
             isRequested(shard) -> now - (requests[shard]?.at ?: now) > turn(owner) * TURN_MS
 
-            home -> now - startedAt > SETTLED_MS && now > homeNotBefore && shards.countOf(owner) > 1
+            home -> now - startedAt > SETTLED_MS && now > failbackNotBefore && shards.countOf(owner) > 1
 
             else -> false
         }
@@ -152,20 +152,20 @@
      *
      * One of them must answer a call before: late copies of the reports of dead machines complain as well.
      */
-    private fun considerMisdirected(shard: ShardId, now: Long) {
+    private fun checkMisdirected(shard: ShardId, now: Long) {
         if (asking[shard.value] || misdirected.none(shard)) return
-        val known = machines.hostsOf(shard).count { hostDirectory.of(it.name).addr != null }
-        val some = misdirected.ofMost(shard, known, now)
+        val known = machines.machinesOf(shard).count { machineDirectory.of(it.name).addr != null }
+        val sample = misdirected.sampleIfMost(shard, known, now)
         val owner = shards.ownerOf(shard)
-        for ((host, addr) in some) {
+        for ((machineName, addr) in sample) {
             asking[shard.value] = true
             // Neither token nor session are the worker's: nothing is executed, and the refusal is its newest report.
             out.direct(addr, 0L, 0L, emptyList()) { reply ->
                 asking[shard.value] = false
-                val answers = (reply as? Reply.Answer)?.body?.get("host") == host
-                if (answers && freshness.isFresh && shards.ownerOf(shard) == owner && !taking[shard.value]) {
+                val answers = (reply as? Reply.Answer)?.body?.get("host") == machineName
+                if (answers && staleness.isCurrent && shards.ownerOf(shard) == owner && !acquiring[shard.value]) {
                     log.info("shard {}: its machines do not reach {}", shard.value, owner)
-                    take(shard)
+                    acquire(shard)
                 }
             }
         }
@@ -175,26 +175,26 @@
     fun renewToken(shard: ShardId) {
         if (clock.now() <= notBefore[shard.value]) return
         log.info("shard {}: a worker has seen a higher token", shard.value)
-        take(shard)
+        acquire(shard)
     }
 
     /** Takes a shard of this node's again, to read what is stored of it in smaller parts. */
     fun reload(shard: ShardId) {
         if (clock.now() <= notBefore[shard.value]) return
         log.info("shard {}: read again, to be stored in smaller parts", shard.value)
-        take(shard)
+        acquire(shard)
     }
 
-    private fun take(shard: ShardId) {
-        if (taking[shard.value] || claim != null) return
-        taking[shard.value] = true
-        notBefore[shard.value] = clock.now() + RETAKE_MS
+    private fun acquire(shard: ShardId) {
+        if (acquiring[shard.value] || claim != null) return
+        acquiring[shard.value] = true
+        notBefore[shard.value] = clock.now() + REACQUIRE_MS
         val held = shards.records[shard.value]
-        val fresh = Token.after(shards.token)
-        val record = ShardRecord(settings.label, fresh)
+        val newToken = FencingToken.after(shards.token)
+        val record = ShardRecord(settings.label, newToken)
         val mine = Claim(shard, record).also { claim = it }
         // A process that has not heard of a move of the gates takes nothing: it may not be able to read what it would own.
-        val counter = TokenFence.moveTo(fresh, shards.tokenVersion, rollout.gates)
+        val counter = TokenCounter.moveTo(newToken, shards.tokenVersion, rollout.gates)
         val preconditions = counter.preconditions + Precondition(Keys.shard(shard.value), held?.version ?: 0L)
         val writes = listOf(Write.Put(Keys.shard(shard.value), record.toFields()), counter.write)
         out.commit(
@@ -202,7 +202,7 @@
                 if (claim !== mine) return@CasTransaction
                 claim = null
                 if (outcome is CommitOutcome.Applied) {
-                    taken(shard, record, outcome.revision)
+                    onAcquired(shard, record, outcome.revision)
                 } else {
                     // Mostly another node took the token we wanted.
                     retrySoon(shard)
@@ -218,15 +218,15 @@
      * The watch tells of a record with this node as owner. If it is the one that a take is about to store, the shard is taken: its
      * answer may be lost for seconds, in which an owner of before would act under the new term.
      */
-    fun settledByWatch(shard: ShardId, record: ShardRecord, version: Long): Boolean {
+    fun confirmedByWatch(shard: ShardId, record: ShardRecord, version: Long): Boolean {
         val open = claim ?: return false
         if (open.shard != shard || open.record != record) return false
         claim = null
-        taken(shard, record, version)
+        onAcquired(shard, record, version)
         return true
     }
 
-    private fun taken(shard: ShardId, record: ShardRecord, revision: Long) {
+    private fun onAcquired(shard: ShardId, record: ShardRecord, revision: Long) {
         val known = shards.records[shard.value]
         if (known != null && known.version > revision) {
             // Settled late, and another controller has taken the shard since.
@@ -235,8 +235,8 @@
         }
         owners[shard.value]?.dropped = true
         owners[shard.value] = null
-        shards.seeToken(record.token, revision)
-        shards.seeShard(shard, record, revision)
+        shards.applyToken(record.token, revision)
+        shards.applyShard(shard, record, revision)
         val owner = newOwner(shard)
         owner.sync(record, revision)
         owners[shard.value] = owner
@@ -245,8 +245,8 @@
 
     /** After a restart of all, every second counts; the nodes do not try at the same moment. */
     private fun retrySoon(shard: ShardId) {
-        taking[shard.value] = false
-        notBefore[shard.value] = clock.now() + RETRY_TAKE_MS * (settings.self.value + 1)
+        acquiring[shard.value] = false
+        notBefore[shard.value] = clock.now() + RETRY_ACQUIRE_MS * (settings.self.value + 1)
     }
 
     /** Reads the progress of a shard just taken: stored before the new term, it cannot change any more. */
@@ -259,7 +259,7 @@
 
         // A page may name a job that the watch has not told of yet: without the wait its tasks would run twice.
         fun part() {
-            if (--open == 0) freshness.whenJobsKnown { known -> finishReading(owner, pages.takeIf { known }, totals, startedAt) }
+            if (--open == 0) staleness.awaitJobsBarrier { known -> finishReading(owner, pages.takeIf { known }, totals, startedAt) }
         }
         out.list(Keys.pagesOf(shard.value)) {
             pages = it
@@ -273,7 +273,7 @@
 
     private fun finishReading(owner: ShardOwner, pages: List<StoredItem>?, totals: ReadResult, since: Long) {
         val shard = owner.index
-        taking[shard.value] = false
+        acquiring[shard.value] = false
         if (owner.dropped) return
         if (pages == null || totals is ReadResult.Failed) {
             log.info("shard {}: could not be read; tried again", shard.value)
@@ -289,10 +289,10 @@
     private companion object {
         const val TURN_MS = 700L
         const val SETTLED_MS = 8_000L
-        const val FIRST_HOME_PAUSE_MS = 30_000L
-        const val MOST_HOME_PAUSE_MS = 240_000L
-        const val RETRY_TAKE_MS = 100L
-        const val RETAKE_MS = 3_000L
+        const val MIN_FAILBACK_DELAY_MS = 30_000L
+        const val MAX_FAILBACK_DELAY_MS = 240_000L
+        const val RETRY_ACQUIRE_MS = 100L
+        const val REACQUIRE_MS = 3_000L
 
         /** Twice the time in which the others find that the shard needs another owner. */
         const val ABANDONED_MS = 20_000L
--- a/src/main/kotlin/io/reedmast/ownership/ShardRecord.kt
+++ b/src/main/kotlin/io/reedmast/ownership/ShardRecord.kt
@@ -9,12 +9,12 @@
 import io.reedmast.wire.map
 import io.reedmast.wire.maps
 import io.reedmast.wire.text
-import io.reedmast.workers.HostRecord
+import io.reedmast.workers.MachineRecord
 
 /**
  * Who owns a shard, and under which token. The record's version is the term: every write of an owner is conditional on it.
  *
- * Its machines are kept apart, in [HostPart]s: with them in here, the term moved with each machine that came or went and
+ * Its machines are kept apart, in [MachineListPart]s: with them in here, the term moved with each machine that came or went and
  * put every write in flight in conflict, and a few hundred of them did not fit into one value.
  */
 data class ShardRecord(val owner: String, val token: Long) {
@@ -26,42 +26,42 @@
 }
 
 /** Some of a shard's machines, as many as one stored value holds. */
-data class HostPart(
-    val hosts: List<HostRecord>,
+data class MachineListPart(
+    val records: List<MachineRecord>,
     /** Machines that are to move to another shard as soon as they are empty. */
-    val leaving: Map<String, Int>,
+    val transfers: Map<String, Int>,
 ) {
     fun toFields(): Fields = mapOf(
         "kinds" to
-            hosts.groupBy { Triple(it.typeName, it.zone, it.spot) }.map { (kind, of) ->
+            records.groupBy { Triple(it.typeName, it.zone, it.spot) }.map { (kind, of) ->
                 mapOf("typeName" to kind.first, "zone" to kind.second, "spot" to kind.third, "hosts" to of.map { it.name })
             },
-        "leaving" to leaving,
+        "leaving" to transfers,
     )
 
     fun fits(valueBytes: Int): Boolean = Tree.jsonSize(toFields()) <= valueBytes * FILLED
 
-    fun without(names: Set<String>) = HostPart(hosts.filter { it.name !in names }, leaving - names)
+    fun without(names: Set<String>) = MachineListPart(records.filter { it.name !in names }, transfers - names)
 
     /** With as many of [added] as fit. */
-    fun with(added: List<HostRecord>, valueBytes: Int): HostPart {
-        val new = added.filter { host -> hosts.none { it.name == host.name } }
+    fun with(added: List<MachineRecord>, valueBytes: Int): MachineListPart {
+        val new = added.filter { record -> records.none { it.name == record.name } }
         var count = new.size
-        while (count > 0 && !copy(hosts = hosts + new.take(count)).fits(valueBytes)) count /= 2
-        return copy(hosts = hosts + new.take(count))
+        while (count > 0 && !copy(records = records + new.take(count)).fits(valueBytes)) count /= 2
+        return copy(records = records + new.take(count))
     }
 
-    fun holds(name: String) = hosts.any { it.name == name }
+    fun holds(name: String) = records.any { it.name == name }
 
     companion object {
-        /** How full a value is made: the marks of leaving machines need room too. */
+        /** How full a value is made: the marks of transfers machines need room too. */
         private const val FILLED = 0.8
-        val EMPTY = HostPart(emptyList(), emptyMap())
+        val EMPTY = MachineListPart(emptyList(), emptyMap())
 
-        fun parse(fields: Fields) = HostPart(
+        fun parse(fields: Fields) = MachineListPart(
             fields.maps("kinds").flatMap { kind ->
                 kind.list("hosts").map {
-                    HostRecord(it as? String ?: throw MalformedException("hosts holds no name"), kind.text("typeName"), kind.text("zone"), kind.flag("spot"))
+                    MachineRecord(it as? String ?: throw MalformedException("hosts holds no name"), kind.text("typeName"), kind.text("zone"), kind.flag("spot"))
                 }
             },
             fields.map("leaving").mapValues { (_, v) -> (v as? Long)?.toInt() ?: throw MalformedException("leaving names no shard") },
