--- a/src/main/kotlin/io/reedmast/ownership/ShardTable.kt
+++ b/src/main/kotlin/io/reedmast/ownership/ShardTable.kt
@@ -31,23 +31,23 @@
     fun countOf(owner: String): Int = records.count { it?.record?.owner == owner }
 
     /** Takes up the value under [path], if it is one of this table's keys. */
-    fun see(path: String, value: Fields?, version: Long) {
+    fun applyRecord(path: String, value: Fields?, version: Long) {
         if (value == null) return
         if (path == Keys.TOKEN) {
-            seeToken(TokenFence.tokenOf(value), version)
+            applyToken(TokenCounter.tokenOf(value), version)
         } else if (path.startsWith(Keys.SHARDS)) {
             val shard = path.removePrefix(Keys.SHARDS).toIntOrNull() ?: return
-            if (shard in records.indices) seeShard(ShardId(shard), ShardRecord.parse(value), version)
+            if (shard in records.indices) applyShard(ShardId(shard), ShardRecord.parse(value), version)
         }
     }
 
-    fun seeToken(value: Long, version: Long) {
+    fun applyToken(value: Long, version: Long) {
         if (version <= tokenVersion) return
         token = value
         tokenVersion = version
     }
 
-    fun seeShard(shard: ShardId, record: ShardRecord, version: Long) {
+    fun applyShard(shard: ShardId, record: ShardRecord, version: Long) {
         val before = records[shard.value]
         if (before != null && before.version >= version) return
         val now = StoredRecord(record, version)
--- a/src/main/kotlin/io/reedmast/ownership/WorkerContact.kt
+++ b/src/main/kotlin/io/reedmast/ownership/WorkerReachability.kt
@@ -11,12 +11,12 @@
  * A controller that has lost only the workers still has its keys and hears the store. If it took over a shard, the
  * shard's workers would lose their leases before another controller noticed.
  */
-class WorkerContact(private val clock: Clock, private val out: Gateway) {
+class WorkerReachability(private val clock: Clock, private val out: Gateway) {
     private var heardAt: Long? = null
     private val probing = HashSet<ShardId>()
 
     /** A worker's report, or its answer to a call, has come. */
-    fun noteHeard() {
+    fun recordContact() {
         heardAt = clock.now()
     }
 
@@ -35,7 +35,7 @@
             out.direct(address, 0L, 0L, emptyList()) { reply ->
                 if (reply is Reply.Answer) {
                     answered = true
-                    noteHeard()
+                    recordContact()
                 }
                 if (--open == 0) {
                     probing.remove(shard)
--- a/src/main/kotlin/io/reedmast/peers/PeerCodec.kt
+++ b/src/main/kotlin/io/reedmast/peers/PeerCodec.kt
@@ -2,7 +2,7 @@
 
 import io.reedmast.settings.ControllerId
 import io.reedmast.settings.ShardId
-import io.reedmast.workers.HostNews
+import io.reedmast.workers.MachineHint
 import okio.Buffer
 import okio.BufferedSink
 import okio.BufferedSource
@@ -23,7 +23,7 @@
     private const val TAKEOVER = 4
 
     private const val JOB_ENTRY = 1
-    private const val HOST_ENTRY = 2
+    private const val MACHINE_ENTRY = 2
 
     /** Writes [message] in as many frames as it takes. */
     fun write(sink: BufferedSink, message: PeerMessage) {
@@ -31,12 +31,12 @@
             is PeerMessage.ShardStatusUpdate -> writeNews(sink, message)
             is PeerMessage.StatusQuery -> writeQuery(sink, message)
             is PeerMessage.StatusReport -> writeReport(sink, message)
-            is PeerMessage.TakeoverRequest -> send(sink, Buffer().writeByte(TAKEOVER).writeInt(message.shard.value).writeLong(message.term))
+            is PeerMessage.FailoverRequest -> send(sink, Buffer().writeByte(TAKEOVER).writeInt(message.shard.value).writeLong(message.term))
         }
         sink.flush()
     }
 
-    private fun writeNews(sink: BufferedSink, news: PeerMessage.ShardStatusUpdate) {
+    private fun writeNews(sink: BufferedSink, update: PeerMessage.ShardStatusUpdate) {
         var frame = Buffer().writeByte(NEWS)
         fun add(entry: Buffer) {
             if (frame.size + entry.size > MAX_FRAME) {
@@ -45,14 +45,14 @@
             }
             frame.write(entry, entry.size)
         }
-        for (job in news.jobs) add(Buffer().writeByte(JOB_ENTRY).text(job.jobId).writeInt(job.done).writeInt(job.running))
-        for (host in news.hosts) add(hostEntry(host))
+        for (job in update.jobs) add(Buffer().writeByte(JOB_ENTRY).text(job.jobId).writeInt(job.done).writeInt(job.running))
+        for (hint in update.machines) add(machineEntry(hint))
         send(sink, frame)
     }
 
-    private fun hostEntry(host: HostNews): Buffer {
-        val images = host.images.takeLast(MAX_IMAGES)
-        val entry = Buffer().writeByte(HOST_ENTRY).text(host.host).text(host.addr).writeByte(images.size)
+    private fun machineEntry(hint: MachineHint): Buffer {
+        val images = hint.images.takeLast(MAX_IMAGES)
+        val entry = Buffer().writeByte(MACHINE_ENTRY).text(hint.machineName).text(hint.addr).writeByte(images.size)
         images.forEach { (image, imageGb) -> entry.text(image).writeLong(imageGb.toRawBits()) }
         return entry
     }
@@ -92,22 +92,22 @@
             NEWS -> readNews(frame)
             QUERY -> PeerMessage.StatusQuery(ControllerId(frame.readInt()), frame.readText(), frame.readLong())
             REPORT -> readReport(frame)
-            TAKEOVER -> PeerMessage.TakeoverRequest(ShardId(frame.readInt()), frame.readLong())
+            TAKEOVER -> PeerMessage.FailoverRequest(ShardId(frame.readInt()), frame.readLong())
             else -> throw IOException("a message of type $type")
         }
     }
 
     private fun readNews(frame: Buffer): PeerMessage.ShardStatusUpdate {
         val jobs = ArrayList<JobProgress>()
-        val hosts = ArrayList<HostNews>()
+        val machines = ArrayList<MachineHint>()
         while (!frame.exhausted()) {
             when (val kind = frame.readSmall()) {
                 JOB_ENTRY -> jobs.add(JobProgress(frame.readText(), frame.readInt(), frame.readInt()))
-                HOST_ENTRY -> hosts.add(HostNews(frame.readText(), frame.readText(), readImages(frame)))
+                MACHINE_ENTRY -> machines.add(MachineHint(frame.readText(), frame.readText(), readImages(frame)))
                 else -> throw IOException("an entry of kind $kind")
             }
         }
-        return PeerMessage.ShardStatusUpdate(jobs, hosts)
+        return PeerMessage.ShardStatusUpdate(jobs, machines)
     }
 
     private fun readImages(frame: Buffer) = List(frame.readSmall()) { frame.readText() to Double.fromBits(frame.readLong()) }
--- a/src/main/kotlin/io/reedmast/peers/PeerMessage.kt
+++ b/src/main/kotlin/io/reedmast/peers/PeerMessage.kt
@@ -2,7 +2,7 @@
 
 import io.reedmast.settings.ControllerId
 import io.reedmast.settings.ShardId
-import io.reedmast.workers.HostNews
+import io.reedmast.workers.MachineHint
 
 /** How far a job is, as its shard's owner knows it. */
 data class JobProgress(val jobId: String, val done: Int, val running: Int)
@@ -13,10 +13,10 @@
 /** A message between controllers. Every one of them may be lost, delayed or repeated without harm. */
 sealed interface PeerMessage {
     /** What an owner tells of its shard's jobs, for display, and of its machines, as hints for a takeover. */
-    data class ShardStatusUpdate(val jobs: List<JobProgress>, val hosts: List<HostNews>) : PeerMessage
+    data class ShardStatusUpdate(val jobs: List<JobProgress>, val machines: List<MachineHint>) : PeerMessage
 
     /** The owner of [shard] under [term] hears nearly none of its workers: another controller should take the shard. */
-    data class TakeoverRequest(val shard: ShardId, val term: Long) : PeerMessage
+    data class FailoverRequest(val shard: ShardId, val term: Long) : PeerMessage
 
     /**
      * Asks for a [StatusReport].
--- a/src/main/kotlin/io/reedmast/placement/Choice.kt
+++ b/src/main/kotlin/io/reedmast/placement/MachineSelector.kt
@@ -6,7 +6,7 @@
 import io.reedmast.workers.Machine
 
 /** Whether a job may ever run on a machine of this kind, whatever else is on it. */
-fun allows(spec: JobSpec, typeName: String, zone: String, spot: Boolean): Boolean =
+fun isEligible(spec: JobSpec, typeName: String, zone: String, spot: Boolean): Boolean =
     (!spot || spec.spot) && (spec.allowedTypes == null || typeName in spec.allowedTypes) && (spec.zone == null || zone == spec.zone)
 
 /**
@@ -15,7 +15,7 @@
  * In-flight launches and attempts on silent machines count like running ones: `oneZone` and `apart` are broken by what is
  * there, not by what was heard.
  */
-fun zonesAllow(job: Job, zone: String): Boolean {
+fun satisfiesZoneRules(job: Job, zone: String): Boolean {
     val spec = job.spec
     if (!spec.oneZone && !spec.spread) return true
     var here = 0
@@ -34,10 +34,10 @@
  *
  * What is rented in another zone stays empty, and hides that the job still waits.
  */
-fun zonesOpen(job: Job, zones: Collection<String>): Set<String>? {
+fun openZones(job: Job, zones: Collection<String>): Set<String>? {
     val spec = job.spec
     if ((!spec.oneZone && !spec.spread) || job.placedCount == 0) return null
-    return zones.filterTo(LinkedHashSet()) { zonesAllow(job, it) }
+    return zones.filterTo(LinkedHashSet()) { satisfiesZoneRules(job, it) }
 }
 
 /**
@@ -46,26 +46,33 @@
  * Without it, arrays fill such machines to the brim, each new service takes whatever machine has a task's end just then,
  * and at the end of the arrays there is a machine to be paid for under every single service.
  */
-class HeldRoom(var free: Double, private val reserve: Double) {
+class ServiceHeadroom(var free: Double, private val reserve: Double) {
     fun leaves(cpus: Double) = free - cpus >= reserve
 }
 
 /**
  * The one of [machines], all of them usable, on which a task of [job] should start now, or null. Lower scores are better.
  *
- * Work that may use spot machines keeps an ordinary one that is [dear] from becoming empty only if it is [late]. A job that
- * [starves] goes back to where it failed, too.
+ * Work that may use spot machines keeps an ordinary one that is [isExpensive] from becoming empty only if it is [late]. A job that
+ * [isStarving] goes back to where it failed, too.
  */
-fun choose(job: Job, machines: List<Machine>, late: Boolean, starves: Boolean, room: HeldRoom, dear: (MachineType, Job) -> Boolean): Machine? {
+fun selectMachine(
+    job: Job,
+    machines: List<Machine>,
+    late: Boolean,
+    isStarving: Boolean,
+    room: ServiceHeadroom,
+    isExpensive: (MachineType, Job) -> Boolean,
+): Machine? {
     val spec = job.spec
     var best: Machine? = null
     var bestScore = Double.MAX_VALUE
     for (machine in machines) {
         if (!machine.fits(spec.cpus, spec.gpus, spec.memoryGb)) continue
-        if (!allows(spec, machine.record.typeName, machine.record.zone, machine.record.spot)) continue
-        if (!late && spec.spot && !machine.record.spot && !machine.held && machine.machineType?.let { dear(it, job) } == true) continue
+        if (!isEligible(spec, machine.record.typeName, machine.record.zone, machine.record.spot)) continue
+        if (!late && spec.spot && !machine.record.spot && !machine.held && machine.machineType?.let { isExpensive(it, job) } == true) continue
         if (!spec.service && !late && machine.isServiceHome && !room.leaves(spec.cpus)) continue
-        if ((!starves && machine in job.failedOn) || !zonesAllow(job, machine.record.zone)) continue
+        if ((!isStarving && machine in job.failedOn) || !satisfiesZoneRules(job, machine.record.zone)) continue
         val score = score(spec, machine)
         if (score < bestScore) {
             bestScore = score
--- a/src/main/kotlin/io/reedmast/placement/Placer.kt
+++ b/src/main/kotlin/io/reedmast/placement/Scheduler.kt
@@ -1,32 +1,32 @@
 package io.reedmast.placement
 
+import io.reedmast.fairshare.PreemptionCandidate
 import io.reedmast.fairshare.Request
-import io.reedmast.fairshare.Runner
 import io.reedmast.fairshare.funded
-import io.reedmast.fairshare.mayYield
+import io.reedmast.fairshare.mayPreempt
 import io.reedmast.fleet.DemandEstimator
-import io.reedmast.fleet.SpareMachines
-import io.reedmast.fleet.isDear
+import io.reedmast.fleet.ScaleInPolicy
+import io.reedmast.fleet.isTooExpensive
 import io.reedmast.gangs.GangReservations
-import io.reedmast.gangs.chooseForGang
+import io.reedmast.gangs.packGang
 import io.reedmast.gangs.tasksThatFit
 import io.reedmast.jobs.Job
 import io.reedmast.jobs.Placement
 import io.reedmast.jobs.ShardState
 import io.reedmast.jobs.StopReason
-import io.reedmast.ownership.Token
+import io.reedmast.ownership.FencingToken
 import io.reedmast.settings.TeamId
 import io.reedmast.wire.MachineType
-import io.reedmast.workers.Commands
+import io.reedmast.workers.CommandDispatcher
 import io.reedmast.workers.Machine
 import org.slf4j.LoggerFactory
 
 /** Queue order, placement and preemption: a pass over all that waits, at a bounded rate. */
-class Placer(
+class Scheduler(
     private val shardState: ShardState,
-    private val commands: Commands,
+    private val dispatcher: CommandDispatcher,
     private val demandEstimator: DemandEstimator,
-    private val spareMachines: SpareMachines,
+    private val scaleInPolicy: ScaleInPolicy,
 ) {
     private val log = LoggerFactory.getLogger("shard")
     private var attempts = 0L
@@ -34,17 +34,17 @@
     private var lastPass = 0L
     private val reservations = GangReservations()
     private val keptFromAll = HashMap<TeamId, MutableList<Placement>>()
-    private val nextUnserved = HashMap<TeamId, Long>()
+    private val nextUnderservedAt = HashMap<TeamId, Long>()
 
     /** Passes made so far, for those who count work. */
     var passes = 0L
         private set
 
     fun passIfDue(now: Long) {
-        if (!shardState.placeWanted || now < nextPass || now < shardState.placeNotBefore || !shardState.fresh()) return
+        if (!shardState.passRequested || now < nextPass || now < shardState.passNotBefore || !shardState.isCurrent()) return
         // Each pass that places something costs puts: tasks of arrays that follow each other on a machine share them.
-        if (now < lastPass + ARRAY_PASS_EVERY_MS && shardState.jobs.values.none { it.waitingCount > 0 && shardState.startsSoon(it) }) return
-        shardState.placeWanted = false
+        if (now < lastPass + ARRAY_PASS_EVERY_MS && shardState.jobs.values.none { it.pendingCount > 0 && shardState.isLatencySensitive(it) }) return
+        shardState.passRequested = false
         lastPass = now
         nextPass = now + PASS_EVERY_MS
         passes++
@@ -64,24 +64,24 @@
 
     /** Funded work before uncharged work; teams within their guarantee first, then by charged use against allocation. */
     private fun pass(now: Long) {
-        val ready = shardState.jobs.values.filter { it.waitingCount > 0 && !it.ending && now >= it.notBefore }
+        val ready = shardState.jobs.values.filter { it.pendingCount > 0 && !it.ending && now >= it.notBefore }
         if (ready.isEmpty()) return
         val machines = candidates(now)
         reservations.prune(now)
         keepRoomForGangs(machines, now)
         val homes = machines.filter { it.isServiceHome }
-        val most = homes.sumOf { it.machineType?.cpus ?: 0.0 } * MOST_RESERVED
-        val room = HeldRoom(homes.sumOf { it.freeCpus }, minOf(spareMachines.reserve(now), most))
+        val most = homes.sumOf { it.machineType?.cpus ?: 0.0 } * MAX_RESERVED
+        val room = ServiceHeadroom(homes.sumOf { it.freeCpus }, minOf(scaleInPolicy.serviceReserve(now), most))
         val wall = shardState.clock.wall()
         val full = HashSet<Shape>()
         val placed = HashMap<Job, Int>()
         for (job in waitingGangs(ready, now)) {
             if (placeOne(job, machines, room, full, now)) placed.merge(job, 1, Int::plus) else reservations.reserve(job, machines, now)
         }
-        for (job in unservedJobs(ready, now)) {
+        for (job in underservedJobs(ready, now)) {
             if (!placeOne(job, machines, room, full, now)) continue
             placed.merge(job, 1, Int::plus)
-            nextUnserved[job.team] = now + UNSERVED_EVERY_MS
+            nextUnderservedAt[job.team] = now + UNDERSERVED_INTERVAL_MS
         }
         for (funded in listOf(true, false)) {
             val queues =
@@ -102,15 +102,15 @@
     }
 
     /** Within a team: by priority, then what has got nothing for long, of which one task is placed at a time, then by due time. */
-    private val queueOrder = compareBy<Job>({ it.spec.priority }, { !shardState.isUnserved(it) }, { !it.spec.gang }, { shardState.dueMs(it) })
+    private val queueOrder = compareBy<Job>({ it.spec.priority }, { !shardState.isUnderserved(it) }, { !it.spec.gang }, { shardState.deadlineMs(it) })
 
     /**
      * A few jobs of each team that have got nothing for longest, now and then: a team that is always at its limit, or in a full shard,
      * with work of a higher priority or with a large array, would never begin its other jobs.
      */
-    private fun unservedJobs(ready: List<Job>, now: Long): List<Job> = ready
-        .filter { now >= (nextUnserved[it.team] ?: 0L) && shardState.isUnserved(it) }
-        .groupBy { it.team }.values.flatMap { jobs -> jobs.sortedByDescending { shardState.unservedForMs(it) }.take(UNSERVED_AT_ONCE) }
+    private fun underservedJobs(ready: List<Job>, now: Long): List<Job> = ready
+        .filter { now >= (nextUnderservedAt[it.team] ?: 0L) && shardState.isUnderserved(it) }
+        .groupBy { it.team }.values.flatMap { jobs -> jobs.sortedByDescending { shardState.underservedForMs(it) }.take(MAX_UNDERSERVED_AT_ONCE) }
 
     private fun keepRoomForGangs(machines: List<Machine>, now: Long) {
         val arrivals = shardState.gangArrivals
@@ -124,32 +124,34 @@
      * to an array of some team before there is enough for a gang.
      */
     private fun waitingGangs(ready: List<Job>, now: Long): List<Job> = ready
-        .filter { it.spec.gang && it.spec.priority.funded && now - it.waitsSince > PASS_EVERY_MS && fitsWithinLimits(it) && shardState.withinAsGang(it) }
+        .filter {
+            it.spec.gang && it.spec.priority.funded && now - it.waitsSince > PASS_EVERY_MS && fitsWithinLimits(it) && shardState.isGangWithinGuarantee(it)
+        }
         .sortedWith(compareBy({ it.spec.priority }, { it.waitsSince }))
 
-    private fun fitsWithinLimits(job: Job) = shardState.allowance(job) >= job.spec.taskCount
+    private fun fitsWithinLimits(job: Job) = shardState.remainingQuota(job) >= job.spec.taskCount
 
     private fun first(queues: Map<TeamId, ArrayDeque<Job>>, wall: Long): TeamId {
         if (queues.size == 1) return queues.keys.first()
-        return queues.keys.minWith(compareBy({ t -> !shardState.within(t, queues.getValue(t).first().spec) }, { t -> shardState.ratio(t, wall) }))
+        return queues.keys.minWith(compareBy({ t -> !shardState.isWithinGuarantee(t, queues.getValue(t).first().spec) }, { t -> shardState.ratio(t, wall) }))
     }
 
     /** Machines whose report is overdue may be gone or hang; unless most are overdue, which would be this node's fault. */
     private fun candidates(now: Long): List<Machine> {
         val usable = shardState.machines.values.filter { it.usable && it.noticeUntil == 0L }
-        val heard = usable.filter { now - it.lastHeardAt <= shardState.reportOverdueMs }
+        val heard = usable.filter { now - it.lastHeartbeatAt <= shardState.heartbeatLateMs }
         return if (heard.size * 2 >= usable.size) heard else usable
     }
 
     /** True if a task was placed and the job may have another one to place. */
-    private fun placeOne(job: Job, machines: List<Machine>, room: HeldRoom, full: MutableSet<Shape>, now: Long): Boolean {
-        if (job.waitingCount <= 0 || shardState.allowance(job) < 1) return false
+    private fun placeOne(job: Job, machines: List<Machine>, room: ServiceHeadroom, full: MutableSet<Shape>, now: Long): Boolean {
+        if (job.pendingCount <= 0 || shardState.remainingQuota(job) < 1) return false
         if (job.spec.gang) return placeGang(job, machines, room, now)
-        val task = job.nextWaiting()
+        val task = job.nextPending()
         if (task < 0) return false
         val spec = job.spec
-        val starves = shardState.starves(job)
-        val late = starves || shardState.late(job)
+        val isStarving = shardState.isStarving(job)
+        val late = isStarving || shardState.isPastDeadline(job)
         // Jobs with rules of their own for zones or machines may fail where others of their shape would not.
         val shape = if (spec.oneZone || spec.spread || job.failedOn.isNotEmpty()) {
             null
@@ -157,8 +159,8 @@
             Shape(spec.cpus, spec.gpus, spec.memoryGb, spec.spot, spec.allowedTypes, spec.zone, late)
         }
         if (shape != null && shape in full) return false
-        val open = if (spec.service || starves || reservations.isEmpty) machines else machines.filter { !reservations.isKeptFrom(job, it) }
-        val machine = choose(job, open, late, starves, room, ::dear)
+        val open = if (spec.service || isStarving || reservations.isEmpty) machines else machines.filter { !reservations.isKeptFrom(job, it) }
+        val machine = selectMachine(job, open, late, isStarving, room, ::isExpensive)
         if (machine == null) {
             if (shape != null) full.add(shape)
             return false
@@ -168,12 +170,12 @@
     }
 
     /** Places all tasks of a gang, under one attempt number, or none. */
-    private fun placeGang(job: Job, machines: List<Machine>, room: HeldRoom, now: Long): Boolean {
+    private fun placeGang(job: Job, machines: List<Machine>, room: ServiceHeadroom, now: Long): Boolean {
         if (job.placedCount > 0 || !fitsWithinLimits(job)) return false
-        val starves = shardState.starves(job)
-        val late = starves || shardState.late(job)
-        val assignment = chooseForGang(job, machines) { machine ->
-            (starves || (machine !in job.failedOn && !reservations.isKeptFrom(job, machine))) && (late || !isTooDear(job, machine))
+        val isStarving = shardState.isStarving(job)
+        val late = isStarving || shardState.isPastDeadline(job)
+        val assignment = packGang(job, machines) { machine ->
+            (isStarving || (machine !in job.failedOn && !reservations.isKeptFrom(job, machine))) && (late || !isTooExpensiveFor(job, machine))
         } ?: return false
         val attempt = nextAttempt()
         var task = 0
@@ -181,17 +183,17 @@
         return true
     }
 
-    private fun isTooDear(job: Job, machine: Machine) =
-        job.spec.spot && !machine.record.spot && !machine.held && machine.machineType?.let { dear(it, job) } == true
+    private fun isTooExpensiveFor(job: Job, machine: Machine) =
+        job.spec.spot && !machine.record.spot && !machine.held && machine.machineType?.let { isExpensive(it, job) } == true
 
-    private fun nextAttempt(): Long = (Token.takings(shardState.token) shl ATTEMPT_BITS) + ++attempts
+    private fun nextAttempt(): Long = (FencingToken.acquisitions(shardState.token) shl ATTEMPT_BITS) + ++attempts
 
-    private fun start(job: Job, task: Int, attempt: Long, machine: Machine, room: HeldRoom, now: Long) {
+    private fun start(job: Job, task: Int, attempt: Long, machine: Machine, room: ServiceHeadroom, now: Long) {
         val placement = Placement(job, task, attempt, machine, now)
-        if (shardState.isUnserved(job)) keep(placement, now)
+        if (shardState.isUnderserved(job)) keep(placement, now)
         if (machine.isServiceHome) room.free -= job.spec.cpus
         shardState.place(placement)
-        shardState.touched(job.chunkOf(task))
+        shardState.markDirty(job.chunkOf(task))
         log.debug("{} try {}: placed on {}", placement.id, attempt, machine.name)
     }
 
@@ -202,35 +204,35 @@
         val kept = keptFromAll.getOrPut(placement.job.team) { ArrayList() }
         kept.removeIf { now >= it.keptFromAllUntil || it.machine.placements[it.id] !== it }
         // A few at a time: a swarm of uncharged tasks that yield to nothing would hold the room of funded work.
-        if (!shardState.isOverdue(placement.job) || kept.size >= MOST_KEPT_FROM_ALL) return
+        if (!shardState.isOverdue(placement.job) || kept.size >= MAX_PROTECTED_FROM_ALL) return
         placement.keptFromAllUntil = until
         kept.add(placement)
     }
 
-    private fun dear(machineType: MachineType, job: Job): Boolean =
-        job.dearTypes.getOrPut(machineType.label) { isDear(machineType, shardState.machineTypes, job.spec.cpus, job.spec.gpus, job.spec.memoryGb) }
+    private fun isExpensive(machineType: MachineType, job: Job): Boolean =
+        job.expensiveTypes.getOrPut(machineType.label) { isTooExpensive(machineType, shardState.machineTypes, job.spec.cpus, job.spec.gpus, job.spec.memoryGb) }
 
     /** Stops work for requests that cannot fit otherwise, one machine at a time and never twice for the same request. */
     private fun preempt(ready: List<Job>, now: Long, wall: Long) {
-        val holding = shardState.machines.values.filter { m -> m.usable && m.noticeUntil == 0L && m.placements.values.any { yieldable(it) } }
+        val holding = shardState.machines.values.filter { m -> m.usable && m.noticeUntil == 0L && m.placements.values.any { isPreemptable(it) } }
         if (holding.isEmpty()) return
         val coming = demandEstimator.coming()
         var tries = 0
         for (job in ready) {
-            if (!job.spec.priority.funded || job.waitingCount <= job.preempting || shardState.allowance(job) <= job.preempting) continue
+            if (!job.spec.priority.funded || job.pendingCount <= job.preempting || shardState.remainingQuota(job) <= job.preempting) continue
             if (now - job.waitsSince < preemptAfterMs(job)) continue
             // What only has to be done some time fits on the machines that are on their way; what has to start soon does not.
-            if (!shardState.startsSoon(job) && demandEstimator.comingHolds(job, coming)) continue
-            if (++tries > MOST_PREEMPTING) break
-            val request = Request(job.spec.priority, shardState.within(job.team, job.spec), shardState.ratio(job.team, wall))
+            if (!shardState.isLatencySensitive(job) && demandEstimator.comingHolds(job, coming)) continue
+            if (++tries > MAX_PREEMPTING) break
+            val request = Request(job.spec.priority, shardState.isWithinGuarantee(job.team, job.spec), shardState.ratio(job.team, wall))
             if (job.spec.gang) {
                 preemptForGang(job, request, wall)
                 continue
             }
             for (machine in holding) {
-                if (job.waitingCount <= job.preempting) break
-                if (!zonesAllow(job, machine.record.zone)) continue
-                if (!allows(job.spec, machine.record.typeName, machine.record.zone, machine.record.spot)) continue
+                if (job.pendingCount <= job.preempting) break
+                if (!satisfiesZoneRules(job, machine.record.zone)) continue
+                if (!isEligible(job.spec, machine.record.typeName, machine.record.zone, machine.record.spot)) continue
                 if (machine.placements.values.any { it.stopReason != null }) continue
                 val victims = victims(job, machine, request, wall) ?: continue
                 victims.forEach { stopFor(job, it, machine) }
@@ -240,7 +242,7 @@
 
     private fun stopFor(job: Job, victim: Placement, machine: Machine) {
         log.info("{}: yields to {} on {}", victim.id, job.spec.jobId, machine.name)
-        commands.stop(victim, StopReason.PREEMPTED)
+        dispatcher.stop(victim, StopReason.PREEMPTED)
         job.preempting++
         shardState.preemptedFor[victim] = job
     }
@@ -250,7 +252,7 @@
         if (job.preempting > 0 || !fitsWithinLimits(job)) return
         val stops = LinkedHashMap<Machine, List<Placement>>()
         var left = job.spec.taskCount
-        for (machine in reservations.machinesOf(job)) {
+        for (machine in reservations.transferTargetsOf(job)) {
             if (left <= 0) break
             if (!machine.usable || machine.placements.values.any { it.stopReason != null }) continue
             var count = minOf(left, tasksThatFit(job.spec, machine))
@@ -270,12 +272,12 @@
      */
     private fun preemptAfterMs(job: Job): Long = when {
         job.spec.gang -> GANG_WAITS_MS
-        shardState.startsSoon(job) -> (shardState.settings.workers.reportS * 1000).toLong()
+        shardState.isLatencySensitive(job) -> (shardState.settings.workers.reportS * 1000).toLong()
         else -> (shardState.settings.workers.reportS * 1000 * ARRAY_WAITS_REPORTS).toLong()
     }
 
     /** Whether the work yields to anything at all: funded work that cannot resume never does. */
-    private fun yieldable(placement: Placement) =
+    private fun isPreemptable(placement: Placement) =
         shardState.clock.now() >= placement.keptFromAllUntil && (!placement.job.spec.priority.funded || placement.job.spec.resumable)
 
     /** Whether the work was preferred to [job], of the same team, for its long wait, and too lately to be stopped for it. */
@@ -290,8 +292,8 @@
         val chosen = ArrayList<Placement>()
         val candidates =
             machine.placements.values
-                .filter { it.stopReason == null && yieldable(it) && !isKeptFrom(it, job) }
-                .filter { mayYield(runner(it, job, wall), request) }
+                .filter { it.stopReason == null && isPreemptable(it) && !isKeptFrom(it, job) }
+                .filter { mayPreempt(runner(it, job, wall), request) }
                 .sortedWith(compareBy({ it.job.spec.gang }, { -it.madeAt }))
         for (victim in candidates) {
             if (enough()) break
@@ -303,16 +305,16 @@
         return if (enough() && chosen.isNotEmpty()) chosen else null
     }
 
-    private fun runner(placement: Placement, job: Job, wall: Long): Runner {
+    private fun runner(placement: Placement, job: Job, wall: Long): PreemptionCandidate {
         val spec = placement.job.spec
         val cap = shardState.tuning.protectCapS
-        return Runner(
+        return PreemptionCandidate(
             priority = spec.priority,
             resumable = spec.resumable,
             sameTeam = placement.job.team == job.team,
             ranForS = (shardState.clock.now() - protectedSince(placement)) / 1000.0,
             minimumS = minOf(cap, if (spec.estimateS > 0) spec.estimateS else cap),
-            teamBeyondGuarantee = shardState.beyondGuarantee(placement.job.team),
+            teamBeyondGuarantee = shardState.isBeyondGuarantee(placement.job.team),
             teamRatio = shardState.ratio(placement.job.team, wall),
         )
     }
@@ -324,10 +326,10 @@
     }
 
     private companion object {
-        const val MOST_RESERVED = 0.25
-        const val UNSERVED_EVERY_MS = 250L
-        const val UNSERVED_AT_ONCE = 3
-        const val MOST_KEPT_FROM_ALL = 4
+        const val MAX_RESERVED = 0.25
+        const val UNDERSERVED_INTERVAL_MS = 250L
+        const val MAX_UNDERSERVED_AT_ONCE = 3
+        const val MAX_PROTECTED_FROM_ALL = 4
         const val KEPT_MS = 60_000L
         const val ARRAY_WAITS_REPORTS = 4
 
@@ -340,6 +342,6 @@
         const val PASS_EVERY_MS = 100L
         const val ARRAY_PASS_EVERY_MS = 250L
         const val ATTEMPT_BITS = 22
-        const val MOST_PREEMPTING = 50
+        const val MAX_PREEMPTING = 50
     }
 }
--- a/src/main/kotlin/io/reedmast/ports/Gateway.kt
+++ b/src/main/kotlin/io/reedmast/ports/Gateway.kt
@@ -1,24 +1,24 @@
 package io.reedmast.ports
 
-import io.reedmast.fleet.Rental
+import io.reedmast.fleet.ProvisioningRequest
 import io.reedmast.kvstore.CasTransaction
 import io.reedmast.kvstore.ReadResult
 import io.reedmast.kvstore.StoredItem
 import io.reedmast.peers.PeerMessage
 import io.reedmast.settings.ControllerId
-import io.reedmast.wire.ListedHost
+import io.reedmast.wire.ListedMachine
 import io.reedmast.wire.MachineType
-import io.reedmast.wire.Order
 import io.reedmast.wire.Reply
+import io.reedmast.wire.WorkerCommand
 
 /** What a rental request came to. */
-sealed interface Rented {
-    data class Hosts(val names: List<String>) : Rented
+sealed interface ProvisioningResult {
+    data class Machines(val names: List<String>) : ProvisioningResult
 
-    data object NoCapacity : Rented
+    data object NoCapacity : ProvisioningResult
 
     /** Nothing is known, or nothing was done: the same request may be sent again. */
-    data object Failed : Rented
+    data object Failed : ProvisioningResult
 }
 
 /**
@@ -47,21 +47,21 @@
     fun sendToPeer(peer: ControllerId, message: PeerMessage)
 
     /** Sends commands to a worker directly. */
-    fun direct(addr: String, token: Long, session: Long, orders: List<Order>, done: (Reply) -> Unit)
+    fun direct(addr: String, token: Long, epoch: Long, commands: List<WorkerCommand>, done: (Reply) -> Unit)
 
-    fun rent(rental: Rental, done: (Rented) -> Unit)
+    fun provision(rental: ProvisioningRequest, done: (ProvisioningResult) -> Unit)
 
     /** Returns machines; true only if the cloud has confirmed that they are gone. */
-    fun giveBack(hosts: List<String>, done: (Boolean) -> Unit)
+    fun returnMachines(machineNames: List<String>, done: (Boolean) -> Unit)
 
-    fun listHosts(done: (List<ListedHost>?) -> Unit)
+    fun listMachines(done: (List<ListedMachine>?) -> Unit)
 
     fun machineTypes(done: (List<MachineType>?) -> Unit)
 
     fun extendLease(lease: Long?, lifeMs: Long, done: (LeaseState) -> Unit)
 
     /** How many nodes share the limits of store and cloud. */
-    fun shareLimits(aliveNodes: Int, leading: Boolean)
+    fun shareLimits(aliveControllers: Int, leading: Boolean)
 
     /** This process must not go on, for [reason]: it ends without touching anything more. */
     fun endProcess(reason: String)
@@ -72,7 +72,7 @@
 
 /** A lease of this node after an attempt to renew it, or to get a new one. */
 sealed interface LeaseState {
-    data class StoredRecord(val lease: Long, val fresh: Boolean) : LeaseState
+    data class Held(val lease: Long, val isNew: Boolean) : LeaseState
 
     data object Lost : LeaseState
 
--- a/src/main/kotlin/io/reedmast/rollout/ClusterPicture.kt
+++ b/src/main/kotlin/io/reedmast/rollout/ClusterSnapshot.kt
@@ -67,7 +67,7 @@
 }
 
 /** What is known of the cluster when a decision about gates is made; all of it read from the store. */
-class ClusterPicture(
+class ClusterSnapshot(
     val configured: Set<String>,
     val present: Map<String, PresentMember>,
     /** By shard; null for one that nobody has taken yet. */
--- a/src/main/kotlin/io/reedmast/rollout/GateDecision.kt
+++ b/src/main/kotlin/io/reedmast/rollout/GateDecision.kt
@@ -23,12 +23,12 @@
         data object Stays : Verdict
     }
 
-    fun plan(record: RolloutRecord, picture: ClusterPicture): RolloutPlan {
+    fun plan(record: RolloutRecord, snapshot: ClusterSnapshot): RolloutPlan {
         val waiting = LinkedHashMap<FeatureName, String>()
         // What is taken back is taken back from the end of the dependencies.
         for (feature in registry.inOrder) {
-            if (feature.name in picture.externallyFinalized) continue
-            when (val verdict = Case(feature, record, picture).verdict()) {
+            if (feature.name in snapshot.externallyFinalized) continue
+            when (val verdict = Case(feature, record, snapshot).verdict()) {
                 is Verdict.Moves -> return RolloutPlan(verdict.move, waiting)
                 is Verdict.Waits -> waiting[feature.name] = verdict.reason
                 Verdict.Stays -> Unit
@@ -38,10 +38,10 @@
     }
 
     /** One feature in one picture. */
-    private inner class Case(private val feature: Feature, private val record: RolloutRecord, private val picture: ClusterPicture) {
-        private val counted = picture.counted(record)
-        private val unfit = counted.firstOrNull { label -> picture.present[label]?.let { feature.requires !in it.versions.range } ?: false }
-        private val silent = counted.firstOrNull { it !in picture.present }
+    private inner class Case(private val feature: Feature, private val record: RolloutRecord, private val snapshot: ClusterSnapshot) {
+        private val counted = snapshot.counted(record)
+        private val unfit = counted.firstOrNull { label -> snapshot.present[label]?.let { feature.requires !in it.versions.range } ?: false }
+        private val silent = counted.firstOrNull { it !in snapshot.present }
 
         fun verdict(): Verdict {
             val target = target()
@@ -60,10 +60,10 @@
         private fun ready(): Verdict =
             missing()?.let { Verdict.Waits(it) } ?: moves(GateState.READY, "every controller reads version ${feature.requires}", preconditions())
 
-        private fun preconditions() = picture.preconditions(record)
+        private fun preconditions() = snapshot.preconditions(record)
 
         private fun missing(): String? = when {
-            unfit != null -> "$unfit has versions ${picture.present[unfit]?.versions?.range}, ${feature.requires} is required"
+            unfit != null -> "$unfit has versions ${snapshot.present[unfit]?.versions?.range}, ${feature.requires} is required"
             silent != null -> "$silent is silent"
             else -> null
         }
@@ -77,18 +77,18 @@
 
         private fun dependenciesMissing(finalized: Boolean): String? = feature.dependsOn.firstNotNullOfOrNull { name ->
             val dependency = registry[name] ?: return@firstNotNullOfOrNull "$name is unknown"
-            val state = picture.stateOf(name, record)
+            val state = snapshot.stateOf(name, record)
             when {
                 state == GateState.FINALIZED -> null
                 finalized -> "$name is not finalized"
                 state != GateState.ENABLED -> "$name is not enabled"
-                !picture.isMigrated(dependency, record) -> "records of $name are still being migrated"
+                !snapshot.isMigrated(dependency, record) -> "records of $name are still being migrated"
                 else -> null
             }
         }
 
         /** A process that does not count may still write under the term of a shard that it owns. */
-        private fun shardInOtherHands(): String? = picture.shards.withIndex().firstNotNullOfOrNull { (index, shard) ->
+        private fun shardInOtherHands(): String? = snapshot.shards.withIndex().firstNotNullOfOrNull { (index, shard) ->
             if (shard != null && shard.owner !in counted) "shard $index is owned by ${shard.owner}, which does not count" else null
         }
 
@@ -109,8 +109,8 @@
         }
 
         private fun migrationMissing(): String? {
-            if (picture.isMigrated(feature, record)) return null
-            val blocked = picture.blockedRecords(feature, record)
+            if (snapshot.isMigrated(feature, record)) return null
+            val blocked = snapshot.blockedRecords(feature, record)
             return if (blocked == 0L) "records are still being migrated" else "$blocked records cannot be migrated"
         }
 
@@ -122,7 +122,7 @@
         /** An operator's wish goes before the deploy files, which must agree: else the gate would move with each change of the leader. */
         private fun target(): Wanted {
             record.wishes[feature.name]?.let { return Wanted(it.target, "wished by ${it.made.by}: ${it.made.why}") }
-            val desires = counted.associateWith { picture.present[it]?.versions?.desired?.get(feature.name) }
+            val desires = counted.associateWith { snapshot.present[it]?.versions?.desired?.get(feature.name) }
             val distinct = desires.values.toSet()
             return when {
                 distinct.all { it == null } -> Wanted(null, "")
--- a/src/main/kotlin/io/reedmast/rollout/MigrationReconciler.kt
+++ b/src/main/kotlin/io/reedmast/rollout/MigrationReconciler.kt
@@ -31,7 +31,7 @@
     /** Nothing is migrated while less than this part of a second's worth of changes is left. */
     val leastFullness: Double = 0.7,
     /** A record goes all the same once this time has passed without one: where there is never much left, migrations must end too. */
-    val overdueMs: Long = 5_000L,
+    val lateMs: Long = 5_000L,
 )
 
 /**
@@ -71,7 +71,7 @@
     private var pass: Pass? = null
     private var busy = false
     private var due = 0L
-    private var overdueAt = now() + pace.overdueMs
+    private var overdueAt = now() + pace.lateMs
     private val retryAt = HashMap<FeatureName, Long>()
 
     /** Whether a write of this migration is on its way, so that what is stored is not certain. */
@@ -158,7 +158,7 @@
 
     private fun write(of: Pass, item: StoredItem, wanted: Fields) {
         busy = true
-        overdueAt = now() + pace.overdueMs
+        overdueAt = now() + pace.lateMs
         val preconditions = listOf(of.fence, of.gates.precondition, Precondition(item.path, item.version)).distinct()
         store.commit(
             CasTransaction(preconditions, listOf(Write.Put(item.path, wanted)), WritePriority.DEFERRED) { outcome ->
--- a/src/main/kotlin/io/reedmast/rollout/RolloutAdministration.kt
+++ b/src/main/kotlin/io/reedmast/rollout/RolloutAdministration.kt
@@ -22,7 +22,7 @@
 data class Act(val by: String, val why: String)
 
 /** The cluster as an operator sees it; [waiting] says why gates stay as they are although somebody wishes otherwise. */
-class RolloutStatus(val view: RolloutView, val picture: ClusterPicture, val waiting: Map<FeatureName, String>)
+class RolloutStatus(val view: RolloutView, val snapshot: ClusterSnapshot, val waiting: Map<FeatureName, String>)
 
 /** Reads shards' owners and features with records of their own from the cluster's keys, whose forms are not the rollout's. */
 interface ClusterRecords {
@@ -51,7 +51,7 @@
         val known = registry[feature] ?: return@change refused("there is no feature $feature; known are ${registry.inOrder.joinToString { it.name.value }}")
         val record = status.view.gates.record
         val refusal = when {
-            feature in status.picture.externallyFinalized -> "$feature is finalized"
+            feature in status.snapshot.externallyFinalized -> "$feature is finalized"
             target == Target.DORMANT -> Reversal.refusal(registry, known, record)
             else -> dependencyNotWished(known, record, status)
         }
@@ -59,21 +59,21 @@
     }
 
     private fun dependencyNotWished(feature: Feature, record: RolloutRecord, status: RolloutStatus): String? = feature.dependsOn
-        .firstOrNull { record.wishes[it]?.target == Target.DORMANT && !status.picture.stateOf(it, record).isActive }
+        .firstOrNull { record.wishes[it]?.target == Target.DORMANT && !status.snapshot.stateOf(it, record).isActive }
         ?.let { "${feature.name} depends on $it, which is wished dormant" }
 
     /** [label] does not count any more: it must be silent, must own nothing, and must not be the last one. */
     fun exclude(label: String, act: Act, done: (ActResult) -> Unit) = change(done) { status ->
         val record = status.view.gates.record
-        val owned = status.picture.shards.indexOfFirst { it?.owner == label }
+        val owned = status.snapshot.shards.indexOfFirst { it?.owner == label }
         when {
             label !in configured -> refused("there is no controller $label; known are ${configured.sorted().joinToString()}")
             label in record.excluded -> refused("$label is excluded already")
-            status.picture.counted(record).size == 1 -> refused("$label is the last controller that counts")
-            label in status.picture.present -> refused("$label is alive; stop it first")
+            status.snapshot.counted(record).size == 1 -> refused("$label is the last controller that counts")
+            label in status.snapshot.present -> refused("$label is alive; stop it first")
             owned >= 0 -> refused("$label still owns shard $owned; another controller takes it within seconds")
             // Its key must not be there, and no shard may have been taken, at the moment of the change.
-            else -> Planned.Put(record.excluding(label, made(act)), status.picture.preconditionsOf(label))
+            else -> Planned.Put(record.excluding(label, made(act)), status.snapshot.preconditionsOf(label))
         }
     }
 
@@ -85,9 +85,9 @@
 
     /** The process that runs as [label] now gives its shards up; the order ends with that process. */
     fun drain(label: String, act: Act, done: (ActResult) -> Unit) = change(done) { status ->
-        val incarnation = status.picture.present[label]?.versions?.incarnation
-        val others = status.picture.counted(status.view.gates.record) - label
-        val silent = others.firstOrNull { it !in status.picture.present }
+        val incarnation = status.snapshot.present[label]?.versions?.incarnation
+        val others = status.snapshot.counted(status.view.gates.record) - label
+        val silent = others.firstOrNull { it !in status.snapshot.present }
         val draining = others.firstOrNull { status.isDraining(it) }
         when {
             label !in configured -> refused("there is no controller $label")
@@ -139,9 +139,9 @@
 
     private fun statusOf(items: List<StoredItem>): RolloutStatus {
         val view = RolloutView(registry, OPERATOR)
-        items.forEach { view.see(it.path, it.value, it.version) }
-        val picture = view.picture(configured, records.shardOwners(items), records.externallyFinalized(items))
-        return RolloutStatus(view, picture, GateDecision(registry).plan(view.gates.record, picture).waiting)
+        items.forEach { view.applyRecord(it.path, it.value, it.version) }
+        val snapshot = view.snapshot(configured, records.shardOwners(items), records.externallyFinalized(items))
+        return RolloutStatus(view, snapshot, GateDecision(registry).plan(view.gates.record, snapshot).waiting)
     }
 
     private fun change(done: (ActResult) -> Unit, plan: (RolloutStatus) -> Planned) = read { status, failure ->
@@ -188,7 +188,7 @@
 
 /** Whether the process that runs as [label] now is to give its shards up. */
 fun RolloutStatus.isDraining(label: String): Boolean {
-    val incarnation = picture.present[label]?.versions?.incarnation ?: return false
+    val incarnation = snapshot.present[label]?.versions?.incarnation ?: return false
     return view.drainOf(label)?.order?.incarnation == incarnation
 }
 
@@ -204,20 +204,20 @@
          * others hold all shards.
          */
         fun of(label: String, status: RolloutStatus): Readiness {
-            val picture = status.picture
-            val others = picture.counted(status.view.gates.record) - label
+            val snapshot = status.snapshot
+            val others = snapshot.counted(status.view.gates.record) - label
             val reasons = ArrayList<String>()
-            if (label !in picture.configured) reasons.add("there is no controller $label")
-            others.filter { it !in picture.present }.forEach { reasons.add("$it is silent") }
+            if (label !in snapshot.configured) reasons.add("there is no controller $label")
+            others.filter { it !in snapshot.present }.forEach { reasons.add("$it is silent") }
             others.filter { status.isDraining(it) }.forEach { reasons.add("$it is being drained") }
-            picture.shards.forEachIndexed { index, shard ->
+            snapshot.shards.forEachIndexed { index, shard ->
                 when (shard?.owner) {
                     null -> reasons.add("shard $index has no owner")
                     label -> reasons.add("$label owns shard $index; drain it first")
-                    !in picture.present -> reasons.add("shard $index is owned by ${shard.owner}, which is silent")
+                    !in snapshot.present -> reasons.add("shard $index is owned by ${shard.owner}, which is silent")
                 }
             }
-            if (label in picture.present && picture.present[label]?.versions?.drained != true) reasons.add("$label has not said that it is drained")
+            if (label in snapshot.present && snapshot.present[label]?.versions?.drained != true) reasons.add("$label has not said that it is drained")
             return if (reasons.isEmpty()) Readiness.Ready else Readiness.NotReady(reasons)
         }
     }
--- a/src/main/kotlin/io/reedmast/rollout/RolloutCoordinator.kt
+++ b/src/main/kotlin/io/reedmast/rollout/RolloutCoordinator.kt
@@ -23,7 +23,7 @@
     private val wall: () -> Long,
     private val store: RolloutStore,
     private val view: RolloutView,
-    private val mostPreconditions: Int,
+    private val maxPreconditions: Int,
     private val reread: () -> Unit,
 ) {
     private val log = LoggerFactory.getLogger("rollout")
@@ -35,10 +35,10 @@
     val waiting: Map<FeatureName, String> get() = said
 
     /** Called regularly while this controller leads, hears the state store and is admitted; [leaderVersion] is the version of its key. */
-    fun tick(leaderVersion: Long, picture: ClusterPicture) {
+    fun tick(leaderVersion: Long, snapshot: ClusterSnapshot) {
         if (storing) return
         val gates = view.gates
-        val plan = decision.plan(gates.record, picture)
+        val plan = decision.plan(gates.record, snapshot)
         report(plan.waiting)
         plan.move?.let { store(it, gates, leaderVersion) }
     }
@@ -50,8 +50,8 @@
 
     private fun store(move: GateMove, gates: GateSnapshot, leaderVersion: Long) {
         val preconditions = listOf(Precondition(Keys.LEADER, leaderVersion), gates.precondition) + move.preconditions
-        if (preconditions.size > mostPreconditions) {
-            report(said + (move.feature.name to "${preconditions.size} conditions are needed, a transaction takes $mostPreconditions"))
+        if (preconditions.size > maxPreconditions) {
+            report(said + (move.feature.name to "${preconditions.size} conditions are needed, a transaction takes $maxPreconditions"))
             return
         }
         storing = true
@@ -62,7 +62,7 @@
                 when (outcome) {
                     is CommitOutcome.Applied -> {
                         log.info("{}: {}, since {}", move.feature.name, move.to.storedName, move.why)
-                        view.see(Keys.ROLLOUT, moved.toFields(), outcome.revision)
+                        view.applyRecord(Keys.ROLLOUT, moved.toFields(), outcome.revision)
                     }
 
                     is CommitOutcome.Conflict -> reread()
@@ -84,7 +84,7 @@
         store.commit(
             CasTransaction(listOf(gates.precondition), listOf(Write.Put(Keys.ROLLOUT, included.toFields()))) { outcome ->
                 storing = false
-                if (outcome is CommitOutcome.Applied) view.see(Keys.ROLLOUT, included.toFields(), outcome.revision) else reread()
+                if (outcome is CommitOutcome.Applied) view.applyRecord(Keys.ROLLOUT, included.toFields(), outcome.revision) else reread()
             },
         )
     }
--- a/src/main/kotlin/io/reedmast/rollout/RolloutView.kt
+++ b/src/main/kotlin/io/reedmast/rollout/RolloutView.kt
@@ -61,16 +61,16 @@
     }
 
     /** Takes up the value under [path], if it is one of the rollout's keys; a null [value] is a deletion. */
-    fun see(path: String, value: Fields?, version: Long) {
+    fun applyRecord(path: String, value: Fields?, version: Long) {
         when {
-            path == Keys.ROLLOUT -> seeRecord(value, version)
-            path.startsWith(Keys.NODES) -> seeMember(path.removePrefix(Keys.NODES), value, version)
-            path.startsWith(Keys.MIGRATIONS) -> seeProgress(path.removePrefix(Keys.MIGRATIONS), value, version)
-            path.startsWith(Keys.DRAINS) -> seeDrain(path.removePrefix(Keys.DRAINS), value, version)
+            path == Keys.ROLLOUT -> applyRolloutRecord(value, version)
+            path.startsWith(Keys.MEMBERS) -> applyMember(path.removePrefix(Keys.MEMBERS), value, version)
+            path.startsWith(Keys.MIGRATIONS) -> applyProgress(path.removePrefix(Keys.MIGRATIONS), value, version)
+            path.startsWith(Keys.DRAINS) -> applyDrain(path.removePrefix(Keys.DRAINS), value, version)
         }
     }
 
-    private fun seeRecord(value: Fields?, version: Long) {
+    private fun applyRolloutRecord(value: Fields?, version: Long) {
         if (version <= seenVersion) return
         seenVersion = version
         try {
@@ -87,7 +87,7 @@
         admission = Admission.of(self, registry.range, snapshot.record)
     }
 
-    private fun seeMember(label: String, value: Fields?, version: Long) {
+    private fun applyMember(label: String, value: Fields?, version: Long) {
         if (value == null) {
             present.remove(label)
             return
@@ -96,7 +96,7 @@
         present[label] = PresentMember(MemberVersions.parse(value, legacy), version)
     }
 
-    private fun seeProgress(name: String, value: Fields?, version: Long) {
+    private fun applyProgress(name: String, value: Fields?, version: Long) {
         val feature = FeatureName(name.substringBeforeLast('/'))
         val unit = unitOf(name.substringAfterLast('/')) ?: return
         val known = progress[feature to unit]
@@ -107,13 +107,13 @@
     private fun unitOf(key: String): MigrationUnit? =
         if (key == MigrationUnit.Cluster.key) MigrationUnit.Cluster else key.toIntOrNull()?.let { MigrationUnit.Shard(it) }
 
-    private fun seeDrain(label: String, value: Fields?, version: Long) {
+    private fun applyDrain(label: String, value: Fields?, version: Long) {
         if (value == null) drains.remove(label) else drains[label] = StoredDrain(DrainOrder.parse(value), version)
     }
 
     /** What a decision about gates is made from; [shards] are the shards' owners, and [externallyFinalized] features with records of their own. */
-    fun picture(configured: Set<String>, shards: List<ShardOwnership?>, externallyFinalized: Set<FeatureName>) =
-        ClusterPicture(configured, present.toMap(), shards, progress.mapValues { it.value.progress }, externallyFinalized)
+    fun snapshot(configured: Set<String>, shards: List<ShardOwnership?>, externallyFinalized: Set<FeatureName>) =
+        ClusterSnapshot(configured, present.toMap(), shards, progress.mapValues { it.value.progress }, externallyFinalized)
 
     companion object {
         /** The field of a membership key in which earlier versions name theirs. */
--- a/src/main/kotlin/io/reedmast/settings/Settings.kt
+++ b/src/main/kotlin/io/reedmast/settings/Settings.kt
@@ -207,13 +207,13 @@
         private fun address(name: String, text: String): InetSocketAddress {
             val colon = text.lastIndexOf(':')
             val port = if (colon > 0) text.substring(colon + 1).toIntOrNull() else null
-            val host = if (colon > 0) text.substring(0, colon) else ""
+            val ipAddress = if (colon > 0) text.substring(0, colon) else ""
             // By IP numbers only: a name would be looked up, and there may be nobody to ask.
-            if (port == null || port !in 1..65535 || !host.matches(Regex("[0-9]{1,3}(\\.[0-9]{1,3}){3}"))) {
+            if (port == null || port !in 1..65535 || !ipAddress.matches(Regex("[0-9]{1,3}(\\.[0-9]{1,3}){3}"))) {
                 throw MalformedException("$name is not an address of the form 10.0.0.1:8080: $text")
             }
             return try {
-                InetSocketAddress(host, port)
+                InetSocketAddress(ipAddress, port)
             } catch (e: IllegalArgumentException) {
                 throw MalformedException("$name is not an address: ${e.message}")
             }
--- a/src/main/kotlin/io/reedmast/wire/Caller.kt
+++ b/src/main/kotlin/io/reedmast/wire/Caller.kt
@@ -23,12 +23,12 @@
  * Calls other machines over HTTP with CBOR bodies; blocking, connections kept open and reused as long as [keepOpen] holds.
  */
 class Caller(private val connectMs: Int, private val readMs: Int, private val keepOpen: () -> Boolean = { true }) {
-    fun call(method: String, address: String, path: String, body: Fields? = null, patienceMs: Int = readMs): Reply {
+    fun call(method: String, address: String, path: String, body: Fields? = null, scaleInDelayMs: Int = readMs): Reply {
         val connection = URI.create("http://$address$path").toURL().openConnection() as HttpURLConnection
         try {
             connection.requestMethod = method
             connection.connectTimeout = connectMs
-            connection.readTimeout = patienceMs
+            connection.readTimeout = scaleInDelayMs
             connection.instanceFollowRedirects = false
             connection.useCaches = false
             if (!keepOpen()) connection.setRequestProperty("Connection", "close")
--- a/src/main/kotlin/io/reedmast/wire/CloudMessages.kt
+++ b/src/main/kotlin/io/reedmast/wire/CloudMessages.kt
@@ -41,9 +41,9 @@
 }
 
 /** A line of the cloud's machine list. */
-data class ListedHost(val name: String, val addr: String?, val typeName: String, val zone: String, val spot: Boolean, val stage: String, val ageS: Double) {
+data class ListedMachine(val name: String, val addr: String?, val typeName: String, val zone: String, val spot: Boolean, val stage: String, val ageS: Double) {
     companion object {
-        fun parse(it: Fields): ListedHost = ListedHost(
+        fun parse(it: Fields): ListedMachine = ListedMachine(
             it.text("ref"),
             it.optionalText("addr"),
             it.text("build"),
@@ -62,13 +62,13 @@
     fun rental(requestName: String, typeName: String, zone: String, spot: Boolean, count: Int): Fields =
         mapOf("charter" to requestName, "build" to typeName, "yard" to zone, "driftwood" to spot, "count" to count)
 
-    fun rentedHosts(body: Fields): List<String> = body.optionalTexts("hosts").orEmpty()
+    fun rentedMachines(body: Fields): List<String> = body.optionalTexts("hosts").orEmpty()
 
     fun isOutOfCapacity(body: Fields): Boolean = body["error"] == NO_CAPACITY
 
-    fun returnOf(hosts: List<String>): Fields = mapOf("hosts" to hosts)
+    fun returnOf(machineNames: List<String>): Fields = mapOf("hosts" to machineNames)
 
-    fun listedHosts(body: Fields): List<ListedHost> = body.maps("hosts").map { ListedHost.parse(it) }
+    fun listedMachines(body: Fields): List<ListedMachine> = body.maps("hosts").map { ListedMachine.parse(it) }
 
     fun hasMore(body: Fields): Boolean = body.flag("more")
 }
--- a/src/main/kotlin/io/reedmast/wire/UserMessages.kt
+++ b/src/main/kotlin/io/reedmast/wire/UserMessages.kt
@@ -5,11 +5,11 @@
     QUEUED("queued"),
     RUNNING("running"),
     DONE("done"),
-    ABORTED("aborted"),
+    CANCELLED("aborted"),
     ;
 
     /** Whether the job is over, so that this never changes again. */
-    val isFinal: Boolean get() = this == DONE || this == ABORTED
+    val isFinal: Boolean get() = this == DONE || this == CANCELLED
 }
 
 /** A job as its users see it; the counts, of tasks, are for display. */
--- a/src/main/kotlin/io/reedmast/wire/WorkerMessages.kt
+++ b/src/main/kotlin/io/reedmast/wire/WorkerMessages.kt
@@ -41,41 +41,41 @@
     }
 }
 
-data class TaskReport(val id: TaskId, val attempt: Long, val state: TaskState, val cause: Cause?)
+data class TaskStatus(val id: TaskId, val attempt: Long, val state: TaskState, val cause: Cause?)
 
 /** A worker's report, from `/checkin`, `/do` or `/status`. */
-data class Report(
-    val host: String,
+data class WorkerStatus(
+    val machineName: String,
     val addr: String,
     val typeName: String,
     val zone: String,
     val spot: Boolean,
-    val session: Long,
+    val epoch: Long,
     val sequence: Long,
     val token: Long,
     val noticeS: Double?,
-    val tasks: List<TaskReport>,
+    val tasks: List<TaskStatus>,
 ) {
     companion object {
-        fun parse(fields: Fields): Report = Report(
-            host = fields.text("host"),
+        fun parse(fields: Fields): WorkerStatus = WorkerStatus(
+            machineName = fields.text("host"),
             addr = fields.text("addr"),
             typeName = fields.text("build"),
             zone = fields.text("yard"),
             spot = fields.optionalFlag("driftwood"),
-            session = fields.count("tenure"),
+            epoch = fields.count("tenure"),
             sequence = fields.count("tally"),
             token = fields.count("baton"),
             noticeS = fields.optionalAmount("warningS"),
             tasks = fields.maps("pieces").map { piece(it) },
         )
 
-        private fun piece(fields: Fields): TaskReport {
+        private fun piece(fields: Fields): TaskStatus {
             val stateName = fields.text("stage")
             // A state nobody told us of: the task is on the machine, and not known to run.
             val state = TaskState.entries.firstOrNull { it.wire == stateName } ?: TaskState.FETCHING
             val causeName = fields.optionalText("cause")
-            return TaskReport(
+            return TaskStatus(
                 TaskId.parse(fields.text("piece")),
                 fields.count("try"),
                 state,
@@ -89,29 +89,29 @@
 /** The bodies that workers are sent. */
 object WorkerReplies {
     /** The answer to a report: commands under a token. */
-    fun commands(token: Long, orders: List<Order>): Fields = mapOf("baton" to token, "orders" to orders.map { it.toFields() })
+    fun heartbeatReply(token: Long, commands: List<WorkerCommand>): Fields = mapOf("baton" to token, "orders" to commands.map { it.toFields() })
 
     /** The answer to a report that another controller should get; null: nobody knows which. */
     fun redirect(owner: String?): Fields = mapOf("steward" to owner)
 
     /** A direct call. */
-    fun direct(token: Long, session: Long, orders: List<Order>): Fields = commands(token, orders) + ("tenure" to session)
+    fun directCall(token: Long, epoch: Long, commands: List<WorkerCommand>): Fields = heartbeatReply(token, commands) + ("tenure" to epoch)
 }
 
 /** A command to a worker. */
-sealed interface Order {
+sealed interface WorkerCommand {
     val id: TaskId
     val attempt: Long
 
-    data class Launch(override val id: TaskId, override val attempt: Long) : Order
+    data class StartTask(override val id: TaskId, override val attempt: Long) : WorkerCommand
 
-    data class Stop(override val id: TaskId, override val attempt: Long, val graceS: Double) : Order
+    data class StopTask(override val id: TaskId, override val attempt: Long, val graceS: Double) : WorkerCommand
 
-    data class Forget(override val id: TaskId, override val attempt: Long) : Order
+    data class ForgetTask(override val id: TaskId, override val attempt: Long) : WorkerCommand
 
     fun toFields(): Fields = when (this) {
-        is Launch -> mapOf("verb" to "launch", "piece" to id.toString(), "try" to attempt)
-        is Stop -> mapOf("verb" to "stop", "piece" to id.toString(), "try" to attempt, "mercyS" to graceS)
-        is Forget -> mapOf("verb" to "forget", "piece" to id.toString(), "try" to attempt)
+        is StartTask -> mapOf("verb" to "launch", "piece" to id.toString(), "try" to attempt)
+        is StopTask -> mapOf("verb" to "stop", "piece" to id.toString(), "try" to attempt, "mercyS" to graceS)
+        is ForgetTask -> mapOf("verb" to "forget", "piece" to id.toString(), "try" to attempt)
     }
 }
--- a/src/main/kotlin/io/reedmast/workers/Commands.kt
+++ b/src/main/kotlin/io/reedmast/workers/CommandDispatcher.kt
@@ -5,15 +5,15 @@
 import io.reedmast.jobs.StopReason
 import io.reedmast.ports.Gateway
 import io.reedmast.wire.MalformedException
-import io.reedmast.wire.Order
 import io.reedmast.wire.Reply
-import io.reedmast.wire.Report
+import io.reedmast.wire.WorkerCommand
+import io.reedmast.wire.WorkerStatus
 import org.slf4j.LoggerFactory
 
 /** Direct commands to workers. Launches also go out with the answers to reports, so none of these must arrive. */
-class Commands(private val shardState: ShardState, private val out: Gateway, private val take: (Machine, Report) -> Unit) {
+class CommandDispatcher(private val shardState: ShardState, private val out: Gateway, private val onStatusReport: (Machine, WorkerStatus) -> Unit) {
     private val log = LoggerFactory.getLogger("shard")
-    private val outbox = LinkedHashMap<Machine, MutableList<Order>>()
+    private val outbox = LinkedHashMap<Machine, MutableList<WorkerCommand>>()
     private val announcer = TokenAnnouncer(shardState, out, ::answered)
 
     /** The shard has just been taken. */
@@ -23,7 +23,7 @@
     fun announceToken(now: Long) = announcer.tick(now)
 
     fun launch(placement: Placement) {
-        if (placement.machine.trusted) outbox.getOrPut(placement.machine) { ArrayList() }.add(Order.Launch(placement.id, placement.attempt))
+        if (placement.machine.trusted) outbox.getOrPut(placement.machine) { ArrayList() }.add(WorkerCommand.StartTask(placement.id, placement.attempt))
     }
 
     /** Stops an attempt, and with a task of a gang all of it: each has to save at the same time. */
@@ -35,23 +35,23 @@
     }
 
     private fun stopOne(placement: Placement, reason: StopReason) {
-        if (placement.stopReason == StopReason.ABORTED || placement.stopReason == reason) return
+        if (placement.stopReason == StopReason.CANCELLED || placement.stopReason == reason) return
         placement.stopReason = reason
-        if (reason != StopReason.ABORTED) log.info("{} try {}: to be stopped on {}: {}", placement.id, placement.attempt, placement.machine.name, reason)
+        if (reason != StopReason.CANCELLED) log.info("{} try {}: to be stopped on {}: {}", placement.id, placement.attempt, placement.machine.name, reason)
         val machine = placement.machine
-        if (placement.committed && machine.trusted && placement.launchSession == machine.session) {
-            outbox.getOrPut(machine) { ArrayList() }.add(stopOrder(placement))
+        if (placement.committed && machine.trusted && placement.launchEpoch == machine.epoch) {
+            outbox.getOrPut(machine) { ArrayList() }.add(stopCommand(placement))
         }
     }
 
-    fun stopOrder(placement: Placement): Order.Stop {
+    fun stopCommand(placement: Placement): WorkerCommand.StopTask {
         val spec = placement.job.spec
         val grace = if (savesNothing(placement.stopReason) || !spec.resumable) 0.0 else spec.saveS + GRACE_SLACK_S
-        return Order.Stop(placement.id, placement.attempt, grace)
+        return WorkerCommand.StopTask(placement.id, placement.attempt, grace)
     }
 
     /** The progress is of no use to anybody, or is lost already. */
-    private fun savesNothing(reason: StopReason?) = reason == StopReason.ABORTED || reason == StopReason.GANG_INCOMPLETE
+    private fun savesNothing(reason: StopReason?) = reason == StopReason.CANCELLED || reason == StopReason.GANG_INCOMPLETE
 
     /** Sends what has gathered for the workers. */
     fun send() {
@@ -59,31 +59,31 @@
         val batches = LinkedHashMap(outbox)
         outbox.clear()
         for ((machine, gathered) in batches) {
-            val orders = gathered.filter { it !is Order.Launch || isWanted(machine, it) }
+            val commands = gathered.filter { it !is WorkerCommand.StartTask || isWanted(machine, it) }
             val addr = machine.addr
-            if (orders.isEmpty() || addr == null || !machine.trusted || machine.directCalls >= MAX_DIRECT_CALLS || !shardState.fresh() ||
+            if (commands.isEmpty() || addr == null || !machine.trusted || machine.directCalls >= MAX_DIRECT_CALLS || !shardState.isCurrent() ||
                 seemsAway(machine)
             ) {
                 continue
             }
             val token = shardState.tokenFor(machine)
-            val session = machine.session
-            val launches = orders.filterIsInstance<Order.Launch>()
-            for (order in launches) {
-                machine.noteLaunch(order.id, order.attempt, DirectLaunch(session, token))
-                machine.placements[order.id]?.takeIf { it.attempt == order.attempt }?.launchSession = session
+            val epoch = machine.epoch
+            val launches = commands.filterIsInstance<WorkerCommand.StartTask>()
+            for (command in launches) {
+                machine.recordLaunch(command.id, command.attempt, DirectLaunch(epoch, token))
+                machine.placements[command.id]?.takeIf { it.attempt == command.attempt }?.launchEpoch = epoch
             }
             machine.directCalls++
-            out.direct(addr, token, session, orders) { reply ->
+            out.direct(addr, token, epoch, commands) { reply ->
                 machine.directCalls--
-                if (reply is Reply.NotSent) launches.forEach { machine.noteNotSent(it.id, it.attempt) }
-                if (reply is Reply.Answer) answered(machine, reply) else machine.mutedAt = shardState.clock.now()
+                if (reply is Reply.NotSent) launches.forEach { machine.recordNotSent(it.id, it.attempt) }
+                if (reply is Reply.Answer) answered(machine, reply) else machine.callUnansweredAt = shardState.clock.now()
             }
         }
     }
 
     /** Since the launch was decided, a report may have ended its placement, or the job may have been cancelled. */
-    private fun isWanted(machine: Machine, launch: Order.Launch): Boolean {
+    private fun isWanted(machine: Machine, launch: WorkerCommand.StartTask): Boolean {
         val placement = machine.placements[launch.id] ?: return false
         return placement.attempt == launch.attempt && placement.stopReason == null
     }
@@ -93,12 +93,12 @@
      * or its report is overdue. A few dozen hung machines would otherwise hold up the commands to all others.
      */
     private fun seemsAway(machine: Machine) =
-        machine.mutedAt >= machine.lastHeardAt || shardState.clock.now() - machine.lastHeardAt > shardState.reportOverdueMs
+        machine.callUnansweredAt >= machine.lastHeartbeatAt || shardState.clock.now() - machine.lastHeartbeatAt > shardState.heartbeatLateMs
 
-    private fun answered(machine: Machine, reply: Reply.Answer): Report? {
+    private fun answered(machine: Machine, reply: Reply.Answer): WorkerStatus? {
         if (shardState.dropped || (reply.status != 200 && reply.status != 409)) return null
         return try {
-            Report.parse(reply.body).also { if (it.host == machine.name) take(machine, it) }
+            WorkerStatus.parse(reply.body).also { if (it.machineName == machine.name) onStatusReport(machine, it) }
         } catch (e: MalformedException) {
             log.error("the answer of {} cannot be read: {}", machine.name, e.message)
             null
--- a/src/main/kotlin/io/reedmast/workers/Reports.kt
+++ b/src/main/kotlin/io/reedmast/workers/HeartbeatHandler.kt
@@ -4,13 +4,13 @@
 import io.reedmast.jobs.Placement
 import io.reedmast.jobs.ShardState
 import io.reedmast.jobs.StopReason
-import io.reedmast.ownership.Token
+import io.reedmast.ownership.FencingToken
 import io.reedmast.wire.Cause
-import io.reedmast.wire.Order
-import io.reedmast.wire.Report
 import io.reedmast.wire.TaskId
-import io.reedmast.wire.TaskReport
 import io.reedmast.wire.TaskState
+import io.reedmast.wire.TaskStatus
+import io.reedmast.wire.WorkerCommand
+import io.reedmast.wire.WorkerStatus
 import org.slf4j.LoggerFactory
 
 /**
@@ -18,76 +18,81 @@
  *
  * Only a report made under our token counts: an older owner's commands may reach the worker until it has seen ours.
  */
-class Reports(private val shardState: ShardState, private val commands: Commands, private val gangs: GangCoordinator, private val renewToken: () -> Unit) {
+class HeartbeatHandler(
+    private val shardState: ShardState,
+    private val dispatcher: CommandDispatcher,
+    private val gangs: GangCoordinator,
+    private val renewToken: () -> Unit,
+) {
     private val log = LoggerFactory.getLogger("shard")
 
     /** Takes in a report and gives the commands for its answer. */
-    fun checkin(report: Report): List<Order> {
-        val machine = shardState.machines[report.host] ?: return emptyList()
-        val orders = ArrayList<Order>()
-        return if (take(machine, report, checkin = true, orders)) orders else emptyList()
+    fun onHeartbeat(status: WorkerStatus): List<WorkerCommand> {
+        val machine = shardState.machines[status.machineName] ?: return emptyList()
+        val commands = ArrayList<WorkerCommand>()
+        return if (process(machine, status, isHeartbeat = true, commands)) commands else emptyList()
     }
 
     /** A worker's report that came as the answer to a direct command. */
-    fun answered(machine: Machine, report: Report) {
-        take(machine, report, checkin = false, ArrayList())
+    fun onStatusReport(machine: Machine, status: WorkerStatus) {
+        process(machine, status, isHeartbeat = false, ArrayList())
     }
 
-    private fun take(machine: Machine, report: Report, checkin: Boolean, orders: MutableList<Order>): Boolean {
-        if (!machine.isNewer(report)) return false
+    private fun process(machine: Machine, status: WorkerStatus, isHeartbeat: Boolean, commands: MutableList<WorkerCommand>): Boolean {
+        if (!machine.isNewer(status)) return false
         val now = shardState.clock.now()
-        if (report.session > machine.session && machine.everHeard) lostSession(machine, now)
-        machine.addr = report.addr
-        machine.show(report)
-        machine.sequence = report.sequence
-        machine.noticeUntil = if (report.noticeS == null) {
+        if (status.epoch > machine.epoch && machine.everReported) onEpochLost(machine, now)
+        machine.addr = status.addr
+        machine.show(status)
+        machine.sequence = status.sequence
+        machine.noticeUntil = if (status.noticeS == null) {
             0L
         } else {
-            if (machine.noticeUntil == 0L) log.info("{}: the cloud takes it away in {} s", machine.name, report.noticeS)
-            now + (report.noticeS * 1000).toLong()
+            if (machine.noticeUntil == 0L) log.info("{}: the cloud takes it away in {} s", machine.name, status.noticeS)
+            now + (status.noticeS * 1000).toLong()
         }
-        if (report.token > Token.last(shardState.token)) {
+        if (status.token > FencingToken.last(shardState.token)) {
             machine.trusted = false
             renewToken()
             return false
         }
-        if (checkin) {
+        if (isHeartbeat) {
             if (now - machine.answeredAt > shardState.settings.workers.leaseS * 1000 / 2) machine.regularSince = now
             machine.answeredAt = now
         }
-        if (report.token < machine.floor) {
+        if (status.token < machine.floor) {
             // It may be a late copy from before we owned the shard: it proves neither life nor what is on the machine.
-            if (checkin) machine.unheeded++
+            if (isHeartbeat) machine.unacknowledged++
             return true
         }
-        machine.lastHeardAt = now
-        machine.everHeard = true
+        machine.lastHeartbeatAt = now
+        machine.everReported = true
         if (!machine.trusted) {
             machine.trusted = true
             machine.trustedAt = now
-            machine.unheeded = 0
-            shardState.placeWanted = true
+            machine.unacknowledged = 0
+            shardState.passRequested = true
         }
         val listed = HashSet<TaskId>()
-        machine.strayCpus = 0.0
-        machine.strayGpus = 0.0
-        machine.strayMemoryGb = 0.0
-        for (reported in report.tasks) {
+        machine.unknownTaskCpus = 0.0
+        machine.unknownTaskGpus = 0.0
+        machine.unknownTaskMemoryGb = 0.0
+        for (reported in status.tasks) {
             val placement = machine.placements[reported.id]
             if (placement != null && placement.attempt == reported.attempt && placement.committed) {
                 listed.add(reported.id)
-                takeReported(machine, placement, reported, now, orders)
+                onReportedTask(machine, placement, reported, now, commands)
             } else {
-                takeStray(machine, reported, orders)
+                onUnknownTask(machine, reported, commands)
             }
         }
         var ignored = false
         for (placement in machine.placements.values.toList()) {
             if (placement.id in listed || !placement.committed) continue
-            if (placement.launchesAnswered > 0 && shardState.fresh()) ignored = true
-            takeMissing(machine, placement, report, checkin, orders)
+            if (placement.launchesAnswered > 0 && shardState.isCurrent()) ignored = true
+            onMissingTask(machine, placement, status, isHeartbeat, commands)
         }
-        if (checkin && ignored) machine.unheeded++
+        if (isHeartbeat && ignored) machine.unacknowledged++
         return true
     }
 
@@ -96,30 +101,30 @@
      *
      * A machine that hung, or was cut off, has sent nothing for a whole lease.
      */
-    private fun lostSession(machine: Machine, now: Long) {
+    private fun onEpochLost(machine: Machine, now: Long) {
         val leaseMs = shardState.settings.workers.leaseS * 1000
-        if (now - machine.answeredAt < leaseMs / 2 && now - machine.regularSince > leaseMs * MOST_OF_IT) {
-            machine.unheeded = maxOf(machine.unheeded, Machine.DEAF_AFTER)
+        if (now - machine.answeredAt < leaseMs / 2 && now - machine.regularSince > leaseMs * MOST_OF_LEASE) {
+            machine.unacknowledged = maxOf(machine.unacknowledged, Machine.UNREACHABLE_AFTER)
             log.info("{}: its lease ran out although its reports were answered", machine.name)
         }
     }
 
-    private fun takeReported(machine: Machine, placement: Placement, reported: TaskReport, now: Long, orders: MutableList<Order>) {
+    private fun onReportedTask(machine: Machine, placement: Placement, reported: TaskStatus, now: Long, commands: MutableList<WorkerCommand>) {
         placement.seen = true
-        placement.launchSession = machine.session
+        placement.launchEpoch = machine.epoch
         if (placement.launchesAnswered > 0) {
             placement.launchesAnswered = 0
-            machine.unheeded = 0
+            machine.unacknowledged = 0
         }
         when (reported.state) {
             TaskState.FETCHING -> {}
 
-            TaskState.WAITING -> machine.noteImage(placement.job.spec.image, placement.job.spec.imageGb)
+            TaskState.WAITING -> machine.recordImage(placement.job.spec.image, placement.job.spec.imageGb)
 
             TaskState.RUNNING, TaskState.SAVING -> {
                 if (!placement.running) {
-                    placement.job.noteRunning(placement, now)
-                    machine.noteImage(placement.job.spec.image, placement.job.spec.imageGb)
+                    placement.job.recordRunning(placement, now)
+                    machine.recordImage(placement.job.spec.image, placement.job.spec.imageGb)
                 }
             }
 
@@ -129,9 +134,9 @@
             }
         }
         // An owner before us has begun to stop the gang: its other tasks must be told in time, or nothing is saved.
-        if (placement.job.spec.gang && reported.state == TaskState.SAVING) commands.stop(placement, StopReason.DRAINED)
-        if (placement.stopReason != null && (reported.state != TaskState.SAVING || placement.stopReason == StopReason.ABORTED)) {
-            orders.add(commands.stopOrder(placement))
+        if (placement.job.spec.gang && reported.state == TaskState.SAVING) dispatcher.stop(placement, StopReason.DRAINED)
+        if (placement.stopReason != null && (reported.state != TaskState.SAVING || placement.stopReason == StopReason.CANCELLED)) {
+            commands.add(dispatcher.stopCommand(placement))
         }
     }
 
@@ -145,9 +150,9 @@
             Cause.DONE -> {
                 machine.failedJobs.clear()
                 job.failures = 0
-                machine.noteImage(job.spec.image, job.spec.imageGb)
+                machine.recordImage(job.spec.image, job.spec.imageGb)
                 job.hasSucceeded = true
-                job.failedOn.forEach { retireIfSick(it) }
+                job.failedOn.forEach { decommissionIfUnhealthy(it) }
             }
 
             Cause.ERROR -> if (countsAsFailure(placement)) {
@@ -155,13 +160,13 @@
                 // Several tasks that fail together on one machine say no more of the job than one does: counted each, they made
                 // a sick machine look like a job with a mistake, and the machine was kept.
                 if (job.failedOn.add(machine)) job.failures++
-                if (shardState.looksBad(job)) {
+                if (shardState.isSuspectedFaulty(job)) {
                     // It fails wherever it runs: the job has a mistake, and the machines have not.
                     job.failedOn.forEach { it.failedJobs.remove(job.spec.jobId) }
                     job.failedOn.clear()
                     job.notBefore = now + minOf(MAX_RETRY_MS, FIRST_RETRY_MS shl minOf(5, job.failures / 4))
                 } else {
-                    retireIfSick(machine)
+                    decommissionIfUnhealthy(machine)
                 }
             }
 
@@ -190,33 +195,33 @@
      * Tasks of several jobs failed there since the last success, and one of the jobs is known to run elsewhere. Without that, a
      * few jobs with a mistake that met on one machine had it returned.
      */
-    private fun retireIfSick(machine: Machine) {
-        if (machine.retirement != null || machine.failedJobs.size < JOBS_FAILED_BY_A_SICK_MACHINE) return
+    private fun decommissionIfUnhealthy(machine: Machine) {
+        if (machine.decommissionReason != null || machine.failedJobs.size < JOBS_FAILED_ON_UNHEALTHY_MACHINE) return
         val now = shardState.clock.now()
         val good = machine.failedJobs.any { jobId ->
             shardState.jobs[jobId]?.let { job -> job.hasSucceeded || job.placements().any { it.running && now - it.runningSince > PROVES_A_JOB_MS } } == true
         }
         if (!good && machine.failedJobs.size < JOBS_FAILED_IN_ANY_CASE) return
         log.info("{}: every task fails there; it is replaced", machine.name)
-        machine.retirement = Retirement.SICK
+        machine.decommissionReason = DecommissionReason.UNHEALTHY
     }
 
     /** A task on the machine that no placement accounts for. */
-    private fun takeStray(machine: Machine, reported: TaskReport, orders: MutableList<Order>) {
+    private fun onUnknownTask(machine: Machine, reported: TaskStatus, commands: MutableList<WorkerCommand>) {
         val job = shardState.jobs[reported.id.jobId]
         if (reported.state == TaskState.ENDED) {
             // Once forgotten, the attempt would start again if its launch came late; and its result must be stored first.
             val chunk = job?.takeIf { reported.id.task < it.spec.taskCount }?.chunkOf(reported.id.task)
             val stored = job == null || (!job.ending && chunk != null && chunk.stored)
             if (!stored) return
-            if (machine.mayLaunch(reported.id, reported.attempt)) raiseToken(machine) else orders.add(Order.Forget(reported.id, reported.attempt))
+            if (machine.mayLaunch(reported.id, reported.attempt)) raiseToken(machine) else commands.add(WorkerCommand.ForgetTask(reported.id, reported.attempt))
             return
         }
-        orders.add(Order.Stop(reported.id, reported.attempt, 0.0))
+        commands.add(WorkerCommand.StopTask(reported.id, reported.attempt, 0.0))
         if (job != null) {
-            machine.strayCpus += job.spec.cpus
-            machine.strayGpus += job.spec.gpus
-            machine.strayMemoryGb += job.spec.memoryGb
+            machine.unknownTaskCpus += job.spec.cpus
+            machine.unknownTaskGpus += job.spec.gpus
+            machine.unknownTaskMemoryGb += job.spec.memoryGb
         }
     }
 
@@ -231,16 +236,16 @@
         val now = shardState.clock.now()
         if (machine.directCalls > 0 || now - machine.raisedAt < shardState.settings.workers.leaseS * 500) return
         val next = shardState.tokenFor(machine) + 1
-        if (next > Token.last(shardState.token)) return
+        if (next > FencingToken.last(shardState.token)) return
         machine.raisedTo = next
         machine.raisedAt = now
     }
 
     /** A stored placement that the newest report does not list. */
-    private fun takeMissing(machine: Machine, placement: Placement, report: Report, checkin: Boolean, orders: MutableList<Order>) {
+    private fun onMissingTask(machine: Machine, placement: Placement, status: WorkerStatus, isHeartbeat: Boolean, commands: MutableList<WorkerCommand>) {
         val mayLaunch = machine.mayLaunch(placement.id, placement.attempt)
-        val sentBefore = placement.launchSession != 0L
-        if (sentBefore && placement.launchSession < report.session && !mayLaunch) {
+        val sentBefore = placement.launchEpoch != 0L
+        if (sentBefore && placement.launchEpoch < status.epoch && !mayLaunch) {
             // A later session: everything of the earlier one was killed, and its launches are refused.
             log.info("{} try {}: lost with a session of {}", placement.id, placement.attempt, machine.name)
             if (placement.stopReason != null || !machine.usable || machine.noticeUntil != 0L || placement.job.spec.gang) {
@@ -249,38 +254,38 @@
             }
             // The worker is back, and has the image. Placed anew, all tasks of a fleet waited for the store's limit and for
             // images after an outage that was longer than the fence.
-            placement.job.noteLost(placement)
+            placement.job.recordLost(placement)
         }
-        if (!checkin) return
+        if (!isHeartbeat) return
         if (placement.stopReason == null) {
             // What runs is answered on through an outage, but nothing starts: its user may have been told that it is cancelled.
-            if (shardState.fresh() && gangs.mayLaunch(placement)) launch(placement, report.sequence, orders)
+            if (shardState.isCurrent() && gangs.mayLaunch(placement)) launch(placement, status.sequence, commands)
             return
         }
         if (mayLaunch && machine.directCalls > 0) return
         if (mayLaunch) {
             // A direct launch, or a copy of it, may still come. Launched and stopped here, the attempt is known to the worker as ended,
             // and the late launch has no effect.
-            launch(placement, report.sequence, orders)
-            orders.add(commands.stopOrder(placement))
-        } else if (!sentBefore || report.sequence > placement.answeredSequence) {
+            launch(placement, status.sequence, commands)
+            commands.add(dispatcher.stopCommand(placement))
+        } else if (!sentBefore || status.sequence > placement.answeredSequence) {
             shardState.finish(placement, done = false)
         }
     }
 
-    private fun launch(placement: Placement, sequence: Long, orders: MutableList<Order>) {
-        placement.launchSession = placement.machine.session
+    private fun launch(placement: Placement, sequence: Long, commands: MutableList<WorkerCommand>) {
+        placement.launchEpoch = placement.machine.epoch
         placement.answeredSequence = sequence
         placement.launchesAnswered++
-        orders.add(Order.Launch(placement.id, placement.attempt))
+        commands.add(WorkerCommand.StartTask(placement.id, placement.attempt))
     }
 
     private companion object {
-        const val MOST_OF_IT = 0.8
+        const val MOST_OF_LEASE = 0.8
         const val FIRST_RETRY_MS = 2_000L
         const val MAX_RETRY_MS = 30_000L
         const val REFUSED_RETRY_MS = 500L
-        const val JOBS_FAILED_BY_A_SICK_MACHINE = 2
+        const val JOBS_FAILED_ON_UNHEALTHY_MACHINE = 2
         const val JOBS_FAILED_IN_ANY_CASE = 4
         const val PROVES_A_JOB_MS = 10_000L
     }
--- a/src/main/kotlin/io/reedmast/workers/Machine.kt
+++ b/src/main/kotlin/io/reedmast/workers/Machine.kt
@@ -3,35 +3,35 @@
 import io.reedmast.jobs.Chunk
 import io.reedmast.jobs.Placement
 import io.reedmast.wire.MachineType
-import io.reedmast.wire.Report
 import io.reedmast.wire.TaskId
+import io.reedmast.wire.WorkerStatus
 
 /** A machine as the records of its shard name it. */
-data class HostRecord(val name: String, val typeName: String, val zone: String, val spot: Boolean)
+data class MachineRecord(val name: String, val typeName: String, val zone: String, val spot: Boolean)
 
 /** Why a machine is to go. */
-enum class Retirement {
+enum class DecommissionReason {
     IDLE,
-    SILENT,
+    MISSED_HEARTBEATS,
 
     /** Its reports arrive, and nothing reaches it. */
-    DEAF,
-    NEVER_CAME,
-    SICK,
-    MOVING,
+    UNREACHABLE,
+    BOOT_TIMEOUT,
+    UNHEALTHY,
+    TRANSFER,
 }
 
 /** The worker's session and the token that a direct launch was sent under. */
-data class DirectLaunch(val session: Long, val token: Long)
+data class DirectLaunch(val epoch: Long, val token: Long)
 
 /** What the owner of a shard knows of one of its machines. */
 class Machine(
-    val record: HostRecord,
+    val record: MachineRecord,
     var machineType: MachineType?,
     val firstSeenAt: Long,
     /** The lowest token that proves, once the worker has seen it, that no earlier owner's command can arrive any more. */
     var floor: Long,
-    private val facts: HostFacts = HostFacts(record.name),
+    private val facts: MachineFacts = MachineFacts(record.name),
 ) {
     val name: String get() = record.name
     var addr: String? by facts::addr
@@ -43,25 +43,25 @@
 
     /** Since when: before, nothing could be placed here. */
     var trustedAt = 0L
-    var session = 0L
+    var epoch = 0L
     var sequence = -1L
     var seenToken = 0L
 
     /** When the last report came that proves the worker to be alive: only one that shows our token does. */
-    var lastHeardAt = firstSeenAt
-    var everHeard = false
+    var lastHeartbeatAt = firstSeenAt
+    var everReported = false
 
-    /** Reports answered since the worker last showed that an answer had reached it. */
-    var unheeded = 0
+    /** HeartbeatHandler answered since the worker last showed that an answer had reached it. */
+    var unacknowledged = 0
 
     /** When the last report came that we answered, and since when they have come with no long gap. */
     var answeredAt = 0L
     var regularSince = 0L
 
     /** When a direct command last went unanswered: no more are sent before the next report. */
-    var mutedAt = 0L
+    var callUnansweredAt = 0L
     var noticeUntil = 0L
-    var retirement: Retirement? = null
+    var decommissionReason: DecommissionReason? = null
     var returning = false
 
     /** Since when it is marked to move to another shard. */
@@ -69,9 +69,9 @@
     var emptySince = firstSeenAt
 
     /** What reported tasks take that no placement accounts for. */
-    var strayCpus = 0.0
-    var strayGpus = 0.0
-    var strayMemoryGb = 0.0
+    var unknownTaskCpus = 0.0
+    var unknownTaskGpus = 0.0
+    var unknownTaskMemoryGb = 0.0
 
     /**
      * Direct launches by attempt, answered or not: the call, or one more copy of it, may arrive late and is carried out as
@@ -93,9 +93,9 @@
     private var usedGpus = 0.0
     private var usedMemoryGb = 0.0
 
-    val freeCpus: Double get() = (machineType?.cpus ?: 0.0) - usedCpus - strayCpus
-    val freeGpus: Double get() = (machineType?.gpus ?: 0.0) - usedGpus - strayGpus
-    val freeMemoryGb: Double get() = (machineType?.memoryGb ?: 0.0) - usedMemoryGb - strayMemoryGb
+    val freeCpus: Double get() = (machineType?.cpus ?: 0.0) - usedCpus - unknownTaskCpus
+    val freeGpus: Double get() = (machineType?.gpus ?: 0.0) - usedGpus - unknownTaskGpus
+    val freeMemoryGb: Double get() = (machineType?.memoryGb ?: 0.0) - usedMemoryGb - unknownTaskMemoryGb
     val hourlyPrice: Double get() = machineType?.let { if (record.spot) it.spotPrice ?: it.hourlyPrice else it.hourlyPrice } ?: 0.0
 
     private var services = 0
@@ -107,7 +107,7 @@
     val isServiceHome: Boolean get() = services > 0 && !record.spot
 
     /** Whether work may be placed here. A machine that may not hear us gets no more of it. */
-    val usable: Boolean get() = trusted && retirement == null && !returning && machineType != null && unheeded < UNHEEDED_UNUSABLE
+    val usable: Boolean get() = trusted && decommissionReason == null && !returning && machineType != null && unacknowledged < MAX_UNACKNOWLEDGED
 
     /** Parts of jobs that have left the machine since they were last stored: a stored page may still name it for them. */
     private val left = HashSet<Chunk>()
@@ -143,12 +143,12 @@
     fun fits(cpus: Double, gpus: Double, memoryGb: Double): Boolean =
         cpus <= freeCpus + EPSILON && gpus <= freeGpus + EPSILON && memoryGb <= freeMemoryGb + EPSILON
 
-    fun noteLaunch(id: TaskId, attempt: Long, launch: DirectLaunch) {
+    fun recordLaunch(id: TaskId, attempt: Long, launch: DirectLaunch) {
         launches[id to attempt] = launch
     }
 
     /** The call of that launch did not leave: no connection was made. */
-    fun noteNotSent(id: TaskId, attempt: Long) {
+    fun recordNotSent(id: TaskId, attempt: Long) {
         launches.remove(id to attempt)
     }
 
@@ -156,25 +156,25 @@
     fun mayLaunch(id: TaskId, attempt: Long): Boolean = (id to attempt) in launches
 
     /** Takes up what the newest report shows of session and token: earlier direct calls are refused from then on. */
-    fun show(report: Report) {
-        if (report.session == session && report.token <= seenToken) return
-        session = report.session
-        seenToken = maxOf(seenToken, report.token)
-        launches.values.removeIf { it.session < session || it.token < seenToken }
+    fun show(status: WorkerStatus) {
+        if (status.epoch == epoch && status.token <= seenToken) return
+        epoch = status.epoch
+        seenToken = maxOf(seenToken, status.token)
+        launches.values.removeIf { it.epoch < epoch || it.token < seenToken }
     }
 
     /** Messages overtake each other; only the newest says what is on the machine. */
-    fun isNewer(report: Report): Boolean = report.session > session || (report.session == session && report.sequence > sequence)
+    fun isNewer(status: WorkerStatus): Boolean = status.epoch > epoch || (status.epoch == epoch && status.sequence > sequence)
 
-    fun noteImage(image: String, imageGb: Double) = facts.noteImage(image, imageGb, machineType?.cacheGb ?: 0.0)
+    fun recordImage(image: String, imageGb: Double) = facts.recordImage(image, imageGb, machineType?.cacheGb ?: 0.0)
 
     companion object {
         const val EPSILON = 1e-9
 
         /** Answers in a row that seem not to have arrived, from which on nothing more is placed: one may be on the way. */
-        private const val UNHEEDED_UNUSABLE = 3
+        private const val MAX_UNACKNOWLEDGED = 3
 
         /** From which on the machine is replaced. */
-        const val DEAF_AFTER = 5
+        const val UNREACHABLE_AFTER = 5
     }
 }
--- a/src/main/kotlin/io/reedmast/workers/HostDirectory.kt
+++ b/src/main/kotlin/io/reedmast/workers/MachineDirectory.kt
@@ -1,7 +1,7 @@
 package io.reedmast.workers
 
 /** What any node may know of a machine without owning it: hints, on which no rule depends. */
-class HostFacts(val name: String) {
+class MachineFacts(val name: String) {
     var addr: String? = null
         set(value) {
             if (value != field) changed = true
@@ -14,7 +14,7 @@
     /** Whether the other nodes have not been told yet. */
     var changed = false
 
-    fun noteImage(image: String, imageGb: Double, roomGb: Double) {
+    fun recordImage(image: String, imageGb: Double, roomGb: Double) {
         if (images.put(image, imageGb) == null) changed = true
         if (roomGb <= 0.0) return
         val oldest = images.entries.iterator()
@@ -27,43 +27,43 @@
 }
 
 /** One machine's facts as owners tell each other. */
-data class HostNews(val host: String, val addr: String, val images: List<Pair<String, Double>>)
+data class MachineHint(val machineName: String, val addr: String, val images: List<Pair<String, Double>>)
 
 /**
  * Addresses and images of all machines, told by their owners to the other nodes.
  *
  * A node that takes a shard over can so show its token to the workers at once, and place work where its images are.
  */
-class HostDirectory {
-    private val facts = HashMap<String, HostFacts>()
+class MachineDirectory {
+    private val facts = HashMap<String, MachineFacts>()
 
-    fun of(host: String): HostFacts = facts.getOrPut(host) { HostFacts(host) }
+    fun of(machineName: String): MachineFacts = facts.getOrPut(machineName) { MachineFacts(machineName) }
 
-    fun forget(host: String) {
-        facts.remove(host)
+    fun forget(machineName: String) {
+        facts.remove(machineName)
     }
 
-    /** What to tell of [hosts]: what has changed, or [all]. */
-    fun news(hosts: Collection<String>, all: Boolean): List<HostNews> {
-        val news = ArrayList<HostNews>()
-        for (host in hosts) {
-            val of = facts[host] ?: continue
+    /** What to tell of [machineNames]: what has changed, or [all]. */
+    fun hints(machineNames: Collection<String>, all: Boolean): List<MachineHint> {
+        val hints = ArrayList<MachineHint>()
+        for (machineName in machineNames) {
+            val of = facts[machineName] ?: continue
             val addr = of.addr ?: continue
             if (!all && !of.changed) continue
             of.changed = false
-            news.add(HostNews(host, addr, of.images.entries.map { it.key to it.value }))
+            hints.add(MachineHint(machineName, addr, of.images.entries.map { it.key to it.value }))
         }
-        return news
+        return hints
     }
 
     /** Takes up what an owner tells of machines that are [known] to belong to some shard. */
-    fun heard(news: List<HostNews>, known: (String) -> Boolean) {
-        for (of in news) {
-            if (!known(of.host)) continue
-            val mine = of(of.host)
-            mine.addr = of.addr
+    fun heard(hints: List<MachineHint>, known: (String) -> Boolean) {
+        for (hint in hints) {
+            if (!known(hint.machineName)) continue
+            val mine = of(hint.machineName)
+            mine.addr = hint.addr
             mine.images.clear()
-            of.images.forEach { (image, imageGb) -> mine.images[image] = imageGb }
+            hint.images.forEach { (image, imageGb) -> mine.images[image] = imageGb }
             mine.changed = false
         }
     }
--- a/src/main/kotlin/io/reedmast/workers/MachineLifecycle.kt
+++ b/src/main/kotlin/io/reedmast/workers/MachineLifecycle.kt
@@ -1,6 +1,6 @@
 package io.reedmast.workers
 
-import io.reedmast.fleet.SpareMachines
+import io.reedmast.fleet.ScaleInPolicy
 import io.reedmast.jobs.ShardState
 import io.reedmast.jobs.StopReason
 import io.reedmast.ports.Gateway
@@ -10,11 +10,11 @@
 class MachineLifecycle(
     private val shardState: ShardState,
     private val out: Gateway,
-    private val commands: Commands,
-    private val spareMachines: SpareMachines,
-    private val removeHosts: (Set<String>) -> Unit,
-    private val handOver: (Collection<String>) -> Unit,
-    private val requestTakeover: () -> Unit,
+    private val dispatcher: CommandDispatcher,
+    private val scaleInPolicy: ScaleInPolicy,
+    private val removeMachines: (Set<String>) -> Unit,
+    private val transferMachines: (Collection<String>) -> Unit,
+    private val requestFailover: () -> Unit,
 ) {
     private val log = LoggerFactory.getLogger("shard")
     private val toReturn = LinkedHashSet<Machine>()
@@ -26,13 +26,13 @@
     private var requestDue = 0L
 
     /** When this node last was unable to answer workers or to decide: silence before that says nothing. */
-    private var deafUntil = 0L
+    private var observationGapUntil = 0L
 
-    fun isGone(host: String) = host in gone
+    fun isGone(machineName: String) = machineName in gone
 
-    /** The shard's records now name [hosts] only. */
-    fun noteRecorded(hosts: Set<String>) {
-        gone.retainAll(hosts)
+    /** The shard's records now name [machineNames] only. */
+    fun onRecordedMachines(machineNames: Set<String>) {
+        gone.retainAll(machineNames)
     }
 
     fun tick(now: Long) {
@@ -40,105 +40,118 @@
         sendReturns()
         if (gone.isNotEmpty() && now >= removeDue) {
             removeDue = now + REMOVE_EVERY_MS
-            removeHosts(gone)
+            removeMachines(gone)
         }
     }
 
     private fun watch(now: Long) {
-        if (!shardState.fresh()) {
+        if (!shardState.isCurrent()) {
             // Workers are turned away during a long outage; after one, all of them would seem to have been silent.
-            deafUntil = now
+            observationGapUntil = now
             return
         }
-        val silentAfter = (shardState.settings.workers.reportS * 1000 * SILENT_REPORTS).toLong()
-        noticeLossOfWorkers(now)
-        retireSilent(now, silentAfter)
-        retireDeaf()
-        val spare = spareMachines.spareCpus(now)
+        val silentAfterMs = (shardState.settings.workers.reportS * 1000 * MISSED_HEARTBEATS_LIMIT).toLong()
+        detectLossOfWorkers(now)
+        decommissionSilent(now, silentAfterMs)
+        decommissionUnreachable()
+        val headroom = scaleInPolicy.spareCpus(now)
         val empty = ArrayList<String>()
         for (machine in shardState.machines.values.toList()) {
             val machineType = machine.machineType
-            if (!machine.everHeard && machine.retirement == null && machineType != null &&
+            if (!machine.everReported && machine.decommissionReason == null && machineType != null &&
                 now - machine.firstSeenAt > (machineType.bootS * LOST_BOOT_FACTOR + LOST_BOOT_S) * 1000
             ) {
                 log.info("{}: has not come up in {} s; it is replaced", machine.name, (now - machine.firstSeenAt) / 1000)
-                machine.retirement = Retirement.NEVER_CAME
+                machine.decommissionReason = DecommissionReason.BOOT_TIMEOUT
             }
             val notice = machine.noticeUntil
             if (notice != 0L) drain(machine, notice, now)
-            if (notice in 1..now && now - machine.lastHeardAt > shardState.reportOverdueMs && machine.retirement == null) {
+            if (notice in 1..now && now - machine.lastHeartbeatAt > shardState.heartbeatLateMs && machine.decommissionReason == null) {
                 log.info("{}: taken by the cloud, as it said; it is replaced", machine.name)
-                machine.retirement = Retirement.SILENT
+                machine.decommissionReason = DecommissionReason.MISSED_HEARTBEATS
             }
-            when (machine.retirement) {
-                null -> if (idle(machine, now, spare)) retireIdle(machine, spare)
+            when (machine.decommissionReason) {
+                null -> if (idle(machine, now, headroom)) decommissionIdle(machine, headroom)
 
-                Retirement.SILENT, Retirement.DEAF, Retirement.NEVER_CAME -> giveBack(machine)
+                DecommissionReason.MISSED_HEARTBEATS, DecommissionReason.UNREACHABLE, DecommissionReason.BOOT_TIMEOUT -> returnMachines(machine)
 
-                Retirement.SICK -> if (machine.placements.isEmpty() || now - machine.lastHeardAt > silentAfter) giveBack(machine) else drainSick(machine)
+                DecommissionReason.UNHEALTHY -> if (machine.placements.isEmpty() ||
+                    now - machine.lastHeartbeatAt > silentAfterMs
+                ) {
+                    returnMachines(machine)
+                } else {
+                    drainUnhealthy(machine)
+                }
 
-                Retirement.IDLE -> if (machine.placements.isEmpty()) giveBack(machine) else machine.retirement = null
+                DecommissionReason.IDLE -> if (machine.placements.isEmpty()) returnMachines(machine) else machine.decommissionReason = null
 
-                Retirement.MOVING -> {
+                DecommissionReason.TRANSFER -> {
                     if (machine.placements.isNotEmpty() || machine.directCalls > 0) {
                         drainMoving(machine, now)
                     } else if (machine.isEmptyAsStored) {
                         empty.add(machine.name)
                     }
-                    if (now - machine.lastHeardAt > silentAfter * 2 && machine.everHeard) machine.retirement = Retirement.SILENT
+                    if (now - machine.lastHeartbeatAt > silentAfterMs * 2 &&
+                        machine.everReported
+                    ) {
+                        machine.decommissionReason = DecommissionReason.MISSED_HEARTBEATS
+                    }
                 }
             }
         }
-        if (empty.isNotEmpty()) handOver(empty)
+        if (empty.isNotEmpty()) transferMachines(empty)
     }
 
     /**
      * Nearly all machines falling silent within one report's time is this node's loss of its workers. It still has its keys and
      * hears the store, so nobody else can tell as soon, and the workers' leases are short.
      */
-    private fun noticeLossOfWorkers(now: Long) {
-        val overdueMs = shardState.reportOverdueMs
-        if (now < requestDue || now - maxOf(shardState.activeAt, deafUntil) < overdueMs * SETTLED_REPORTS) return
-        val heard = shardState.machines.values.filter { it.trusted && it.retirement == null }
-        val overdue = heard.count { now - it.lastHeardAt > overdueMs }
-        val newlySilent = heard.count { now - it.lastHeardAt in overdueMs..overdueMs * SETTLED_REPORTS }
-        if (heard.size < FEWEST_TO_TELL || overdue < heard.size * NEARLY_ALL || newlySilent * 2 < heard.size) return
+    private fun detectLossOfWorkers(now: Long) {
+        val lateMs = shardState.heartbeatLateMs
+        if (now < requestDue || now - maxOf(shardState.activeAt, observationGapUntil) < lateMs * SETTLED_HEARTBEATS) return
+        val heard = shardState.machines.values.filter { it.trusted && it.decommissionReason == null }
+        val overdue = heard.count { now - it.lastHeartbeatAt > lateMs }
+        val newlySilent = heard.count { now - it.lastHeartbeatAt in lateMs..lateMs * SETTLED_HEARTBEATS }
+        if (heard.size < MIN_MACHINES_TO_JUDGE || overdue < heard.size * NEARLY_ALL || newlySilent * 2 < heard.size) return
         requestDue = now + REQUEST_EVERY_MS
-        requestTakeover()
+        requestFailover()
     }
 
-    private fun retireSilent(now: Long, silentAfter: Long) {
+    private fun decommissionSilent(now: Long, silentAfterMs: Long) {
         // A machine that was up before we took the shard must show itself to us too, and may need a greeting for that.
-        val heard = shardState.machines.values.filter { it.everHeard || it.placements.isNotEmpty() }
-        val silent = heard.filter { now - maxOf(it.lastHeardAt, shardState.activeAt + silentAfter / 2, deafUntil + silentAfter) > silentAfter }
+        val heard = shardState.machines.values.filter { it.everReported || it.placements.isNotEmpty() }
+        val silent = heard.filter {
+            now - maxOf(it.lastHeartbeatAt, shardState.activeAt + silentAfterMs / 2, observationGapUntil + silentAfterMs) >
+                silentAfterMs
+        }
         // If most machines are silent at once, it is rather this node that hears nothing.
         val patience = if (silent.size * 2 > heard.size && heard.size > 1) (shardState.settings.workers.leaseS * 1000).toLong() else 0L
         for (machine in silent) {
-            if (machine.retirement != null && machine.retirement != Retirement.MOVING) continue
-            if (now - maxOf(machine.lastHeardAt, shardState.activeAt) <= silentAfter + patience) continue
-            log.info("{}: silent for {} s; it is replaced", machine.name, (now - machine.lastHeardAt) / 1000)
-            machine.retirement = Retirement.SILENT
-            shardState.givenUp.getOrPut(machine.record.zone) { ArrayDeque() }.addLast(now)
+            if (machine.decommissionReason != null && machine.decommissionReason != DecommissionReason.TRANSFER) continue
+            if (now - maxOf(machine.lastHeartbeatAt, shardState.activeAt) <= silentAfterMs + patience) continue
+            log.info("{}: silent for {} s; it is replaced", machine.name, (now - machine.lastHeartbeatAt) / 1000)
+            machine.decommissionReason = DecommissionReason.MISSED_HEARTBEATS
+            shardState.silentMachinesByZone.getOrPut(machine.record.zone) { ArrayDeque() }.addLast(now)
         }
     }
 
     /** Machines that report and hear nothing. Several at once would rather be this node's own answers that get lost. */
-    private fun retireDeaf() {
-        val deaf = shardState.machines.values.filter { it.unheeded >= Machine.DEAF_AFTER && it.retirement == null }
+    private fun decommissionUnreachable() {
+        val deaf = shardState.machines.values.filter { it.unacknowledged >= Machine.UNREACHABLE_AFTER && it.decommissionReason == null }
         if (deaf.isEmpty()) return
-        if (deaf.size > maxOf(MOST_DEAF, shardState.machines.size / 4)) {
+        if (deaf.size > maxOf(MAX_UNREACHABLE, shardState.machines.size / 4)) {
             log.info("shard {}: {} machines seem to hear nothing; it is rather this node", shardState.index.value, deaf.size)
-            deaf.forEach { it.unheeded = 0 }
+            deaf.forEach { it.unacknowledged = 0 }
             return
         }
         for (machine in deaf) {
             log.info("{}: reports, but nothing reaches it; it is replaced", machine.name)
-            machine.retirement = Retirement.DEAF
+            machine.decommissionReason = DecommissionReason.UNREACHABLE
         }
     }
 
-    private fun drainSick(machine: Machine) {
-        machine.placements.values.toList().forEach { commands.stop(it, StopReason.DRAINED) }
+    private fun drainUnhealthy(machine: Machine) {
+        machine.placements.values.toList().forEach { dispatcher.stop(it, StopReason.DRAINED) }
     }
 
     /** What soon ends on a machine that is to move is waited for; for the rest, the shard that gets it would wait too long. */
@@ -149,7 +162,7 @@
             val spec = placement.job.spec
             val ranS = if (placement.running) (now - placement.runningSince) / 1000.0 else 0.0
             val endsSoon = !spec.service && placement.running && spec.estimateS - ranS < ENDS_SOON_S && ranS < spec.estimateS + ENDS_SOON_S
-            if (!endsSoon) commands.stop(placement, StopReason.DRAINED)
+            if (!endsSoon) dispatcher.stop(placement, StopReason.DRAINED)
         }
     }
 
@@ -161,29 +174,29 @@
             val ranS = if (placement.running) (now - placement.runningSince) / 1000.0 else 0.0
             val finishes = !spec.service && placement.running && spec.estimateS - ranS < left - 1.0
             val lastMoment = left < (if (spec.resumable) spec.saveS + DRAIN_SLACK_S else 0.0)
-            if (spec.service || !placement.running || lastMoment || (!spec.resumable && !finishes)) commands.stop(placement, StopReason.DRAINED)
+            if (spec.service || !placement.running || lastMoment || (!spec.resumable && !finishes)) dispatcher.stop(placement, StopReason.DRAINED)
         }
     }
 
-    private fun idle(machine: Machine, now: Long, spare: SpareMachines.Spare): Boolean {
+    private fun idle(machine: Machine, now: Long, headroom: ScaleInPolicy.Headroom): Boolean {
         if (machine.placements.isNotEmpty() || !machine.trusted) return false
         // A machine that has just booted has been empty for all of its boot: it was returned before anything could be placed.
         if (now - machine.trustedAt < JUST_UP_MS) return false
-        val patience = spareMachines.patienceMs(machine)
+        val patience = scaleInPolicy.scaleInDelayMs(machine)
         // While this node heard nothing from the store, nothing could be placed there.
-        return now - maxOf(machine.emptySince, deafUntil) > patience && now - shardState.activeAt > patience && !spare.needs(machine)
+        return now - maxOf(machine.emptySince, observationGapUntil) > patience && now - shardState.activeAt > patience && !headroom.needs(machine)
     }
 
-    private fun retireIdle(machine: Machine, spare: SpareMachines.Spare) {
+    private fun decommissionIdle(machine: Machine, headroom: ScaleInPolicy.Headroom) {
         log.info("{}: empty for {} s; it is returned", machine.name, (shardState.clock.now() - machine.emptySince) / 1000)
-        spare.without(machine)
-        machine.retirement = Retirement.IDLE
-        giveBack(machine)
+        headroom.without(machine)
+        machine.decommissionReason = DecommissionReason.IDLE
+        returnMachines(machine)
     }
 
     /** Returns a machine. Only the cloud's answer is evidence that what was on it is gone. */
-    private fun giveBack(machine: Machine) {
-        if (machine.returning || !shardState.fresh()) return
+    private fun returnMachines(machine: Machine) {
+        if (machine.returning || !shardState.isCurrent()) return
         machine.returning = true
         toReturn.add(machine)
     }
@@ -195,13 +208,13 @@
      * cloud's limit.
      */
     private fun sendReturns() {
-        if (returnInFlight || toReturn.isEmpty() || !shardState.fresh()) return
-        val leaving = toReturn.take(MOST_RETURNED)
+        if (returnInFlight || toReturn.isEmpty() || !shardState.isCurrent()) return
+        val leaving = toReturn.take(MAX_MACHINES_PER_RETURN)
         toReturn.removeAll(leaving.toSet())
         returnInFlight = true
-        out.giveBack(leaving.map { it.name }) { confirmed ->
+        out.returnMachines(leaving.map { it.name }) { confirmed ->
             returnInFlight = false
-            if (shardState.dropped) return@giveBack
+            if (shardState.dropped) return@returnMachines
             leaving.forEach { if (confirmed) returned(it) else it.returning = false }
         }
     }
@@ -222,12 +235,12 @@
         /** Work that has this long to go, by its owner's estimate, is let end on a machine that is to move. */
         const val ENDS_SOON_S = 15.0
         private const val JUST_PLACED_MS = 6_000L
-        private const val MOST_RETURNED = 100
-        private const val MOST_DEAF = 3
-        private const val SILENT_REPORTS = 3.0
-        private const val FEWEST_TO_TELL = 4
+        private const val MAX_MACHINES_PER_RETURN = 100
+        private const val MAX_UNREACHABLE = 3
+        private const val MISSED_HEARTBEATS_LIMIT = 3.0
+        private const val MIN_MACHINES_TO_JUDGE = 4
         private const val NEARLY_ALL = 0.8
-        private const val SETTLED_REPORTS = 3
+        private const val SETTLED_HEARTBEATS = 3
         private const val REQUEST_EVERY_MS = 2_000L
         private const val LOST_BOOT_FACTOR = 2.5
         private const val LOST_BOOT_S = 5.0
--- a/src/main/kotlin/io/reedmast/workers/TokenAnnouncer.kt
+++ b/src/main/kotlin/io/reedmast/workers/TokenAnnouncer.kt
@@ -3,7 +3,7 @@
 import io.reedmast.jobs.ShardState
 import io.reedmast.ports.Gateway
 import io.reedmast.wire.Reply
-import io.reedmast.wire.Report
+import io.reedmast.wire.WorkerStatus
 
 /**
  * Shows a new owner's token to the machines of its shard.
@@ -16,7 +16,7 @@
     private val shardState: ShardState,
     private val out: Gateway,
     /** Takes in the report that answers a call, and gives it back if it can be read. */
-    private val answered: (Machine, Reply.Answer) -> Report?,
+    private val answered: (Machine, Reply.Answer) -> WorkerStatus?,
 ) {
     private var listDue = 0L
     private var listing = false
@@ -25,7 +25,7 @@
     fun begin() {
         listDue = shardState.clock.now() + LIST_AFTER_MS
         for (machine in shardState.machines.values.toList()) {
-            if (!machine.trusted && machine.retirement == null) call(machine, machine.addr ?: continue, machine.session, again = true)
+            if (!machine.trusted && machine.decommissionReason == null) call(machine, machine.addr ?: continue, machine.epoch, again = true)
         }
     }
 
@@ -38,23 +38,23 @@
         }
         listing = true
         listDue = now + LIST_EVERY_MS
-        out.listHosts { hosts ->
+        out.listMachines { listed ->
             listing = false
-            if (shardState.dropped) return@listHosts
-            for (host in hosts.orEmpty()) {
-                val machine = shardState.machines[host.name]?.takeIf { lacksToken(it) } ?: continue
-                call(machine, host.addr ?: continue, machine.session, again = true)
+            if (shardState.dropped) return@listMachines
+            for (entry in listed.orEmpty()) {
+                val machine = shardState.machines[entry.name]?.takeIf { lacksToken(it) } ?: continue
+                call(machine, entry.addr ?: continue, machine.epoch, again = true)
             }
         }
     }
 
-    private fun lacksToken(machine: Machine) = !machine.trusted && machine.retirement == null && machine.placements.isNotEmpty()
+    private fun lacksToken(machine: Machine) = !machine.trusted && machine.decommissionReason == null && machine.placements.isNotEmpty()
 
-    private fun call(machine: Machine, addr: String, session: Long, again: Boolean) {
-        out.direct(addr, shardState.tokenFor(machine), session, emptyList()) { reply ->
-            val report = (reply as? Reply.Answer)?.let { answered(machine, it) }
+    private fun call(machine: Machine, addr: String, epoch: Long, again: Boolean) {
+        out.direct(addr, shardState.tokenFor(machine), epoch, emptyList()) { reply ->
+            val status = (reply as? Reply.Answer)?.let { answered(machine, it) }
             // Refused for its session, which the answer tells.
-            if (report != null && again && report.token < shardState.token) call(machine, addr, report.session, again = false)
+            if (status != null && again && status.token < shardState.token) call(machine, addr, status.epoch, again = false)
         }
     }
 
--- a/src/test/kotlin/io/reedmast/CommandLineTest.kt
+++ b/src/test/kotlin/io/reedmast/CommandLineTest.kt
@@ -47,6 +47,6 @@
     fun `an act whose cluster does not answer is refused with 1 and one line`() {
         val refused = run("--config", "deploy/rehearsal.json", "rollout", "enable", "fenced-tokens", "--by", "somebody", "--why", "a test")
         assertEquals(1, refused.first)
-        assertTrue("the state service does not answer" in refused.second, refused.second)
+        assertTrue("the store does not answer" in refused.second, refused.second)
     }
 }
--- a/src/test/kotlin/io/reedmast/CountedWorkTest.kt
+++ b/src/test/kotlin/io/reedmast/CountedWorkTest.kt
@@ -2,7 +2,7 @@
 
 import io.reedmast.kvstore.WritePriority
 import io.reedmast.kvstore.WriteRateLimiter
-import io.reedmast.ownership.HostPart
+import io.reedmast.ownership.MachineListPart
 import io.reedmast.settings.CloudLimits
 import io.reedmast.settings.ControllerId
 import io.reedmast.settings.Member
@@ -13,7 +13,7 @@
 import io.reedmast.sim.World
 import io.reedmast.wire.MachineType
 import io.reedmast.wire.Tree
-import io.reedmast.workers.HostRecord
+import io.reedmast.workers.MachineRecord
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
@@ -78,10 +78,10 @@
         val perSecond = (stored - jobs - 2 * 60) / seconds.toDouble()
         assertTrue(perSecond < 36, "$perSecond changes a second besides acceptances and ends")
         for (node in world.nodes) {
-            val passes = checkNotNull(node.controller).cluster.owned().sumOf { it.placer.passes }
+            val passes = checkNotNull(node.controller).cluster.owned().sumOf { it.scheduler.passes }
             assertTrue(passes <= 10 * 70, "$passes passes in 70 s")
         }
-        // Reports every three seconds and at changes, and a few direct commands for each task.
+        // HeartbeatHandler every three seconds and at changes, and a few direct commands for each task.
         assertTrue(world.messages < machines * 70 / 3 * 1.2 + 4_000 * 4, "${world.messages} messages")
     }
 
@@ -117,7 +117,7 @@
         val sent = world.messages - messages
         assertTrue(sent < machines * 30 / 3 * 1.2 + 10_000 * 4, "$sent messages")
         for (node in world.nodes) {
-            val passes = checkNotNull(node.controller).cluster.owned().sumOf { it.placer.passes }
+            val passes = checkNotNull(node.controller).cluster.owned().sumOf { it.scheduler.passes }
             assertTrue(passes <= 10 * 60, "$passes passes in 60 s")
         }
     }
@@ -144,29 +144,29 @@
 
     @Test
     fun `a slice's machines are spread over records below the limit`() {
-        val hosts = (0 until 200).map { HostRecord("host-%06d".format(it), "m", "x", it % 2 == 0) }
-        val first = HostPart.EMPTY.with(hosts, 1024)
-        assertTrue(Tree.jsonSize(first.toFields()) <= 1024 && first.hosts.size in 20..199, "${first.hosts.size} machines")
-        assertEquals(first, first.with(hosts.take(10), 1024))
-        assertEquals(first, HostPart.parse(Tree.readCbor(Tree.writeCbor(first.toFields()))).copy(hosts = first.hosts))
+        val records = (0 until 200).map { MachineRecord("host-%06d".format(it), "m", "x", it % 2 == 0) }
+        val first = MachineListPart.EMPTY.with(records, 1024)
+        assertTrue(Tree.jsonSize(first.toFields()) <= 1024 && first.records.size in 20..199, "${first.records.size} machines")
+        assertEquals(first, first.with(records.take(10), 1024))
+        assertEquals(first, MachineListPart.parse(Tree.readCbor(Tree.writeCbor(first.toFields()))).copy(records = first.records))
     }
 
     @Test
     fun `clean-up leaves part of the budget to work, and work to users`() {
         var now = 0L
         val writeLimiter = WriteRateLimiter(10.0) { now }
-        assertEquals(0L, writeLimiter.take(5, WritePriority.DEFERRED))
-        assertTrue(writeLimiter.take(1, WritePriority.DEFERRED) > 0)
-        assertEquals(0L, writeLimiter.take(2, WritePriority.URGENT))
-        assertEquals(100L, writeLimiter.take(1, WritePriority.URGENT))
-        assertEquals(0L, writeLimiter.take(3, WritePriority.USER))
-        assertEquals(100L, writeLimiter.take(1, WritePriority.USER))
+        assertEquals(0L, writeLimiter.tryAcquire(5, WritePriority.DEFERRED))
+        assertTrue(writeLimiter.tryAcquire(1, WritePriority.DEFERRED) > 0)
+        assertEquals(0L, writeLimiter.tryAcquire(2, WritePriority.URGENT))
+        assertEquals(100L, writeLimiter.tryAcquire(1, WritePriority.URGENT))
+        assertEquals(0L, writeLimiter.tryAcquire(3, WritePriority.USER))
+        assertEquals(100L, writeLimiter.tryAcquire(1, WritePriority.USER))
         now += 100
-        assertEquals(300L, writeLimiter.take(1, WritePriority.URGENT))
-        assertEquals(0L, writeLimiter.take(1, WritePriority.USER))
+        assertEquals(300L, writeLimiter.tryAcquire(1, WritePriority.URGENT))
+        assertEquals(0L, writeLimiter.tryAcquire(1, WritePriority.USER))
         // A transaction larger than a second's worth goes out once the bucket is full, and is paid for afterwards.
         now += 1_000
-        assertEquals(0L, writeLimiter.take(16, WritePriority.URGENT))
-        assertTrue(writeLimiter.take(1, WritePriority.USER) >= 700)
+        assertEquals(0L, writeLimiter.tryAcquire(16, WritePriority.URGENT))
+        assertTrue(writeLimiter.tryAcquire(1, WritePriority.USER) >= 700)
     }
 }
--- a/src/test/kotlin/io/reedmast/ProductionFormatTest.kt
+++ b/src/test/kotlin/io/reedmast/ProductionFormatTest.kt
@@ -9,7 +9,7 @@
 import io.reedmast.jobs.Placement
 import io.reedmast.jobs.ProgressPage
 import io.reedmast.jobs.StoredChunk
-import io.reedmast.ownership.HostPart
+import io.reedmast.ownership.MachineListPart
 import io.reedmast.ownership.ShardRecord
 import io.reedmast.peers.PeerCodec
 import io.reedmast.settings.ShardId
@@ -20,8 +20,8 @@
 import io.reedmast.wire.map
 import io.reedmast.wire.maps
 import io.reedmast.wire.text
-import io.reedmast.workers.HostRecord
 import io.reedmast.workers.Machine
+import io.reedmast.workers.MachineRecord
 import okio.Buffer
 import okio.ByteString.Companion.decodeHex
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -47,7 +47,7 @@
     @Test
     fun `records of slices, machines and jobs`() {
         assertSameForm("slice", ShardRecord.parse(record("slice")).toFields())
-        assertSameForm("hosts", HostPart.parse(record("hosts")).toFields())
+        assertSameForm("hosts", MachineListPart.parse(record("hosts")).toFields())
         for (name in listOf("live-array", "live-service", "live-cancelled")) assertSameForm(name, LiveRecord.parse(record(name)).toFields())
         for (name in listOf("end-done", "end-cancelled")) assertSameForm(name, EndRecord.parse(record(name)).toFields())
         assertEquals(JobShape.SERVICE, LiveRecord.parse(record("live-service")).spec.shape)
@@ -78,7 +78,7 @@
             val job = jobs.getOrPut(read.jobId) { Job(live.spec, TeamId(0), live.chunkSize, 0L, 1L) }
             read.done.stream().forEach { job.markDone(read.first + it) }
             read.placements.forEach { on ->
-                job.add(Placement(job, on.task, on.attempt, Machine(HostRecord(on.host, "g8", "x", false), null, 0L, 0L), 0L))
+                job.add(Placement(job, on.task, on.attempt, Machine(MachineRecord(on.machineName, "g8", "x", false), null, 0L, 0L), 0L))
             }
             page.add(job.chunkOf(read.first))
         }
--- a/src/test/kotlin/io/reedmast/SocketTest.kt
+++ b/src/test/kotlin/io/reedmast/SocketTest.kt
@@ -20,7 +20,7 @@
 import io.reedmast.wire.Caller
 import io.reedmast.wire.Fields
 import io.reedmast.wire.Tree
-import io.reedmast.workers.HostNews
+import io.reedmast.workers.MachineHint
 import org.junit.jupiter.api.AfterAll
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
@@ -195,8 +195,8 @@
         assertEquals(201, submit(job).first)
         assertEquals(200, submit(job).first)
         assertEquals(200, call("GET", "/submissions/wk-000001", null).first)
-        val aborted = call("POST", "/submissions/wk-000001/abort", ByteArray(0))
-        assertEquals("aborted", Tree.readCbor(aborted.second)["stage"])
+        val isCancelled = call("POST", "/submissions/wk-000001/abort", ByteArray(0))
+        assertEquals("aborted", Tree.readCbor(isCancelled.second)["stage"])
         assertEquals("aborted", Tree.readCbor(submit(job).second)["stage"])
         assertEquals("aborted", Tree.readCbor(call("GET", "/submissions/wk-000001", null).second)["stage"])
     }
@@ -260,18 +260,20 @@
         val listening = server.open()
         backendThreads.execute { server.run(listening) }
         val jobs = (0 until 5_000).map { JobProgress("wk-%06d".format(it), it, 7) }
-        val hosts = (0 until 500).map { HostNews("host-%06d".format(it), "10.1.0.1:$it", listOf("img-1" to 1.5, "img-$it" to 2.0)) }
-        assertTrue(PeerClient(address).send(PeerMessage.ShardStatusUpdate(jobs, hosts)))
+        val machineNames = (0 until 500).map { MachineHint("host-%06d".format(it), "10.1.0.1:$it", listOf("img-1" to 1.5, "img-$it" to 2.0)) }
+        assertTrue(PeerClient(address).send(PeerMessage.ShardStatusUpdate(jobs, machineNames)))
         val gotJobs = ArrayList<JobProgress>()
-        val gotHosts = ArrayList<HostNews>()
-        while (gotHosts.size < hosts.size) {
+        val receivedHints = ArrayList<MachineHint>()
+        while (receivedHints.size < machineNames.size) {
             val news =
-                checkNotNull(heard.poll(5, TimeUnit.SECONDS) as? PeerMessage.ShardStatusUpdate) { "${gotJobs.size} jobs and ${gotHosts.size} machines heard" }
+                checkNotNull(heard.poll(5, TimeUnit.SECONDS) as? PeerMessage.ShardStatusUpdate) {
+                    "${gotJobs.size} jobs and ${receivedHints.size} machines heard"
+                }
             gotJobs.addAll(news.jobs)
-            gotHosts.addAll(news.hosts)
+            receivedHints.addAll(news.machines)
         }
         assertEquals(jobs, gotJobs)
-        assertEquals(hosts, gotHosts)
-        assertEquals(false, PeerClient(InetSocketAddress("127.0.0.1", freePort())).send(PeerMessage.ShardStatusUpdate(jobs, hosts)))
+        assertEquals(machineNames, receivedHints)
+        assertEquals(false, PeerClient(InetSocketAddress("127.0.0.1", freePort())).send(PeerMessage.ShardStatusUpdate(jobs, machineNames)))
     }
 }
--- a/src/test/kotlin/io/reedmast/gangs/GangChoiceTest.kt
+++ b/src/test/kotlin/io/reedmast/gangs/GangChoiceTest.kt
@@ -5,8 +5,8 @@
 import io.reedmast.settings.TeamId
 import io.reedmast.sim.World
 import io.reedmast.wire.MachineType
-import io.reedmast.workers.HostRecord
 import io.reedmast.workers.Machine
+import io.reedmast.workers.MachineRecord
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertNull
@@ -15,9 +15,9 @@
 
 class GangChoiceTest {
     private val machineType = MachineType("m", 4.0, 0.0, 64.0, 50.0, 0.5, 1.0, 0.3, 20.0, listOf("x", "y"))
-    private var hosts = 0
+    private var machineCount = 0
 
-    private fun machine(zone: String, spot: Boolean = false) = Machine(HostRecord("host-${hosts++}", "m", zone, spot), machineType, 0L, 0L)
+    private fun machine(zone: String, spot: Boolean = false) = Machine(MachineRecord("host-${machineCount++}", "m", zone, spot), machineType, 0L, 0L)
 
     private fun gang(tasks: Int, vararg args: Pair<String, String>) =
         Job(World.spec("wk-1", mapOf("kind" to "gang", "tasks" to "$tasks") + args), TeamId(0), 16, 0L, 1L)
@@ -32,46 +32,46 @@
     @Test
     fun `all of it or nothing`() {
         val machines = listOf(machine("x"), machine("x"))
-        assertEquals(8, chooseForGang(gang(8), machines) { true }?.tasksByMachine?.values?.sum())
+        assertEquals(8, packGang(gang(8), machines) { true }?.tasksByMachine?.values?.sum())
         fill(machines[0], 1)
-        assertNull(chooseForGang(gang(8), machines) { true })
+        assertNull(packGang(gang(8), machines) { true })
     }
 
     @Test
     fun `room in several zones is no room for a gang that needs one`() {
         val machines = listOf(machine("x"), machine("y"))
-        assertNull(chooseForGang(gang(6, "oneZone" to "true"), machines) { true })
-        assertEquals(mapOf("x" to 4, "y" to 2), tasksByZone(chooseForGang(gang(6), machines) { true }))
+        assertNull(packGang(gang(6, "oneZone" to "true"), machines) { true })
+        assertEquals(mapOf("x" to 4, "y" to 2), tasksByZone(packGang(gang(6), machines) { true }))
     }
 
     @Test
     fun `a spread gang has at most half of its tasks in one zone`() {
         val machines = listOf(machine("x"), machine("x"), machine("y"))
-        assertEquals(mapOf("x" to 4, "y" to 3), tasksByZone(chooseForGang(gang(7, "spread" to "true"), machines) { true }))
-        assertNull(chooseForGang(gang(7, "spread" to "true"), machines.take(2)) { true })
+        assertEquals(mapOf("x" to 4, "y" to 3), tasksByZone(packGang(gang(7, "spread" to "true"), machines) { true }))
+        assertNull(packGang(gang(7, "spread" to "true"), machines.take(2)) { true })
     }
 
     @Test
     fun `ordinary gangs keep off spot machines, and all off machines that they must not use`() {
         val spot = machine("x", spot = true)
-        assertNull(chooseForGang(gang(2), listOf(spot)) { true })
-        assertEquals(2, chooseForGang(gang(2, "spot" to "true"), listOf(spot)) { true }?.tasksByMachine?.get(spot))
-        assertNull(chooseForGang(gang(2, "spot" to "true"), listOf(spot)) { false })
+        assertNull(packGang(gang(2), listOf(spot)) { true })
+        assertEquals(2, packGang(gang(2, "spot" to "true"), listOf(spot)) { true }?.tasksByMachine?.get(spot))
+        assertNull(packGang(gang(2, "spot" to "true"), listOf(spot)) { false })
     }
 
     @Test
     fun `the zone whose machines have the image is preferred`() {
         val cold = machine("x")
-        val warm = machine("y").apply { noteImage("img", 0.1) }
+        val warm = machine("y").apply { recordImage("img", 0.1) }
         val job = gang(3, "oneZone" to "true", "imageGb" to "5")
-        assertEquals(setOf(warm), chooseForGang(job, listOf(cold, warm)) { true }?.tasksByMachine?.keys)
+        assertEquals(setOf(warm), packGang(job, listOf(cold, warm)) { true }?.tasksByMachine?.keys)
     }
 
     @Test
     fun `zone rules that leave no place`() {
-        assertTrue(zonesNeverHold(gang(2, "oneZone" to "true", "spread" to "true").spec, setOf("x", "y")))
-        assertTrue(zonesNeverHold(gang(3, "spread" to "true").spec, setOf("x")))
-        assertFalse(zonesNeverHold(gang(3, "spread" to "true").spec, setOf("x", "y")))
-        assertFalse(zonesNeverHold(gang(3, "oneZone" to "true").spec, setOf("x")))
+        assertTrue(zoneRulesNeverHold(gang(2, "oneZone" to "true", "spread" to "true").spec, setOf("x", "y")))
+        assertTrue(zoneRulesNeverHold(gang(3, "spread" to "true").spec, setOf("x")))
+        assertFalse(zoneRulesNeverHold(gang(3, "spread" to "true").spec, setOf("x", "y")))
+        assertFalse(zoneRulesNeverHold(gang(3, "oneZone" to "true").spec, setOf("x")))
     }
 }
--- a/src/test/kotlin/io/reedmast/gangs/GangReservationsTest.kt
+++ b/src/test/kotlin/io/reedmast/gangs/GangReservationsTest.kt
@@ -5,8 +5,8 @@
 import io.reedmast.settings.TeamId
 import io.reedmast.sim.World
 import io.reedmast.wire.MachineType
-import io.reedmast.workers.HostRecord
 import io.reedmast.workers.Machine
+import io.reedmast.workers.MachineRecord
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertTrue
@@ -15,7 +15,7 @@
 class GangReservationsTest {
     private val machineType = MachineType("m", 4.0, 0.0, 64.0, 50.0, 0.5, 1.0, 0.3, 20.0, listOf("x", "y"))
     private val reservations = GangReservations()
-    private val machines = (0 until 8).map { Machine(HostRecord("host-$it", "m", if (it < 4) "x" else "y", false), machineType, 0L, 0L) }
+    private val machines = (0 until 8).map { Machine(MachineRecord("host-$it", "m", if (it < 4) "x" else "y", false), machineType, 0L, 0L) }
 
     private fun job(id: String, tasks: Int, kind: String) =
         Job(World.spec(id, mapOf("kind" to kind, "tasks" to "$tasks", "oneZone" to "true")), TeamId(0), 16, 0L, 1L)
@@ -29,7 +29,7 @@
         machines.forEach { fill(it, if (it.record.zone == "x") "service" else "array") }
         val gang = job("wk-1", 8, "gang")
         reservations.reserve(gang, machines, 0L)
-        val kept = reservations.machinesOf(gang)
+        val kept = reservations.transferTargetsOf(gang)
         assertEquals(listOf("y", "y"), kept.map { it.record.zone })
         assertTrue(kept.all { reservations.isKeptFrom(job("wk-2", 1, "array"), it) })
         assertFalse(kept.any { reservations.isKeptFrom(gang, it) })
@@ -37,7 +37,7 @@
 
     @Test
     fun `room for the next gang is kept from arrays, on machines that have its image`() {
-        machines[5].noteImage("img", 0.1)
+        machines[5].recordImage("img", 0.1)
         reservations.keepForNext(listOf(job("wk-1", 4, "gang").spec), expected = 0.0, machines)
         assertTrue(reservations.isKeptFrom(job("wk-2", 1, "array"), machines[5]))
         assertFalse(reservations.isKeptFrom(job("wk-3", 2, "gang"), machines[5]))
@@ -64,7 +64,7 @@
     fun `all reservations together hold a part of the machines`() {
         val gangs = (1..4).map { job("wk-$it", 8, "gang") }
         gangs.forEach { reservations.reserve(it, machines, 0L) }
-        assertEquals(listOf(2, 2, 0, 0), gangs.map { reservations.machinesOf(it).size })
+        assertEquals(listOf(2, 2, 0, 0), gangs.map { reservations.transferTargetsOf(it).size })
     }
 
     @Test
--- a/src/test/kotlin/io/reedmast/jobs/DensePagesProperties.kt
+++ b/src/test/kotlin/io/reedmast/jobs/DensePagesProperties.kt
@@ -1,14 +1,14 @@
 package io.reedmast.jobs
 
 import io.reedmast.kvstore.Write
-import io.reedmast.ownership.TokenFence
+import io.reedmast.ownership.TokenCounter
 import io.reedmast.settings.TeamId
 import io.reedmast.sim.World
 import io.reedmast.wire.Fields
 import io.reedmast.wire.MalformedException
 import io.reedmast.wire.Tree
-import io.reedmast.workers.HostRecord
 import io.reedmast.workers.Machine
+import io.reedmast.workers.MachineRecord
 import net.jqwik.api.Arbitraries
 import net.jqwik.api.Arbitrary
 import net.jqwik.api.Combinators
@@ -42,7 +42,7 @@
             Arbitraries.integers().between(0, 329),
             Arbitraries.longs().between(0, Long.MAX_VALUE),
             Arbitraries.integers().between(0, 40).map { "host-%06d".format(it) },
-        ).`as` { task, attempt, host -> StoredPlacement(task, attempt, host) }.list().ofMaxSize(12)
+        ).`as` { task, attempt, machineName -> StoredPlacement(task, attempt, machineName) }.list().ofMaxSize(12)
         return Combinators.combine(jobIds, firsts, sizes, done, placements).`as` { jobId, first, size, results, on ->
             StoredChunk(jobId, first, size, results, on.map { it.copy(task = first + it.task) })
         }
@@ -83,18 +83,18 @@
     @Property(tries = 200, seed = "105")
     fun `the token counter goes forward and back`(@ForAll @LongRange(min = 0) token: Long) {
         val open = stored(mapOf("token" to token))
-        val fenced = stored(TokenFence.forward(open))
-        assertThrows<MalformedException> { TokenFence.back(mapOf("form" to 0L)) }
+        val fenced = stored(TokenCounter.forward(open))
+        assertThrows<MalformedException> { TokenCounter.back(mapOf("form" to 0L)) }
         assertTrue("token" !in fenced)
-        assertEquals(open, stored(TokenFence.back(fenced)))
-        assertEquals(token, TokenFence.tokenOf(fenced))
+        assertEquals(open, stored(TokenCounter.back(fenced)))
+        assertEquals(token, TokenCounter.tokenOf(fenced))
     }
 
     /** What a page sets aside for its chunks is enough, in each form, when every task is placed on a machine of its own. */
     @Property(tries = 60, seed = "106")
     fun `a full page fits its value`(@ForAll("taskCounts") taskCounts: List<Int>, @ForAll("attempts") attempts: Long, @ForAll("forms") form: PageForm) {
         val page = ProgressPage(0)
-        var hosts = 0
+        var machineCount = 0
         for ((index, taskCount) in taskCounts.withIndex()) {
             val job = Job(World.spec("wk-%06d".format(index), mapOf("tasks" to "$taskCount")), TeamId(0), PageForm.chunkSizeFor(VALUE_BYTES), 0L, 1L)
             for (first in 0 until taskCount step PageForm.chunkSizeFor(VALUE_BYTES)) {
@@ -102,8 +102,8 @@
                 if (!page.hasRoom(chunk, VALUE_BYTES * 95 / 100, form)) continue
                 page.add(chunk)
                 for (task in first until first + chunk.size) {
-                    val machine = Machine(HostRecord("host-%06d".format(hosts++), "m", "x", false), null, 0L, 0L)
-                    job.add(Placement(job, task, if (hosts % 2 == 0) attempts else attempts + LARGEST_DISTANCE, machine, 0L))
+                    val machine = Machine(MachineRecord("host-%06d".format(machineCount++), "m", "x", false), null, 0L, 0L)
+                    job.add(Placement(job, task, if (machineCount % 2 == 0) attempts else attempts + LARGEST_DISTANCE, machine, 0L))
                 }
             }
         }
--- a/src/test/kotlin/io/reedmast/jobs/JobIndexTest.kt
+++ b/src/test/kotlin/io/reedmast/jobs/JobIndexTest.kt
@@ -19,7 +19,8 @@
     private val index = JobIndex(settings) { emptyList() }
     private val path = "j/live/0/wk-1"
 
-    private fun record(aborted: Boolean = false): Fields = Tree.readCbor(Tree.writeCbor(LiveRecord(World.spec("wk-1", emptyMap()), 10, 0, aborted).toFields()))
+    private fun record(isCancelled: Boolean = false): Fields =
+        Tree.readCbor(Tree.writeCbor(LiveRecord(World.spec("wk-1", emptyMap()), 10, 0, isCancelled).toFields()))
 
     /**
      * An acceptance shared a transaction whose answer was lost. The job ended, everything was read anew, and only then another key
@@ -28,7 +29,7 @@
     @Test
     fun `an acceptance that is settled after the job's end does not bring it back`() {
         index.load(emptyList(), 100)
-        index.see(path, record(), 90)
+        index.applyRecord(path, record(), 90)
         assertNull(index.live("wk-1"))
     }
 
@@ -36,14 +37,14 @@
     fun `nor after the watch has told of the end`() {
         index.load(emptyList(), 80)
         index.follow(listOf(WatchEvent(path, record(), 90), WatchEvent(path, null, 95)), 95)
-        index.see(path, record(), 90)
+        index.applyRecord(path, record(), 90)
         assertNull(index.live("wk-1"))
     }
 
     @Test
     fun `an acceptance that the watch has not reached is taken up at once`() {
         index.load(emptyList(), 80)
-        index.see(path, record(), 90)
+        index.applyRecord(path, record(), 90)
         assertNotNull(index.live("wk-1"))
         index.follow(emptyList(), 85)
         index.load(emptyList(), 86)
@@ -55,8 +56,8 @@
     @Test
     fun `the watch tells of a job that our own change has ended`() {
         index.load(emptyList(), 80)
-        index.see("j/end/wk-1", EndRecord(JobState.DONE, 1).toFields(), 95)
-        index.see(path, null, 95)
+        index.applyRecord("j/end/wk-1", EndRecord(JobState.DONE, 1).toFields(), 95)
+        index.applyRecord(path, null, 95)
         index.follow(listOf(WatchEvent(path, record(), 90)), 92)
         assertNull(index.live("wk-1"))
     }
@@ -65,7 +66,7 @@
     @Test
     fun `an end of our own holds until the watch has told it, whatever else ends meanwhile`() {
         index.load(emptyList(), 80)
-        index.see(path, null, 95)
+        index.applyRecord(path, null, 95)
         index.load(listOf(StoredItem(path, record(), 90)), 91)
         assertNull(index.live("wk-1"))
         index.follow(listOf(WatchEvent(path, null, 95)), 95)
@@ -83,9 +84,9 @@
     @Test
     fun `an older state never replaces a newer one`() {
         index.load(emptyList(), 80)
-        index.follow(listOf(WatchEvent(path, record(), 90), WatchEvent(path, record(aborted = true), 93)), 93)
-        index.see(path, record(), 90)
-        assertTrue(checkNotNull(index.live("wk-1")).record.aborted)
+        index.follow(listOf(WatchEvent(path, record(), 90), WatchEvent(path, record(isCancelled = true), 93)), 93)
+        index.applyRecord(path, record(), 90)
+        assertTrue(checkNotNull(index.live("wk-1")).record.isCancelled)
         assertEquals(93, index.live("wk-1")?.version)
     }
 }
--- a/src/test/kotlin/io/reedmast/jobs/PageDivisionTest.kt
+++ b/src/test/kotlin/io/reedmast/jobs/PageDivisionTest.kt
@@ -17,8 +17,8 @@
 import io.reedmast.sim.testSettings
 import io.reedmast.wire.Fields
 import io.reedmast.wire.maps
-import io.reedmast.workers.HostRecord
 import io.reedmast.workers.Machine
+import io.reedmast.workers.MachineRecord
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertTrue
@@ -44,7 +44,7 @@
     private val store = ProgressStore(
         shardState,
         out,
-        object : Stored {
+        object : ProgressListener {
             override fun placed(placement: Placement) {
                 launchable.add(placement)
             }
@@ -67,7 +67,7 @@
     private fun page(index: Int, version: Long, vararg chunks: Fields) = StoredItem(Keys.page(0, index), mapOf("chunks" to chunks.toList()), version)
 
     private fun load(vararg pages: StoredItem) = store.load(pages.toList(), mapOf("wk-1" to OLD_SIZE)) { of, stored ->
-        val machine = Machine(HostRecord(stored.host, "m", "x", false), null, 0L, 0L)
+        val machine = Machine(MachineRecord(stored.machineName, "m", "x", false), null, 0L, 0L)
         shardState.place(Placement(of, stored.task, stored.attempt, machine, now).apply { committed = true })
     }
 
--- a/src/test/kotlin/io/reedmast/loopback/LoopbackCluster.kt
+++ b/src/test/kotlin/io/reedmast/loopback/LoopbackCluster.kt
@@ -184,8 +184,8 @@
         path.startsWith("/leases/") -> (if (locked { state.extend(path.split('/')[2].toLong(), EXTENDED_MS) }) 200 else 404) to emptyMap()
         path == "/flavors" -> 200 to mapOf("builds" to types.map { typeFields(it) })
         path == "/machines/return" -> 200.also { (body["hosts"] as List<*>).forEach { name -> remove(name as String) } } to emptyMap()
-        path == "/machines" && method == "POST" -> rent((body["count"] as Number).toInt())
-        path == "/machines" -> 200 to mapOf("hosts" to hosts(query["after"]), "more" to false)
+        path == "/machines" && method == "POST" -> provision((body["count"] as Number).toInt())
+        path == "/machines" -> 200 to mapOf("hosts" to machineNames(query["after"]), "more" to false)
         else -> 404 to emptyMap()
     }
 
@@ -226,7 +226,7 @@
         "hourly" to 1.0, "lowPrice" to 0.3, "startupS" to 1.0, "yards" to listOf("x"),
     )
 
-    private fun rent(count: Int): Pair<Int, Fields> = synchronized(workers) {
+    private fun provision(count: Int): Pair<Int, Fields> = synchronized(workers) {
         val names = (0 until minOf(count, machines - workers.size)).map { "host-%06d".format(workers.size + it) }
         names.forEach { name -> workers[name] = LoopbackWorker(name, "m", "x", this).also { it.start() } }
         if (names.isEmpty()) 503 to mapOf("error" to "no capacity") else 200 to mapOf("hosts" to names)
@@ -234,7 +234,7 @@
 
     private fun remove(name: String) = synchronized(workers) { workers[name]?.stop() }
 
-    private fun hosts(after: String?): List<Fields> = synchronized(workers) {
+    private fun machineNames(after: String?): List<Fields> = synchronized(workers) {
         workers.entries.filter { after == null || it.key > after }.map { (name, worker) ->
             mapOf("ref" to name, "addr" to worker.addr, "build" to "m", "yard" to "x", "driftwood" to false, "stage" to "running", "ageS" to 10.0)
         }
--- a/src/test/kotlin/io/reedmast/loopback/LoopbackWorker.kt
+++ b/src/test/kotlin/io/reedmast/loopback/LoopbackWorker.kt
@@ -22,7 +22,7 @@
     private val threads = Executors.newCachedThreadPool { Thread(it).apply { isDaemon = true } }
     val addr = "127.0.0.1:${server.address.port}"
     private val tasks = LinkedHashMap<String, Task>()
-    private var session = 1L
+    private var epoch = 1L
     private var sequence = 0L
     private var token = 0L
     private var leaseFrom = cluster.now()
@@ -80,7 +80,7 @@
             return false
         }
         val given = (answer.body["baton"] as? Number)?.toLong() ?: return false
-        if (given < token || sentIn != session) return false
+        if (given < token || sentIn != epoch) return false
         token = given
         leaseFrom = sentAt
         execute(answer.body["orders"])
@@ -92,7 +92,7 @@
         if (tasks.values.any { it.stage == RUNNING }) cluster.history.leaseLost(name, now)
         tasks.values.filter { it.stage == RUNNING }.forEach { cluster.history.ended(it.piece, now) }
         tasks.clear()
-        session++
+        epoch++
         leaseFrom = now
     }
 
@@ -130,7 +130,7 @@
         val body = Tree.readCbor(exchange.requestBody.readAllBytes())
         val (status, answer) = synchronized(this) {
             val given = (body["baton"] as? Number)?.toLong() ?: -1L
-            if (given < token || (body["tenure"] as? Number)?.toLong() != session) {
+            if (given < token || (body["tenure"] as? Number)?.toLong() != epoch) {
                 409 to report()
             } else {
                 token = given
@@ -145,7 +145,7 @@
 
     private fun report(): Fields = mapOf(
         "host" to name, "addr" to addr, "build" to typeName, "yard" to zone, "driftwood" to false,
-        "tenure" to session, "tally" to ++sequence, "baton" to token,
+        "tenure" to epoch, "tally" to ++sequence, "baton" to token,
         "pieces" to tasks.values.map { mapOf("piece" to it.piece, "try" to it.attempt, "stage" to it.stage, "cause" to it.cause) },
     )
 
--- a/src/test/kotlin/io/reedmast/ownership/PeerStatusesTest.kt
+++ b/src/test/kotlin/io/reedmast/ownership/PeerStatusesTest.kt
@@ -76,14 +76,14 @@
 
     @Test
     fun `the state service is out for all if none of those that answer hears it`() {
-        assertFalse(statuses.noneHearsState(10_000))
+        assertFalse(statuses.noneReachesStore(10_000))
         val query = statuses.query(10_000)
         statuses.heard(report(1, query), 10_100, KNOWN_AT)
-        assertTrue(statuses.noneHearsState(10_100))
+        assertTrue(statuses.noneReachesStore(10_100))
         statuses.heard(report(2, query, storeAgeMs = 1_500), 10_100, KNOWN_AT)
-        assertFalse(statuses.noneHearsState(10_100))
+        assertFalse(statuses.noneReachesStore(10_100))
         // What was heard long ago says nothing of now.
-        assertFalse(statuses.noneHearsState(20_000))
+        assertFalse(statuses.noneReachesStore(20_000))
     }
 
     private companion object {
--- a/src/test/kotlin/io/reedmast/ownership/TakeoverTest.kt
+++ b/src/test/kotlin/io/reedmast/ownership/ShardAcquisitionTest.kt
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test
 
 /** A shard is this node's only while no newer record says otherwise, however late the answer to its taking is. */
-class TakeoverTest {
+class ShardAcquisitionTest {
     private var now = 100_000L
     private val clock = object : Clock {
         override fun now() = now
@@ -32,7 +32,7 @@
 
     private fun take(): CasTransaction = out.commits.first { change -> change.writes.any { it.path == key } }
 
-    private fun taking(): Write.Put = take().writes.filterIsInstance<Write.Put>().first { it.path == key }
+    private fun acquiring(): Write.Put = take().writes.filterIsInstance<Write.Put>().first { it.path == key }
 
     @BeforeEach
     fun begin() {
@@ -49,7 +49,7 @@
 
     @Test
     fun `the watch tells of it first, and the answer changes nothing more`() {
-        cluster.clusterEvents(listOf(WatchEvent(key, taking().value, 20)), revision = 20, askedAt = now)
+        cluster.clusterEvents(listOf(WatchEvent(key, acquiring().value, 20)), revision = 20, askedAt = now)
         val owner = cluster.owned().single()
         take().done(CommitOutcome.Applied(20))
         assertEquals(owner, cluster.owned().single())
--- a/src/test/kotlin/io/reedmast/rollout/EmbeddedRolloutTest.kt
+++ b/src/test/kotlin/io/reedmast/rollout/EmbeddedRolloutTest.kt
@@ -40,7 +40,7 @@
     private val fence = Precondition("counter-owner", 1L)
     private val view = RolloutView(registry, "a")
 
-    private fun refresh() = store.items.values.forEach { view.see(it.path, it.value, it.version) }
+    private fun refresh() = store.items.values.forEach { view.applyRecord(it.path, it.value, it.version) }
 
     private fun begin(state: GateState, records: Int) {
         store.put("counter-owner", emptyMap())
@@ -166,21 +166,21 @@
         store.put(Keys.node("a"), member)
         store.put(Keys.shard(0), mapOf("owner" to "a"))
         refresh()
-        val coordinator = RolloutCoordinator(registry, "a", { now }, store, view, mostPreconditions = 20) {}
-        fun picture() = view.picture(setOf("a"), listOf(ShardOwnership("a", store.items.getValue(Keys.shard(0)).version)), emptySet())
+        val coordinator = RolloutCoordinator(registry, "a", { now }, store, view, maxPreconditions = 20) {}
+        fun snapshot() = view.snapshot(setOf("a"), listOf(ShardOwnership("a", store.items.getValue(Keys.shard(0)).version)), emptySet())
         val seen = store.items.getValue(Keys.LEADER).version
         store.put(Keys.LEADER, mapOf("label" to "b"))
-        coordinator.tick(seen, picture())
+        coordinator.tick(seen, snapshot())
         assertEquals(null, store.items[Keys.ROLLOUT])
-        val old = picture()
+        val old = snapshot()
         store.put(Keys.node("a"), member)
         coordinator.tick(store.items.getValue(Keys.LEADER).version, old)
         assertEquals(null, store.items[Keys.ROLLOUT])
         refresh()
-        coordinator.tick(store.items.getValue(Keys.LEADER).version, picture())
+        coordinator.tick(store.items.getValue(Keys.LEADER).version, snapshot())
         assertEquals(GateState.READY, view.gates.record.stateOf(feature.name))
-        val few = RolloutCoordinator(registry, "a", { now }, store, view, mostPreconditions = 3) {}
-        few.tick(store.items.getValue(Keys.LEADER).version, picture())
+        val few = RolloutCoordinator(registry, "a", { now }, store, view, maxPreconditions = 3) {}
+        few.tick(store.items.getValue(Keys.LEADER).version, snapshot())
         assertEquals(GateState.READY, view.gates.record.stateOf(feature.name))
         assertTrue("4 conditions" in few.waiting.getValue(feature.name))
     }
--- a/src/test/kotlin/io/reedmast/rollout/GateDecisionTest.kt
+++ b/src/test/kotlin/io/reedmast/rollout/GateDecisionTest.kt
@@ -30,11 +30,11 @@
     private fun member(newest: Int, desired: Map<FeatureName, Target> = emptyMap(), oldest: Int = 0) =
         PresentMember(MemberVersions(VersionRange(FormatVersion(oldest), FormatVersion(newest)), desired, "life", false), 10L + newest)
 
-    private fun picture(
+    private fun snapshot(
         present: Map<String, PresentMember> = listOf("n0", "n1", "n2").associateWith { member(3) },
         owners: List<String?> = listOf("n0", "n1", "n2"),
         progress: Map<Pair<FeatureName, MigrationUnit>, MigrationProgress> = emptyMap(),
-    ) = ClusterPicture(setOf("n0", "n1", "n2"), present, owners.mapIndexed { i, owner -> owner?.let { ShardOwnership(it, 100L + i) } }, progress)
+    ) = ClusterSnapshot(setOf("n0", "n1", "n2"), present, owners.mapIndexed { i, owner -> owner?.let { ShardOwnership(it, 100L + i) } }, progress)
 
     private fun record(vararg states: Pair<Feature, GateState>) = states.fold(RolloutRecord()) { record, (of, state) -> record.moved(of, state, act) }
 
@@ -54,7 +54,7 @@
 
     @Test
     fun `nothing moves that nobody wishes`() {
-        val plan = decision.plan(RolloutRecord(), picture())
+        val plan = decision.plan(RolloutRecord(), snapshot())
         assertNull(plan.move)
         assertEquals(emptyMap<FeatureName, String>(), plan.waiting)
     }
@@ -62,23 +62,23 @@
     @Test
     fun `a gate is ready once every counted controller is there and reads the form`() {
         val wished = record().wishes(base, Target.ENABLED)
-        decision.plan(wished, picture()).moves(GateState.READY, base)
-        decision.plan(wished, picture(present = mapOf("n0" to member(3), "n1" to member(3)))).waits("n2 is silent", base)
-        decision.plan(wished, picture(present = mapOf("n0" to member(3), "n1" to member(1), "n2" to member(3)))).waits("n1 has versions 0 to 1", base)
+        decision.plan(wished, snapshot()).moves(GateState.READY, base)
+        decision.plan(wished, snapshot(present = mapOf("n0" to member(3), "n1" to member(3)))).waits("n2 is silent", base)
+        decision.plan(wished, snapshot(present = mapOf("n0" to member(3), "n1" to member(1), "n2" to member(3)))).waits("n1 has versions 0 to 1", base)
         val without = wished.excluding("n2", act)
-        decision.plan(without, picture(present = mapOf("n0" to member(3), "n1" to member(3)))).moves(GateState.READY, base)
+        decision.plan(without, snapshot(present = mapOf("n0" to member(3), "n1" to member(3)))).moves(GateState.READY, base)
     }
 
     @Test
     fun `a ready gate closes again when a controller goes back`() {
         val ready = record(base to GateState.READY).wishes(base, Target.ENABLED)
-        decision.plan(ready, picture(present = mapOf("n0" to member(3), "n1" to member(1), "n2" to member(3)))).moves(GateState.DORMANT, base)
+        decision.plan(ready, snapshot(present = mapOf("n0" to member(3), "n1" to member(1), "n2" to member(3)))).moves(GateState.DORMANT, base)
     }
 
     @Test
     fun `enabling is on condition of every controller's key and every slice's owner`() {
         val ready = record(base to GateState.READY).wishes(base, Target.ENABLED)
-        val move = decision.plan(ready, picture()).also { it.moves(GateState.ENABLED, base) }.move
+        val move = decision.plan(ready, snapshot()).also { it.moves(GateState.ENABLED, base) }.move
         assertEquals(
             listOf("n0", "n1", "n2").map { Keys.node(it) to 13L } + (0..2).map { Keys.shard(it) to 100L + it },
             move?.preconditions?.map { it.path to it.version },
@@ -88,58 +88,58 @@
     @Test
     fun `no gate is enabled while a controller that does not count owns a slice`() {
         val ready = record(base to GateState.READY).wishes(base, Target.ENABLED).excluding("n2", act)
-        decision.plan(ready, picture()).waits("slice 2 is owned by n2", base)
+        decision.plan(ready, snapshot()).waits("shard 2 is owned by n2", base)
     }
 
     @Test
     fun `a feature waits for its dependency, and for the migration of that`() {
         val wished = record(feature to GateState.READY, base to GateState.READY).wishes(feature, Target.ENABLED)
-        decision.plan(wished, picture()).waits("base is not enabled")
-        decision.plan(wished.moved(base, GateState.ENABLED, act), picture()).moves(GateState.ENABLED)
+        decision.plan(wished, snapshot()).waits("base is not enabled")
+        decision.plan(wished.moved(base, GateState.ENABLED, act), snapshot()).moves(GateState.ENABLED)
     }
 
     @Test
     fun `a feature is not finalized before all units are migrated in the gate's own generation`() {
         val enabled = record(base to GateState.FINALIZED, feature to GateState.READY, feature to GateState.ENABLED).wishes(feature, Target.FINALIZED)
-        decision.plan(enabled, picture(progress = complete(Direction.FORWARD, 2, 0, 1))).waits("being migrated")
-        decision.plan(enabled, picture(progress = complete(Direction.FORWARD, 1, 0, 1, 2))).waits("being migrated")
-        decision.plan(enabled, picture(progress = complete(Direction.BACK, 2, 0, 1, 2))).waits("being migrated")
-        decision.plan(enabled, picture(progress = complete(Direction.FORWARD, 2, 0, 1, 2))).moves(GateState.FINALIZED)
+        decision.plan(enabled, snapshot(progress = complete(Direction.FORWARD, 2, 0, 1))).waits("being migrated")
+        decision.plan(enabled, snapshot(progress = complete(Direction.FORWARD, 1, 0, 1, 2))).waits("being migrated")
+        decision.plan(enabled, snapshot(progress = complete(Direction.BACK, 2, 0, 1, 2))).waits("being migrated")
+        decision.plan(enabled, snapshot(progress = complete(Direction.FORWARD, 2, 0, 1, 2))).moves(GateState.FINALIZED)
         val blocked = mapOf((feature.name to MigrationUnit.Shard(1) as MigrationUnit) to MigrationProgress(Direction.FORWARD, 2, unreadable = 4))
-        decision.plan(enabled, picture(progress = blocked)).waits("4 records cannot be migrated")
+        decision.plan(enabled, snapshot(progress = blocked)).waits("4 records cannot be migrated")
     }
 
     @Test
     fun `a feature is not finalized before its dependency is`() {
         val enabled = record(base to GateState.ENABLED, feature to GateState.ENABLED).wishes(feature, Target.FINALIZED)
-        decision.plan(enabled, picture(progress = complete(Direction.FORWARD, 1, 0, 1, 2))).waits("base is not finalized")
+        decision.plan(enabled, snapshot(progress = complete(Direction.FORWARD, 1, 0, 1, 2))).waits("base is not finalized")
     }
 
     @Test
     fun `going back takes records back before the gate closes`() {
         val enabled = record(base to GateState.ENABLED, feature to GateState.ENABLED).wishes(feature, Target.DORMANT)
-        decision.plan(enabled, picture()).moves(GateState.REVERTING)
+        decision.plan(enabled, snapshot()).moves(GateState.REVERTING)
         val reverting = enabled.moved(feature, GateState.REVERTING, act)
-        decision.plan(reverting, picture(progress = complete(Direction.BACK, 2, 0, 2))).waits("being migrated")
-        decision.plan(reverting, picture(progress = complete(Direction.BACK, 2, 0, 1, 2))).moves(GateState.DORMANT)
-        decision.plan(reverting.wishes(feature, Target.ENABLED), picture()).moves(GateState.ENABLED)
+        decision.plan(reverting, snapshot(progress = complete(Direction.BACK, 2, 0, 2))).waits("being migrated")
+        decision.plan(reverting, snapshot(progress = complete(Direction.BACK, 2, 0, 1, 2))).moves(GateState.DORMANT)
+        decision.plan(reverting.wishes(feature, Target.ENABLED), snapshot()).moves(GateState.ENABLED)
     }
 
     @Test
     fun `what others depend on, is finalized or cannot be taken back stays`() {
         val both = record(base to GateState.ENABLED, feature to GateState.ENABLED).wishes(base, Target.DORMANT)
-        decision.plan(both, picture()).waits("feature depends on it", base)
-        decision.plan(record(base to GateState.FINALIZED).wishes(base, Target.DORMANT), picture()).waits("it is finalized", base)
-        decision.plan(record(fixed to GateState.ENABLED).wishes(fixed, Target.DORMANT), picture()).waits("cannot be taken back", fixed)
+        decision.plan(both, snapshot()).waits("feature depends on it", base)
+        decision.plan(record(base to GateState.FINALIZED).wishes(base, Target.DORMANT), snapshot()).waits("it is finalized", base)
+        decision.plan(record(fixed to GateState.ENABLED).wishes(fixed, Target.DORMANT), snapshot()).waits("cannot be taken back", fixed)
     }
 
     @Test
     fun `deploy files that differ move nothing, and an operator's wish goes before them`() {
         val enabled = mapOf(base.name to Target.ENABLED)
-        val differ = picture(present = mapOf("n0" to member(3, enabled), "n1" to member(3), "n2" to member(3, enabled)))
+        val differ = snapshot(present = mapOf("n0" to member(3, enabled), "n1" to member(3), "n2" to member(3, enabled)))
         decision.plan(RolloutRecord(), differ).waits("the deploy files differ", base)
         decision.plan(record().wishes(base, Target.ENABLED), differ).moves(GateState.READY, base)
-        val agree = picture(present = listOf("n0", "n1", "n2").associateWith { member(3, enabled) })
+        val agree = snapshot(present = listOf("n0", "n1", "n2").associateWith { member(3, enabled) })
         decision.plan(RolloutRecord(), agree).moves(GateState.READY, base)
         assertNull(decision.plan(record(base to GateState.READY).wishes(base, Target.DORMANT), agree).move)
     }
--- a/src/test/kotlin/io/reedmast/rollout/RolloutAdministrationTest.kt
+++ b/src/test/kotlin/io/reedmast/rollout/RolloutAdministrationTest.kt
@@ -45,7 +45,7 @@
         refused("no controller n7") { administration.exclude("n7", act, it) }
         refused("n1 is alive") { administration.exclude("n1", act, it) }
         store.items.remove(Keys.node("n1"))
-        refused("still owns slice 1") { administration.exclude("n1", act, it) }
+        refused("still owns shard 1") { administration.exclude("n1", act, it) }
         owners = listOf("n0", "n0")
         assertEquals(ActResult.Done, result { administration.exclude("n1", act, it) })
         refused("excluded already") { administration.exclude("n1", act, it) }
@@ -102,7 +102,7 @@
         present("n0")
         assertTrue("n1 is silent" in reasons("n0"))
         present("n1")
-        assertTrue("n1 owns slice 1" in reasons("n1"))
+        assertTrue("n1 owns shard 1" in reasons("n1"))
         assertEquals(ActResult.Done, result { administration.drain("n1", act, it) })
         refused("n1 is being drained") { administration.drain("n0", act, it) }
         assertTrue("n1 is being drained" in reasons("n0"))
--- a/src/test/kotlin/io/reedmast/rollout/RolloutProperties.kt
+++ b/src/test/kotlin/io/reedmast/rollout/RolloutProperties.kt
@@ -42,7 +42,7 @@
 
     @Provide
     fun steps(): Arbitrary<List<Step>> {
-        val nodes = Arbitraries.integers().between(0, NODES - 1)
+        val nodes = Arbitraries.integers().between(0, MEMBERS - 1)
         val replacements = Combinators.combine(nodes, Arbitraries.integers().between(1, 3), Arbitraries.longs().between(100, 9_000)).`as`(::Replace)
         val wishes = Combinators.combine(Arbitraries.of(features), Arbitraries.of(Target.ENABLED, Target.ENABLED, Target.DORMANT)).`as`(::Wish)
         val keys = Arbitraries.of("c/rollout", "c/token", "c/migration", "page/", "c/slice", "c/node")
@@ -77,7 +77,7 @@
             events.addAll(step.action.lines(at))
         }
         val end = Math.ceil(at) + LONGEST_TROUBLE_S
-        for (node in 0 until NODES) events.addAll(listOf("at ${end + node} version n$node 3", "at ${end + node + 0.3} start n$node"))
+        for (node in 0 until MEMBERS) events.addAll(listOf("at ${end + node} version n$node 3", "at ${end + node + 0.3} start n$node"))
         val order = if (final == Target.ENABLED) features else features.reversed()
         order.forEachIndexed { i, feature -> events.addAll(Wish(feature, final).lines(end + 10 + i * if (final == Target.ENABLED) 0 else 45)) }
         GateModel().settle(final).forEach { (feature, state) -> events.add("at ${end + 90} expect gate $feature $state") }
@@ -105,7 +105,7 @@
         assertEquals(Unit, play(listOf(Step(0, Wish("fenced-tokens", Target.ENABLED))), Target.ENABLED))
 
     private companion object {
-        const val NODES = 3
+        const val MEMBERS = 3
         const val TASKS = 12
         const val BEGIN_S = 12.0
 
--- a/src/test/kotlin/io/reedmast/sim/LargeDay.kt
+++ b/src/test/kotlin/io/reedmast/sim/LargeDay.kt
@@ -17,7 +17,7 @@
 
     private fun time(from: Double, to: Double) = Math.round(random.nextDouble(from, to) * 100) / 100.0
 
-    private fun node() = "n${random.nextInt(NODES)}"
+    private fun node() = "n${random.nextInt(MEMBERS)}"
 
     private fun machine() = "host-%06d".format(random.nextInt(machines))
 
@@ -68,7 +68,7 @@
 
     private fun addUpgrade(chance: Random) {
         var turn = chance.nextDouble(10.0, 25.0)
-        for (node in (0 until NODES).shuffled(chance)) {
+        for (node in (0 until MEMBERS).shuffled(chance)) {
             at(turn, "upgrade n$node")
             at(turn + chance.nextDouble(0.5, 5.0), "start n$node")
             turn += chance.nextDouble(1.0, 12.0)
@@ -130,7 +130,7 @@
 
             10 -> {
                 at(from, "crash n0 n1 n2")
-                for (i in 0 until NODES) at(time(from + 0.2, short), "start n$i")
+                for (i in 0 until MEMBERS) at(time(from + 0.2, short), "start n$i")
             }
 
             11 -> switch("cut-state $node", from, long)
@@ -154,7 +154,7 @@
     private companion object {
         const val ROLLOUT_SEED = 0x6a7eL
         const val GANGS_PART = 10
-        const val NODES = 3
+        const val MEMBERS = 3
         const val TEAMS = 6
         const val LAST = 110.0
         const val LARGEST = 1_500
--- a/src/test/kotlin/io/reedmast/sim/RandomDay.kt
+++ b/src/test/kotlin/io/reedmast/sim/RandomDay.kt
@@ -17,7 +17,7 @@
 
     private fun time(from: Double, to: Double) = Math.round(random.nextDouble(from, to) * 10) / 10.0
 
-    private fun node() = "n${random.nextInt(NODES)}"
+    private fun node() = "n${random.nextInt(MEMBERS)}"
 
     private fun machine() = "host-%06d".format(random.nextInt(MACHINES + 4))
 
@@ -75,7 +75,7 @@
             if (chance.nextInt(5) == 0) at(from + chance.nextInt(1, 30), "abort $jobId insist=true")
         }
         var turn = chance.nextDouble(8.0, 30.0)
-        for (node in (0 until NODES).shuffled(chance)) {
+        for (node in (0 until MEMBERS).shuffled(chance)) {
             at(turn, "upgrade n$node")
             at(turn + chance.nextDouble(0.2, 6.0), "start n$node")
             turn += chance.nextDouble(0.1, 15.0)
@@ -96,14 +96,14 @@
             at(moment(5.0, LAST), "operator $wish ${features.random(chance)} by=${it % 2} perhaps")
         }
         repeat(chance.nextInt(1, 6)) {
-            val node = "n${chance.nextInt(NODES)}"
+            val node = "n${chance.nextInt(MEMBERS)}"
             val from = moment(8.0, LAST - 10.0)
             at(from, "version $node ${chance.nextInt(0, 4)}")
             at(moment(from + 0.1, from + if (chance.nextBoolean()) 0.6 else 20.0), "start $node")
         }
-        if (chance.nextBoolean()) at(moment(20.0, LAST), "operator exclude n${chance.nextInt(NODES)} perhaps")
-        if (chance.nextBoolean()) at(moment(10.0, LAST), "operator drain n${chance.nextInt(NODES)} perhaps")
-        for (i in 0 until NODES) {
+        if (chance.nextBoolean()) at(moment(20.0, LAST), "operator exclude n${chance.nextInt(MEMBERS)} perhaps")
+        if (chance.nextBoolean()) at(moment(10.0, LAST), "operator drain n${chance.nextInt(MEMBERS)} perhaps")
+        for (i in 0 until MEMBERS) {
             at(LAST - 0.2, "version n$i 3")
             at(LAST - 0.1 + i * 0.1, "start n$i")
         }
@@ -190,7 +190,7 @@
             }
             7 -> {
                 at(from, "crash n0 n1 n2")
-                for (i in 0 until NODES) at(time(from + 0.2, short), "start n$i")
+                for (i in 0 until MEMBERS) at(time(from + 0.2, short), "start n$i")
             }
             8 -> at(from, "stand-still $node ${short - from}")
             9 -> at(from, "hang $machine ${short - from}")
@@ -234,7 +234,7 @@
     }
 
     private companion object {
-        const val NODES = 3
+        const val MEMBERS = 3
         const val MACHINES = 6
         const val JOBS = 12
         const val GANGS = 6
--- a/src/test/kotlin/io/reedmast/sim/RecordingGateway.kt
+++ b/src/test/kotlin/io/reedmast/sim/RecordingGateway.kt
@@ -1,23 +1,23 @@
 package io.reedmast.sim
 
-import io.reedmast.fleet.Rental
+import io.reedmast.fleet.ProvisioningRequest
 import io.reedmast.kvstore.CasTransaction
 import io.reedmast.kvstore.ReadResult
 import io.reedmast.kvstore.StoredItem
 import io.reedmast.peers.PeerMessage
 import io.reedmast.ports.Gateway
 import io.reedmast.ports.LeaseState
-import io.reedmast.ports.Rented
+import io.reedmast.ports.ProvisioningResult
 import io.reedmast.settings.ControllerId
-import io.reedmast.wire.ListedHost
+import io.reedmast.wire.ListedMachine
 import io.reedmast.wire.MachineType
-import io.reedmast.wire.Order
 import io.reedmast.wire.Reply
+import io.reedmast.wire.WorkerCommand
 
 /** Notes what a class asks of the world, and answers nothing: for tests of one class alone. */
 class RecordingGateway : Gateway {
     val commits = ArrayList<CasTransaction>()
-    val directOrders = ArrayList<Order>()
+    val directCommands = ArrayList<WorkerCommand>()
     override val isStoreAvailable = true
 
     override fun commit(change: CasTransaction, refusable: Boolean): Boolean = commits.add(change)
@@ -32,21 +32,21 @@
 
     override fun sendToPeer(peer: ControllerId, message: PeerMessage) = Unit
 
-    override fun direct(addr: String, token: Long, session: Long, orders: List<Order>, done: (Reply) -> Unit) {
-        directOrders.addAll(orders)
+    override fun direct(addr: String, token: Long, epoch: Long, commands: List<WorkerCommand>, done: (Reply) -> Unit) {
+        directCommands.addAll(commands)
     }
 
-    override fun rent(rental: Rental, done: (Rented) -> Unit) = Unit
+    override fun provision(rental: ProvisioningRequest, done: (ProvisioningResult) -> Unit) = Unit
 
-    override fun giveBack(hosts: List<String>, done: (Boolean) -> Unit) = Unit
+    override fun returnMachines(machineNames: List<String>, done: (Boolean) -> Unit) = Unit
 
-    override fun listHosts(done: (List<ListedHost>?) -> Unit) = Unit
+    override fun listMachines(done: (List<ListedMachine>?) -> Unit) = Unit
 
     override fun machineTypes(done: (List<MachineType>?) -> Unit) = Unit
 
     override fun extendLease(lease: Long?, lifeMs: Long, done: (LeaseState) -> Unit) = Unit
 
-    override fun shareLimits(aliveNodes: Int, leading: Boolean) = Unit
+    override fun shareLimits(aliveControllers: Int, leading: Boolean) = Unit
 
     override fun endProcess(reason: String) = Unit
 
--- a/src/test/kotlin/io/reedmast/sim/RolloutRules.kt
+++ b/src/test/kotlin/io/reedmast/sim/RolloutRules.kt
@@ -89,7 +89,7 @@
     }
 
     private companion object {
-        val conditional = listOf(Keys.NODES, Keys.LEADER, Keys.TOKEN, "page/", Keys.ROLLOUT, Keys.MIGRATIONS)
+        val conditional = listOf(Keys.MEMBERS, Keys.LEADER, Keys.TOKEN, "page/", Keys.ROLLOUT, Keys.MIGRATIONS)
         val allowed = mapOf(
             GateState.DORMANT to setOf(GateState.READY),
             GateState.READY to setOf(GateState.DORMANT, GateState.ENABLED),
--- a/src/test/kotlin/io/reedmast/sim/RuleChecker.kt
+++ b/src/test/kotlin/io/reedmast/sim/RuleChecker.kt
@@ -1,7 +1,7 @@
 package io.reedmast.sim
 
 import io.reedmast.kvstore.Keys
-import io.reedmast.placement.allows
+import io.reedmast.placement.isEligible
 import io.reedmast.wire.TaskId
 import io.reedmast.wire.UserAnswer
 
@@ -152,7 +152,7 @@
     private fun waits(jobId: String, job: World.SimJob) = jobId in told && told[jobId] !in FINAL && !job.fails &&
         (job.spec.service || job.completed.size < job.spec.taskCount) && (heldCount[jobId] ?: 0) == 0
 
-    /** Room for a task of the job, or for all of a gang, in one zone if it needs that. */
+    /** FreeCapacity for a task of the job, or for all of a gang, in one zone if it needs that. */
     private fun hasRoom(job: World.SimJob, room: List<Pair<SimWorker, Double>>): Boolean {
         val fitting = room.filter { (worker, cpus) -> fits(job, worker, cpus) }
         if (!job.spec.gang) return fitting.isNotEmpty()
@@ -161,7 +161,7 @@
     }
 
     private fun fits(job: World.SimJob, worker: SimWorker, freeCpus: Double) =
-        freeCpus + SLACK >= job.spec.cpus && allows(job.spec, worker.machineType.label, worker.zone, worker.spot)
+        freeCpus + SLACK >= job.spec.cpus && isEligible(job.spec, worker.machineType.label, worker.zone, worker.spot)
 
     /** Whether the team's limit leaves room for one more task of the job. */
     private fun underLimit(job: World.SimJob): Boolean {
--- a/src/test/kotlin/io/reedmast/sim/RuleCheckerTest.kt
+++ b/src/test/kotlin/io/reedmast/sim/RuleCheckerTest.kt
@@ -55,7 +55,7 @@
     fun `gone back`() {
         submitted()
         stored()
-        rules.answered("wk-1", answer(JobState.ABORTED), known = true)
+        rules.answered("wk-1", answer(JobState.CANCELLED), known = true)
         rules.answered("wk-1", answer(JobState.QUEUED), known = true)
         assertFound("went_back wk-1")
     }
@@ -129,7 +129,7 @@
         submitted()
         stored()
         rules.started(ordinary, task, attempt = 1)
-        rules.answered("wk-1", answer(JobState.ABORTED), known = true)
+        rules.answered("wk-1", answer(JobState.CANCELLED), known = true)
         world.runUntil(world.now() + 40_000)
         rules.checkCancelled()
         assertEquals(emptyList<String>(), rules.broken)
--- a/src/test/kotlin/io/reedmast/sim/Scenario.kt
+++ b/src/test/kotlin/io/reedmast/sim/Scenario.kt
@@ -1,8 +1,8 @@
 package io.reedmast.sim
 
 import io.reedmast.app.Controller
-import io.reedmast.ownership.Token
-import io.reedmast.ownership.TokenFence
+import io.reedmast.ownership.FencingToken
+import io.reedmast.ownership.TokenCounter
 import io.reedmast.rollout.FeatureName
 import io.reedmast.rollout.FormatVersion
 import io.reedmast.rollout.Target
@@ -145,15 +145,15 @@
             }
 
             "abort" -> if (args["insist"] == "true") {
-                insist(words[1], { c, answer -> c.abort(words[1], answer) })
+                insist(words[1], { c, answer -> c.cancel(words[1], answer) })
             } else {
-                node?.ask(words[1], { c, answer -> c.abort(words[1], answer) })
+                node?.ask(words[1], { c, answer -> c.cancel(words[1], answer) })
             }
 
             // At all nodes, and once more at each, within milliseconds.
             "abort-everywhere" -> if (words[1] in world.rules.told) {
-                repeat(2) { world.nodes.filter { it.up }.forEach { asked -> asked.ask(words[1], { c, answer -> c.abort(words[1], answer) }) } }
-                insist(words[1], { c, answer -> c.abort(words[1], answer) })
+                repeat(2) { world.nodes.filter { it.up }.forEach { asked -> asked.ask(words[1], { c, answer -> c.cancel(words[1], answer) }) } }
+                insist(words[1], { c, answer -> c.cancel(words[1], answer) })
             }
 
             // Users ask about every job that was accepted, each at some node, from now on.
@@ -163,7 +163,7 @@
             // The job is called off, asked about and submitted again at the moment when its last task ends.
             "meet-end" -> world.atEndOf(words[1]) {
                 val spec = world.jobs.getValue(words[1]).spec
-                insist(words[1], { c, answer -> c.abort(words[1], answer) })
+                insist(words[1], { c, answer -> c.cancel(words[1], answer) })
                 insist(words[1], { c, answer -> c.poll(words[1], answer) })
                 insist(words[1], { c, answer -> c.submit(spec, answer) })
             }
@@ -284,7 +284,7 @@
             "kept" -> assertTrue(words[1] in world.workers, "$at: returned are ${world.returned}")
 
             // No node counts the machine to any shard.
-            "unknown" -> assertTrue(world.nodes.none { it.controller?.cluster?.shardOfHost(words[1]) != null }, at)
+            "unknown" -> assertTrue(world.nodes.none { it.controller?.cluster?.shardOfMachine(words[1]) != null }, at)
 
             "healthy" -> assertEquals(words[2].toBoolean(), world.nodes.first { it.label == words[1] }.controller?.healthy(), at)
 
@@ -308,7 +308,7 @@
             "same-attempts" -> assertEquals(noted[words[1]], world.attempts(words[1]), at)
 
             // How often a shard was taken, since the first start.
-            "takings" -> assertEquals(words[1].toLong(), Token.takings(TokenFence.tokenOf(world.state.get("c/token")?.value.orEmpty())), at)
+            "takings" -> assertEquals(words[1].toLong(), FencingToken.acquisitions(TokenCounter.tokenOf(world.state.get("c/token")?.value.orEmpty())), at)
 
             // `taken-back`: dormant, or ready to be enabled again.
             "gate" -> {
--- a/src/test/kotlin/io/reedmast/sim/SimGateway.kt
+++ b/src/test/kotlin/io/reedmast/sim/SimGateway.kt
@@ -1,6 +1,6 @@
 package io.reedmast.sim
 
-import io.reedmast.fleet.Rental
+import io.reedmast.fleet.ProvisioningRequest
 import io.reedmast.kvstore.CasTransaction
 import io.reedmast.kvstore.CommitQueue
 import io.reedmast.kvstore.CommitReply
@@ -17,15 +17,15 @@
 import io.reedmast.peers.PeerMessage
 import io.reedmast.ports.Gateway
 import io.reedmast.ports.LeaseState
-import io.reedmast.ports.Rented
+import io.reedmast.ports.ProvisioningResult
 import io.reedmast.settings.ControllerId
 import io.reedmast.wire.CloudMessages
 import io.reedmast.wire.Fields
-import io.reedmast.wire.ListedHost
+import io.reedmast.wire.ListedMachine
 import io.reedmast.wire.MachineType
-import io.reedmast.wire.Order
 import io.reedmast.wire.Reply
 import io.reedmast.wire.StoreMessages
+import io.reedmast.wire.WorkerCommand
 import io.reedmast.wire.WorkerReplies
 import kotlin.random.Random
 
@@ -197,14 +197,14 @@
         reply(GET_MS, done) {
             when {
                 !reachable -> LeaseState.Unknown
-                lease == null -> LeaseState.StoredRecord(state.lease(lifeMs), true)
-                state.extend(lease, lifeMs) -> LeaseState.StoredRecord(lease, false)
+                lease == null -> LeaseState.Held(state.lease(lifeMs), true)
+                state.extend(lease, lifeMs) -> LeaseState.Held(lease, false)
                 else -> LeaseState.Lost
             }
         }
     }
 
-    override fun shareLimits(aliveNodes: Int, leading: Boolean) = writeLimiter.setRate(world.writesPerS * SAFETY / aliveNodes)
+    override fun shareLimits(aliveControllers: Int, leading: Boolean) = writeLimiter.setRate(world.writesPerS * SAFETY / aliveControllers)
 
     // ---- other controllers and workers --------------------------------------------------------------------------------
 
@@ -218,9 +218,9 @@
         if (!node.peersCut && !to.peersCut) to.receive(message)
     }
 
-    override fun direct(addr: String, token: Long, session: Long, orders: List<Order>, done: (Reply) -> Unit) {
+    override fun direct(addr: String, token: Long, epoch: Long, commands: List<WorkerCommand>, done: (Reply) -> Unit) {
         world.messages++
-        record("direct $addr", WorkerReplies.direct(token, session, orders))
+        record("direct $addr", WorkerReplies.directCall(token, epoch, commands))
         val worker = world.workerAt(addr)
         val late = node.lateDirectMs
         node.lateDirectMs = 0L
@@ -230,19 +230,19 @@
             worker.deaf -> reply(DIRECT_PATIENCE_MS, done) { Reply.Unanswered("deaf") }
 
             late > 0L -> {
-                world.after(late) { worker.direct(token, session, orders) }
+                world.after(late) { worker.direct(token, epoch, commands) }
                 reply(DIRECT_PATIENCE_MS, done) { Reply.Unanswered("late") }
             }
 
             worker.hung -> {
-                worker.whenResumed { worker.direct(token, session, orders) }
+                worker.whenResumed { worker.direct(token, epoch, commands) }
                 reply(DIRECT_PATIENCE_MS, done) { Reply.Unanswered("hung") }
             }
 
             else -> node.later(DIRECT_MS) {
                 if (node.life != life) return@later
-                val answer = worker.direct(token, session, orders)
-                if (world.repeatDirectMs > 0L) world.after(world.repeatDirectMs) { worker.direct(token, session, orders) }
+                val answer = worker.direct(token, epoch, commands)
+                if (world.repeatDirectMs > 0L) world.after(world.repeatDirectMs) { worker.direct(token, epoch, commands) }
                 reply(DIRECT_MS, done) { answer }
             }
         }
@@ -257,23 +257,23 @@
 
     // ---- the cloud ----------------------------------------------------------------------------------------------------
 
-    override fun rent(rental: Rental, done: (Rented) -> Unit) {
+    override fun provision(rental: ProvisioningRequest, done: (ProvisioningResult) -> Unit) {
         record("rent", CloudMessages.rental(rental.requestName, rental.typeName, rental.zone, rental.spot, rental.count))
-        reply(CLOUD_MS, done) { world.rent(rental) }
+        reply(CLOUD_MS, done) { world.provision(rental) }
     }
 
-    override fun giveBack(hosts: List<String>, done: (Boolean) -> Unit) {
-        record("return", CloudMessages.returnOf(hosts))
+    override fun returnMachines(machineNames: List<String>, done: (Boolean) -> Unit) {
+        record("return", CloudMessages.returnOf(machineNames))
         world.after(CLOUD_MS) {
-            val confirmed = world.giveBack(hosts)
+            val confirmed = world.returnMachines(machineNames)
             reply(1, done) { confirmed }
         }
     }
 
-    override fun listHosts(done: (List<ListedHost>?) -> Unit) {
+    override fun listMachines(done: (List<ListedMachine>?) -> Unit) {
         record("machines", emptyMap())
         reply(CLOUD_MS, done) {
-            world.workers.values.map { ListedHost(it.name, it.addr, it.machineType.label, it.zone, it.spot, "running", 0.0) }
+            world.workers.values.map { ListedMachine(it.name, it.addr, it.machineType.label, it.zone, it.spot, "running", 0.0) }
         }
     }
 
--- a/src/test/kotlin/io/reedmast/sim/SimNode.kt
+++ b/src/test/kotlin/io/reedmast/sim/SimNode.kt
@@ -232,13 +232,13 @@
 
     fun receive(message: PeerMessage) {
         val receiving = life
-        later(PEER_MS) { if (life == receiving) controller?.peerSent(message) }
+        later(PEER_MS) { if (life == receiving) controller?.onPeerMessage(message) }
     }
 
     companion object {
         /** What a version before formats and rollouts writes, and sees, of a record. */
         fun asBeforeRollouts(path: String, value: Fields): Fields = when {
-            path.startsWith(Keys.NODES) -> value.filterKeys { it == "label" || it == "txn" }
+            path.startsWith(Keys.MEMBERS) -> value.filterKeys { it == "label" || it == "txn" }
             path == Keys.TOKEN && "fencedToken" in value -> mapOf("form" to 0L)
             else -> value
         }
--- a/src/test/kotlin/io/reedmast/sim/SimOperator.kt
+++ b/src/test/kotlin/io/reedmast/sim/SimOperator.kt
@@ -83,11 +83,11 @@
         return status ?: error("no status")
     }
 
-    fun stateOf(feature: String): String = status().let { it.picture.stateOf(FeatureName(feature), it.view.gates.record).storedName }
+    fun stateOf(feature: String): String = status().let { it.snapshot.stateOf(FeatureName(feature), it.view.gates.record).storedName }
 
     /** Whether all records of the feature have the form that its gate wants. */
     fun isMigrated(feature: String): Boolean = status().let { status ->
-        ClusterFeatures.registry[FeatureName(feature)]?.let { status.picture.isMigrated(it, status.view.gates.record) } ?: false
+        ClusterFeatures.registry[FeatureName(feature)]?.let { status.snapshot.isMigrated(it, status.view.gates.record) } ?: false
     }
 
     fun waiting(): String = status().waiting.toString()
--- a/src/test/kotlin/io/reedmast/sim/SimStore.kt
+++ b/src/test/kotlin/io/reedmast/sim/SimStore.kt
@@ -8,7 +8,7 @@
 import io.reedmast.kvstore.StoredItem
 import io.reedmast.kvstore.WatchEvent
 import io.reedmast.kvstore.Write
-import io.reedmast.ownership.HostPart
+import io.reedmast.ownership.MachineListPart
 import io.reedmast.settings.StoreLimits
 import io.reedmast.wire.Fields
 import io.reedmast.wire.StoreMessages
@@ -148,26 +148,28 @@
     private val placed = HashMap<String, Set<Triple<TaskId, Long, String>>>()
 
     /** Whether a stored page places the attempt on the machine. */
-    fun places(id: TaskId, attempt: Long, host: String): Boolean = placed.values.any { Triple(id, attempt, host) in it }
+    fun places(id: TaskId, attempt: Long, machineName: String): Boolean = placed.values.any { Triple(id, attempt, machineName) in it }
 
-    private fun notePage(path: String, value: Fields) {
+    private fun recordPage(path: String, value: Fields) {
         if (!path.startsWith("page/")) return
         placed[path] = PageForm.chunksOf(value) { throw it }
-            .flatMapTo(HashSet()) { chunk -> chunk.placements.map { Triple(TaskId(chunk.jobId, it.task), it.attempt, it.host) } }
+            .flatMapTo(HashSet()) { chunk -> chunk.placements.map { Triple(TaskId(chunk.jobId, it.task), it.attempt, it.machineName) } }
     }
 
     /** A machine that comes to a shard must not be named by a page of another one, whose next owner would return it. */
     private fun checkMoved(path: String, value: Fields) {
-        val shard = path.removePrefix(Keys.HOSTS).substringBefore('/')
-        val hosts = HostPart.parse(value).hosts.mapTo(HashSet()) { it.name }
-        for ((other, entry) in entries.tailMap(Keys.HOSTS).entries.takeWhile { it.key.startsWith(Keys.HOSTS) }) {
-            if (other.startsWith("${Keys.HOSTS}$shard/") || "form" in entry.value) continue
-            HostPart.parse(entry.value).hosts.filter { it.name in hosts }.forEach { world.rules.breach("in_two_slices ${it.name}: $path and $other") }
+        val shard = path.removePrefix(Keys.MACHINES).substringBefore('/')
+        val machineNames = MachineListPart.parse(value).records.mapTo(HashSet()) { it.name }
+        for ((other, entry) in entries.tailMap(Keys.MACHINES).entries.takeWhile { it.key.startsWith(Keys.MACHINES) }) {
+            if (other.startsWith("${Keys.MACHINES}$shard/") || "form" in entry.value) continue
+            MachineListPart.parse(entry.value).records.filter {
+                it.name in machineNames
+            }.forEach { world.rules.breach("in_two_slices ${it.name}: $path and $other") }
         }
         for ((page, attempts) in placed) {
             if (page.startsWith("page/$shard/")) continue
             val of = page.removePrefix("page/").substringBefore('/').toInt()
-            attempts.filter { it.third in hosts && Keys.live(of, it.first.jobId) in entries }
+            attempts.filter { it.third in machineNames && Keys.live(of, it.first.jobId) in entries }
                 .forEach { world.rules.breach("moved_while_placed ${it.third} to slice $shard, ${it.first} of slice $of") }
         }
     }
@@ -176,10 +178,10 @@
         // Through the wire and back, as the real service would give it.
         val value = Tree.readCbor(Tree.writeCbor(StoreMessages.stored(write.value, transactionId)))
         entries[write.path] = Entry(value, revision, write.lease)
-        notePage(write.path, value)
+        recordPage(write.path, value)
         putsByKind.merge(write.path.substringBefore('/'), 1, Int::plus)
         world.rolloutRules.written(write.path, value)
-        if (write.path.startsWith(Keys.HOSTS)) checkMoved(write.path, value)
+        if (write.path.startsWith(Keys.MACHINES)) checkMoved(write.path, value)
         log.add(WatchEvent(write.path, value, revision))
     }
 
--- a/src/test/kotlin/io/reedmast/sim/SimWorker.kt
+++ b/src/test/kotlin/io/reedmast/sim/SimWorker.kt
@@ -3,12 +3,12 @@
 import io.reedmast.app.WorkerAnswer
 import io.reedmast.wire.Cause
 import io.reedmast.wire.MachineType
-import io.reedmast.wire.Order
 import io.reedmast.wire.Reply
-import io.reedmast.wire.Report
 import io.reedmast.wire.TaskId
-import io.reedmast.wire.TaskReport
 import io.reedmast.wire.TaskState
+import io.reedmast.wire.TaskStatus
+import io.reedmast.wire.WorkerCommand
+import io.reedmast.wire.WorkerStatus
 
 /** A worker of PROTOCOL: tokens, sessions, leases, images, and the commands' effects. */
 class SimWorker(private val world: World, val name: String, val machineType: MachineType, val zone: String, val spot: Boolean, private val rentedAt: Long) {
@@ -23,7 +23,7 @@
     private val images = HashSet<String>()
     private val resumed = ArrayList<() -> Unit>()
     private var node = 0
-    private var session = 1L
+    private var epoch = 1L
     private var sequence = 0L
     private var seenToken = 0L
     private var leaseFrom = 0L
@@ -115,7 +115,7 @@
         if (world.now() - leaseFrom > world.settings.workers.leaseS * 1000) {
             if (attempts().isNotEmpty()) world.leasesLost++
             dropAll()
-            session++
+            epoch++
             leaseFrom = world.now()
             changed()
         }
@@ -125,12 +125,12 @@
         reportDue = minOf(reportDue, world.now())
     }
 
-    private fun report(): Report {
+    private fun status(): WorkerStatus {
         sequence++
-        return Report(
-            name, addr, machineType.label, zone, spot, session, sequence, seenToken, null,
+        return WorkerStatus(
+            name, addr, machineType.label, zone, spot, epoch, sequence, seenToken, null,
             tasks.values.map {
-                TaskReport(it.id, it.attempt, it.state, it.cause)
+                TaskStatus(it.id, it.attempt, it.state, it.cause)
             },
         )
     }
@@ -139,14 +139,14 @@
         inFlight = true
         lastSent = world.now()
         val sentAt = world.now()
-        val sentIn = session
+        val sentIn = epoch
         reportDue = world.now() + 3_000
-        val report = report()
+        val status = status()
         val target = world.nodes[node]
-        if (copiesAfterMs > 0L) world.after(copiesAfterMs) { world.nodes.filter { it.up }.forEach { world.workerAnswer(it, report) } }
+        if (copiesAfterMs > 0L) world.after(copiesAfterMs) { world.nodes.filter { it.up }.forEach { world.workerAnswer(it, status) } }
         world.after(2) {
             val reaches = target.up && !target.workersCut && !cut && !mute
-            val answer = if (reaches) world.workerAnswer(target, report) else null
+            val answer = if (reaches) world.workerAnswer(target, status) else null
             if (answersLost || deaf || answer == null) {
                 world.after(if (target.up) 4_000 else 10) { next(1_000) }
             } else {
@@ -169,14 +169,14 @@
         }
         inFlight = false
         when (answer) {
-            is WorkerAnswer.Orders -> {
-                if (answer.token < seenToken || sentIn != session) return
+            is WorkerAnswer.Commands -> {
+                if (answer.token < seenToken || sentIn != epoch) return
                 if (answer.token > seenToken) {
                     seenToken = answer.token
                     changed()
                 }
                 leaseFrom = sentAt
-                answer.orders.forEach { execute(it) }
+                answer.commands.forEach { execute(it) }
             }
 
             is WorkerAnswer.Elsewhere -> {
@@ -195,30 +195,30 @@
         }
     }
 
-    fun direct(token: Long, ofSession: Long, orders: List<Order>): Reply {
+    fun direct(token: Long, ofEpoch: Long, commands: List<WorkerCommand>): Reply {
         if (gone || !started) return Reply.Unanswered("gone")
-        if (token < seenToken || ofSession != session) return Reply.Answer(409, fields(report()))
+        if (token < seenToken || ofEpoch != epoch) return Reply.Answer(409, fields(status()))
         if (token > seenToken) {
             seenToken = token
             changed()
         }
-        orders.forEach { execute(it) }
-        return Reply.Answer(200, fields(report()))
+        commands.forEach { execute(it) }
+        return Reply.Answer(200, fields(status()))
     }
 
-    private fun execute(order: Order) {
-        val key = order.id to order.attempt
+    private fun execute(command: WorkerCommand) {
+        val key = command.id to command.attempt
         val task = tasks[key]
-        when (order) {
-            is Order.Launch -> {
-                if (task == null) launch(order)
+        when (command) {
+            is WorkerCommand.StartTask -> {
+                if (task == null) launch(command)
             }
 
-            is Order.Stop -> {
-                if (task != null && task.state != TaskState.ENDED) stop(task, order.graceS)
+            is WorkerCommand.StopTask -> {
+                if (task != null && task.state != TaskState.ENDED) stop(task, command.graceS)
             }
 
-            is Order.Forget -> {
+            is WorkerCommand.ForgetTask -> {
                 if (task?.state == TaskState.ENDED) tasks.remove(key)
             }
         }
@@ -247,11 +247,11 @@
         override fun exit(cause: Cause) = later(0, of) { end(of, cause) }
     }
 
-    private fun launch(order: Order.Launch) {
-        val task = Task(order.id, order.attempt)
-        val job = world.jobs[order.id.jobId]
-        val busy = tasks.values.any { it.id == order.id && it.state != TaskState.ENDED }
-        tasks[order.id to order.attempt] = task
+    private fun launch(command: WorkerCommand.StartTask) {
+        val task = Task(command.id, command.attempt)
+        val job = world.jobs[command.id.jobId]
+        val busy = tasks.values.any { it.id == command.id && it.state != TaskState.ENDED }
+        tasks[command.id to command.attempt] = task
         changed()
         if (busy || job == null) {
             refuse(task, if (busy) Cause.BUSY else Cause.UNKNOWN)
@@ -262,7 +262,7 @@
             refuse(task, Cause.NO_ROOM)
             return
         }
-        world.rules.launched(this, order.id, order.attempt)
+        world.rules.launched(this, command.id, command.attempt)
         val fetchMs = if (job.spec.image in images) 0L else (job.spec.imageGb / machineType.fetchGbPerS * 1000).toLong()
         later(fetchMs, task) { run(task, job) }
     }
@@ -308,15 +308,15 @@
         changed()
     }
 
-    private fun fields(report: Report): Map<String, Any?> = mapOf(
-        "host" to report.host,
-        "addr" to report.addr,
-        "build" to report.typeName,
-        "yard" to report.zone,
-        "driftwood" to report.spot,
-        "tenure" to report.session,
-        "tally" to report.sequence,
-        "baton" to report.token,
-        "pieces" to report.tasks.map { mapOf("piece" to it.id.toString(), "try" to it.attempt, "stage" to it.state.wire, "cause" to it.cause?.wire) },
+    private fun fields(status: WorkerStatus): Map<String, Any?> = mapOf(
+        "host" to status.machineName,
+        "addr" to status.addr,
+        "build" to status.typeName,
+        "yard" to status.zone,
+        "driftwood" to status.spot,
+        "tenure" to status.epoch,
+        "tally" to status.sequence,
+        "baton" to status.token,
+        "pieces" to status.tasks.map { mapOf("piece" to it.id.toString(), "try" to it.attempt, "stage" to it.state.wire, "cause" to it.cause?.wire) },
     )
 }
