--- a/src/test/kotlin/io/reedmast/sim/World.kt
+++ b/src/test/kotlin/io/reedmast/sim/World.kt
@@ -2,42 +2,42 @@
 
 import io.reedmast.app.Controller
 import io.reedmast.app.WorkerAnswer
-import io.reedmast.fleet.Rental
+import io.reedmast.fleet.ProvisioningRequest
 import io.reedmast.kvstore.CasTransaction
 import io.reedmast.kvstore.CommitOutcome
 import io.reedmast.kvstore.ReadResult
 import io.reedmast.kvstore.StoredItem
 import io.reedmast.peers.PeerMessage
-import io.reedmast.placement.allows
+import io.reedmast.placement.isEligible
 import io.reedmast.ports.Clock
 import io.reedmast.ports.Gateway
 import io.reedmast.ports.LeaseState
-import io.reedmast.ports.Rented
+import io.reedmast.ports.ProvisioningResult
 import io.reedmast.settings.ControllerId
 import io.reedmast.settings.Settings
 import io.reedmast.settings.Tuning
 import io.reedmast.wire.JobShape
 import io.reedmast.wire.JobSpec
-import io.reedmast.wire.ListedHost
+import io.reedmast.wire.ListedMachine
 import io.reedmast.wire.MachineType
-import io.reedmast.wire.Order
 import io.reedmast.wire.Priority
 import io.reedmast.wire.Reply
-import io.reedmast.wire.Report
 import io.reedmast.wire.TaskId
 import io.reedmast.wire.UserAnswer
+import io.reedmast.wire.WorkerCommand
 import io.reedmast.wire.WorkerReplies
+import io.reedmast.wire.WorkerStatus
 import java.net.InetSocketAddress
 import java.util.PriorityQueue
 import kotlin.random.Random
 
 /** A deterministic world: simulated time, a store, a cloud, workers and users, around real controllers. */
 class World(val settingsOf: (Int) -> Settings, nodes: Int, var machineTypes: List<MachineType>, val tuning: Tuning = Tuning()) : Clock {
-    private class Event(val at: Long, val order: Long, val work: () -> Unit)
+    private class Event(val at: Long, val sequence: Long, val work: () -> Unit)
 
     private var time = 1_000L
-    private var order = 0L
-    private val events = PriorityQueue<Event>(compareBy<Event>({ it.at }, { it.order }))
+    private var sequence = 0L
+    private val events = PriorityQueue<Event>(compareBy<Event>({ it.at }, { it.sequence }))
     val state = SimStore(this)
     val workers = LinkedHashMap<String, SimWorker>()
     private val workersByAddr = HashMap<String, SimWorker>()
@@ -52,13 +52,13 @@
     /** How often a worker's lease ended with tasks on it. */
     var leasesLost = 0
     private val requests = HashMap<String, List<String>>()
-    private var hosts = 0
+    private var machineCount = 0
     var capacity = Int.MAX_VALUE
 
     /** How many times longer the store takes than usual. */
     var stateSlow = 1L
 
-    /** Reports and direct commands that have arrived somewhere. */
+    /** HeartbeatHandler and direct commands that have arrived somewhere. */
     var messages = 0
 
     /** What chance decides: the same for every run. */
@@ -88,7 +88,7 @@
     override fun wall(): Long = 1_700_000_000_000L + time
 
     fun after(ms: Long, work: () -> Unit) {
-        events.add(Event(time + ms, order++, work))
+        events.add(Event(time + ms, sequence++, work))
     }
 
     fun runUntil(ms: Long) {
@@ -103,10 +103,10 @@
     }
 
     fun addWorker(typeName: String, zone: String, spot: Boolean, bootMs: Long): SimWorker {
-        val name = "host-%06d".format(hosts++)
+        val name = "host-%06d".format(machineCount++)
         val worker = SimWorker(this, name, machineTypes.first { it.label == typeName }, zone, spot, time)
         workers[name] = worker
-        worker.cut = zone in dark
+        worker.cut = zone in unavailableZones
         workersByAddr[worker.addr] = worker
         after(bootMs) { worker.start() }
         return worker
@@ -115,10 +115,10 @@
     /** Each direct call that was carried out arrives once more, this much later; 0: none does. */
     var repeatDirectMs = 0L
 
-    private val dark = HashSet<String>()
+    private val unavailableZones = HashSet<String>()
 
     fun darken(zone: String, on: Boolean) {
-        if (on) dark.add(zone) else dark.remove(zone)
+        if (on) unavailableZones.add(zone) else unavailableZones.remove(zone)
         workers.values.filter { it.zone == zone }.forEach { it.cut = on }
     }
 
@@ -147,19 +147,19 @@
 
     fun workerAt(addr: String): SimWorker? = workersByAddr[addr]
 
-    fun rent(rental: Rental): Rented {
+    fun provision(rental: ProvisioningRequest): ProvisioningResult {
         val names = requests.getOrPut(rental.requestName) {
-            if (cloudOut) return Rented.Failed
+            if (cloudOut) return ProvisioningResult.Failed
             val count = minOf(rental.count, capacity - workers.size).coerceAtLeast(0)
             (0 until count).map { addWorker(rental.typeName, rental.zone, rental.spot, bootMs(rental.typeName)).name }
         }
-        return if (names.isEmpty()) Rented.NoCapacity else Rented.Hosts(names)
+        return if (names.isEmpty()) ProvisioningResult.NoCapacity else ProvisioningResult.Machines(names)
     }
 
     /** Takes machines back; false if the cloud does not answer. */
-    fun giveBack(hosts: List<String>): Boolean {
+    fun returnMachines(machineNames: List<String>): Boolean {
         if (cloudOut) return false
-        for (name in hosts) {
+        for (name in machineNames) {
             val worker = workers.remove(name) ?: continue
             returned.add(name)
             worker.vanish()
@@ -198,22 +198,22 @@
         )
     }
 
-    fun workerAnswer(node: SimNode, report: Report): WorkerAnswer? {
+    fun workerAnswer(node: SimNode, status: WorkerStatus): WorkerAnswer? {
         messages++
         if (node.stands) {
             // It is read once the process goes on, and the answer finds nobody.
-            node.later(0) { node.controller?.checkin(report) }
+            node.later(0) { node.controller?.onHeartbeat(status) }
             return null
         }
-        return node.controller?.checkin(report)?.also { record(node, report, it) }
+        return node.controller?.onHeartbeat(status)?.also { record(node, status, it) }
     }
 
-    private fun record(node: SimNode, report: Report, answer: WorkerAnswer) {
+    private fun record(node: SimNode, status: WorkerStatus, answer: WorkerAnswer) {
         val body = when (answer) {
-            is WorkerAnswer.Orders -> WorkerReplies.commands(answer.token, answer.orders)
+            is WorkerAnswer.Commands -> WorkerReplies.heartbeatReply(answer.token, answer.commands)
             is WorkerAnswer.Elsewhere -> WorkerReplies.redirect(answer.label)
             WorkerAnswer.Unavailable -> emptyMap()
         }
-        recorder?.record(time, node.label, "worker ${report.host} ${report.session}/${report.sequence}", body)
+        recorder?.record(time, node.label, "worker ${status.machineName} ${status.epoch}/${status.sequence}", body)
     }
 }
--- a/src/test/kotlin/io/reedmast/workers/CommandsTest.kt
+++ b/src/test/kotlin/io/reedmast/workers/CommandDispatcherTest.kt
@@ -12,11 +12,11 @@
 import io.reedmast.sim.World
 import io.reedmast.sim.testSettings
 import io.reedmast.wire.MachineType
-import io.reedmast.wire.Order
+import io.reedmast.wire.WorkerCommand
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 
-class CommandsTest {
+class CommandDispatcherTest {
     private val clock = object : Clock {
         override fun now() = 10_000L
 
@@ -26,27 +26,27 @@
     private val settings = testSettings()
     private val out = RecordingGateway()
     private val shardState = ShardState(ShardId(0), settings, Tuning(), clock, { listOf(machineType) }, { true })
-    private val commands = Commands(shardState, out) { _, _ -> }
-    private val machine = Machine(HostRecord("host-1", "m", "x", false), machineType, 0, 0).apply {
+    private val dispatcher = CommandDispatcher(shardState, out) { _, _ -> }
+    private val machine = Machine(MachineRecord("host-1", "m", "x", false), machineType, 0, 0).apply {
         addr = "10.1.0.1:9000"
         trusted = true
-        session = 1
-        lastHeardAt = 10_000L
+        epoch = 1
+        lastHeartbeatAt = 10_000L
     }
 
     private fun placed(): Placement {
         val job = Job(World.spec("wk-1", mapOf("tasks" to "1")), TeamId(0), 10, 0, 1)
         val placement = Placement(job, 0, 1, machine, 10_000).apply { committed = true }
         shardState.place(placement)
-        commands.launch(placement)
+        dispatcher.launch(placement)
         return placement
     }
 
     @Test
     fun `a launch that was decided is sent`() {
         val placement = placed()
-        commands.send()
-        assertEquals(listOf<Order>(Order.Launch(placement.id, 1)), out.directOrders)
+        dispatcher.send()
+        assertEquals(listOf<WorkerCommand>(WorkerCommand.StartTask(placement.id, 1)), out.directCommands)
     }
 
     /**
@@ -56,16 +56,16 @@
     @Test
     fun `a launch whose placement has ended meanwhile is not sent`() {
         val placement = placed()
-        commands.stop(placement, StopReason.ABORTED)
+        dispatcher.stop(placement, StopReason.CANCELLED)
         shardState.finish(placement, done = false)
-        commands.send()
-        assertEquals(emptyList<Order>(), out.directOrders)
+        dispatcher.send()
+        assertEquals(emptyList<WorkerCommand>(), out.directCommands)
     }
 
     @Test
     fun `a launch whose placement is to be stopped is not sent`() {
-        commands.stop(placed(), StopReason.DRAINED)
-        commands.send()
-        assertEquals(emptyList<Order>(), out.directOrders)
+        dispatcher.stop(placed(), StopReason.DRAINED)
+        dispatcher.send()
+        assertEquals(emptyList<WorkerCommand>(), out.directCommands)
     }
 }
