--- a/src/main/kotlin/io/reedmast/app/Node.kt
+++ b/src/main/kotlin/io/reedmast/app/Controller.kt
@@ -3,8 +3,6 @@
 import io.reedmast.fleet.Autoscaler
 import io.reedmast.jobs.JobRequestHandler
 import io.reedmast.kvstore.EffectiveLimits
-import io.reedmast.kvstore.StoredItem
-import io.reedmast.kvstore.WatchEvent
 import io.reedmast.ownership.Cluster
 import io.reedmast.ownership.ClusterFeatures
 import io.reedmast.ownership.FencingToken
@@ -19,13 +17,12 @@
 import io.reedmast.wire.UserAnswer
 import io.reedmast.wire.WorkerCommand
 import io.reedmast.wire.WorkerStatus
-import org.slf4j.LoggerFactory
 
 /** The answer to a worker's report. */
 sealed interface WorkerAnswer {
     data class Commands(val token: Long, val commands: List<WorkerCommand>) : WorkerAnswer
 
-    /** Another node answers this worker; null: nobody is known to. */
+    /** Another controller answers this worker; null: nobody is known to. */
     data class Elsewhere(val label: String?) : WorkerAnswer
 
     data object Unavailable : WorkerAnswer
@@ -48,18 +45,18 @@
     private val autoscaler = Autoscaler(settings, tuning, clock, out, cluster, { machineTypes }, incarnation)
     private val jobs = JobRequestHandler(settings, clock, out, limits, cluster) { machineTypes }
 
-    private var tickDue = 0L
+    private var runDue = 0L
 
     /** Called every few milliseconds: decisions that are due, and at times the slower duties. */
-    fun tick() {
+    fun runOnce() {
         val now = clock.now()
         // What has just come up gets work before it is asked whether it is of use.
-        cluster.pump()
-        if (now >= tickDue) {
-            tickDue = now + TICK_MS
+        cluster.reconcile()
+        if (now >= runDue) {
+            runDue = now + RUN_INTERVAL_MS
             askMachineTypes()
-            cluster.tick()
-            autoscaler.tick()
+            cluster.runOnce()
+            autoscaler.runOnce()
         }
     }
 
@@ -113,76 +110,8 @@
     fun healthy(): Boolean = cluster.ready && machineTypes.isNotEmpty() && (cluster.isCurrent() || cluster.outageForAll())
 
     private companion object {
-        const val TICK_MS = 250L
+        const val RUN_INTERVAL_MS = 250L
         const val MACHINE_TYPES_EVERY_MS = 60_000L
         const val MACHINE_TYPES_RETRY_MS = 2_000L
     }
 }
-
-/** What the threads at the door and at the watches may ask of the deciding thread. */
-class Node(private val eventLoop: EventLoop, private val controller: Controller, private val timings: Timings) {
-    private val log = LoggerFactory.getLogger("main")
-
-    @Volatile
-    private var healthyNow = false
-
-    fun healthy(): Boolean = healthyNow
-
-    @Volatile
-    private var waiting = false
-
-    /** Whether somebody waits to be told what the watch on jobs does not know yet. */
-    fun questionsWait(): Boolean = waiting
-
-    private fun updateQuestionsWaiting() {
-        waiting = controller.cluster.staleness.hasWaiters
-    }
-
-    fun tick() {
-        controller.tick()
-        timings.tick()
-        val healthy = controller.healthy()
-        if (healthy != healthyNow) log.info(if (healthy) "healthy: users are served" else "not healthy: {}", controller.cluster.staleness.describe())
-        healthyNow = healthy
-        updateQuestionsWaiting()
-    }
-
-    fun onHeartbeat(status: WorkerStatus, answer: (WorkerAnswer) -> Unit): Boolean = eventLoop.offer(Urgency.REPORT) { answer(controller.onHeartbeat(status)) }
-
-    fun submit(spec: JobSpec, answer: (UserAnswer) -> Unit): Boolean = eventLoop.offer(Urgency.SUBMISSION) {
-        controller.submit(spec, answer)
-        updateQuestionsWaiting()
-    }
-
-    fun poll(jobId: String, answer: (UserAnswer) -> Unit): Boolean = eventLoop.offer(Urgency.SUBMISSION) {
-        controller.poll(jobId, answer)
-        updateQuestionsWaiting()
-    }
-
-    fun cancel(jobId: String, answer: (UserAnswer) -> Unit): Boolean = eventLoop.offer(Urgency.SUBMISSION) {
-        controller.cancel(jobId, answer)
-        updateQuestionsWaiting()
-    }
-
-    /**
-     * No rule depends on the arrival of a peer's message. News for display wait behind the questions of users; what controllers
-     * confirm to each other must not, or many questions would end all work in an outage.
-     */
-    fun onPeerMessage(message: PeerMessage) {
-        val urgency = if (message is PeerMessage.ShardStatusUpdate) Urgency.SUBMISSION else Urgency.DECISION
-        eventLoop.offer(urgency) { controller.onPeerMessage(message) }
-    }
-
-    fun snapshot(items: List<StoredItem>, revision: Long, askedAt: Long) = eventLoop.post { controller.cluster.snapshot(items, revision, askedAt) }
-
-    fun clusterEvents(events: List<WatchEvent>, revision: Long, askedAt: Long) = eventLoop.post {
-        controller.cluster.clusterEvents(events, revision, askedAt)
-    }
-
-    fun jobsSnapshot(items: List<StoredItem>, revision: Long, askedAt: Long) = eventLoop.post { controller.cluster.jobsSnapshot(items, revision, askedAt) }
-
-    fun jobEvents(events: List<WatchEvent>, revision: Long, askedAt: Long) = eventLoop.post {
-        controller.cluster.jobEvents(events, revision, askedAt)
-        updateQuestionsWaiting()
-    }
-}
--- a/src/main/kotlin/io/reedmast/app/EventLoop.kt
+++ b/src/main/kotlin/io/reedmast/app/EventLoop.kt
@@ -18,11 +18,11 @@
  * otherwise the work is queued, and the deciding thread, which also ticks, does it. Handed over each time, a report cost
  * a dozen calls of the system for waking threads, which was most of its processor time.
  *
- * Queues for what comes from outside are bounded; results of the node's own calls are not refused, since the calls
+ * Queues for what comes from outside are bounded; results of the controller's own calls are not refused, since the calls
  * themselves are bounded.
  */
 class EventLoop(private val clock: Clock, private val maxQueued: Int) {
-    private val log = LoggerFactory.getLogger("desk")
+    private val log = LoggerFactory.getLogger("event-loop")
     private val lock = Object()
     private val queues = Urgency.entries.map { ArrayDeque<() -> Unit>() }
     private var deciding = false
@@ -36,7 +36,7 @@
     /** False if there is too much to do already. */
     fun offer(urgency: Urgency, work: () -> Unit): Boolean = enqueue(urgency, work, maxQueued)
 
-    /** A result the node has waited for. */
+    /** A result the controller has waited for. */
     fun post(work: () -> Unit) {
         enqueue(Urgency.DECISION, work, Int.MAX_VALUE)
     }
@@ -62,8 +62,8 @@
         try {
             work()
         } catch (e: RuntimeException) {
-            // One message that cannot be handled must not stop the node: say so, and go on with the next.
-            log.error("a message or decision failed", e)
+            // One message that cannot be handled must not stop the controller: say so, and go on with the next.
+            log.error("event loop: a task failed", e)
         } finally {
             synchronized(lock) {
                 deciding = false
@@ -73,13 +73,13 @@
     }
 
     /**
-     * The body of the deciding thread: runs [tick] every [tickMs], or every [idleMs] while no messages come.
+     * The body of the deciding thread: runs [runOnce] every [tickMs], or every [idleMs] while no messages come.
      *
      * A tick costs little; forty of them a second through a quiet hour, in three processes, cost more than the work did.
      */
-    fun run(tickMs: Long, idleMs: Long, tick: () -> Unit) {
+    fun run(tickMs: Long, idleMs: Long, runOnce: () -> Unit) {
         while (!Thread.currentThread().isInterrupted) {
-            decide(next(tickMs, idleMs) ?: tick)
+            decide(next(tickMs, idleMs) ?: runOnce)
         }
     }
 
@@ -105,13 +105,13 @@
         }
     }
 
-    private fun waiting(tickDue: Boolean): (() -> Unit)? {
+    private fun waiting(runDue: Boolean): (() -> Unit)? {
         if (queued == 0) return null
         // Now and then the last come first: under lasting overload no question of a user would be answered at all.
         val order = if (++served % LAST_FIRST_EACH == 0) queues.asReversed() else queues
         for (queue in order) {
             // A tick is a decision, and comes before those that wait.
-            if (tickDue && order === queues && queue !== queues[Urgency.REPORT.ordinal]) return null
+            if (runDue && order === queues && queue !== queues[Urgency.REPORT.ordinal]) return null
             val work = queue.poll() ?: continue
             queued--
             return work
--- a/src/main/kotlin/io/reedmast/app/HttpApi.kt
+++ b/src/main/kotlin/io/reedmast/app/HttpApi.kt
@@ -27,7 +27,7 @@
  *
  * Submissions and polls may hold only part of the threads, so that reports of workers always find one.
  */
-class HttpApi(private val settings: Settings, private val node: Node, private val timings: Timings) {
+class HttpApi(private val settings: Settings, private val handle: ControllerHandle, private val timings: Timings) {
     private val submissions = Semaphore(SUBMISSIONS_AT_ONCE)
     private val questions = Semaphore(QUESTIONS_AT_ONCE)
 
@@ -42,10 +42,10 @@
         when {
             path == "/checkin" -> only(Method.POST, method) { timings.time("checkin") { onHeartbeat(request) } }
             path == "/submissions" -> only(Method.POST, method) { timings.time("submission") { submit(request) } }
-            path == "/healthz" -> only(Method.GET, method) { Response(if (node.healthy()) Status.OK else Status.SERVICE_UNAVAILABLE) }
+            path == "/healthz" -> only(Method.GET, method) { Response(if (handle.healthy()) Status.OK else Status.SERVICE_UNAVAILABLE) }
             job == null -> Response(Status.NOT_FOUND)
-            job.endsWith(ABORT) -> only(Method.POST, method) { ask(job.removeSuffix(ABORT), node::cancel) }
-            else -> only(Method.GET, method) { ask(job, node::poll) }
+            job.endsWith(ABORT) -> only(Method.POST, method) { ask(job.removeSuffix(ABORT), handle::cancel) }
+            else -> only(Method.GET, method) { ask(job, handle::poll) }
         }
     }
 
@@ -55,7 +55,7 @@
     fun start() {
         // Read once by the JDK's server when its classes load.
         System.setProperty("sun.net.httpserver.nodelay", "true")
-        // The last node left has the workers of the whole fleet: nearly all sockets are theirs, and few are for our own calls.
+        // The last controller left has the workers of the whole fleet: nearly all sockets are theirs, and few are for our own calls.
         System.setProperty("sun.net.httpserver.maxIdleConnections", (settings.maxConnections * IDLE_PART).toInt().toString())
         System.setProperty("jdk.httpserver.maxConnections", (settings.maxConnections * SERVED_PART).toInt().toString())
         val server = HttpServer.create(settings.front, BACKLOG)
@@ -66,7 +66,7 @@
 
     private fun onHeartbeat(request: Request): Response = reading(request) { fields ->
         val status = WorkerStatus.parse(fields)
-        val answer = await(WORKER_PATIENCE_MS) { node.onHeartbeat(status, it) }
+        val answer = await(WORKER_PATIENCE_MS) { handle.onHeartbeat(status, it) }
         when (answer) {
             null, WorkerAnswer.Unavailable -> Response(Status.SERVICE_UNAVAILABLE)
             is WorkerAnswer.Commands -> cbor(Status.OK, WorkerReplies.heartbeatReply(answer.token, answer.commands))
@@ -79,7 +79,7 @@
         try {
             return reading(request) { fields ->
                 val spec = JobSpec.parse(fields)
-                user(await(USER_PATIENCE_MS) { node.submit(spec, it) })
+                user(await(USER_PATIENCE_MS) { handle.submit(spec, it) })
             }
         } finally {
             submissions.release()
--- a/src/main/kotlin/io/reedmast/app/Main.kt
+++ b/src/main/kotlin/io/reedmast/app/Main.kt
@@ -114,24 +114,24 @@
         val eventLoop = EventLoop(SystemClock, MAX_QUEUED)
         val limits = EffectiveLimits(settings.storeLimits, settings.nextStoreLimits)
         val client = StoreClient(settings.storeAddress, limits, settings.members.size, Caller(STORE_CONNECT_MS, STORE_READ_MS))
-        // Time of day and process start tell two processes of a node apart.
+        // Time of day and process start tell two processes of a controller apart.
         val incarnation = "${settings.label}-${java.lang.Long.toString(SystemClock.wall(), 36)}-${java.lang.Long.toString(System.nanoTime(), 36)}"
         val out = NetworkGateway(settings, eventLoop, client, limits, incarnation, ::endUnfit)
         val controller = Controller(settings, Tuning(window, protectCap, resize, totals, idle), SystemClock, out, limits, incarnation, rolloutOptions)
         val timings = Timings(SystemClock)
-        val node = Node(eventLoop, controller, timings)
+        val handle = ControllerHandle(eventLoop, controller, timings)
         try {
-            HttpApi(settings, node, timings).start()
-            val peers = PeerServer(settings.clusterListen, WorkPool("peer-in", settings.members.size * 2, settings.members.size), node::onPeerMessage)
+            HttpApi(settings, handle, timings).start()
+            val peers = PeerServer(settings.clusterListen, WorkPool("peer-in", settings.members.size * 2, settings.members.size), handle::onPeerMessage)
             val listening = peers.open()
             NetworkGateway.startThread("peers") { peers.run(listening) }
         } catch (e: IOException) {
             unusable("cannot listen on front ${settings.front} or cluster_listen ${settings.clusterListen}: ${e.message}")
         }
         out.start()
-        Watches(client, SystemClock, node).start()
-        log.info("{} listens on {}", settings.label, settings.front)
-        val deciding = NetworkGateway.startThread("desk") { eventLoop.run(TICK_MS, IDLE_TICK_MS, node::tick) }
+        Watches(client, SystemClock, handle).start()
+        log.info("controller {}: listens on {}", settings.label, settings.front)
+        val deciding = NetworkGateway.startThread("event-loop") { eventLoop.run(RUN_INTERVAL_MS, IDLE_RUN_INTERVAL_MS, handle::runOnce) }
         val limit = rehearse
         if (limit == null) {
             deciding.join()
@@ -156,8 +156,8 @@
 
     private companion object {
         const val MAX_QUEUED = 256
-        const val TICK_MS = 40L
-        const val IDLE_TICK_MS = 200L
+        const val RUN_INTERVAL_MS = 40L
+        const val IDLE_RUN_INTERVAL_MS = 200L
         const val STORE_CONNECT_MS = 800
         const val STORE_READ_MS = 2_500
     }
--- a/src/main/kotlin/io/reedmast/app/NetworkGateway.kt
+++ b/src/main/kotlin/io/reedmast/app/NetworkGateway.kt
@@ -178,7 +178,7 @@
     }
 
     private fun cloud(method: String, path: String, body: Map<String, Any?>? = null): Reply {
-        if (!cloudLimit.tryAcquire(CLOUD_PATIENCE_S, TimeUnit.SECONDS)) return Reply.NotSent("over this node's part of the limit")
+        if (!cloudLimit.tryAcquire(CLOUD_PATIENCE_S, TimeUnit.SECONDS)) return Reply.NotSent("over this controller's part of the limit")
         val reply = cloudCaller.call(method, settings.cloudAddress, path, body)
         if (reply !is Reply.Answer || reply.status != 200) log.info("{} {}: {}", method, path, reply)
         return reply
@@ -187,7 +187,7 @@
     private inline fun <T> reading(read: () -> T): T? = try {
         read()
     } catch (e: MalformedException) {
-        log.error("the cloud answers nonsense: {}", e.message)
+        log.error("cloud: malformed answer: {}", e.message)
         null
     }
 
@@ -243,7 +243,7 @@
                     body()
                     return
                 } catch (e: RuntimeException) {
-                    LoggerFactory.getLogger("main").error("thread {} failed and begins again", name, e)
+                    LoggerFactory.getLogger("main").error("thread {}: failed and restarts", name, e)
                     Thread.sleep(RESTART_PAUSE_MS)
                 }
             }
--- a/src/main/kotlin/io/reedmast/app/Timings.kt
+++ b/src/main/kotlin/io/reedmast/app/Timings.kt
@@ -29,7 +29,7 @@
         histograms[kind]?.recordValue(ms.coerceIn(0, MAX_MS))
     }
 
-    fun tick() {
+    fun runOnce() {
         if (clock.now() < due) return
         due = clock.now() + EVERY_MS
         for ((kind, histogram) in histograms) {
--- a/src/main/kotlin/io/reedmast/app/Watches.kt
+++ b/src/main/kotlin/io/reedmast/app/Watches.kt
@@ -7,7 +7,7 @@
 import java.util.concurrent.ThreadLocalRandom
 
 /** The two watches on the store: on the cluster's few keys, and on the records under job ids. */
-class Watches(private val client: StoreClient, private val clock: Clock, private val node: Node) {
+class Watches(private val client: StoreClient, private val clock: Clock, private val handle: ControllerHandle) {
     fun start() {
         NetworkGateway.startThread("watch-cluster", ::followCluster)
         NetworkGateway.startThread("watch-jobs", ::followJobs)
@@ -21,14 +21,14 @@
                 pause()
                 continue
             }
-            node.snapshot(items, revision, askedAt)
+            handle.snapshot(items, revision, askedAt)
             var after = revision
             while (true) {
                 askedAt = clock.now()
                 val watched = client.follow(Keys.CLUSTER, after, HOLD_MS)
                 if (watched is WatchResult.Compacted) break
                 if (watched is WatchResult.Events) {
-                    node.clusterEvents(watched.events, watched.revision, askedAt)
+                    handle.clusterEvents(watched.events, watched.revision, askedAt)
                     after = maxOf(after, watched.revision)
                 } else {
                     pause()
@@ -50,16 +50,16 @@
                 pause()
                 continue
             }
-            node.jobsSnapshot(items, revision, askedAt)
+            handle.jobsSnapshot(items, revision, askedAt)
             var after = revision
             while (true) {
                 val remainingMs = askedAt + JOBS_EVERY_MS - clock.now()
                 if (remainingMs > 0) Thread.sleep(remainingMs)
                 askedAt = clock.now()
-                val watched = client.follow(Keys.JOBS, after, if (node.questionsWait()) 0 else JOBS_HOLD_MS)
+                val watched = client.follow(Keys.JOBS, after, if (handle.questionsWait()) 0 else JOBS_HOLD_MS)
                 if (watched is WatchResult.Compacted) break
                 if (watched is WatchResult.Events) {
-                    node.jobEvents(watched.events, watched.revision, askedAt)
+                    handle.jobEvents(watched.events, watched.revision, askedAt)
                     after = maxOf(after, watched.revision)
                 } else {
                     pause()
--- a/src/main/kotlin/io/reedmast/fleet/Autoscaler.kt
+++ b/src/main/kotlin/io/reedmast/fleet/Autoscaler.kt
@@ -25,7 +25,7 @@
     /** Names this process; never used by another one. */
     incarnation: String,
 ) {
-    private val log = LoggerFactory.getLogger("fleet")
+    private val log = LoggerFactory.getLogger("autoscaler")
     private val unreadable = UnreadableRecordLog()
     private val intake = MachineIntake(settings, clock, out, cluster, machineTypes)
     private val provisioner = MachineProvisioner(clock, out, cluster, machineTypes, intake, incarnation)
@@ -37,7 +37,7 @@
     private var listDue = 0L
     private var resizeDue = 0L
 
-    fun tick() {
+    fun runOnce() {
         if (!cluster.leading || !cluster.isCurrent()) {
             wasLeading = false
             return
@@ -54,7 +54,7 @@
         intake.startLeading()
         listDue = now + LIST_MIN_MS
         resizeDue = now + (tuning.resizeS * 1000).toLong()
-        log.info("leading")
+        log.info("leader: this controller leads")
     }
 
     private fun listMachines(now: Long) {
@@ -90,7 +90,7 @@
     /** Shards further below their share come first, for idle machines of other shards and for rented ones. */
     private fun serve(totals: List<ShardUsageSummary>) {
         val now = clock.now()
-        resizer.tick(now)
+        resizer.runOnce(now)
         val wanting = totals.filter { it.demand.isNotEmpty() && isSettled(it) }.sortedBy { it.ratio }
         if (now >= resizeDue) {
             resizeDue = now + (tuning.resizeS * 1000).toLong()
--- a/src/main/kotlin/io/reedmast/fleet/Demand.kt
+++ b/src/main/kotlin/io/reedmast/fleet/Demand.kt
@@ -104,5 +104,5 @@
     }
 }
 
-/** A request to the cloud. The request name is never used for another request, by any node. */
+/** A request to the cloud. The request name is never used for another request, by any controller. */
 data class ProvisioningRequest(val requestName: String, val typeName: String, val zone: String, val spot: Boolean, val count: Int)
--- a/src/main/kotlin/io/reedmast/fleet/MachineIntake.kt
+++ b/src/main/kotlin/io/reedmast/fleet/MachineIntake.kt
@@ -24,7 +24,7 @@
     /** The shard that a machine is meant for, and the highest token that its worker has seen. */
     private data class Destination(val shard: ShardId, val seen: Long)
 
-    private val log = LoggerFactory.getLogger("fleet")
+    private val log = LoggerFactory.getLogger("autoscaler")
 
     /** Stamps of the last change made here to shards' machines: older totals do not know of it yet. */
     private val outdated = HashMap<ShardId, Long>()
@@ -36,7 +36,7 @@
     private val assigning = HashSet<ShardId>()
     private val calling = HashSet<String>()
 
-    /** Another node has led before: what it knew of machines of no shard is not known here. */
+    /** Another controller has led before: what it knew of machines of no shard is not known here. */
     fun startLeading() = unassignedSince.clear()
 
     /** Whether machines wait to be given to the shard. */
@@ -86,7 +86,7 @@
                 val now = WorkerStatus.parse(answer.body)
                 if (now.machineName == status.machineName && cluster.leading) accept(now)
             } catch (e: MalformedException) {
-                log.error("the answer of {} cannot be read: {}", status.machineName, e.message)
+                log.error("machine {}: malformed answer: {}", status.machineName, e.message)
             }
         }
     }
@@ -95,7 +95,7 @@
         if (cluster.shardOfMachine(status.machineName) != null || status.machineName in returning || cluster.departedLately(status.machineName)) return
         val record = MachineRecord(status.machineName, status.typeName, status.zone, status.spot)
         val shard = emptiest()
-        log.info("{}: a worker of no shard reports; it goes to shard {}", status.machineName, shard.value)
+        log.info("machine {}: sends heartbeats and belongs to no shard, assigned to shard {}", status.machineName, shard.value)
         add(record, shard, status.token)
         assign()
     }
@@ -126,7 +126,7 @@
         }
         if (lost.isEmpty()) return
         val names = lost.take(MAX_MACHINES_PER_RETURN)
-        log.info("returned, since they belong to no shard and do not report: {}", names)
+        log.info("machines {}: belong to no shard and send no heartbeats, returned", names)
         returning.addAll(names)
         out.returnMachines(names) { ok ->
             returning.removeAll(names.toSet())
--- a/src/main/kotlin/io/reedmast/fleet/MachineProvisioner.kt
+++ b/src/main/kotlin/io/reedmast/fleet/MachineProvisioner.kt
@@ -16,10 +16,10 @@
     private val cluster: Cluster,
     private val machineTypes: () -> Map<String, MachineType>,
     private val intake: MachineIntake,
-    /** Part of every request name: never the same twice, over all nodes and restarts. */
+    /** Part of every request name: never the same twice, over all controllers and restarts. */
     private val requestPrefix: String,
 ) {
-    private val log = LoggerFactory.getLogger("fleet")
+    private val log = LoggerFactory.getLogger("autoscaler")
     private var requests = 0L
     private val unavailableUntil = HashMap<InstanceOffering, Long>()
 
@@ -90,7 +90,14 @@
             shares.mapTo(HashSet()) { it.shard }.forEach { provisioning.computeIfPresent(it) { _, n -> if (n > 1) n - 1 else null } }
             if (provisioned is ProvisioningResult.NoCapacity) unavailableUntil[offer] = now + UNAVAILABLE_MS
             if (provisioned is ProvisioningResult.Machines) {
-                log.info("rented {} of {} {} in {}{}", provisioned.names.size, rental.count, rental.typeName, rental.zone, if (rental.spot) ", spot" else "")
+                log.info(
+                    "machines: {} of {} {} provisioned in {}{}",
+                    provisioned.names.size,
+                    rental.count,
+                    rental.typeName,
+                    rental.zone,
+                    if (rental.spot) ", spot" else "",
+                )
                 if (provisioned.names.size < rental.count) unavailableUntil[offer] = now + UNAVAILABLE_MS
                 val names = ArrayDeque(provisioned.names)
                 for (share in shares) {
--- a/src/main/kotlin/io/reedmast/fleet/ShardRebalancer.kt
+++ b/src/main/kotlin/io/reedmast/fleet/ShardRebalancer.kt
@@ -8,7 +8,7 @@
 
 /** Which machines move between shards: idle ones to where they are wanted, and now and then one that is emptied for a starving job. */
 class ShardRebalancer(private val clock: Clock, private val cluster: Cluster, private val machineTypes: () -> Map<String, MachineType>) {
-    private val log = LoggerFactory.getLogger("fleet")
+    private val log = LoggerFactory.getLogger("autoscaler")
 
     /** Shards that machines are on their way to, and until when that keeps the leader from renting for them. */
     private val moving = HashMap<ShardId, Long>()
@@ -19,7 +19,7 @@
     /** Whether machines are on their way to [shard], whose room it does not know yet. */
     fun isMovingTo(shard: ShardId): Boolean = shard in moving
 
-    fun tick(now: Long) {
+    fun runOnce(now: Long) {
         moving.values.removeIf { it < now }
         relieving.values.removeIf { it < now }
     }
@@ -42,7 +42,7 @@
                     given.add(record.name)
                 }
                 if (given.isEmpty()) continue
-                log.info("shard {} gives {} machines to shard {}", giver.shard.value, given.size, needy.shard.value)
+                log.info("shard {}: {} machines are to move to shard {}", giver.shard.value, given.size, needy.shard.value)
                 cluster.markForTransfer(giver.shard, given, needy.shard)
                 // Their room is not known to the needy shard before they have moved.
                 moving[needy.shard] = clock.now() + MOVE_MS
@@ -64,7 +64,7 @@
                 val (giver, machineNames) = totals.filter { it.shard != needy.shard }.firstNotNullOfOrNull { giver ->
                     machinesFor(demand, giver).takeIf { it.isNotEmpty() }?.let { giver to it }
                 } ?: continue
-                log.info("shard {} empties {} for shard {}, where a job starves", giver.shard.value, machineNames, needy.shard.value)
+                log.info("shard {}: {} are drained for shard {}, where a job is starving", giver.shard.value, machineNames, needy.shard.value)
                 cluster.markForTransfer(giver.shard, machineNames, needy.shard)
                 relieving[needy.shard] = now + RELIEVED_MS
                 break
--- a/src/main/kotlin/io/reedmast/fleet/UsageSummaryWriter.kt
+++ b/src/main/kotlin/io/reedmast/fleet/UsageSummaryWriter.kt
@@ -40,11 +40,11 @@
         try {
             shardState.usage.load(totals.value.map("usage"))
         } catch (e: MalformedException) {
-            log.error("shard {}: stored totals cannot be read: {}", shard.value, e.message)
+            log.error("shard {}: usage summary cannot be read: {}", shard.value, e.message)
         }
     }
 
-    fun tick(now: Long) {
+    fun runOnce(now: Long) {
         if (writing || now - lastWritten < MIN_TOTALS_MS) return
         scaleInPolicy.recordImages()
         val demand = demandEstimator.demand()
@@ -101,7 +101,7 @@
         logDue = now + LOG_EVERY_MS
         val (up, coming) = shardState.machines.values.partition { it.usable }
         log.info(
-            "shard {}: {} machines, {} not in use, {} CPUs free of {}, {} jobs with {} tasks waiting, wanted: {}",
+            "shard {}: {} machines, {} not in use, {} CPUs free of {}, {} jobs with {} tasks pending, demand: {}",
             shard.value,
             up.size,
             coming.size,
--- a/src/main/kotlin/io/reedmast/gangs/GangCoordinator.kt
+++ b/src/main/kotlin/io/reedmast/gangs/GangCoordinator.kt
@@ -60,7 +60,7 @@
 
     /** The tasks of a gang complete together: one that is done proves it of all, also of those whose machines are not heard any more. */
     private fun complete(job: Job) {
-        log.info("{}: the gang is done", job.spec.jobId)
+        log.info("job {}: gang done", job.spec.jobId)
         job.placements().toList().forEach { shardState.finish(it, done = true) }
         markAllDone(job)
     }
--- a/src/main/kotlin/io/reedmast/jobs/Job.kt
+++ b/src/main/kotlin/io/reedmast/jobs/Job.kt
@@ -85,7 +85,7 @@
     var placedCount = 0
     var runningCount = 0
 
-    /** What was last told of it to the other nodes. */
+    /** What was last told of it to the other controllers. */
     var publishedDone = 0
     var publishedRunning = 0
     var ending = false
--- a/src/main/kotlin/io/reedmast/jobs/JobIndex.kt
+++ b/src/main/kotlin/io/reedmast/jobs/JobIndex.kt
@@ -44,7 +44,7 @@
     }
 }
 
-/** An unfinished job as every node knows it. */
+/** An unfinished job as every controller knows it. */
 class LiveJob(val shard: ShardId, val record: LiveRecord, val version: Long) {
     /** Counts for display, as the shard's owner last told. */
     var done = 0
@@ -54,7 +54,7 @@
 /**
  * All unfinished jobs, and as many ended ones as fit, as the watch on their records tells.
  *
- * Every node has it, so that a question about a job need not be read from the store one by one: with hundreds of
+ * Every controller has it, so that a question about a job need not be read from the store one by one: with hundreds of
  * users asking, those reads were more than the service takes.
  */
 class JobIndex(private val settings: Settings, private val owned: () -> List<ShardOwner>) {
@@ -64,7 +64,7 @@
     /** The revision up to which the watch has told of every change; 0 before the first reading. */
     private var observedRevision = 0L
 
-    /** Jobs whose end this node knows from its own change, by the change's revision, until the watch has told as much. */
+    /** Jobs whose end this controller knows from its own change, by the change's revision, until the watch has told as much. */
     private val endedHere = HashMap<String, Long>()
 
     /** Unfinished jobs whose records cannot be read, by the versions of these: nobody may be told that they are unknown. */
@@ -105,7 +105,7 @@
     }
 
     /**
-     * Takes up a record that a read, or a change of this node's own, shows to have been stored, or (null) deleted.
+     * Takes up a record that a read, or a change of this controller's own, shows to have been stored, or (null) deleted.
      *
      * It may be long ago: an answer that was lost is made up for seconds later. If the watch has told of all changes up to then and
      * the job is not among the unfinished, it is over: taken up again, it was called queued after its user had been told of its end.
--- a/src/main/kotlin/io/reedmast/jobs/JobRequestHandler.kt
+++ b/src/main/kotlin/io/reedmast/jobs/JobRequestHandler.kt
@@ -23,10 +23,10 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Submissions, polls and cancellations, on any node.
+ * Submissions, polls and cancellations, on any controller.
  *
- * What a user is told is stored before, and a poll waits until this node knows all that was stored when it came, so every
- * later answer of every node agrees with it. Only final states are answered from memory at once, since they never change.
+ * What a user is told is stored before, and a poll waits until this controller knows all that was stored when it came, so every
+ * later answer of every controller agrees with it. Only final states are answered from memory at once, since they never change.
  */
 class JobRequestHandler(
     private val settings: Settings,
@@ -80,7 +80,7 @@
             ) { outcome ->
                 when (outcome) {
                     is CommitOutcome.Applied -> {
-                        log.info("{}: accepted, {} tasks of {} for {}", spec.jobId, spec.taskCount, spec.jobClass, spec.teamName)
+                        log.info("job {}: accepted, {} tasks of class {} for team {}", spec.jobId, spec.taskCount, spec.jobClass, spec.teamName)
                         jobs.applyRecord(path, record, outcome.revision)
                         accepted(spec.jobId, askedAt, answer)
                     }
@@ -95,7 +95,7 @@
 
     /**
      * The job's record is stored. Where that was found out only after a lost answer, the job may have been seen, cancelled and
-     * ended through other nodes since, and its present state is the answer.
+     * ended through other controllers since, and its present state is the answer.
      */
     private fun accepted(jobId: String, askedAt: Long, answer: (UserAnswer) -> Unit) {
         if (clock.now() - askedAt > LATE_MS) poll(jobId, answer) else answer(UserAnswer(201, JobStatus(jobId, JobState.QUEUED)))
@@ -194,7 +194,7 @@
         out.commit(
             CasTransaction(listOf(Precondition(path, job.version)), listOf(Write.Put(path, record)), WritePriority.USER) { outcome ->
                 if (outcome is CommitOutcome.Applied) {
-                    log.info("{}: cancelled by its user", jobId)
+                    log.info("job {}: cancelled by its user", jobId)
                     answer(cancelledAnswer(jobId))
                     jobs.applyRecord(path, record, outcome.revision)
                 } else if (tries > 1) {
@@ -211,7 +211,7 @@
         const val RETRY_AFTER_S = 1
         const val ABORT_TRIES = 4
 
-        /** Later than any answer of the store that was not lost, and sooner than a user turns to another node. */
+        /** Later than any answer of the store that was not lost, and sooner than a user turns to another controller. */
         const val LATE_MS = 1_500L
         const val SLACK = 1e-9
     }
--- a/src/main/kotlin/io/reedmast/jobs/PageReader.kt
+++ b/src/main/kotlin/io/reedmast/jobs/PageReader.kt
@@ -100,7 +100,7 @@
      * them, or have lost their leases.
      */
     private fun recordUnreadable(path: String, e: MalformedException) {
-        log.error("shard {}: stored record {} cannot be read: {}", shardState.index.value, path, e.message)
+        log.error("shard {}: record {} cannot be read: {}", shardState.index.value, path, e.message)
         shardState.passNotBefore = shardState.clock.now() + (shardState.settings.workers.leaseS * LEASES_UNTIL_UNKNOWN_WORK_IS_GONE * 1000).toLong()
     }
 
--- a/src/main/kotlin/io/reedmast/jobs/ProgressStore.kt
+++ b/src/main/kotlin/io/reedmast/jobs/ProgressStore.kt
@@ -159,7 +159,7 @@
                     }
 
                     is CommitOutcome.Refused -> {
-                        log.error("{}: the store refuses it: {}", path, outcome.reason)
+                        log.error("record {}: refused by the store: {}", path, outcome.reason)
                         page.refusedUntil = shardState.clock.now() + REREAD_MS
                         again(page)
                         included.forEach {
@@ -240,7 +240,7 @@
                     }
 
                     is CommitOutcome.Refused -> {
-                        log.error("{}: the store refuses the end of the job: {}", jobId, outcome.reason)
+                        log.error("job {}: the store refuses its final record: {}", jobId, outcome.reason)
                         job.endNotBefore = shardState.clock.now() + REFUSED_MS
                         toEnd.add(job)
                     }
--- a/src/main/kotlin/io/reedmast/jobs/ShardOwner.kt
+++ b/src/main/kotlin/io/reedmast/jobs/ShardOwner.kt
@@ -61,7 +61,7 @@
  * The work of one shard's owner, joined from its duties: reports and commands, placing, storing, upkeep, demand.
  *
  * All of it runs on the deciding thread. A message only marks what it has changed; decisions, storing and commands follow
- * in [pump], at a bounded rate, so that the work for a report does not grow with the shard.
+ * in [reconcile], at a bounded rate, so that the work for a report does not grow with the shard.
  */
 class ShardOwner(
     val index: ShardId,
@@ -134,7 +134,7 @@
         shardState.activeAt = clock.now()
         shardState.passRequested = true
         dispatcher.begin()
-        log.info("shard {}: took over under token {}: {} jobs, {} machines", shard, token, shardState.jobs.size, shardState.machines.size)
+        log.info("shard {}: acquired, token {}, {} jobs, {} machines", shard, token, shardState.jobs.size, shardState.machines.size)
     }
 
     /** Only what knows that every controller reads such pages stores them. */
@@ -188,7 +188,7 @@
         val spec = live.record.spec
         val team = settings.teamsByName[spec.teamName]
         if (team == null) {
-            log.error("{}: its team {} is not in the settings", spec.jobId, spec.teamName)
+            log.error("job {}: its team {} is not in the settings", spec.jobId, spec.teamName)
             return null
         }
         val job = Job(spec, team, chunkSizeOf(live.record), live.record.acceptedAtMs, live.version).apply { isCancelled = live.record.isCancelled }
@@ -220,7 +220,7 @@
         if (job.placedCount == 0) {
             forget(job)
         } else if (!job.isCancelled) {
-            log.error("{}: its record is gone while {} tasks are placed", jobId, job.placedCount)
+            log.error("job {}: its record is gone while {} tasks are placed", jobId, job.placedCount)
             job.isCancelled = true
             stopAll(job)
         }
@@ -273,7 +273,7 @@
 
         override fun ended(job: Job, end: EndRecord, revision: Long) {
             val jobId = job.spec.jobId
-            log.info("{}: {}", jobId, if (job.isCancelled) "cleared away" else "done")
+            log.info("job {}: {}", jobId, if (job.isCancelled) "cancellation complete" else "done")
             forget(job)
             records.jobs.applyRecord(Keys.end(jobId), end.toFields(), revision)
             records.jobs.applyRecord(Keys.live(shard, jobId), null, revision)
@@ -285,7 +285,7 @@
     fun onHeartbeat(status: WorkerStatus): List<WorkerCommand> = heartbeats.onHeartbeat(status)
 
     /** Brings decisions, stored records and commands up to date after something has changed; called every few milliseconds. */
-    fun pump() {
+    fun reconcile() {
         if (!active || dropped) return
         val now = clock.now()
         gangs.reconcile()
@@ -298,18 +298,18 @@
     val isSettled: Boolean get() = active && progressStore.isSettled && !migration.inDoubt
 
     /** Called about four times a second. */
-    fun tick() {
+    fun runOnce() {
         if (!active || dropped) return
         val now = clock.now()
-        if (shardState.isCurrent()) migration.tick(records.rollout.gates, shardState.termPrecondition, records.rollout.view)
+        if (shardState.isCurrent()) migration.runOnce(records.rollout.gates, shardState.termPrecondition, records.rollout.view)
         compareWithIndex(now)
         chargeIfDue(now)
         dispatcher.announceToken(now)
-        lifecycle.tick(now)
+        lifecycle.runOnce(now)
         // Waiting may itself let work start: after a failure's pause, or once it has waited long enough to preempt.
         if (shardState.jobs.values.any { it.pendingCount > 0 }) shardState.passRequested = true
-        // Also while this node has not heard the store for a moment: what it wants goes out as soon as that answers again.
-        if (records.rollout.isAdmitted) usageSummaryWriter.tick(now)
+        // Also while this controller has not heard the store for a moment: what it wants goes out as soon as that answers again.
+        if (records.rollout.isAdmitted) usageSummaryWriter.runOnce(now)
         news.publishIfDue(now)
     }
 
@@ -322,7 +322,7 @@
         for (live in records.jobs.liveOf(index)) {
             val jobId = live.record.spec.jobId
             if (jobId in shardState.jobs || live.record.spec.teamName !in settings.teamsByName) continue
-            log.error("{}: it is unfinished, and the owner of shard {} had no knowledge of it", jobId, shard)
+            log.error("job {}: unfinished, but unknown to the owner of shard {}", jobId, shard)
             onJobChanged(live)
         }
     }
--- a/src/main/kotlin/io/reedmast/jobs/ShardState.kt
+++ b/src/main/kotlin/io/reedmast/jobs/ShardState.kt
@@ -27,7 +27,7 @@
     val tuning: Tuning,
     val clock: Clock,
     private val machineTypeList: () -> Collection<MachineType>,
-    /** Whether this node has lately heard enough from the store to act. */
+    /** Whether this controller has lately heard enough from the store to act. */
     val isCurrent: () -> Boolean,
     val limits: EffectiveLimits = EffectiveLimits(settings.storeLimits, settings.nextStoreLimits),
     /** The gates of the rollout as they now stand. */
--- a/src/main/kotlin/io/reedmast/kvstore/CasTransaction.kt
+++ b/src/main/kotlin/io/reedmast/kvstore/CasTransaction.kt
@@ -75,7 +75,7 @@
 
 /** Where things are kept in the store. */
 object Keys {
-    /** Shards, nodes, leader and token counter: few keys, watched by every node. */
+    /** Shards, controllers, leader and token counter: few keys, watched by every controller. */
     const val CLUSTER = "c/"
     const val LEADER = "c/leader"
     const val TOKEN = "c/token"
@@ -95,7 +95,7 @@
     const val SHARDS = "c/slice/"
     const val MACHINES = "c/hosts/"
 
-    /** Jobs, unfinished and ended: watched by every node. */
+    /** Jobs, unfinished and ended: watched by every controller. */
     const val JOBS = "j/"
     const val LIVE = "j/live/"
     const val ENDS = "j/end/"
@@ -105,7 +105,7 @@
 
     fun machineNames(shard: Int, part: Int) = "$MACHINES$shard/$part"
 
-    fun node(label: String) = "$MEMBERS$label"
+    fun member(label: String) = "$MEMBERS$label"
 
     fun migration(feature: String, unit: String) = "$MIGRATIONS$feature/$unit"
 
--- a/src/main/kotlin/io/reedmast/kvstore/Committer.kt
+++ b/src/main/kotlin/io/reedmast/kvstore/Committer.kt
@@ -15,7 +15,7 @@
     private val ids: TransactionIds,
     private val deliver: (CasTransaction, CommitOutcome) -> Unit,
 ) {
-    private val log = LoggerFactory.getLogger("state")
+    private val log = LoggerFactory.getLogger("store")
     private val lock = Object()
     private val queue = CommitQueue(limits.target, client.writeLimiter, maxQueued) { System.nanoTime() / 1_000_000 }
 
@@ -75,12 +75,12 @@
             client.commit(transaction)
         } catch (e: RuntimeException) {
             // What became of it is not known; with the thread gone, its changes would never be settled.
-            log.error("a transaction failed on this side", e)
+            log.error("store: a transaction failed in this process", e)
             CommitReply.Unknown
         }
         lastAnswered = reply !is CommitReply.NotExecuted && reply !is CommitReply.Unknown
         if (reply is CommitReply.Malformed && limits.exceedsOnlyReduced(transaction)) {
-            log.info("the store refuses what it used to take: its limits have been lowered")
+            log.info("store: its limits have been reduced, it refuses what it used to accept")
             limits.reduce()
         }
         // Sent again hot, it would only keep the limit exceeded.
--- a/src/main/kotlin/io/reedmast/kvstore/InDoubtResolution.kt
+++ b/src/main/kotlin/io/reedmast/kvstore/InDoubtResolution.kt
@@ -31,7 +31,7 @@
     private val jitter: () -> Double,
     private val deliver: (CasTransaction, CommitOutcome) -> Unit,
 ) {
-    private val log = LoggerFactory.getLogger("state")
+    private val log = LoggerFactory.getLogger("store")
 
     /** Changes that are sent together, and the ids of the transactions in doubt that hold them. */
     private class Group(val changes: List<CasTransaction>, val inDoubt: Set<String>)
@@ -69,7 +69,7 @@
             is CommitReply.PreconditionFailed -> unlessApplied(group, reply.paths) { conflict(group, reply.paths) }
 
             is CommitReply.Malformed -> {
-                log.info("the store finds a transaction malformed: {}", reply.reason)
+                log.info("store: a transaction was refused as malformed: {}", reply.reason)
                 if (group.changes.size > 1) split(group) else unlessApplied(group, emptySet()) { finish(group) { CommitOutcome.Refused(reply.reason) } }
             }
 
@@ -135,7 +135,7 @@
     private fun conflict(group: Group, paths: Set<String>) {
         val (failed, rest) = group.changes.partition { change -> change.preconditions.any { it.path in paths } }
         if (failed.isEmpty()) {
-            log.error("the store refused a transaction without naming one of its keys")
+            log.error("store: a transaction was refused without naming one of its keys")
             finish(group) { CommitOutcome.Conflict(paths) }
             return
         }
--- a/src/main/kotlin/io/reedmast/kvstore/StoreClient.kt
+++ b/src/main/kotlin/io/reedmast/kvstore/StoreClient.kt
@@ -40,13 +40,13 @@
     data object Unknown : CommitReply
 }
 
-/** Blocking calls to the store, kept within this node's part of its limits. */
+/** Blocking calls to the store, kept within this controller's part of its limits. */
 class StoreClient(private val address: String, private val limits: EffectiveLimits, nodes: Int, private val caller: Caller) {
-    private val log = LoggerFactory.getLogger("state")
+    private val log = LoggerFactory.getLogger("store")
     private val requests = RateLimiter.create(limits.allowed.requestsPerS * SAFETY / nodes)
     val writeLimiter = WriteRateLimiter(limits.allowed.writesPerS * SAFETY / nodes) { System.nanoTime() / 1_000_000 }
 
-    /** Nodes that are down leave their part of the limits to the others. */
+    /** Controllers that are down leave their part of the limits to the others. */
     fun shareAmong(nodes: Int) {
         requests.rate = limits.allowed.requestsPerS * SAFETY / nodes
         writeLimiter.setRate(limits.allowed.writesPerS * SAFETY / nodes)
@@ -146,7 +146,7 @@
     private fun item(of: KeyedValue) = StoredItem(of.key, of.value.orEmpty(), of.version)
 
     private fun ask(method: String, path: String, body: Fields? = null, scaleInDelayMs: Int? = null): Reply {
-        if (!requests.tryAcquire(PATIENCE_MS, TimeUnit.MILLISECONDS)) return Reply.NotSent("over this node's part of the limit")
+        if (!requests.tryAcquire(PATIENCE_MS, TimeUnit.MILLISECONDS)) return Reply.NotSent("over this controller's part of the limit")
         val reply =
             if (scaleInDelayMs == null) caller.call(method, address, path, body) else caller.call(method, address, path, body, scaleInDelayMs)
         if (reply !is Reply.Answer || reply.status >= 500) log.debug("{} {}: {}", method, path, reply)
@@ -156,7 +156,7 @@
     private inline fun <T> reading(nonsense: T, read: () -> T): T = try {
         read()
     } catch (e: MalformedException) {
-        log.error("the store answers nonsense: {}", e.message)
+        log.error("store: malformed answer: {}", e.message)
         nonsense
     }
 
--- a/src/main/kotlin/io/reedmast/kvstore/UnreadableRecordLog.kt
+++ b/src/main/kotlin/io/reedmast/kvstore/UnreadableRecordLog.kt
@@ -9,7 +9,7 @@
  * The same record comes with every listing and every change of it: logged each time, one of an older form would fill the log.
  */
 class UnreadableRecordLog {
-    private val log = LoggerFactory.getLogger("state")
+    private val log = LoggerFactory.getLogger("store")
     private val said = Caffeine.newBuilder().maximumSize(MAX_REMEMBERED).executor(Runnable::run).build<String, Boolean>()
 
     fun report(path: String, why: String?) {
--- a/src/main/kotlin/io/reedmast/kvstore/WriteRateLimiter.kt
+++ b/src/main/kotlin/io/reedmast/kvstore/WriteRateLimiter.kt
@@ -1,7 +1,7 @@
 package io.reedmast.kvstore
 
 /**
- * This node's part of the store's limit on changes: a bucket that fills at [perS] and holds a second's worth.
+ * This controller's part of the store's limit on changes: a bucket that fills at [perS] and holds a second's worth.
  *
  * A plain rate limiter would make an acceptance wait behind a large clean-up; here clean-up is asked to leave part of the
  * bucket, and only a transaction larger than the whole bucket draws it below zero.
--- a/src/main/kotlin/io/reedmast/ownership/Cluster.kt
+++ b/src/main/kotlin/io/reedmast/ownership/Cluster.kt
@@ -24,9 +24,9 @@
 import org.slf4j.LoggerFactory
 
 /**
- * This node's view of the cluster, joined from its duties: freshness, membership, shards and their machines, takeovers.
+ * This controller's view of the cluster, joined from its duties: freshness, membership, shards and their machines, takeovers.
  *
- * What the watches and the answers to this node's own changes tell goes to the tables; [tick] makes the changes that are due.
+ * What the watches and the answers to this controller's own changes tell goes to the tables; [runOnce] makes the changes that are due.
  */
 class Cluster(
     private val settings: Settings,
@@ -70,11 +70,11 @@
 
     private fun memberFields() = rollout.memberFields(ownsNothing = shards.countOf(settings.label) == 0)
 
-    /** Whether this node has lately heard enough from the store to decide anything, and may. */
+    /** Whether this controller has lately heard enough from the store to decide anything, and may. */
     fun isCurrent(): Boolean = staleness.isCurrent && rollout.isAdmitted
 
     /**
-     * Whether this node may still answer workers with 200: it knows all cancellations that users were told of, up to a short
+     * Whether this controller may still answer workers with 200: it knows all cancellations that users were told of, up to a short
      * time ago, from the store or, during an outage, from every other controller.
      */
     fun mayAcknowledgeHeartbeats(): Boolean {
@@ -105,7 +105,7 @@
 
     fun departedLately(machineName: String): Boolean = machines.departedLately(machineName)
 
-    /** A worker has reported to this node. */
+    /** A worker has reported to this controller. */
     fun onWorkerContact() = reachability.recordContact()
 
     /** Where to send a worker of [shard], which is not ours. */
@@ -120,7 +120,7 @@
         items.forEach { applyRecord(it.path, it.value, it.version) }
         membership.recordAbsent(items.mapTo(HashSet()) { it.path })
         if (!staleness.clusterLoaded) {
-            log.info("read the state: {} shards, {} nodes", shards.records.count { it != null }, membership.presentCount)
+            log.info("cluster: read from the store, {} shards, {} controllers", shards.records.count { it != null }, membership.presentCount)
         }
         staleness.onClusterObserved(askedAt)
         membership.shareLimits()
@@ -137,7 +137,7 @@
     /** All unfinished jobs, read at the start and after a gap in the watch on jobs. */
     fun jobsSnapshot(items: List<StoredItem>, revision: Long, askedAt: Long) {
         jobs.load(items, revision)
-        if (!staleness.jobsLoaded) log.info("read {} unfinished jobs", items.size)
+        if (!staleness.jobsLoaded) log.info("jobs: read from the store, {} unfinished", items.size)
         staleness.onJobsObserved(askedAt)
     }
 
@@ -169,7 +169,7 @@
             return
         }
         if (!owner.dropped) {
-            log.info("shard {}: taken over by {} under token {}", shard.value, record.owner, record.token)
+            log.info("shard {}: acquired by {}, token {}", shard.value, record.owner, record.token)
             if (!rollout.isDraining) acquisition.onAcquiredByAnother()
         }
         owner.dropped = true
@@ -187,24 +187,24 @@
 
     // ---- time -------------------------------------------------------------------------------------------------------
 
-    fun tick() {
+    fun runOnce() {
         staleness.resumeWaiters()
         if (!staleness.clusterLoaded) return
         rollout.checkAdmission()
         keepLease()
         val now = clock.now()
         queryPeers(now)
-        machines.tick(now)
+        machines.runOnce(now)
         if (isCurrent()) {
             membership.claimKeys(mayLead = !rollout.isDraining)
-            rollout.tick(membership.leaderVersion.takeIf { membership.leading })
-            acquisition.tick(now)
+            rollout.runOnce(membership.leaderVersion.takeIf { membership.leading })
+            acquisition.runOnce(now)
             releaseShards(now)
             divideForReducedLimits()
         } else {
             acquisition.isCutOff(now)
         }
-        owned().forEach { it.tick() }
+        owned().forEach { it.runOnce() }
     }
 
     /** Not before the gates are known: a process that must not take part renews nothing. */
@@ -232,7 +232,7 @@
         }
     }
 
-    fun pump() = owned().forEach { it.pump() }
+    fun reconcile() = owned().forEach { it.reconcile() }
 
     // ---- other controllers --------------------------------------------------------------------------------------------
 
@@ -276,7 +276,7 @@
 
     override fun requestFailover(shard: ShardId) {
         val term = shards.records[shard.value]?.takeIf { it.record.owner == settings.label }?.version ?: return
-        log.info("shard {}: the other nodes are asked to take it", shard.value)
+        log.info("shard {}: the other controllers are asked to acquire it", shard.value)
         out.sendToPeers(PeerMessage.FailoverRequest(shard, term))
     }
 
--- a/src/main/kotlin/io/reedmast/ownership/ClusterRollout.kt
+++ b/src/main/kotlin/io/reedmast/ownership/ClusterRollout.kt
@@ -99,12 +99,12 @@
         out.endProcess(reason)
     }
 
-    /** Called regularly while the store is heard and this process is admitted; [leaderVersion] is null unless this node leads. */
-    fun tick(leaderVersion: Long?) {
-        formatGate.tick()
+    /** Called regularly while the store is heard and this process is admitted; [leaderVersion] is null unless this controller leads. */
+    fun runOnce(leaderVersion: Long?) {
+        formatGate.runOnce()
         if (leaderVersion == null) return
-        coordinator.tick(leaderVersion, snapshot())
-        clusterMigration.tick(gates, Precondition(Keys.LEADER, leaderVersion), view)
+        coordinator.runOnce(leaderVersion, snapshot())
+        clusterMigration.runOnce(gates, Precondition(Keys.LEADER, leaderVersion), view)
     }
 
     private fun snapshot(): ClusterSnapshot =
--- a/src/main/kotlin/io/reedmast/ownership/FormatGate.kt
+++ b/src/main/kotlin/io/reedmast/ownership/FormatGate.kt
@@ -41,12 +41,12 @@
     }
 
     private fun reached() {
-        if (!limits.isReduced) log.info("every controller reads format {}", feature.requires)
+        if (!limits.isReduced) log.info("cluster: every controller reads format {}", feature.requires)
         limits.reduce()
     }
 
     /** Called while the store is heard. */
-    fun tick() {
+    fun runOnce() {
         if (stored || storing || !settings.members.all { it.label in upgraded }) return
         reached()
         storing = true
--- a/src/main/kotlin/io/reedmast/ownership/MachineAssignment.kt
+++ b/src/main/kotlin/io/reedmast/ownership/MachineAssignment.kt
@@ -18,7 +18,7 @@
  * The changes to the records of shards' machines: a leader gives machines and marks those that are to move, an owner hands
  * them over and removes those that are gone.
  *
- * Each change has the record's own version as a condition, and the key that entitles this node to it.
+ * Each change has the record's own version as a condition, and the key that entitles this controller to it.
  */
 class MachineAssignment(
     private val settings: Settings,
@@ -90,7 +90,7 @@
                 writing.remove(fromPath)
                 writing.remove(toPath)
                 if (outcome is CommitOutcome.Applied) {
-                    log.info("{}: moved from shard {} to shard {}", moved, source.shard.value, to.value)
+                    log.info("machines {}: transferred from shard {} to shard {}", moved, source.shard.value, to.value)
                     if (renewed != null) {
                         shards.applyToken(renewed.token, outcome.revision)
                         shards.applyShard(to, renewed, outcome.revision)
--- a/src/main/kotlin/io/reedmast/ownership/MachineTable.kt
+++ b/src/main/kotlin/io/reedmast/ownership/MachineTable.kt
@@ -13,7 +13,7 @@
 /** Some of a shard's machines as last seen, with the version of their record. */
 data class StoredMachineListPart(val part: MachineListPart, val version: Long)
 
-/** Which machines belong to which shard, as last seen in the store or in answers to this node's changes. */
+/** Which machines belong to which shard, as last seen in the store or in answers to this controller's changes. */
 class MachineTable(
     private val settings: Settings,
     private val clock: Clock,
@@ -85,7 +85,7 @@
         onDeparture(machineName)
     }
 
-    fun tick(now: Long) {
+    fun runOnce(now: Long) {
         departed.values.removeIf { now - it > rememberDepartedMs }
     }
 
--- a/src/main/kotlin/io/reedmast/ownership/Membership.kt
+++ b/src/main/kotlin/io/reedmast/ownership/Membership.kt
@@ -15,7 +15,7 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Which controllers live and which of them leads, by keys that are attached to their leases; and this node's own lease.
+ * Which controllers live and which of them leads, by keys that are attached to their leases; and this controller's own lease.
  *
  * Nobody's safety rests on it: it only chooses good moments for taking shards, and who rents machines.
  */
@@ -67,7 +67,7 @@
      * All keys have been read anew, and follow; they are at least as new as [revision].
      *
      * The version of the leader's key is forgotten with its value: a leader who had not changed in the gap was otherwise not seen
-     * again, and nobody led by this node's account for as long as he stayed.
+     * again, and nobody led by this controller's account for as long as he stayed.
      */
     fun reset(revision: Long) {
         present.clear()
@@ -83,7 +83,7 @@
 
     /** All keys have been read: those of controllers that are not among [paths] are gone. */
     fun recordAbsent(paths: Set<String>) {
-        settings.members.filter { Keys.node(it.label) !in paths }.forEach { absentSince.putIfAbsent(it.label, clock.now()) }
+        settings.members.filter { Keys.member(it.label) !in paths }.forEach { absentSince.putIfAbsent(it.label, clock.now()) }
     }
 
     /** Takes up the value under [path], if it is one of these keys; a null [value] is a deletion. */
@@ -117,7 +117,7 @@
     /** Tells the clients of the store and the cloud how many controllers share their limits. */
     fun shareLimits() = out.shareLimits(maxOf(1, alive().size), leading)
 
-    /** Renews this node's lease, or gets a new one. */
+    /** Renews this controller's lease, or gets a new one. */
     fun keepLease() {
         val now = clock.now()
         if (leaseAsked || now < leaseDue) return
@@ -142,7 +142,7 @@
         }
     }
 
-    /** Puts this node's key under its lease, and the leader's if there is none and this node [mayLead]. */
+    /** Puts this controller's key under its lease, and the leader's if there is none and this controller [mayLead]. */
     fun claimKeys(mayLead: Boolean) {
         claimMemberKey()
         if (leader == null && mayLead) claimLeader()
@@ -155,7 +155,7 @@
     private fun resign() {
         if (resigning) return
         resigning = true
-        log.info("{} gives the lead up", settings.label)
+        log.info("leader: {} resigns", settings.label)
         out.commit(CasTransaction(listOf(Precondition(Keys.LEADER, leaderVersion)), listOf(Write.Delete(Keys.LEADER))) { resigning = false })
     }
 
@@ -164,7 +164,7 @@
         val fields = memberFields()
         if (claimingMemberKey || (memberKeyLease == held && published == fields)) return
         claimingMemberKey = true
-        out.get(Keys.node(settings.label)) { fetched ->
+        out.get(Keys.member(settings.label)) { fetched ->
             when (fetched) {
                 is ReadResult.Found -> putMemberKey(held, fields, fetched.item.version)
                 is ReadResult.Missing -> putMemberKey(held, fields, 0L)
@@ -174,7 +174,7 @@
     }
 
     private fun putMemberKey(held: Long, fields: Fields, version: Long) {
-        val path = Keys.node(settings.label)
+        val path = Keys.member(settings.label)
         out.commit(
             CasTransaction(listOf(Precondition(path, version), gatesPrecondition()), listOf(Write.Put(path, fields, held))) { outcome ->
                 claimingMemberKey = false
--- a/src/main/kotlin/io/reedmast/ownership/MisdirectedHeartbeats.kt
+++ b/src/main/kotlin/io/reedmast/ownership/MisdirectedHeartbeats.kt
@@ -3,7 +3,7 @@
 import io.reedmast.settings.ShardId
 
 /**
- * Workers that report to us although another node owns their shard: it does not answer them.
+ * Workers that report to us although another controller owns their shard: it does not answer them.
  *
  * An owner may be cut off from workers alone. It keeps its key and its term then, and nothing tells it so; if nobody took
  * its shards over, every task of them would end with the workers' leases.
@@ -47,8 +47,8 @@
     }
 
     /**
-     * This node hears nothing from the store. Its owners may be no better off and send their workers away: after an
-     * outage the workers of all of them went round, and one node took every shard from owners that were well.
+     * This controller hears nothing from the store. Its owners may be no better off and send their workers away: after an
+     * outage the workers of all of them went round, and one controller took every shard from owners that were well.
      */
     fun isCutOff(now: Long) {
         for (shard in redirects.indices) newOwner(ShardId(shard), now)
--- a/src/main/kotlin/io/reedmast/ownership/ShardAcquisition.kt
+++ b/src/main/kotlin/io/reedmast/ownership/ShardAcquisition.kt
@@ -19,7 +19,7 @@
 import org.slf4j.LoggerFactory
 
 /**
- * When this node takes a shard, and how.
+ * When this controller takes a shard, and how.
  *
  * Taking is a conditional write of the shard's record under a fresh token. It is safe at any time; the rules here only choose
  * a good moment for it.
@@ -36,7 +36,7 @@
     private val machineDirectory: MachineDirectory,
     private val reachability: WorkerReachability,
     private val rollout: ClusterRollout,
-    /** The owners of this node's shards, by shard. */
+    /** The owners of this controller's shards, by shard. */
     private val owners: Array<ShardOwner?>,
     private val newOwner: (ShardId) -> ShardOwner,
     /** Reads a key again after a change that was not applied. */
@@ -46,7 +46,7 @@
     private val misdirected = MisdirectedHeartbeats(settings.shardCount, settings.workers.reportS)
     private val startedAt = clock.now()
 
-    /** A shard's record that this node is about to store. */
+    /** A shard's record that this controller is about to store. */
     private class Claim(val shard: ShardId, val record: ShardRecord)
 
     /** The take that is not settled: two at once would both want the next token. */
@@ -60,19 +60,19 @@
 
     private class Request(val at: Long, val term: Long)
 
-    /** Until then a shard that others have taken from this node is left to them, and how long that is the next time. */
+    /** Until then a shard that others have taken from this controller is left to them, and how long that is the next time. */
     private var failbackNotBefore = 0L
     private var failbackDelayMs = MIN_FAILBACK_DELAY_MS
 
     /** Considers each shard; called while the store is heard. */
-    fun tick(now: Long) {
+    fun runOnce(now: Long) {
         for (index in acquiring.indices) checkShard(ShardId(index), now)
     }
 
-    /** This node hears nothing from the store. */
+    /** This controller hears nothing from the store. */
     fun isCutOff(now: Long) = misdirected.isCutOff(now)
 
-    /** Another controller has taken a shard of this node's, and has a reason that may not be visible here. */
+    /** Another controller has taken a shard of this controller's, and has a reason that may not be visible here. */
     fun onAcquiredByAnother() {
         // Taken home at once, the shard would go to and fro.
         failbackNotBefore = clock.now() + failbackDelayMs
@@ -91,7 +91,7 @@
     /** Where to send a worker of [shard], which is not ours: to its owner, but not twice in a row to one that is silent. */
     fun redirectTarget(shard: ShardId, machineName: String, addr: String): String? {
         val facts = machineDirectory.of(machineName)
-        // A new machine reports to any node first: with a shard that grows fast, most of its workers are new ones.
+        // A new machine reports to any controller first: with a shard that grows fast, most of its workers are new ones.
         val known = facts.addr == addr
         facts.addr = addr
         val again = known && misdirected.recordRedirect(shard, machineName, addr, clock.now())
@@ -117,7 +117,7 @@
             return
         }
         reachability.probe(shard, addresses) {
-            log.info("shard {}: its workers are not reached from here; it is not taken", shard.value)
+            log.info("shard {}: not acquired, its workers cannot be reached from this controller", shard.value)
             notBefore[shard.value] = clock.now() + UNREACHED_PAUSE_MS
         }
     }
@@ -143,7 +143,7 @@
 
     private fun isRequested(shard: ShardId) = requests[shard]?.let { it.term == shards.records[shard.value]?.version } ?: false
 
-    /** The node with the least to do comes first; the others follow if it does not act. */
+    /** The controller with the least to do comes first; the others follow if it does not act. */
     private fun turn(owner: String): Int =
         (membership.alive() - owner - rollout.draining()).sortedWith(compareBy({ shards.countOf(it) }, { it })).indexOf(settings.label)
 
@@ -164,7 +164,7 @@
                 asking[shard.value] = false
                 val answers = (reply as? Reply.Answer)?.body?.get("host") == machineName
                 if (answers && staleness.isCurrent && shards.ownerOf(shard) == owner && !acquiring[shard.value]) {
-                    log.info("shard {}: its machines do not reach {}", shard.value, owner)
+                    log.info("shard {}: its machines do not reach its owner {}", shard.value, owner)
                     acquire(shard)
                 }
             }
@@ -174,14 +174,14 @@
     /** Takes the shard again for a higher token: a worker has seen one that is above ours. */
     fun renewToken(shard: ShardId) {
         if (clock.now() <= notBefore[shard.value]) return
-        log.info("shard {}: a worker has seen a higher token", shard.value)
+        log.info("shard {}: acquired again, a worker has seen a higher token", shard.value)
         acquire(shard)
     }
 
-    /** Takes a shard of this node's again, to read what is stored of it in smaller parts. */
+    /** Takes a shard of this controller's again, to read what is stored of it in smaller parts. */
     fun reload(shard: ShardId) {
         if (clock.now() <= notBefore[shard.value]) return
-        log.info("shard {}: read again, to be stored in smaller parts", shard.value)
+        log.info("shard {}: acquired again, to be stored in smaller parts", shard.value)
         acquire(shard)
     }
 
@@ -204,7 +204,7 @@
                 if (outcome is CommitOutcome.Applied) {
                     onAcquired(shard, record, outcome.revision)
                 } else {
-                    // Mostly another node took the token we wanted.
+                    // Mostly another controller took the token we wanted.
                     retrySoon(shard)
                     reread(Keys.shard(shard.value))
                     reread(Keys.TOKEN)
@@ -215,7 +215,7 @@
     }
 
     /**
-     * The watch tells of a record with this node as owner. If it is the one that a take is about to store, the shard is taken: its
+     * The watch tells of a record with this controller as owner. If it is the one that a take is about to store, the shard is taken: its
      * answer may be lost for seconds, in which an owner of before would act under the new term.
      */
     fun confirmedByWatch(shard: ShardId, record: ShardRecord, version: Long): Boolean {
@@ -243,7 +243,7 @@
         read(owner)
     }
 
-    /** After a restart of all, every second counts; the nodes do not try at the same moment. */
+    /** After a restart of all, every second counts; the controllers do not try at the same moment. */
     private fun retrySoon(shard: ShardId) {
         acquiring[shard.value] = false
         notBefore[shard.value] = clock.now() + RETRY_ACQUIRE_MS * (settings.self.value + 1)
@@ -276,14 +276,14 @@
         acquiring[shard.value] = false
         if (owner.dropped) return
         if (pages == null || totals is ReadResult.Failed) {
-            log.info("shard {}: could not be read; tried again", shard.value)
+            log.info("shard {}: could not be restored, will be retried", shard.value)
             owner.dropped = true
             owners[shard.value] = null
             retrySoon(shard)
             return
         }
         owner.load(jobs.liveOf(shard), pages, (totals as? ReadResult.Found)?.item)
-        log.info("shard {}: read in {} ms", shard.value, clock.now() - since)
+        log.info("shard {}: restored in {} ms", shard.value, clock.now() - since)
     }
 
     private companion object {
--- a/src/main/kotlin/io/reedmast/ownership/ShardTable.kt
+++ b/src/main/kotlin/io/reedmast/ownership/ShardTable.kt
@@ -9,7 +9,7 @@
 /** A shard record as last seen, with its version. */
 data class StoredRecord(val record: ShardRecord, val version: Long)
 
-/** The shards' records and the token counter, as last seen in the store or in answers to this node's changes. */
+/** The shards' records and the token counter, as last seen in the store or in answers to this controller's changes. */
 class ShardTable(
     shards: Int,
     private val out: Gateway,
--- a/src/main/kotlin/io/reedmast/peers/PeerServer.kt
+++ b/src/main/kotlin/io/reedmast/peers/PeerServer.kt
@@ -26,7 +26,7 @@
                 try {
                     server.accept()
                 } catch (e: IOException) {
-                    log.error("cannot accept: {}", e.message)
+                    log.error("peer connection: cannot be accepted: {}", e.message)
                     Thread.sleep(ACCEPT_PAUSE_MS)
                     continue
                 }
@@ -45,7 +45,7 @@
                 val source = socket.source().buffer()
                 while (true) received(PeerCodec.read(source))
             } catch (e: IOException) {
-                log.debug("a peer's connection ends: {}", e.message)
+                log.debug("peer connection: closed: {}", e.message)
             }
         }
     }
--- a/src/main/kotlin/io/reedmast/placement/Scheduler.kt
+++ b/src/main/kotlin/io/reedmast/placement/Scheduler.kt
@@ -97,7 +97,7 @@
                 if (queue.isEmpty()) queues.remove(team)
             }
         }
-        for ((job, count) in placed) log.info("{}: {} placed", job.spec.jobId, count)
+        for ((job, count) in placed) log.info("job {}: {} tasks placed", job.spec.jobId, count)
         preempt(ready, now, wall)
     }
 
@@ -136,7 +136,7 @@
         return queues.keys.minWith(compareBy({ t -> !shardState.isWithinGuarantee(t, queues.getValue(t).first().spec) }, { t -> shardState.ratio(t, wall) }))
     }
 
-    /** Machines whose report is overdue may be gone or hang; unless most are overdue, which would be this node's fault. */
+    /** Machines whose report is overdue may be gone or hang; unless most are overdue, which would be this controller's fault. */
     private fun candidates(now: Long): List<Machine> {
         val usable = shardState.machines.values.filter { it.usable && it.noticeUntil == 0L }
         val heard = usable.filter { now - it.lastHeartbeatAt <= shardState.heartbeatLateMs }
@@ -194,7 +194,7 @@
         if (machine.isServiceHome) room.free -= job.spec.cpus
         shardState.place(placement)
         shardState.markDirty(job.chunkOf(task))
-        log.debug("{} try {}: placed on {}", placement.id, attempt, machine.name)
+        log.debug("task {} attempt {}: placed on {}", placement.id, attempt, machine.name)
     }
 
     /** Stopped in the same moment for the work that it was preferred to, the job would get nothing for ever. */
@@ -241,7 +241,7 @@
     }
 
     private fun stopFor(job: Job, victim: Placement, machine: Machine) {
-        log.info("{}: yields to {} on {}", victim.id, job.spec.jobId, machine.name)
+        log.info("task {}: preempted for job {} on {}", victim.id, job.spec.jobId, machine.name)
         dispatcher.stop(victim, StopReason.PREEMPTED)
         job.preempting++
         shardState.preemptedFor[victim] = job
--- a/src/main/kotlin/io/reedmast/ports/Gateway.kt
+++ b/src/main/kotlin/io/reedmast/ports/Gateway.kt
@@ -33,7 +33,7 @@
     /** False while the store is known not to take changes. */
     val isStoreAvailable: Boolean
 
-    /** How many changes this node's part of the store's limit allows now, as a part of a second's worth. */
+    /** How many changes this controller's part of the store's limit allows now, as a part of a second's worth. */
     fun writePermitLevel(): Double
 
     fun get(path: String, done: (ReadResult) -> Unit)
@@ -60,17 +60,17 @@
 
     fun extendLease(lease: Long?, lifeMs: Long, done: (LeaseState) -> Unit)
 
-    /** How many nodes share the limits of store and cloud. */
+    /** How many controllers share the limits of store and cloud. */
     fun shareLimits(aliveControllers: Int, leading: Boolean)
 
     /** This process must not go on, for [reason]: it ends without touching anything more. */
     fun endProcess(reason: String)
 
-    /** How many machines there are, each of which may have a connection to this node. */
+    /** How many machines there are, each of which may have a connection to this controller. */
     fun expectMachines(count: Int)
 }
 
-/** A lease of this node after an attempt to renew it, or to get a new one. */
+/** A lease of this controller after an attempt to renew it, or to get a new one. */
 sealed interface LeaseState {
     data class Held(val lease: Long, val isNew: Boolean) : LeaseState
 
--- a/src/main/kotlin/io/reedmast/rollout/ClusterSnapshot.kt
+++ b/src/main/kotlin/io/reedmast/rollout/ClusterSnapshot.kt
@@ -104,7 +104,7 @@
     /** Conditions that [label] has the membership key that was seen, or none, and that no shard has changed hands. */
     fun preconditionsOf(label: String): List<Precondition> = memberPreconditions(setOf(label)) + shardPreconditions()
 
-    private fun memberPreconditions(labels: Set<String>) = labels.map { Precondition(Keys.node(it), present[it]?.keyVersion ?: 0L) }
+    private fun memberPreconditions(labels: Set<String>) = labels.map { Precondition(Keys.member(it), present[it]?.keyVersion ?: 0L) }
 
     private fun shardPreconditions() = shards.mapIndexed { index, shard -> Precondition(Keys.shard(index), shard?.version ?: 0L) }
 
--- a/src/main/kotlin/io/reedmast/rollout/MigrationReconciler.kt
+++ b/src/main/kotlin/io/reedmast/rollout/MigrationReconciler.kt
@@ -38,7 +38,7 @@
  * Brings the records of one [unit] to the form that the gates want, one record at a time.
  *
  * It compares what is wanted with the stored progress and works on the difference, so that it goes on where any process stopped. Each
- * record is written on condition that it, the gates and the fence given to [tick] are unchanged: a write that is carried out late finds that
+ * record is written on condition that it, the gates and the fence given to [runOnce] are unchanged: a write that is carried out late finds that
  * one of them has moved. Records that cannot be read are counted and left alone.
  *
  * @param valueBytes what a value may hold
@@ -78,7 +78,7 @@
     val inDoubt: Boolean get() = busy
 
     /** Does the next piece of work. [fence] proves that this process may still write the unit's records. */
-    fun tick(gates: GateSnapshot, fence: Precondition, view: RolloutView) {
+    fun runOnce(gates: GateSnapshot, fence: Precondition, view: RolloutView) {
         if (busy || now() < due) return
         val current = pass?.takeIf { it.gates.version == gates.version && it.fence == fence } ?: begin(gates, fence, view)
         pass = current
@@ -144,7 +144,7 @@
         val wanted = try {
             if (of.progress.direction == Direction.FORWARD) of.migration.forward(record) else of.migration.back(record)
         } catch (e: MalformedException) {
-            log.error("{}: record {} cannot be read and is left as it is: {}", of.feature.name, item.path, e.message)
+            log.error("feature {}: record {} cannot be read and is left as it is: {}", of.feature.name, item.path, e.message)
             done(of, item.path) { it.copy(unreadable = it.unreadable + 1) }
             return
         }
@@ -190,9 +190,9 @@
             pass = null
             if (blocked) {
                 retryAt[of.feature.name] = now() + RETRY_BLOCKED_MS
-                log.error("{}: {} unreadable and {} oversized records of {} are left", of.feature.name, ended.unreadable, ended.oversized, unit.key)
+                log.error("feature {}: {} unreadable and {} oversized records of {} are left", of.feature.name, ended.unreadable, ended.oversized, unit.key)
             } else {
-                log.info("{}: {} records of {} migrated {}", of.feature.name, ended.migrated, unit.key, ended.direction.storedName)
+                log.info("feature {}: {} records of {} migrated {}", of.feature.name, ended.migrated, unit.key, ended.direction.storedName)
             }
         }
     }
--- a/src/main/kotlin/io/reedmast/rollout/RolloutCoordinator.kt
+++ b/src/main/kotlin/io/reedmast/rollout/RolloutCoordinator.kt
@@ -35,7 +35,7 @@
     val waiting: Map<FeatureName, String> get() = said
 
     /** Called regularly while this controller leads, hears the state store and is admitted; [leaderVersion] is the version of its key. */
-    fun tick(leaderVersion: Long, snapshot: ClusterSnapshot) {
+    fun runOnce(leaderVersion: Long, snapshot: ClusterSnapshot) {
         if (storing) return
         val gates = view.gates
         val plan = decision.plan(gates.record, snapshot)
@@ -44,7 +44,7 @@
     }
 
     private fun report(waiting: Map<FeatureName, String>) {
-        for ((feature, reason) in waiting) if (said[feature] != reason) log.info("{} waits: {}", feature, reason)
+        for ((feature, reason) in waiting) if (said[feature] != reason) log.info("feature {}: waits, {}", feature, reason)
         said = waiting
     }
 
@@ -61,13 +61,13 @@
                 storing = false
                 when (outcome) {
                     is CommitOutcome.Applied -> {
-                        log.info("{}: {}, since {}", move.feature.name, move.to.storedName, move.why)
+                        log.info("feature {}: {}, since {}", move.feature.name, move.to.storedName, move.why)
                         view.applyRecord(Keys.ROLLOUT, moved.toFields(), outcome.revision)
                     }
 
                     is CommitOutcome.Conflict -> reread()
 
-                    is CommitOutcome.Refused -> log.error("the move of {} was refused: {}", move.feature.name, outcome.reason)
+                    is CommitOutcome.Refused -> log.error("feature {}: the store refused its transition: {}", move.feature.name, outcome.reason)
                 }
             },
         )
@@ -79,7 +79,7 @@
         storing = true
         val gates = view.gates
         val by = gates.record.excluded[self]
-        log.info("this controller was excluded by {} ({}); it asks to count again", by?.by, by?.why)
+        log.info("controller: excluded by {} ({}), asks to be included again", by?.by, by?.why)
         val included = gates.record.including(self, Provenance.of(self, wall(), "back with versions ${registry.range}"))
         store.commit(
             CasTransaction(listOf(gates.precondition), listOf(Write.Put(Keys.ROLLOUT, included.toFields()))) { outcome ->
--- a/src/main/kotlin/io/reedmast/rollout/RolloutView.kt
+++ b/src/main/kotlin/io/reedmast/rollout/RolloutView.kt
@@ -78,7 +78,7 @@
         } catch (e: MalformedException) {
             val reason = "${Keys.ROLLOUT} cannot be read: ${e.message}"
             admission = Admission.Withheld(reason)
-            log.error("{}: nothing is written until it can be", reason)
+            log.error("{}; nothing is written until it can be", reason)
         }
     }
 
--- a/src/main/kotlin/io/reedmast/settings/Settings.kt
+++ b/src/main/kotlin/io/reedmast/settings/Settings.kt
@@ -17,7 +17,7 @@
 /** The settings cannot be used; the message names the field. */
 class SettingsException(message: String) : Exception(message)
 
-/** Names of teams, zones, nodes and shards are dense indices from here on. */
+/** Names of teams, zones, controllers and shards are dense indices from here on. */
 @JvmInline
 value class TeamId(val value: Int)
 
@@ -44,7 +44,7 @@
 
 data class Objective(val kind: String, val jobClass: String?, val withinS: Double?)
 
-/** What the platform hands over. [members] has every node in name order, so all nodes agree on their indices. */
+/** What the platform hands over. [members] has every controller in name order, so all controllers agree on their indices. */
 data class Settings(
     val label: String,
     val front: InetSocketAddress,
@@ -65,7 +65,7 @@
 ) {
     val teamsByName: Map<String, TeamId> = teams.withIndex().associate { (i, team) -> team.name to TeamId(i) }
 
-    /** As many shards as nodes; teams are dealt out to them in turn. */
+    /** As many shards as controllers; teams are dealt out to them in turn. */
     val shardCount: Int get() = members.size
 
     fun shardOf(team: TeamId) = ShardId(team.value % shardCount)
--- a/src/main/kotlin/io/reedmast/workers/CommandDispatcher.kt
+++ b/src/main/kotlin/io/reedmast/workers/CommandDispatcher.kt
@@ -20,7 +20,7 @@
     fun begin() = announcer.begin()
 
     /** Called now and then: shows our token to machines that have not reported since the shard was taken. */
-    fun announceToken(now: Long) = announcer.tick(now)
+    fun announceToken(now: Long) = announcer.runOnce(now)
 
     fun launch(placement: Placement) {
         if (placement.machine.trusted) outbox.getOrPut(placement.machine) { ArrayList() }.add(WorkerCommand.StartTask(placement.id, placement.attempt))
@@ -37,7 +37,11 @@
     private fun stopOne(placement: Placement, reason: StopReason) {
         if (placement.stopReason == StopReason.CANCELLED || placement.stopReason == reason) return
         placement.stopReason = reason
-        if (reason != StopReason.CANCELLED) log.info("{} try {}: to be stopped on {}: {}", placement.id, placement.attempt, placement.machine.name, reason)
+        if (reason !=
+            StopReason.CANCELLED
+        ) {
+            log.info("task {} attempt {}: to be stopped on {}: {}", placement.id, placement.attempt, placement.machine.name, reason)
+        }
         val machine = placement.machine
         if (placement.committed && machine.trusted && placement.launchEpoch == machine.epoch) {
             outbox.getOrPut(machine) { ArrayList() }.add(stopCommand(placement))
@@ -100,7 +104,7 @@
         return try {
             WorkerStatus.parse(reply.body).also { if (it.machineName == machine.name) onStatusReport(machine, it) }
         } catch (e: MalformedException) {
-            log.error("the answer of {} cannot be read: {}", machine.name, e.message)
+            log.error("machine {}: malformed answer: {}", machine.name, e.message)
             null
         }
     }
--- a/src/main/kotlin/io/reedmast/workers/HeartbeatHandler.kt
+++ b/src/main/kotlin/io/reedmast/workers/HeartbeatHandler.kt
@@ -48,7 +48,7 @@
         machine.noticeUntil = if (status.noticeS == null) {
             0L
         } else {
-            if (machine.noticeUntil == 0L) log.info("{}: the cloud takes it away in {} s", machine.name, status.noticeS)
+            if (machine.noticeUntil == 0L) log.info("machine {}: the cloud takes it back in {} s", machine.name, status.noticeS)
             now + (status.noticeS * 1000).toLong()
         }
         if (status.token > FencingToken.last(shardState.token)) {
@@ -105,7 +105,7 @@
         val leaseMs = shardState.settings.workers.leaseS * 1000
         if (now - machine.answeredAt < leaseMs / 2 && now - machine.regularSince > leaseMs * MOST_OF_LEASE) {
             machine.unacknowledged = maxOf(machine.unacknowledged, Machine.UNREACHABLE_AFTER)
-            log.info("{}: its lease ran out although its reports were answered", machine.name)
+            log.info("machine {}: its lease expired although its heartbeats were answered", machine.name)
         }
     }
 
@@ -144,7 +144,7 @@
         val job = placement.job
         val done = cause == Cause.DONE && !job.spec.service
         if (cause != Cause.DONE && (cause != Cause.HALTED || placement.stopReason == null)) {
-            log.info("{} try {}: ended on {}: {}", placement.id, placement.attempt, machine.name, cause)
+            log.info("task {} attempt {}: ended on {}: {}", placement.id, placement.attempt, machine.name, cause)
         }
         when (cause) {
             Cause.DONE -> {
@@ -202,7 +202,7 @@
             shardState.jobs[jobId]?.let { job -> job.hasSucceeded || job.placements().any { it.running && now - it.runningSince > PROVES_A_JOB_MS } } == true
         }
         if (!good && machine.failedJobs.size < JOBS_FAILED_IN_ANY_CASE) return
-        log.info("{}: every task fails there; it is replaced", machine.name)
+        log.info("machine {}: unhealthy, every task fails there, decommissioned", machine.name)
         machine.decommissionReason = DecommissionReason.UNHEALTHY
     }
 
@@ -247,7 +247,7 @@
         val sentBefore = placement.launchEpoch != 0L
         if (sentBefore && placement.launchEpoch < status.epoch && !mayLaunch) {
             // A later session: everything of the earlier one was killed, and its launches are refused.
-            log.info("{} try {}: lost with a session of {}", placement.id, placement.attempt, machine.name)
+            log.info("task {} attempt {}: lost with an epoch of {}", placement.id, placement.attempt, machine.name)
             if (placement.stopReason != null || !machine.usable || machine.noticeUntil != 0L || placement.job.spec.gang) {
                 shardState.finish(placement, done = false)
                 return
--- a/src/main/kotlin/io/reedmast/workers/MachineDirectory.kt
+++ b/src/main/kotlin/io/reedmast/workers/MachineDirectory.kt
@@ -1,6 +1,6 @@
 package io.reedmast.workers
 
-/** What any node may know of a machine without owning it: hints, on which no rule depends. */
+/** What any controller may know of a machine without owning it: hints, on which no rule depends. */
 class MachineFacts(val name: String) {
     var addr: String? = null
         set(value) {
@@ -11,7 +11,7 @@
     /** Images fetched there, least recently used first, with their sizes. */
     val images = LinkedHashMap<String, Double>(8, 0.75f, true)
 
-    /** Whether the other nodes have not been told yet. */
+    /** Whether the other controllers have not been told yet. */
     var changed = false
 
     fun recordImage(image: String, imageGb: Double, roomGb: Double) {
@@ -30,9 +30,9 @@
 data class MachineHint(val machineName: String, val addr: String, val images: List<Pair<String, Double>>)
 
 /**
- * Addresses and images of all machines, told by their owners to the other nodes.
+ * Addresses and images of all machines, told by their owners to the other controllers.
  *
- * A node that takes a shard over can so show its token to the workers at once, and place work where its images are.
+ * A controller that takes a shard over can so show its token to the workers at once, and place work where its images are.
  */
 class MachineDirectory {
     private val facts = HashMap<String, MachineFacts>()
--- a/src/main/kotlin/io/reedmast/workers/MachineLifecycle.kt
+++ b/src/main/kotlin/io/reedmast/workers/MachineLifecycle.kt
@@ -25,7 +25,7 @@
     private var removeDue = 0L
     private var requestDue = 0L
 
-    /** When this node last was unable to answer workers or to decide: silence before that says nothing. */
+    /** When this controller last was unable to answer workers or to decide: silence before that says nothing. */
     private var observationGapUntil = 0L
 
     fun isGone(machineName: String) = machineName in gone
@@ -35,7 +35,7 @@
         gone.retainAll(machineNames)
     }
 
-    fun tick(now: Long) {
+    fun runOnce(now: Long) {
         watch(now)
         sendReturns()
         if (gone.isNotEmpty() && now >= removeDue) {
@@ -61,13 +61,13 @@
             if (!machine.everReported && machine.decommissionReason == null && machineType != null &&
                 now - machine.firstSeenAt > (machineType.bootS * LOST_BOOT_FACTOR + LOST_BOOT_S) * 1000
             ) {
-                log.info("{}: has not come up in {} s; it is replaced", machine.name, (now - machine.firstSeenAt) / 1000)
+                log.info("machine {}: not up after {} s, decommissioned", machine.name, (now - machine.firstSeenAt) / 1000)
                 machine.decommissionReason = DecommissionReason.BOOT_TIMEOUT
             }
             val notice = machine.noticeUntil
             if (notice != 0L) drain(machine, notice, now)
             if (notice in 1..now && now - machine.lastHeartbeatAt > shardState.heartbeatLateMs && machine.decommissionReason == null) {
-                log.info("{}: taken by the cloud, as it said; it is replaced", machine.name)
+                log.info("machine {}: taken back by the cloud as announced, decommissioned", machine.name)
                 machine.decommissionReason = DecommissionReason.MISSED_HEARTBEATS
             }
             when (machine.decommissionReason) {
@@ -103,7 +103,7 @@
     }
 
     /**
-     * Nearly all machines falling silent within one report's time is this node's loss of its workers. It still has its keys and
+     * Nearly all machines falling silent within one report's time is this controller's loss of its workers. It still has its keys and
      * hears the store, so nobody else can tell as soon, and the workers' leases are short.
      */
     private fun detectLossOfWorkers(now: Long) {
@@ -124,28 +124,28 @@
             now - maxOf(it.lastHeartbeatAt, shardState.activeAt + silentAfterMs / 2, observationGapUntil + silentAfterMs) >
                 silentAfterMs
         }
-        // If most machines are silent at once, it is rather this node that hears nothing.
+        // If most machines are silent at once, it is rather this controller that hears nothing.
         val patience = if (silent.size * 2 > heard.size && heard.size > 1) (shardState.settings.workers.leaseS * 1000).toLong() else 0L
         for (machine in silent) {
             if (machine.decommissionReason != null && machine.decommissionReason != DecommissionReason.TRANSFER) continue
             if (now - maxOf(machine.lastHeartbeatAt, shardState.activeAt) <= silentAfterMs + patience) continue
-            log.info("{}: silent for {} s; it is replaced", machine.name, (now - machine.lastHeartbeatAt) / 1000)
+            log.info("machine {}: no heartbeat for {} s, decommissioned", machine.name, (now - machine.lastHeartbeatAt) / 1000)
             machine.decommissionReason = DecommissionReason.MISSED_HEARTBEATS
             shardState.silentMachinesByZone.getOrPut(machine.record.zone) { ArrayDeque() }.addLast(now)
         }
     }
 
-    /** Machines that report and hear nothing. Several at once would rather be this node's own answers that get lost. */
+    /** Machines that report and hear nothing. Several at once would rather be this controller's own answers that get lost. */
     private fun decommissionUnreachable() {
         val deaf = shardState.machines.values.filter { it.unacknowledged >= Machine.UNREACHABLE_AFTER && it.decommissionReason == null }
         if (deaf.isEmpty()) return
         if (deaf.size > maxOf(MAX_UNREACHABLE, shardState.machines.size / 4)) {
-            log.info("shard {}: {} machines seem to hear nothing; it is rather this node", shardState.index.value, deaf.size)
+            log.info("shard {}: {} machines seem unreachable, which suggests a fault of this controller", shardState.index.value, deaf.size)
             deaf.forEach { it.unacknowledged = 0 }
             return
         }
         for (machine in deaf) {
-            log.info("{}: reports, but nothing reaches it; it is replaced", machine.name)
+            log.info("machine {}: sends heartbeats but is unreachable, decommissioned", machine.name)
             machine.decommissionReason = DecommissionReason.UNREACHABLE
         }
     }
@@ -183,12 +183,12 @@
         // A machine that has just booted has been empty for all of its boot: it was returned before anything could be placed.
         if (now - machine.trustedAt < JUST_UP_MS) return false
         val patience = scaleInPolicy.scaleInDelayMs(machine)
-        // While this node heard nothing from the store, nothing could be placed there.
+        // While this controller heard nothing from the store, nothing could be placed there.
         return now - maxOf(machine.emptySince, observationGapUntil) > patience && now - shardState.activeAt > patience && !headroom.needs(machine)
     }
 
     private fun decommissionIdle(machine: Machine, headroom: ScaleInPolicy.Headroom) {
-        log.info("{}: empty for {} s; it is returned", machine.name, (shardState.clock.now() - machine.emptySince) / 1000)
+        log.info("machine {}: empty for {} s, decommissioned", machine.name, (shardState.clock.now() - machine.emptySince) / 1000)
         headroom.without(machine)
         machine.decommissionReason = DecommissionReason.IDLE
         returnMachines(machine)
@@ -204,7 +204,7 @@
     /**
      * One call for all machines that are to go, and one call at a time.
      *
-     * A call for each made silent machines wait, with the replicas on them, behind idle ones for this node's part of the
+     * A call for each made silent machines wait, with the replicas on them, behind idle ones for this controller's part of the
      * cloud's limit.
      */
     private fun sendReturns() {
@@ -222,7 +222,7 @@
     /** The cloud has confirmed that the machine and all that was on it are gone. */
     private fun returned(machine: Machine) {
         machine.placements.values.toList().forEach {
-            log.info("{} try {}: gone with {}", it.id, it.attempt, machine.name)
+            log.info("task {} attempt {}: terminated with machine {}", it.id, it.attempt, machine.name)
             shardState.finish(it, done = false)
         }
         shardState.jobs.values.forEach { it.failedOn.remove(machine) }
--- a/src/main/kotlin/io/reedmast/workers/TokenAnnouncer.kt
+++ b/src/main/kotlin/io/reedmast/workers/TokenAnnouncer.kt
@@ -30,7 +30,7 @@
     }
 
     /** Calls the others too, at the addresses in the cloud's list. */
-    fun tick(now: Long) {
+    fun runOnce(now: Long) {
         if (listDue == 0L || now < listDue || listing) return
         if (shardState.machines.values.none { lacksToken(it) }) {
             if (now - shardState.activeAt > LIST_FOR_MS) listDue = 0L
--- a/src/test/kotlin/io/reedmast/EventLoopTest.kt
+++ b/src/test/kotlin/io/reedmast/EventLoopTest.kt
@@ -26,8 +26,8 @@
         override fun wall(): Long = System.currentTimeMillis()
     }
 
-    private fun eventLoop(tickMs: Long, tick: () -> Unit) = EventLoop(SteadyClock, 2).also { eventLoop ->
-        thread(isDaemon = true) { eventLoop.run(tickMs, tickMs, tick) }
+    private fun eventLoop(tickMs: Long, runOnce: () -> Unit) = EventLoop(SteadyClock, 2).also { eventLoop ->
+        thread(isDaemon = true) { eventLoop.run(tickMs, tickMs, runOnce) }
     }
 
     /** Waits until a first tick is over, so that the next one is not due. */
--- a/src/test/kotlin/io/reedmast/SocketTest.kt
+++ b/src/test/kotlin/io/reedmast/SocketTest.kt
@@ -2,10 +2,10 @@
 
 import com.sun.net.httpserver.HttpServer
 import io.reedmast.app.Controller
+import io.reedmast.app.ControllerHandle
 import io.reedmast.app.EventLoop
 import io.reedmast.app.HttpApi
 import io.reedmast.app.NetworkGateway
-import io.reedmast.app.Node
 import io.reedmast.app.Timings
 import io.reedmast.app.Watches
 import io.reedmast.kvstore.EffectiveLimits
@@ -97,11 +97,11 @@
         val client = StoreClient(settings.storeAddress, limits, 1, Caller(500, 1000))
         val out = NetworkGateway(settings, eventLoop, client, limits, "test") {}
         val timings = Timings(SystemClock)
-        val node = Node(eventLoop, Controller(settings, Tuning(), SystemClock, out, limits, "test"), timings)
+        val node = ControllerHandle(eventLoop, Controller(settings, Tuning(), SystemClock, out, limits, "test"), timings)
         HttpApi(settings, node, timings).start()
         out.start()
         Watches(client, SystemClock, node).start()
-        NetworkGateway.startThread("test-desk") { eventLoop.run(50, 50, node::tick) }
+        NetworkGateway.startThread("test-desk") { eventLoop.run(50, 50, node::runOnce) }
         val patience = System.nanoTime() + 10_000_000_000L
         while (call("GET", "/healthz", null).first != 200 && System.nanoTime() < patience) Thread.sleep(50)
     }
--- a/src/test/kotlin/io/reedmast/ownership/ShardAcquisitionTest.kt
+++ b/src/test/kotlin/io/reedmast/ownership/ShardAcquisitionTest.kt
@@ -38,7 +38,7 @@
     fun begin() {
         cluster.snapshot(emptyList(), revision = 10, askedAt = now)
         cluster.jobsSnapshot(emptyList(), revision = 10, askedAt = now)
-        cluster.tick()
+        cluster.runOnce()
     }
 
     @Test
--- a/src/test/kotlin/io/reedmast/rollout/EmbeddedRolloutTest.kt
+++ b/src/test/kotlin/io/reedmast/rollout/EmbeddedRolloutTest.kt
@@ -58,7 +58,7 @@
 
     private fun MigrationReconciler.run(ticks: Int) = repeat(ticks) {
         now += 10
-        tick(view.gates, fence, view)
+        runOnce(view.gates, fence, view)
         refresh()
     }
 
@@ -163,24 +163,24 @@
     fun `a leader who has been replaced, or has seen a controller that is gone, moves nothing`() {
         val member = MemberVersions(registry.range, mapOf(feature.name to Target.ENABLED), "life", false).toFields()
         store.put(Keys.LEADER, mapOf("label" to "a"))
-        store.put(Keys.node("a"), member)
+        store.put(Keys.member("a"), member)
         store.put(Keys.shard(0), mapOf("owner" to "a"))
         refresh()
         val coordinator = RolloutCoordinator(registry, "a", { now }, store, view, maxPreconditions = 20) {}
         fun snapshot() = view.snapshot(setOf("a"), listOf(ShardOwnership("a", store.items.getValue(Keys.shard(0)).version)), emptySet())
         val seen = store.items.getValue(Keys.LEADER).version
         store.put(Keys.LEADER, mapOf("label" to "b"))
-        coordinator.tick(seen, snapshot())
+        coordinator.runOnce(seen, snapshot())
         assertEquals(null, store.items[Keys.ROLLOUT])
         val old = snapshot()
-        store.put(Keys.node("a"), member)
-        coordinator.tick(store.items.getValue(Keys.LEADER).version, old)
+        store.put(Keys.member("a"), member)
+        coordinator.runOnce(store.items.getValue(Keys.LEADER).version, old)
         assertEquals(null, store.items[Keys.ROLLOUT])
         refresh()
-        coordinator.tick(store.items.getValue(Keys.LEADER).version, snapshot())
+        coordinator.runOnce(store.items.getValue(Keys.LEADER).version, snapshot())
         assertEquals(GateState.READY, view.gates.record.stateOf(feature.name))
         val few = RolloutCoordinator(registry, "a", { now }, store, view, maxPreconditions = 3) {}
-        few.tick(store.items.getValue(Keys.LEADER).version, snapshot())
+        few.runOnce(store.items.getValue(Keys.LEADER).version, snapshot())
         assertEquals(GateState.READY, view.gates.record.stateOf(feature.name))
         assertTrue("4 conditions" in few.waiting.getValue(feature.name))
     }
--- a/src/test/kotlin/io/reedmast/rollout/GateDecisionTest.kt
+++ b/src/test/kotlin/io/reedmast/rollout/GateDecisionTest.kt
@@ -80,7 +80,7 @@
         val ready = record(base to GateState.READY).wishes(base, Target.ENABLED)
         val move = decision.plan(ready, snapshot()).also { it.moves(GateState.ENABLED, base) }.move
         assertEquals(
-            listOf("n0", "n1", "n2").map { Keys.node(it) to 13L } + (0..2).map { Keys.shard(it) to 100L + it },
+            listOf("n0", "n1", "n2").map { Keys.member(it) to 13L } + (0..2).map { Keys.shard(it) to 100L + it },
             move?.preconditions?.map { it.path to it.version },
         )
     }
--- a/src/test/kotlin/io/reedmast/rollout/RolloutAdministrationTest.kt
+++ b/src/test/kotlin/io/reedmast/rollout/RolloutAdministrationTest.kt
@@ -23,7 +23,7 @@
     private val act = Act("somebody", "a reason")
 
     private fun present(label: String, drained: Boolean = false) =
-        store.put(Keys.node(label), MemberVersions(registry.range, emptyMap(), "$label-life", drained).toFields())
+        store.put(Keys.member(label), MemberVersions(registry.range, emptyMap(), "$label-life", drained).toFields())
 
     private fun result(act: (((ActResult) -> Unit)) -> Unit): ActResult? {
         var result: ActResult? = null
@@ -44,7 +44,7 @@
         present("n1")
         refused("no controller n7") { administration.exclude("n7", act, it) }
         refused("n1 is alive") { administration.exclude("n1", act, it) }
-        store.items.remove(Keys.node("n1"))
+        store.items.remove(Keys.member("n1"))
         refused("still owns shard 1") { administration.exclude("n1", act, it) }
         owners = listOf("n0", "n0")
         assertEquals(ActResult.Done, result { administration.exclude("n1", act, it) })
--- a/src/test/kotlin/io/reedmast/sim/SimNode.kt
+++ b/src/test/kotlin/io/reedmast/sim/SimNode.kt
@@ -102,7 +102,7 @@
         val limits = EffectiveLimits(settings.storeLimits, settings.nextStoreLimits)
         val gateway = SimGateway(world, this, life, limits, incarnation)
         controller = Controller(settings, world.tuning, clock, gateway, limits, incarnation, RolloutOptions(registry(), desired))
-        tick(life)
+        runOnce(life)
         watch(life)
     }
 
@@ -123,11 +123,11 @@
         controller = null
     }
 
-    private fun tick(of: Int) {
+    private fun runOnce(of: Int) {
         if (life != of) return
-        controller?.tick()
+        controller?.runOnce()
         recordHealth()
-        later(TICK_MS) { tick(of) }
+        later(TICK_MS) { runOnce(of) }
     }
 
     private var recordedHealth = false
