--- a/src/main/kotlin/io/reedmast/app/Controller.kt
+++ b/src/main/kotlin/io/reedmast/app/Controller.kt
@@ -1,14 +1,14 @@
 package io.reedmast.app
 
-import io.reedmast.fleet.Autoscaler
-import io.reedmast.jobs.JobRequestHandler
+import io.reedmast.autoscaling.Autoscaler
+import io.reedmast.cluster.Cluster
+import io.reedmast.cluster.ClusterFeatures
 import io.reedmast.kvstore.EffectiveLimits
-import io.reedmast.ownership.Cluster
-import io.reedmast.ownership.ClusterFeatures
-import io.reedmast.ownership.FencingToken
-import io.reedmast.peers.PeerMessage
+import io.reedmast.model.FencingToken
 import io.reedmast.ports.Clock
 import io.reedmast.ports.Gateway
+import io.reedmast.ports.PeerMessage
+import io.reedmast.requests.JobRequestHandler
 import io.reedmast.rollout.RolloutOptions
 import io.reedmast.settings.Settings
 import io.reedmast.settings.Tuning
@@ -33,7 +33,7 @@
     private val settings: Settings,
     tuning: Tuning,
     private val clock: Clock,
-    private val out: Gateway,
+    private val gateway: Gateway,
     limits: EffectiveLimits,
     incarnation: String,
     rollout: RolloutOptions = RolloutOptions(ClusterFeatures.registry),
@@ -41,9 +41,9 @@
     private var machineTypes: Map<String, MachineType> = emptyMap()
     private var machineTypesAsked = false
     private var machineTypesDue = 0L
-    val cluster = Cluster(settings, tuning, clock, out, limits, { machineTypes.values }, incarnation, rollout)
-    private val autoscaler = Autoscaler(settings, tuning, clock, out, cluster, { machineTypes }, incarnation)
-    private val jobs = JobRequestHandler(settings, clock, out, limits, cluster) { machineTypes }
+    val cluster = Cluster(settings, tuning, clock, gateway, limits, { machineTypes.values }, incarnation, rollout)
+    private val autoscaler = Autoscaler(settings, tuning, clock, gateway, cluster, { machineTypes }, incarnation)
+    private val jobs = JobRequestHandler(settings, clock, gateway, limits, cluster) { machineTypes }
 
     private var runDue = 0L
 
@@ -64,7 +64,7 @@
         val now = clock.now()
         if (machineTypesAsked || now < machineTypesDue) return
         machineTypesAsked = true
-        out.machineTypes { found ->
+        gateway.machineTypes { found ->
             machineTypesAsked = false
             if (found == null || found.isEmpty()) {
                 machineTypesDue = clock.now() + MACHINE_TYPES_RETRY_MS
--- a/src/main/kotlin/io/reedmast/app/ControllerHandle.kt
+++ b/src/main/kotlin/io/reedmast/app/ControllerHandle.kt
@@ -2,7 +2,7 @@
 
 import io.reedmast.kvstore.StoredItem
 import io.reedmast.kvstore.WatchEvent
-import io.reedmast.peers.PeerMessage
+import io.reedmast.ports.PeerMessage
 import io.reedmast.wire.JobSpec
 import io.reedmast.wire.UserAnswer
 import io.reedmast.wire.WorkerStatus
--- a/src/main/kotlin/io/reedmast/app/Main.kt
+++ b/src/main/kotlin/io/reedmast/app/Main.kt
@@ -14,11 +14,11 @@
 import com.github.ajalt.clikt.parameters.options.required
 import com.github.ajalt.clikt.parameters.options.versionOption
 import com.github.ajalt.clikt.parameters.types.double
+import io.reedmast.cluster.ClusterFeatures
 import io.reedmast.deploy.RolloutFile
 import io.reedmast.deploy.RolloutFileException
 import io.reedmast.kvstore.EffectiveLimits
 import io.reedmast.kvstore.StoreClient
-import io.reedmast.ownership.ClusterFeatures
 import io.reedmast.peers.PeerServer
 import io.reedmast.ports.Clock
 import io.reedmast.rollout.RolloutOptions
--- a/src/main/kotlin/io/reedmast/app/NetworkGateway.kt
+++ b/src/main/kotlin/io/reedmast/app/NetworkGateway.kt
@@ -1,7 +1,6 @@
 package io.reedmast.app
 
 import com.google.common.util.concurrent.RateLimiter
-import io.reedmast.fleet.ProvisioningRequest
 import io.reedmast.kvstore.CasTransaction
 import io.reedmast.kvstore.Committer
 import io.reedmast.kvstore.EffectiveLimits
@@ -10,9 +9,10 @@
 import io.reedmast.kvstore.StoredItem
 import io.reedmast.kvstore.TransactionIds
 import io.reedmast.peers.PeerClient
-import io.reedmast.peers.PeerMessage
 import io.reedmast.ports.Gateway
 import io.reedmast.ports.LeaseState
+import io.reedmast.ports.PeerMessage
+import io.reedmast.ports.ProvisioningRequest
 import io.reedmast.ports.ProvisioningResult
 import io.reedmast.settings.ControllerId
 import io.reedmast.settings.Member
@@ -60,13 +60,13 @@
     private fun submissionsQueued(limits: EffectiveLimits): Int =
         (limits.target.writesPerS / settings.members.size * SUBMISSIONS_WAIT_S).toInt().coerceIn(FEWEST_SUBMISSIONS_QUEUED, MAX_SUBMISSIONS_QUEUED)
 
-    override val isStoreAvailable: Boolean get() = committer.answering
+    override val isAvailable: Boolean get() = committer.answering
 
     fun start() {
         repeat(COMMIT_THREADS) { startThread("commit-$it", committer::run) }
     }
 
-    override fun commit(change: CasTransaction, refusable: Boolean): Boolean = committer.offer(change, refusable)
+    override fun commit(transaction: CasTransaction, refusable: Boolean): Boolean = committer.offer(transaction, refusable)
 
     override fun get(path: String, done: (ReadResult) -> Unit) = call(reads, { client.get(path) }, ReadResult.Failed, done)
 
@@ -74,9 +74,9 @@
 
     override fun writePermitLevel(): Double = client.writeLimiter.permitLevel()
 
-    override fun sendToPeers(message: PeerMessage) = peers.keys.forEach { sendToPeer(it, message) }
+    override fun broadcast(message: PeerMessage) = peers.keys.forEach { send(it, message) }
 
-    override fun sendToPeer(peer: ControllerId, message: PeerMessage) {
+    override fun send(peer: ControllerId, message: PeerMessage) {
         val to = peers[peer] ?: return
         call(to.calls, { to.client.send(message) }, false, {})
     }
@@ -89,13 +89,13 @@
         val calls = WorkPool("peer-${member.label}", 1, PEER_CALLS_QUEUED)
     }
 
-    override fun direct(addr: String, token: Long, epoch: Long, commands: List<WorkerCommand>, done: (Reply) -> Unit) {
+    override fun call(addr: String, token: Long, epoch: Long, commands: List<WorkerCommand>, done: (Reply) -> Unit) {
         val body = WorkerReplies.directCall(token, epoch, commands)
         call(directs, { workerCaller.call("POST", addr, "/do", body) }, Reply.NotSent("too many calls"), done, STALE_DIRECT_MS)
     }
 
-    override fun provision(rental: ProvisioningRequest, done: (ProvisioningResult) -> Unit) {
-        val body = CloudMessages.rental(rental.requestName, rental.typeName, rental.zone, rental.spot, rental.count)
+    override fun provision(request: ProvisioningRequest, done: (ProvisioningResult) -> Unit) {
+        val body = CloudMessages.rental(request.requestName, request.typeName, request.zone, request.spot, request.count)
         call(cloudCalls, { provisioned(cloud("POST", "/machines", body)) }, ProvisioningResult.Failed, done)
     }
 
@@ -158,7 +158,7 @@
         done,
     )
 
-    override fun endProcess(reason: String) = onEnd(reason)
+    override fun end(reason: String) = onEnd(reason)
 
     override fun expectMachines(count: Int) {
         scarceSockets = count > settings.maxConnections * SCARCE_AT
--- a/src/main/kotlin/io/reedmast/app/RolloutCommand.kt
+++ b/src/main/kotlin/io/reedmast/app/RolloutCommand.kt
@@ -9,8 +9,8 @@
 import com.github.ajalt.clikt.parameters.options.default
 import com.github.ajalt.clikt.parameters.options.option
 import com.github.ajalt.clikt.parameters.options.required
-import io.reedmast.ownership.ClusterFeatures
-import io.reedmast.ownership.StoredClusterRecords
+import io.reedmast.cluster.ClusterFeatures
+import io.reedmast.cluster.StoredClusterRecords
 import io.reedmast.rollout.Act
 import io.reedmast.rollout.ActResult
 import io.reedmast.rollout.FeatureName
--- a/src/main/kotlin/io/reedmast/fleet/ArrivalRates.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/ArrivalRates.kt
@@ -1,6 +1,6 @@
-package io.reedmast.fleet
+package io.reedmast.autoscaling
 
-import io.reedmast.jobs.ShardState
+import io.reedmast.model.ShardState
 import kotlin.math.sqrt
 
 /** What work is expected to arrive at a shard, by what has arrived lately. */
--- a/src/main/kotlin/io/reedmast/fleet/Autoscaler.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/Autoscaler.kt
@@ -1,9 +1,8 @@
-package io.reedmast.fleet
+package io.reedmast.autoscaling
 
 import io.reedmast.kvstore.Keys
 import io.reedmast.kvstore.StoredItem
 import io.reedmast.kvstore.UnreadableRecordLog
-import io.reedmast.ownership.Cluster
 import io.reedmast.ports.Clock
 import io.reedmast.ports.Gateway
 import io.reedmast.settings.Settings
@@ -19,17 +18,17 @@
     private val settings: Settings,
     private val tuning: Tuning,
     private val clock: Clock,
-    private val out: Gateway,
-    private val cluster: Cluster,
+    private val gateway: Gateway,
+    private val fleet: FleetView,
     private val machineTypes: () -> Map<String, MachineType>,
     /** Names this process; never used by another one. */
     incarnation: String,
 ) {
     private val log = LoggerFactory.getLogger("autoscaler")
     private val unreadable = UnreadableRecordLog()
-    private val intake = MachineIntake(settings, clock, out, cluster, machineTypes)
-    private val provisioner = MachineProvisioner(clock, out, cluster, machineTypes, intake, incarnation)
-    private val resizer = ShardRebalancer(clock, cluster, machineTypes)
+    private val intake = MachineIntake(settings, clock, gateway, gateway, fleet, machineTypes)
+    private val provisioner = MachineProvisioner(clock, gateway, fleet, machineTypes, intake, incarnation)
+    private val resizer = ShardRebalancer(clock, fleet, machineTypes)
     private var wasLeading = false
     private var totalsAsked = false
     private var totalsDue = 0L
@@ -38,7 +37,7 @@
     private var resizeDue = 0L
 
     fun runOnce() {
-        if (!cluster.leading || !cluster.isCurrent()) {
+        if (!fleet.leading || !fleet.isCurrent()) {
             wasLeading = false
             return
         }
@@ -61,9 +60,9 @@
         if (now < listDue || listAsked) return
         listAsked = true
         listDue = now + maxOf(LIST_MIN_MS, (settings.cloudLimits.listLagS * 1000).toLong())
-        out.listMachines {
+        gateway.listMachines {
             listAsked = false
-            if (it != null && cluster.leading) intake.onMachineList(it)
+            if (it != null && fleet.leading) intake.onMachineList(it)
         }
     }
 
@@ -71,9 +70,9 @@
         if (totalsAsked || now < totalsDue || machineTypes().isEmpty()) return
         totalsAsked = true
         totalsDue = now + READ_TOTALS_MS
-        out.list(Keys.TOTALS) { items ->
+        gateway.list(Keys.TOTALS) { items ->
             totalsAsked = false
-            if (items != null && cluster.leading && cluster.isCurrent()) serve(items.mapNotNull { parse(it) })
+            if (items != null && fleet.leading && fleet.isCurrent()) serve(items.mapNotNull { parse(it) })
         }
     }
 
--- a/src/main/kotlin/io/reedmast/fleet/Demand.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/Demand.kt
@@ -1,4 +1,4 @@
-package io.reedmast.fleet
+package io.reedmast.autoscaling
 
 import io.reedmast.wire.Fields
 import io.reedmast.wire.JobSpec
@@ -94,15 +94,3 @@
         )
     }
 }
-
-/** A task of a job of which nothing has run for [waitedS] although its team's limit would let it. */
-data class Starving(val demand: Demand, val waitedS: Double) {
-    fun toFields(): Fields = mapOf("demand" to demand.toFields(), "waitedS" to waitedS)
-
-    companion object {
-        fun parse(fields: Fields) = Starving(Demand.parse(fields.map("demand")), fields.amount("waitedS"))
-    }
-}
-
-/** A request to the cloud. The request name is never used for another request, by any controller. */
-data class ProvisioningRequest(val requestName: String, val typeName: String, val zone: String, val spot: Boolean, val count: Int)
--- a/src/main/kotlin/io/reedmast/fleet/DemandEstimator.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/DemandEstimator.kt
@@ -1,10 +1,10 @@
-package io.reedmast.fleet
+package io.reedmast.autoscaling
 
-import io.reedmast.jobs.Job
-import io.reedmast.jobs.ShardState
+import io.reedmast.model.Job
+import io.reedmast.model.Machine
+import io.reedmast.model.ShardState
 import io.reedmast.placement.openZones
 import io.reedmast.settings.TeamId
-import io.reedmast.workers.Machine
 import kotlin.math.ceil
 
 /** What a shard needs beyond the machines that it has. */
--- a/src/main/kotlin/io/reedmast/fleet/FreeCapacity.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/FreeCapacity.kt
@@ -1,9 +1,9 @@
-package io.reedmast.fleet
+package io.reedmast.autoscaling
 
+import io.reedmast.model.Machine
+import io.reedmast.model.MachineRecord
 import io.reedmast.placement.isEligible
 import io.reedmast.wire.JobSpec
-import io.reedmast.workers.Machine
-import io.reedmast.workers.MachineRecord
 
 /** Free room of a machine, which is filled up in thought. */
 class FreeCapacity(val record: MachineRecord, private var cpus: Double, private var gpus: Double, private var memoryGb: Double) {
--- a/src/main/kotlin/io/reedmast/fleet/MachineIntake.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/MachineIntake.kt
@@ -1,8 +1,9 @@
-package io.reedmast.fleet
+package io.reedmast.autoscaling
 
-import io.reedmast.ownership.Cluster
+import io.reedmast.model.MachineRecord
 import io.reedmast.ports.Clock
-import io.reedmast.ports.Gateway
+import io.reedmast.ports.Cloud
+import io.reedmast.ports.WorkerTransport
 import io.reedmast.settings.Settings
 import io.reedmast.settings.ShardId
 import io.reedmast.wire.ListedMachine
@@ -10,15 +11,15 @@
 import io.reedmast.wire.MalformedException
 import io.reedmast.wire.Reply
 import io.reedmast.wire.WorkerStatus
-import io.reedmast.workers.MachineRecord
 import org.slf4j.LoggerFactory
 
 /** Gives machines that belong to no shard to one, whether they were rented or nobody expected them, and returns those that only cost. */
 class MachineIntake(
     private val settings: Settings,
     private val clock: Clock,
-    private val out: Gateway,
-    private val cluster: Cluster,
+    private val cloud: Cloud,
+    private val workers: WorkerTransport,
+    private val fleet: FleetView,
     private val machineTypes: () -> Map<String, MachineType>,
 ) {
     /** The shard that a machine is meant for, and the highest token that its worker has seen. */
@@ -53,14 +54,14 @@
     /** Gives machines that wait for it to their shards. */
     fun assign() {
         if (unassigned.isEmpty()) return
-        unassigned.keys.removeIf { cluster.shardOfMachine(it.name) != null }
+        unassigned.keys.removeIf { fleet.shardOfMachine(it.name) != null }
         for ((shard, waiting) in unassigned.entries.groupBy { it.value.shard }) {
             val records = waiting.map { it.key }
             if (!assigning.add(shard)) continue
-            cluster.addMachines(shard, records, waiting.maxOf { it.value.seen }) { added ->
+            fleet.addMachines(shard, records, waiting.maxOf { it.value.seen }) { added ->
                 assigning.remove(shard)
                 if (added.isNotEmpty()) {
-                    outdated[shard] = cluster.machinesVersion(shard)
+                    outdated[shard] = fleet.machinesVersion(shard)
                     unassigned.keys.removeIf { it.name in added }
                 }
             }
@@ -74,17 +75,17 @@
      * come back into a shard; and a machine that hears nothing is of no use.
      */
     fun onUnassignedWorker(status: WorkerStatus) {
-        if (!cluster.leading || !cluster.isCurrent() || status.machineName in returning || cluster.departedLately(status.machineName)) return
+        if (!fleet.leading || !fleet.isCurrent() || status.machineName in returning || fleet.departedLately(status.machineName)) return
         // At a first start the shards appear one by one; waiting for all of them spreads the machines evenly.
-        if (cluster.records.any { it == null }) return
+        if (fleet.hasUnownedShards) return
         if (unassigned.keys.any { it.name == status.machineName } || calling.size >= MAX_CALLS || !calling.add(status.machineName)) return
         // Neither token nor session are the worker's: nothing is executed, and the refusal is its newest report.
-        out.direct(status.addr, 0L, 0L, emptyList()) { reply ->
+        workers.call(status.addr, 0L, 0L, emptyList()) { reply ->
             calling.remove(status.machineName)
-            val answer = (reply as? Reply.Answer)?.takeIf { it.status == 200 || it.status == 409 } ?: return@direct
+            val answer = (reply as? Reply.Answer)?.takeIf { it.status == 200 || it.status == 409 } ?: return@call
             try {
                 val now = WorkerStatus.parse(answer.body)
-                if (now.machineName == status.machineName && cluster.leading) accept(now)
+                if (now.machineName == status.machineName && fleet.leading) accept(now)
             } catch (e: MalformedException) {
                 log.error("machine {}: malformed answer: {}", status.machineName, e.message)
             }
@@ -92,7 +93,7 @@
     }
 
     private fun accept(status: WorkerStatus) {
-        if (cluster.shardOfMachine(status.machineName) != null || status.machineName in returning || cluster.departedLately(status.machineName)) return
+        if (fleet.shardOfMachine(status.machineName) != null || status.machineName in returning || fleet.departedLately(status.machineName)) return
         val record = MachineRecord(status.machineName, status.typeName, status.zone, status.spot)
         val shard = emptiest()
         log.info("machine {}: sends heartbeats and belongs to no shard, assigned to shard {}", status.machineName, shard.value)
@@ -102,8 +103,8 @@
 
     /** The shard with the fewest CPUs, so that machines found at the start are spread evenly. */
     private fun emptiest(): ShardId {
-        val cpus = DoubleArray(cluster.records.size)
-        for (shard in cpus.indices) cpus[shard] = cluster.machinesOf(ShardId(shard)).sumOf { machineTypes()[it.typeName]?.cpus ?: 1.0 }
+        val cpus = DoubleArray(fleet.shardCount)
+        for (shard in cpus.indices) cpus[shard] = fleet.machinesOf(ShardId(shard)).sumOf { machineTypes()[it.typeName]?.cpus ?: 1.0 }
         for ((record, to) in unassigned) cpus[to.shard.value] += machineTypes()[record.typeName]?.cpus ?: 1.0
         return ShardId(cpus.indices.minByOrNull { cpus[it] } ?: 0)
     }
@@ -116,7 +117,7 @@
         val expected = unassigned.keys.mapTo(HashSet()) { it.name }
         val lost = ArrayList<String>()
         for (machine in machines) {
-            if (cluster.shardOfMachine(machine.name) != null || cluster.departedLately(machine.name) || machine.name in expected) {
+            if (fleet.shardOfMachine(machine.name) != null || fleet.departedLately(machine.name) || machine.name in expected) {
                 unassignedSince.remove(machine.name)
                 continue
             }
@@ -128,7 +129,7 @@
         val names = lost.take(MAX_MACHINES_PER_RETURN)
         log.info("machines {}: belong to no shard and send no heartbeats, returned", names)
         returning.addAll(names)
-        out.returnMachines(names) { ok ->
+        cloud.returnMachines(names) { ok ->
             returning.removeAll(names.toSet())
             if (ok) names.forEach { unassignedSince.remove(it) }
         }
--- a/src/main/kotlin/io/reedmast/fleet/MachineProvisioner.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/MachineProvisioner.kt
@@ -1,19 +1,19 @@
-package io.reedmast.fleet
+package io.reedmast.autoscaling
 
-import io.reedmast.ownership.Cluster
+import io.reedmast.model.MachineRecord
 import io.reedmast.ports.Clock
-import io.reedmast.ports.Gateway
+import io.reedmast.ports.Cloud
+import io.reedmast.ports.ProvisioningRequest
 import io.reedmast.ports.ProvisioningResult
 import io.reedmast.settings.ShardId
 import io.reedmast.wire.MachineType
-import io.reedmast.workers.MachineRecord
 import org.slf4j.LoggerFactory
 
 /** Rents machines for what shards want. */
 class MachineProvisioner(
     private val clock: Clock,
-    private val out: Gateway,
-    private val cluster: Cluster,
+    private val cloud: Cloud,
+    private val fleet: FleetView,
     private val machineTypes: () -> Map<String, MachineType>,
     private val intake: MachineIntake,
     /** Part of every request name: never the same twice, over all controllers and restarts. */
@@ -39,7 +39,7 @@
     fun provision(wanting: List<ShardUsageSummary>, unavailableZones: Set<String>, now: Long) {
         val parts = LinkedHashMap<InstanceOffering, ArrayList<Part>>()
         val held = HashMap<String, Int>()
-        for (shard in cluster.records.indices) cluster.machinesOf(ShardId(shard)).forEach { held.merge(it.zone, 1, Int::plus) }
+        for (shard in 0 until fleet.shardCount) fleet.machinesOf(ShardId(shard)).forEach { held.merge(it.zone, 1, Int::plus) }
         for (needy in wanting) {
             for (demand in needy.demand) {
                 var left = demand
@@ -80,9 +80,9 @@
     }
 
     private fun send(shares: List<Part>, offer: InstanceOffering, rental: ProvisioningRequest, tries: Int) {
-        out.provision(rental) { provisioned ->
+        cloud.provision(rental) { provisioned ->
             val now = clock.now()
-            if (provisioned is ProvisioningResult.Failed && tries > 1 && cluster.leading) {
+            if (provisioned is ProvisioningResult.Failed && tries > 1 && fleet.leading) {
                 // The same name again: if the first copy was carried out after all, nothing more is rented.
                 send(shares, offer, rental, tries - 1)
                 return@provision
--- a/src/main/kotlin/io/reedmast/fleet/ScaleInPolicy.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/ScaleInPolicy.kt
@@ -1,9 +1,8 @@
-package io.reedmast.fleet
+package io.reedmast.autoscaling
 
-import io.reedmast.jobs.Placement
-import io.reedmast.jobs.ShardState
-import io.reedmast.workers.Machine
-import io.reedmast.workers.MachineLifecycle
+import io.reedmast.model.Machine
+import io.reedmast.model.Placement
+import io.reedmast.model.ShardState
 
 /** Which machines a shard can spare: those to be returned, to be moved to another shard, or to be emptied for it. */
 class ScaleInPolicy(private val shardState: ShardState, private val arrivals: ArrivalRates) {
@@ -84,7 +83,7 @@
         val ranS = if (placement.running) (now - placement.runningSince) / 1000.0 else 0.0
         return spec.cpus * when {
             spec.service -> SERVICE_COST_S
-            spec.estimateS - ranS < MachineLifecycle.ENDS_SOON_S -> 0.0
+            spec.estimateS - ranS < ENDS_SOON_S -> 0.0
             spec.resumable -> spec.saveS
             else -> ranS
         }
@@ -100,21 +99,24 @@
             times.size > shardState.machines.values.count { it.record.zone == zone && it.trusted && now - it.lastHeartbeatAt <= shardState.heartbeatLateMs }
     }.keys.toList()
 
-    private companion object {
-        const val SPOT_DELAY_FACTOR = 2.0
-        const val KEPT_REPORTS = 4
-        const val BOOT_WORTH = 0.25
-        const val RESERVE_S = 10.0
-        const val UNAVAILABLE_ZONE_MS = 45_000L
-        const val MIN_SILENT_IN_ZONE = 4
-        const val IDLE_TO_MOVE_MS = 2_000L
-        const val JUST_COME_MS = 8_000L
-        const val JUST_PLACED_MS = 15_000L
-        const val MAX_IDLE = 100
-        const val MAX_LENDABLE = 24
-        const val LENDABLE_OF_A_KIND = 3
+    companion object {
+        /** Work that has this long to go, by its owner's estimate, is let end on a machine that is to move. */
+        const val ENDS_SOON_S = 15.0
+
+        private const val SPOT_DELAY_FACTOR = 2.0
+        private const val KEPT_REPORTS = 4
+        private const val BOOT_WORTH = 0.25
+        private const val RESERVE_S = 10.0
+        private const val UNAVAILABLE_ZONE_MS = 45_000L
+        private const val MIN_SILENT_IN_ZONE = 4
+        private const val IDLE_TO_MOVE_MS = 2_000L
+        private const val JUST_COME_MS = 8_000L
+        private const val JUST_PLACED_MS = 15_000L
+        private const val MAX_IDLE = 100
+        private const val MAX_LENDABLE = 24
+        private const val LENDABLE_OF_A_KIND = 3
 
         /** What stopping a replica and starting it elsewhere is worth, in seconds of its run. */
-        const val SERVICE_COST_S = 5.0
+        private const val SERVICE_COST_S = 5.0
     }
 }
--- a/src/main/kotlin/io/reedmast/fleet/ShardRebalancer.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/ShardRebalancer.kt
@@ -1,13 +1,12 @@
-package io.reedmast.fleet
+package io.reedmast.autoscaling
 
-import io.reedmast.ownership.Cluster
 import io.reedmast.ports.Clock
 import io.reedmast.settings.ShardId
 import io.reedmast.wire.MachineType
 import org.slf4j.LoggerFactory
 
 /** Which machines move between shards: idle ones to where they are wanted, and now and then one that is emptied for a starving job. */
-class ShardRebalancer(private val clock: Clock, private val cluster: Cluster, private val machineTypes: () -> Map<String, MachineType>) {
+class ShardRebalancer(private val clock: Clock, private val fleet: FleetView, private val machineTypes: () -> Map<String, MachineType>) {
     private val log = LoggerFactory.getLogger("autoscaler")
 
     /** Shards that machines are on their way to, and until when that keeps the leader from renting for them. */
@@ -32,8 +31,8 @@
             for (giver in givers) {
                 val idle = giver.idle.toHashSet()
                 val given = ArrayList<String>()
-                for (record in cluster.machinesOf(giver.shard)) {
-                    if (record.name !in idle || cluster.isMarkedForTransfer(giver.shard, record.name)) continue
+                for (record in fleet.machinesOf(giver.shard)) {
+                    if (record.name !in idle || fleet.isMarkedForTransfer(giver.shard, record.name)) continue
                     val machineType = machineTypes()[record.typeName] ?: continue
                     val demand =
                         left.entries.firstOrNull { it.value > 0 && it.key.runsOn(record.typeName, record.zone, record.spot) && it.key.heldBy(machineType) > 0 }
@@ -43,7 +42,7 @@
                 }
                 if (given.isEmpty()) continue
                 log.info("shard {}: {} machines are to move to shard {}", giver.shard.value, given.size, needy.shard.value)
-                cluster.markForTransfer(giver.shard, given, needy.shard)
+                fleet.markForTransfer(giver.shard, given, needy.shard)
                 // Their room is not known to the needy shard before they have moved.
                 moving[needy.shard] = clock.now() + MOVE_MS
             }
@@ -65,7 +64,7 @@
                     machinesFor(demand, giver).takeIf { it.isNotEmpty() }?.let { giver to it }
                 } ?: continue
                 log.info("shard {}: {} are drained for shard {}, where a job is starving", giver.shard.value, machineNames, needy.shard.value)
-                cluster.markForTransfer(giver.shard, machineNames, needy.shard)
+                fleet.markForTransfer(giver.shard, machineNames, needy.shard)
                 relieving[needy.shard] = now + RELIEVED_MS
                 break
             }
@@ -86,12 +85,12 @@
     }
 
     private fun heldBy(shard: ShardId, name: String, demand: Demand): Int =
-        cluster.machinesOf(shard).firstOrNull { it.name == name }?.let { machineTypes()[it.typeName] }?.let { demand.heldBy(it) } ?: 0
+        fleet.machinesOf(shard).firstOrNull { it.name == name }?.let { machineTypes()[it.typeName] }?.let { demand.heldBy(it) } ?: 0
 
     private fun suits(shard: ShardId, name: String, demand: Demand): Boolean {
-        val record = cluster.machinesOf(shard).firstOrNull { it.name == name } ?: return false
+        val record = fleet.machinesOf(shard).firstOrNull { it.name == name } ?: return false
         val machineType = machineTypes()[record.typeName] ?: return false
-        return !cluster.isMarkedForTransfer(shard, name) && demand.runsOn(record.typeName, record.zone, record.spot) && demand.heldBy(machineType) > 0
+        return !fleet.isMarkedForTransfer(shard, name) && demand.runsOn(record.typeName, record.zone, record.spot) && demand.heldBy(machineType) > 0
     }
 
     private companion object {
--- a/src/main/kotlin/io/reedmast/fleet/ShardUsageSummary.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/ShardUsageSummary.kt
@@ -1,4 +1,4 @@
-package io.reedmast.fleet
+package io.reedmast.autoscaling
 
 import io.reedmast.settings.ShardId
 import io.reedmast.wire.Fields
--- a/src/main/kotlin/io/reedmast/fleet/UsageSummaryWriter.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/UsageSummaryWriter.kt
@@ -1,6 +1,5 @@
-package io.reedmast.fleet
+package io.reedmast.autoscaling
 
-import io.reedmast.jobs.ShardState
 import io.reedmast.kvstore.CasTransaction
 import io.reedmast.kvstore.CommitOutcome
 import io.reedmast.kvstore.Keys
@@ -9,7 +8,8 @@
 import io.reedmast.kvstore.StoredItem
 import io.reedmast.kvstore.Write
 import io.reedmast.kvstore.WritePriority
-import io.reedmast.ports.Gateway
+import io.reedmast.model.ShardState
+import io.reedmast.ports.KeyValueStore
 import io.reedmast.wire.MalformedException
 import io.reedmast.wire.map
 import org.slf4j.LoggerFactory
@@ -17,7 +17,7 @@
 /** Stores a shard's [ShardUsageSummary]: every few seconds, and sooner when its demand has changed. */
 class UsageSummaryWriter(
     private val shardState: ShardState,
-    private val out: Gateway,
+    private val store: KeyValueStore,
     private val demandEstimator: DemandEstimator,
     private val scaleInPolicy: ScaleInPolicy,
     private val machinesVersion: () -> Long,
@@ -81,7 +81,7 @@
         writing = true
         val value = totals.toFields() + ("term" to shardState.term)
         val preconditions = listOf(shardState.termPrecondition, Precondition(path, version))
-        out.commit(
+        store.commit(
             CasTransaction(preconditions, listOf(Write.Put(path, value)), writePriority) { outcome ->
                 writing = false
                 if (shardState.dropped) return@CasTransaction
@@ -93,7 +93,7 @@
 
     private fun conflict(failed: Set<String>) {
         if (Keys.shard(shard.value) in failed) termInDoubt()
-        if (path in failed) out.get(path) { if (it is ReadResult.Found) version = it.item.version }
+        if (path in failed) store.get(path) { if (it is ReadResult.Found) version = it.item.version }
     }
 
     private fun logState(now: Long, demand: List<Demand>) {
--- a/src/main/kotlin/io/reedmast/ownership/Cluster.kt
+++ b/src/main/kotlin/io/reedmast/cluster/Cluster.kt
@@ -1,26 +1,27 @@
-package io.reedmast.ownership
+package io.reedmast.cluster
 
+import io.reedmast.autoscaling.FleetView
 import io.reedmast.jobs.JobIndex
-import io.reedmast.jobs.ShardOwner
-import io.reedmast.jobs.ShardRecords
 import io.reedmast.kvstore.EffectiveLimits
 import io.reedmast.kvstore.Keys
 import io.reedmast.kvstore.ReadResult
 import io.reedmast.kvstore.StoredItem
 import io.reedmast.kvstore.UnreadableRecordLog
 import io.reedmast.kvstore.WatchEvent
-import io.reedmast.peers.PeerMessage
+import io.reedmast.model.MachineDirectory
+import io.reedmast.model.MachineRecord
 import io.reedmast.ports.Clock
 import io.reedmast.ports.Gateway
+import io.reedmast.ports.PeerMessage
 import io.reedmast.rollout.RolloutOptions
 import io.reedmast.settings.Settings
 import io.reedmast.settings.ShardId
 import io.reedmast.settings.Tuning
+import io.reedmast.shard.ShardOwner
+import io.reedmast.shard.ShardRecords
 import io.reedmast.wire.Fields
 import io.reedmast.wire.MachineType
 import io.reedmast.wire.MalformedException
-import io.reedmast.workers.MachineDirectory
-import io.reedmast.workers.MachineRecord
 import org.slf4j.LoggerFactory
 
 /**
@@ -32,13 +33,14 @@
     private val settings: Settings,
     private val tuning: Tuning,
     private val clock: Clock,
-    private val out: Gateway,
+    private val gateway: Gateway,
     private val limits: EffectiveLimits,
     private val machineTypes: () -> Collection<MachineType>,
     /** Names this process; never used by another one. */
     incarnation: String,
     rolloutOptions: RolloutOptions,
-) : ShardRecords {
+) : ShardRecords,
+    FleetView {
     private val log = LoggerFactory.getLogger("cluster")
     private val unreadable = UnreadableRecordLog()
     private val startedAt = clock.now()
@@ -48,30 +50,45 @@
 
     /** How recent the view of the store is. */
     val staleness = WatchStaleness(clock, settings.workers)
-    private val shards = ShardTable(settings.shardCount, out, ::shardChanged)
-    override val rollout = ClusterRollout(settings, clock, out, limits, rolloutOptions, incarnation, shards) { reread(it) }
-    private val membership = Membership(settings, clock, out, ::memberFields) { rollout.gates.precondition }
-    private val machines = MachineTable(settings, clock, out, limits, { owners[it.value]?.syncMachines() }, machineDirectory::forget)
-    private val reachability = WorkerReachability(clock, out)
-    private val assignment = MachineAssignment(settings, out, limits, shards, machines, rollout, { membership.leaderVersion }, ::reread)
+    private val shards = ShardTable(settings.shardCount, gateway, ::shardChanged)
+    override val rollout = ClusterRollout(settings, clock, gateway, gateway, limits, rolloutOptions, incarnation, shards) { reread(it) }
+    private val membership = Membership(settings, clock, gateway, gateway, ::memberFields) { rollout.gates.precondition }
+    private val machines = MachineTable(settings, clock, gateway, limits, { owners[it.value]?.syncMachines() }, machineDirectory::forget)
+    private val reachability = WorkerReachability(clock, gateway)
+    private val assignment = MachineAssignment(settings, gateway, limits, shards, machines, rollout, { membership.leaderVersion }, ::reread)
     private val acquisition =
-        ShardAcquisition(settings, clock, out, staleness, membership, shards, machines, jobs, machineDirectory, reachability, rollout, owners, ::newOwner) {
-            reread(it)
-        }
+        ShardAcquisition(
+            settings,
+            clock,
+            gateway,
+            gateway,
+            staleness,
+            membership,
+            shards,
+            machines,
+            jobs,
+            machineDirectory,
+            reachability,
+            rollout,
+            owners,
+            ::newOwner,
+        ) { reread(it) }
     private var sharedReduced = false
     private val peerStatuses = PeerStatuses(settings.self, settings.members.size, incarnation)
     private var statusQueryDue = 0L
 
     val leader: String? get() = membership.leader
-    val leading: Boolean get() = membership.leading
+    override val shardCount: Int get() = settings.shardCount
+    override val hasUnownedShards: Boolean get() = shards.records.any { it == null }
+    override val leading: Boolean get() = membership.leading
     val records: Array<StoredRecord?> get() = shards.records
 
-    private fun newOwner(shard: ShardId) = ShardOwner(shard, settings, tuning, clock, out, limits, machineTypes, ::isCurrent, this)
+    private fun newOwner(shard: ShardId) = ShardOwner(shard, settings, tuning, clock, gateway, limits, machineTypes, ::isCurrent, this)
 
     private fun memberFields() = rollout.memberFields(ownsNothing = shards.countOf(settings.label) == 0)
 
     /** Whether this controller has lately heard enough from the store to decide anything, and may. */
-    fun isCurrent(): Boolean = staleness.isCurrent && rollout.isAdmitted
+    override fun isCurrent(): Boolean = staleness.isCurrent && rollout.isAdmitted
 
     /**
      * Whether this controller may still answer workers with 200: it knows all cancellations that users were told of, up to a short
@@ -89,21 +106,21 @@
     /** Whether requests of users can be taken. */
     val ready: Boolean get() = staleness.loaded && rollout.isAdmitted
 
-    fun shardOfMachine(machineName: String): ShardId? = machines.shardOf(machineName)
+    override fun shardOfMachine(machineName: String): ShardId? = machines.shardOf(machineName)
 
     fun ownerOf(shard: ShardId): String? = shards.ownerOf(shard)
 
     fun owned(): List<ShardOwner> = owners.filterNotNull().filter { !it.dropped }
 
-    fun machinesOf(shard: ShardId): Sequence<MachineRecord> = machines.machinesOf(shard)
+    override fun machinesOf(shard: ShardId): Sequence<MachineRecord> = machines.machinesOf(shard)
 
     override fun machinesVersion(shard: ShardId): Long = machines.versionOf(shard)
 
     override fun transferTargetsOf(shard: ShardId): Map<MachineRecord, Int?> = machines.transferTargetsOf(shard)
 
-    fun isMarkedForTransfer(shard: ShardId, machineName: String) = machines.isMarkedForTransfer(shard, machineName)
+    override fun isMarkedForTransfer(shard: ShardId, machineName: String) = machines.isMarkedForTransfer(shard, machineName)
 
-    fun departedLately(machineName: String): Boolean = machines.departedLately(machineName)
+    override fun departedLately(machineName: String): Boolean = machines.departedLately(machineName)
 
     /** A worker has reported to this controller. */
     fun onWorkerContact() = reachability.recordContact()
@@ -176,7 +193,7 @@
         owners[shard.value] = null
     }
 
-    private fun reread(path: String, then: () -> Unit = {}) = out.get(path) {
+    private fun reread(path: String, then: () -> Unit = {}) = gateway.get(path) {
         applyReadResult(it)
         then()
     }
@@ -245,7 +262,7 @@
 
         is PeerMessage.FailoverRequest -> acquisition.requested(message)
 
-        is PeerMessage.StatusQuery -> out.sendToPeer(message.from, statusFor(message))
+        is PeerMessage.StatusQuery -> gateway.send(message.from, statusFor(message))
 
         is PeerMessage.StatusReport -> {
             message.cancellations?.forEach { jobs.applyCancellation(it) }
@@ -267,7 +284,7 @@
         val age = staleness.ageMs() ?: return
         if (age < QUERY_PEERS_AFTER_MS || now < statusQueryDue) return
         statusQueryDue = now + QUERY_PEERS_EVERY_MS
-        out.sendToPeers(peerStatuses.query(now))
+        gateway.broadcast(peerStatuses.query(now))
     }
 
     // ---- changes to records -------------------------------------------------------------------------------------------
@@ -277,7 +294,7 @@
     override fun requestFailover(shard: ShardId) {
         val term = shards.records[shard.value]?.takeIf { it.record.owner == settings.label }?.version ?: return
         log.info("shard {}: the other controllers are asked to acquire it", shard.value)
-        out.sendToPeers(PeerMessage.FailoverRequest(shard, term))
+        gateway.broadcast(PeerMessage.FailoverRequest(shard, term))
     }
 
     override fun refresh(shard: ShardId) = shards.refresh(shard, ::applyReadResult)
@@ -287,10 +304,11 @@
     override fun transferMachines(shard: ShardId, machineNames: Collection<String>) = assignment.transferMachines(shard, machineNames)
 
     /** The leader gives machines to a shard; [seen] is the highest token that any of them has seen. [done] tells which were. */
-    fun addMachines(shard: ShardId, records: List<MachineRecord>, seen: Long, done: (Set<String>) -> Unit) = assignment.addMachines(shard, records, seen, done)
+    override fun addMachines(shard: ShardId, records: List<MachineRecord>, seen: Long, done: (Set<String>) -> Unit) =
+        assignment.addMachines(shard, records, seen, done)
 
     /** The leader marks machines that are to leave for another shard as soon as they are empty. */
-    fun markForTransfer(shard: ShardId, machineNames: Collection<String>, to: ShardId) = assignment.markForTransfer(shard, machineNames, to)
+    override fun markForTransfer(shard: ShardId, machineNames: Collection<String>, to: ShardId) = assignment.markForTransfer(shard, machineNames, to)
 
     private companion object {
         const val QUERY_PEERS_AFTER_MS = 3_500L
--- a/src/main/kotlin/io/reedmast/ownership/ClusterRollout.kt
+++ b/src/main/kotlin/io/reedmast/cluster/ClusterRollout.kt
@@ -1,10 +1,11 @@
-package io.reedmast.ownership
+package io.reedmast.cluster
 
 import io.reedmast.kvstore.EffectiveLimits
 import io.reedmast.kvstore.Keys
 import io.reedmast.kvstore.Precondition
 import io.reedmast.ports.Clock
-import io.reedmast.ports.Gateway
+import io.reedmast.ports.KeyValueStore
+import io.reedmast.ports.ProcessControl
 import io.reedmast.rollout.Admission
 import io.reedmast.rollout.ClusterSnapshot
 import io.reedmast.rollout.GateSnapshot
@@ -17,31 +18,33 @@
 import io.reedmast.rollout.RolloutView
 import io.reedmast.rollout.ShardOwnership
 import io.reedmast.settings.Settings
+import io.reedmast.shard.ShardRollout
 import io.reedmast.wire.Fields
 
 /** This controller's part in the rollout of features: what it knows, publishes and, as the leader, decides. */
 class ClusterRollout(
     private val settings: Settings,
     private val clock: Clock,
-    private val out: Gateway,
+    private val store: KeyValueStore,
+    private val process: ProcessControl,
     private val limits: EffectiveLimits,
     private val options: RolloutOptions,
     private val incarnation: String,
     private val shards: ShardTable,
     private val reread: (String) -> Unit,
-) {
-    private val store = GatewayStore(out)
-    private val formatGate = FormatGate(settings, out, limits)
+) : ShardRollout {
+    private val rolloutStore = RolloutStoreAdapter(store)
+    private val formatGate = FormatGate(settings, store, limits)
     private val configured = settings.members.mapTo(HashSet()) { it.label }
     private var ending = false
 
     /** What has been read of the rollout. */
-    val view = RolloutView(options.registry, settings.label)
+    override val view = RolloutView(options.registry, settings.label)
     private val coordinator = RolloutCoordinator(
         options.registry,
         settings.label,
         clock::wall,
-        store,
+        rolloutStore,
         view,
         limits.target.opsPerCommit * EffectiveLimits.CONDITIONS_PER_CHANGE,
         ::refreshGates,
@@ -49,10 +52,10 @@
     private val clusterMigration = reconciler(MigrationUnit.Cluster, UncontendedRecords)
 
     /** The gates as they now stand; a decision asks once and keeps to the answer. */
-    val gates: GateSnapshot get() = view.gates
+    override val gates: GateSnapshot get() = view.gates
 
     /** Whether this process takes part in the cluster: nothing is written or answered for it otherwise. */
-    val isAdmitted: Boolean get() = view.admission == Admission.Admitted
+    override val isAdmitted: Boolean get() = view.admission == Admission.Admitted
 
     /** Whether workers may be answered: while the record cannot be read what runs goes on, but a process that does not fit is silent. */
     val mayAcknowledgeHeartbeats: Boolean get() = view.admission.let { it == Admission.Admitted || it is Admission.Withheld }
@@ -67,8 +70,8 @@
     }.keys
 
     /** The migration of one part of the records, for whoever may write them. */
-    fun reconciler(unit: MigrationUnit, access: RecordAccess) =
-        MigrationReconciler(unit, options.registry, store, access, options.pace, clock::now) { limits.allowed.valueBytes }
+    override fun reconciler(unit: MigrationUnit, access: RecordAccess) =
+        MigrationReconciler(unit, options.registry, rolloutStore, access, options.pace, clock::now) { limits.allowed.valueBytes }
 
     fun reset() = view.reset()
 
@@ -78,7 +81,7 @@
         view.applyRecord(path, value, version)
     }
 
-    fun refreshGates() = reread(Keys.ROLLOUT)
+    override fun refreshGates() = reread(Keys.ROLLOUT)
 
     /** What this controller publishes of itself under its lease. */
     fun memberFields(ownsNothing: Boolean): Fields = mapOf("label" to settings.label) + FormatGate.fields() +
@@ -96,7 +99,7 @@
     private fun end(reason: String) {
         if (ending) return
         ending = true
-        out.endProcess(reason)
+        process.end(reason)
     }
 
     /** Called regularly while the store is heard and this process is admitted; [leaderVersion] is null unless this controller leads. */
--- a/src/main/kotlin/io/reedmast/ownership/FormatGate.kt
+++ b/src/main/kotlin/io/reedmast/cluster/FormatGate.kt
@@ -1,4 +1,4 @@
-package io.reedmast.ownership
+package io.reedmast.cluster
 
 import io.reedmast.kvstore.CasTransaction
 import io.reedmast.kvstore.CommitOutcome
@@ -6,7 +6,7 @@
 import io.reedmast.kvstore.Keys
 import io.reedmast.kvstore.Precondition
 import io.reedmast.kvstore.Write
-import io.reedmast.ports.Gateway
+import io.reedmast.ports.KeyValueStore
 import io.reedmast.rollout.Feature
 import io.reedmast.rollout.FeatureName
 import io.reedmast.rollout.RolloutView
@@ -21,7 +21,7 @@
  * back: a controller that has been seen with it counts for good, and the gate is finalized at once when all have been. A process that starts
  * later need not see all of them again.
  */
-class FormatGate(private val settings: Settings, private val out: Gateway, private val limits: EffectiveLimits) {
+class FormatGate(private val settings: Settings, private val store: KeyValueStore, private val limits: EffectiveLimits) {
     private val log = LoggerFactory.getLogger("cluster")
     private val upgraded = hashSetOf(settings.label)
     private var stored = false
@@ -50,7 +50,7 @@
         if (stored || storing || !settings.members.all { it.label in upgraded }) return
         reached()
         storing = true
-        out.commit(
+        store.commit(
             CasTransaction(listOf(Precondition(Keys.FORMAT, 0)), listOf(Write.Put(Keys.FORMAT, fields()))) { outcome ->
                 storing = false
                 // Refused for its version: another controller has stored the same.
--- a/src/main/kotlin/io/reedmast/ownership/MachineAssignment.kt
+++ b/src/main/kotlin/io/reedmast/cluster/MachineAssignment.kt
@@ -1,4 +1,4 @@
-package io.reedmast.ownership
+package io.reedmast.cluster
 
 import io.reedmast.kvstore.CasTransaction
 import io.reedmast.kvstore.CommitOutcome
@@ -7,11 +7,12 @@
 import io.reedmast.kvstore.Precondition
 import io.reedmast.kvstore.Write
 import io.reedmast.kvstore.WritePriority
-import io.reedmast.ports.Gateway
+import io.reedmast.model.FencingToken
+import io.reedmast.model.MachineRecord
+import io.reedmast.ports.KeyValueStore
 import io.reedmast.settings.Settings
 import io.reedmast.settings.ShardId
 import io.reedmast.wire.Tree
-import io.reedmast.workers.MachineRecord
 import org.slf4j.LoggerFactory
 
 /**
@@ -22,7 +23,7 @@
  */
 class MachineAssignment(
     private val settings: Settings,
-    private val out: Gateway,
+    private val store: KeyValueStore,
     private val limits: EffectiveLimits,
     private val shards: ShardTable,
     private val machines: MachineTable,
@@ -85,7 +86,7 @@
         }
         writing.add(fromPath)
         writing.add(toPath)
-        out.commit(
+        store.commit(
             CasTransaction(preconditions, writes) { outcome ->
                 writing.remove(fromPath)
                 writing.remove(toPath)
@@ -194,7 +195,7 @@
             return
         }
         val preconditions = listOf(Precondition(path, held.version), entitled) + morePreconditions
-        out.commit(
+        store.commit(
             CasTransaction(preconditions, listOf(Write.Put(path, part.toFields())) + moreWrites, writePriority) { outcome ->
                 writing.remove(path)
                 if (outcome is CommitOutcome.Applied) {
--- a/src/main/kotlin/io/reedmast/ownership/ShardRecord.kt
+++ b/src/main/kotlin/io/reedmast/cluster/MachineListPart.kt
@@ -1,5 +1,6 @@
-package io.reedmast.ownership
+package io.reedmast.cluster
 
+import io.reedmast.model.MachineRecord
 import io.reedmast.wire.Fields
 import io.reedmast.wire.MalformedException
 import io.reedmast.wire.Tree
@@ -9,21 +10,6 @@
 import io.reedmast.wire.map
 import io.reedmast.wire.maps
 import io.reedmast.wire.text
-import io.reedmast.workers.MachineRecord
-
-/**
- * Who owns a shard, and under which token. The record's version is the term: every write of an owner is conditional on it.
- *
- * Its machines are kept apart, in [MachineListPart]s: with them in here, the term moved with each machine that came or went and
- * put every write in flight in conflict, and a few hundred of them did not fit into one value.
- */
-data class ShardRecord(val owner: String, val token: Long) {
-    fun toFields(): Fields = mapOf("owner" to owner, "token" to token)
-
-    companion object {
-        fun parse(fields: Fields) = ShardRecord(fields.text("owner"), fields.count("token"))
-    }
-}
 
 /** Some of a shard's machines, as many as one stored value holds. */
 data class MachineListPart(
--- a/src/main/kotlin/io/reedmast/ownership/MachineTable.kt
+++ b/src/main/kotlin/io/reedmast/cluster/MachineTable.kt
@@ -1,13 +1,13 @@
-package io.reedmast.ownership
+package io.reedmast.cluster
 
 import io.reedmast.kvstore.EffectiveLimits
 import io.reedmast.kvstore.Keys
+import io.reedmast.model.MachineRecord
 import io.reedmast.ports.Clock
-import io.reedmast.ports.Gateway
+import io.reedmast.ports.ProcessControl
 import io.reedmast.settings.Settings
 import io.reedmast.settings.ShardId
 import io.reedmast.wire.Fields
-import io.reedmast.workers.MachineRecord
 import java.util.TreeMap
 
 /** Some of a shard's machines as last seen, with the version of their record. */
@@ -17,7 +17,7 @@
 class MachineTable(
     private val settings: Settings,
     private val clock: Clock,
-    private val out: Gateway,
+    private val process: ProcessControl,
     private val limits: EffectiveLimits,
     /** Called when the machines of a shard have changed. */
     private val onChange: (ShardId) -> Unit,
@@ -75,7 +75,7 @@
             departed.remove(record.name)
         }
         onChange(shard)
-        out.expectMachines(shardByMachine.size)
+        process.expectMachines(shardByMachine.size)
     }
 
     private fun onRemoved(shard: ShardId, machineName: String) {
--- a/src/main/kotlin/io/reedmast/ownership/Membership.kt
+++ b/src/main/kotlin/io/reedmast/cluster/Membership.kt
@@ -1,4 +1,4 @@
-package io.reedmast.ownership
+package io.reedmast.cluster
 
 import io.reedmast.kvstore.CasTransaction
 import io.reedmast.kvstore.CommitOutcome
@@ -7,8 +7,9 @@
 import io.reedmast.kvstore.ReadResult
 import io.reedmast.kvstore.Write
 import io.reedmast.ports.Clock
-import io.reedmast.ports.Gateway
+import io.reedmast.ports.KeyValueStore
 import io.reedmast.ports.LeaseState
+import io.reedmast.ports.ProcessControl
 import io.reedmast.settings.Settings
 import io.reedmast.wire.Fields
 import io.reedmast.wire.text
@@ -22,7 +23,8 @@
 class Membership(
     private val settings: Settings,
     private val clock: Clock,
-    private val out: Gateway,
+    private val store: KeyValueStore,
+    private val process: ProcessControl,
     /** What this controller publishes of itself. */
     private val memberFields: () -> Fields,
     /** The condition that this process has heard of every move of the gates. */
@@ -115,7 +117,7 @@
     }
 
     /** Tells the clients of the store and the cloud how many controllers share their limits. */
-    fun shareLimits() = out.shareLimits(maxOf(1, alive().size), leading)
+    fun shareLimits() = process.shareLimits(maxOf(1, alive().size), leading)
 
     /** Renews this controller's lease, or gets a new one. */
     fun keepLease() {
@@ -123,7 +125,7 @@
         if (leaseAsked || now < leaseDue) return
         leaseAsked = true
         leaseDue = now + LEASE_MS / 4
-        out.extendLease(lease, LEASE_MS) { state ->
+        store.extendLease(lease, LEASE_MS) { state ->
             leaseAsked = false
             when (state) {
                 is LeaseState.Held -> {
@@ -156,7 +158,7 @@
         if (resigning) return
         resigning = true
         log.info("leader: {} resigns", settings.label)
-        out.commit(CasTransaction(listOf(Precondition(Keys.LEADER, leaderVersion)), listOf(Write.Delete(Keys.LEADER))) { resigning = false })
+        store.commit(CasTransaction(listOf(Precondition(Keys.LEADER, leaderVersion)), listOf(Write.Delete(Keys.LEADER))) { resigning = false })
     }
 
     private fun claimMemberKey() {
@@ -164,7 +166,7 @@
         val fields = memberFields()
         if (claimingMemberKey || (memberKeyLease == held && published == fields)) return
         claimingMemberKey = true
-        out.get(Keys.member(settings.label)) { fetched ->
+        store.get(Keys.member(settings.label)) { fetched ->
             when (fetched) {
                 is ReadResult.Found -> putMemberKey(held, fields, fetched.item.version)
                 is ReadResult.Missing -> putMemberKey(held, fields, 0L)
@@ -175,7 +177,7 @@
 
     private fun putMemberKey(held: Long, fields: Fields, version: Long) {
         val path = Keys.member(settings.label)
-        out.commit(
+        store.commit(
             CasTransaction(listOf(Precondition(path, version), gatesPrecondition()), listOf(Write.Put(path, fields, held))) { outcome ->
                 claimingMemberKey = false
                 when (outcome) {
@@ -196,7 +198,7 @@
         val held = lease ?: return
         if (claimingLeader || memberKeyLease != held) return
         claimingLeader = true
-        out.commit(
+        store.commit(
             CasTransaction(
                 listOf(Precondition(Keys.LEADER, 0), gatesPrecondition()),
                 listOf(Write.Put(Keys.LEADER, mapOf("label" to settings.label), held)),
--- a/src/main/kotlin/io/reedmast/ownership/PeerStatuses.kt
+++ b/src/main/kotlin/io/reedmast/cluster/PeerStatuses.kt
@@ -1,6 +1,6 @@
-package io.reedmast.ownership
+package io.reedmast.cluster
 
-import io.reedmast.peers.PeerMessage
+import io.reedmast.ports.PeerMessage
 import io.reedmast.settings.ControllerId
 
 /**
--- a/src/main/kotlin/io/reedmast/ownership/GatewayStore.kt
+++ b/src/main/kotlin/io/reedmast/cluster/RolloutStoreAdapter.kt
@@ -1,20 +1,20 @@
-package io.reedmast.ownership
+package io.reedmast.cluster
 
 import io.reedmast.kvstore.CasTransaction
 import io.reedmast.kvstore.ReadResult
 import io.reedmast.kvstore.StoredItem
-import io.reedmast.ports.Gateway
+import io.reedmast.ports.KeyValueStore
 import io.reedmast.rollout.RolloutStore
 
 /** The store as a controller reaches it, in the form that the rollout asks for. */
-class GatewayStore(private val out: Gateway) : RolloutStore {
+class RolloutStoreAdapter(private val store: KeyValueStore) : RolloutStore {
     override fun commit(change: CasTransaction) {
-        out.commit(change)
+        store.commit(change)
     }
 
-    override fun get(path: String, done: (ReadResult) -> Unit) = out.get(path, done)
+    override fun get(path: String, done: (ReadResult) -> Unit) = store.get(path, done)
 
-    override fun list(prefix: String, done: (List<StoredItem>?) -> Unit) = out.list(prefix, done)
+    override fun list(prefix: String, done: (List<StoredItem>?) -> Unit) = store.list(prefix, done)
 
-    override fun writePermitLevel(): Double = out.writePermitLevel()
+    override fun writePermitLevel(): Double = store.writePermitLevel()
 }
--- a/src/main/kotlin/io/reedmast/ownership/ShardAcquisition.kt
+++ b/src/main/kotlin/io/reedmast/cluster/ShardAcquisition.kt
@@ -1,7 +1,6 @@
-package io.reedmast.ownership
+package io.reedmast.cluster
 
 import io.reedmast.jobs.JobIndex
-import io.reedmast.jobs.ShardOwner
 import io.reedmast.kvstore.CasTransaction
 import io.reedmast.kvstore.CommitOutcome
 import io.reedmast.kvstore.Keys
@@ -9,13 +8,16 @@
 import io.reedmast.kvstore.ReadResult
 import io.reedmast.kvstore.StoredItem
 import io.reedmast.kvstore.Write
-import io.reedmast.peers.PeerMessage
+import io.reedmast.model.FencingToken
+import io.reedmast.model.MachineDirectory
 import io.reedmast.ports.Clock
-import io.reedmast.ports.Gateway
+import io.reedmast.ports.KeyValueStore
+import io.reedmast.ports.PeerMessage
+import io.reedmast.ports.WorkerTransport
 import io.reedmast.settings.Settings
 import io.reedmast.settings.ShardId
+import io.reedmast.shard.ShardOwner
 import io.reedmast.wire.Reply
-import io.reedmast.workers.MachineDirectory
 import org.slf4j.LoggerFactory
 
 /**
@@ -27,7 +29,8 @@
 class ShardAcquisition(
     private val settings: Settings,
     private val clock: Clock,
-    private val out: Gateway,
+    private val store: KeyValueStore,
+    private val workers: WorkerTransport,
     private val staleness: WatchStaleness,
     private val membership: Membership,
     private val shards: ShardTable,
@@ -160,7 +163,7 @@
         for ((machineName, addr) in sample) {
             asking[shard.value] = true
             // Neither token nor session are the worker's: nothing is executed, and the refusal is its newest report.
-            out.direct(addr, 0L, 0L, emptyList()) { reply ->
+            workers.call(addr, 0L, 0L, emptyList()) { reply ->
                 asking[shard.value] = false
                 val answers = (reply as? Reply.Answer)?.body?.get("host") == machineName
                 if (answers && staleness.isCurrent && shards.ownerOf(shard) == owner && !acquiring[shard.value]) {
@@ -197,7 +200,7 @@
         val counter = TokenCounter.moveTo(newToken, shards.tokenVersion, rollout.gates)
         val preconditions = counter.preconditions + Precondition(Keys.shard(shard.value), held?.version ?: 0L)
         val writes = listOf(Write.Put(Keys.shard(shard.value), record.toFields()), counter.write)
-        out.commit(
+        store.commit(
             CasTransaction(preconditions, writes) { outcome ->
                 if (claim !== mine) return@CasTransaction
                 claim = null
@@ -261,11 +264,11 @@
         fun part() {
             if (--open == 0) staleness.awaitJobsBarrier { known -> finishReading(owner, pages.takeIf { known }, totals, startedAt) }
         }
-        out.list(Keys.pagesOf(shard.value)) {
+        store.list(Keys.pagesOf(shard.value)) {
             pages = it
             part()
         }
-        out.get(Keys.totals(shard.value)) {
+        store.get(Keys.totals(shard.value)) {
             totals = it
             part()
         }
--- a/src/main/kotlin/io/reedmast/ownership/ShardTable.kt
+++ b/src/main/kotlin/io/reedmast/cluster/ShardTable.kt
@@ -1,8 +1,8 @@
-package io.reedmast.ownership
+package io.reedmast.cluster
 
 import io.reedmast.kvstore.Keys
 import io.reedmast.kvstore.ReadResult
-import io.reedmast.ports.Gateway
+import io.reedmast.ports.KeyValueStore
 import io.reedmast.settings.ShardId
 import io.reedmast.wire.Fields
 
@@ -12,7 +12,7 @@
 /** The shards' records and the token counter, as last seen in the store or in answers to this controller's changes. */
 class ShardTable(
     shards: Int,
-    private val out: Gateway,
+    private val store: KeyValueStore,
     /** Called with each newer record and the one before it. */
     private val onChange: (ShardId, StoredRecord?, StoredRecord) -> Unit,
 ) {
@@ -59,7 +59,7 @@
     fun refresh(shard: ShardId, read: (ReadResult) -> Unit) {
         if (refreshing[shard.value]) return
         refreshing[shard.value] = true
-        out.get(Keys.shard(shard.value)) { fetched ->
+        store.get(Keys.shard(shard.value)) { fetched ->
             refreshing[shard.value] = false
             read(fetched)
         }
--- a/src/main/kotlin/io/reedmast/ownership/ClusterFeatures.kt
+++ b/src/main/kotlin/io/reedmast/cluster/TokenCounter.kt
@@ -1,10 +1,10 @@
-package io.reedmast.ownership
+package io.reedmast.cluster
 
-import io.reedmast.jobs.DensePages
 import io.reedmast.kvstore.Keys
 import io.reedmast.kvstore.Precondition
 import io.reedmast.kvstore.StoredItem
 import io.reedmast.kvstore.Write
+import io.reedmast.persistence.DensePages
 import io.reedmast.rollout.ClusterRecords
 import io.reedmast.rollout.Feature
 import io.reedmast.rollout.FeatureName
@@ -18,26 +18,6 @@
 import io.reedmast.wire.Fields
 import io.reedmast.wire.count
 
-/** The features of this version, and the versions of the stored forms that it reads and writes. */
-object ClusterFeatures {
-    /** Records are divided to fit reduced limits. Its gate is `c/format`, from before there was a record of the rollout. */
-    val DIVIDED_RECORDS = FeatureName("divided-records")
-
-    /** The token counter has a form that versions before the rollout record cannot read, so that they can take no shard. */
-    val FENCED_TOKENS = FeatureName("fenced-tokens")
-
-    private val OLDEST = FormatVersion.NONE
-    private val WITH_DIVIDED_RECORDS = FormatVersion(1)
-    private val WITH_ROLLOUT = FormatVersion(2)
-    private val WITH_DENSE_PAGES = FormatVersion(3)
-
-    val dividedRecords = Feature(DIVIDED_RECORDS, WITH_DIVIDED_RECORDS, revertible = false)
-    val fencedTokens = Feature(FENCED_TOKENS, WITH_ROLLOUT, setOf(DIVIDED_RECORDS), migration = TokenCounter)
-    val densePages = Feature(DensePages.FEATURE, WITH_DENSE_PAGES, setOf(FENCED_TOKENS), migration = DensePages)
-
-    val registry = FeatureRegistry(listOf(dividedRecords, fencedTokens, densePages), VersionRange(OLDEST, WITH_DENSE_PAGES))
-}
-
 /**
  * The two forms of the token counter.
  *
@@ -67,16 +47,3 @@
 
 /** A write of the token counter, and the conditions without which it must not be made. */
 class CounterUpdate(val preconditions: List<Precondition>, val write: Write.Put)
-
-/** The cluster's records as the rollout's administration needs them. */
-class StoredClusterRecords(private val shards: Int) : ClusterRecords {
-    override fun shardOwners(items: List<StoredItem>): List<ShardOwnership?> {
-        val byPath = items.associateBy { it.path }
-        return (0 until shards).map { index -> byPath[Keys.shard(index)]?.let { ShardOwnership(ShardRecord.parse(it.value).owner, it.version) } }
-    }
-
-    override fun externallyFinalized(items: List<StoredItem>): Set<FeatureName> {
-        val reached = items.firstOrNull { it.path == Keys.FORMAT }?.let { FormatGate.isReached(it.value) } ?: false
-        return if (reached) setOf(ClusterFeatures.DIVIDED_RECORDS) else emptySet()
-    }
-}
--- a/src/main/kotlin/io/reedmast/ownership/WorkerReachability.kt
+++ b/src/main/kotlin/io/reedmast/cluster/WorkerReachability.kt
@@ -1,7 +1,7 @@
-package io.reedmast.ownership
+package io.reedmast.cluster
 
 import io.reedmast.ports.Clock
-import io.reedmast.ports.Gateway
+import io.reedmast.ports.WorkerTransport
 import io.reedmast.settings.ShardId
 import io.reedmast.wire.Reply
 
@@ -11,7 +11,7 @@
  * A controller that has lost only the workers still has its keys and hears the store. If it took over a shard, the
  * shard's workers would lose their leases before another controller noticed.
  */
-class WorkerReachability(private val clock: Clock, private val out: Gateway) {
+class WorkerReachability(private val clock: Clock, private val workers: WorkerTransport) {
     private var heardAt: Long? = null
     private val probing = HashSet<ShardId>()
 
@@ -32,7 +32,7 @@
         var answered = false
         for (address in chosen) {
             // Neither token nor session are the worker's: nothing is executed, and the refusal is its newest report.
-            out.direct(address, 0L, 0L, emptyList()) { reply ->
+            workers.call(address, 0L, 0L, emptyList()) { reply ->
                 if (reply is Reply.Answer) {
                     answered = true
                     recordContact()
--- a/src/main/kotlin/io/reedmast/workers/CommandDispatcher.kt
+++ b/src/main/kotlin/io/reedmast/commands/CommandDispatcher.kt
@@ -1,9 +1,12 @@
-package io.reedmast.workers
+package io.reedmast.commands
 
-import io.reedmast.jobs.Placement
-import io.reedmast.jobs.ShardState
-import io.reedmast.jobs.StopReason
-import io.reedmast.ports.Gateway
+import io.reedmast.model.DirectLaunch
+import io.reedmast.model.Machine
+import io.reedmast.model.Placement
+import io.reedmast.model.ShardState
+import io.reedmast.model.StopReason
+import io.reedmast.ports.Cloud
+import io.reedmast.ports.WorkerTransport
 import io.reedmast.wire.MalformedException
 import io.reedmast.wire.Reply
 import io.reedmast.wire.WorkerCommand
@@ -11,10 +14,15 @@
 import org.slf4j.LoggerFactory
 
 /** Direct commands to workers. Launches also go out with the answers to reports, so none of these must arrive. */
-class CommandDispatcher(private val shardState: ShardState, private val out: Gateway, private val onStatusReport: (Machine, WorkerStatus) -> Unit) {
+class CommandDispatcher(
+    private val shardState: ShardState,
+    private val cloud: Cloud,
+    private val workers: WorkerTransport,
+    private val onStatusReport: (Machine, WorkerStatus) -> Unit,
+) {
     private val log = LoggerFactory.getLogger("shard")
     private val outbox = LinkedHashMap<Machine, MutableList<WorkerCommand>>()
-    private val announcer = TokenAnnouncer(shardState, out, ::answered)
+    private val announcer = TokenAnnouncer(shardState, cloud, workers, ::answered)
 
     /** The shard has just been taken. */
     fun begin() = announcer.begin()
@@ -78,7 +86,7 @@
                 machine.placements[command.id]?.takeIf { it.attempt == command.attempt }?.launchEpoch = epoch
             }
             machine.directCalls++
-            out.direct(addr, token, epoch, commands) { reply ->
+            workers.call(addr, token, epoch, commands) { reply ->
                 machine.directCalls--
                 if (reply is Reply.NotSent) launches.forEach { machine.recordNotSent(it.id, it.attempt) }
                 if (reply is Reply.Answer) answered(machine, reply) else machine.callUnansweredAt = shardState.clock.now()
--- a/src/main/kotlin/io/reedmast/workers/TokenAnnouncer.kt
+++ b/src/main/kotlin/io/reedmast/commands/TokenAnnouncer.kt
@@ -1,7 +1,9 @@
-package io.reedmast.workers
+package io.reedmast.commands
 
-import io.reedmast.jobs.ShardState
-import io.reedmast.ports.Gateway
+import io.reedmast.model.Machine
+import io.reedmast.model.ShardState
+import io.reedmast.ports.Cloud
+import io.reedmast.ports.WorkerTransport
 import io.reedmast.wire.Reply
 import io.reedmast.wire.WorkerStatus
 
@@ -14,7 +16,8 @@
  */
 class TokenAnnouncer(
     private val shardState: ShardState,
-    private val out: Gateway,
+    private val cloud: Cloud,
+    private val workers: WorkerTransport,
     /** Takes in the report that answers a call, and gives it back if it can be read. */
     private val answered: (Machine, Reply.Answer) -> WorkerStatus?,
 ) {
@@ -38,7 +41,7 @@
         }
         listing = true
         listDue = now + LIST_EVERY_MS
-        out.listMachines { listed ->
+        cloud.listMachines { listed ->
             listing = false
             if (shardState.dropped) return@listMachines
             for (entry in listed.orEmpty()) {
@@ -51,7 +54,7 @@
     private fun lacksToken(machine: Machine) = !machine.trusted && machine.decommissionReason == null && machine.placements.isNotEmpty()
 
     private fun call(machine: Machine, addr: String, epoch: Long, again: Boolean) {
-        out.direct(addr, shardState.tokenFor(machine), epoch, emptyList()) { reply ->
+        workers.call(addr, shardState.tokenFor(machine), epoch, emptyList()) { reply ->
             val status = (reply as? Reply.Answer)?.let { answered(machine, it) }
             // Refused for its session, which the answer tells.
             if (status != null && again && status.token < shardState.token) call(machine, addr, status.epoch, again = false)
--- a/src/main/kotlin/io/reedmast/gangs/GangCoordinator.kt
+++ b/src/main/kotlin/io/reedmast/gangs/GangCoordinator.kt
@@ -1,11 +1,11 @@
 package io.reedmast.gangs
 
-import io.reedmast.jobs.Job
-import io.reedmast.jobs.Placement
-import io.reedmast.jobs.ShardState
-import io.reedmast.jobs.StopReason
+import io.reedmast.commands.CommandDispatcher
+import io.reedmast.model.Job
+import io.reedmast.model.Placement
+import io.reedmast.model.ShardState
+import io.reedmast.model.StopReason
 import io.reedmast.wire.Cause
-import io.reedmast.workers.CommandDispatcher
 import org.slf4j.LoggerFactory
 
 /**
--- a/src/main/kotlin/io/reedmast/gangs/GangReservations.kt
+++ b/src/main/kotlin/io/reedmast/gangs/GangReservations.kt
@@ -1,9 +1,10 @@
 package io.reedmast.gangs
 
-import io.reedmast.jobs.Job
+import io.reedmast.model.Job
+import io.reedmast.model.Machine
 import io.reedmast.placement.isEligible
+import io.reedmast.placement.tasksThatFit
 import io.reedmast.wire.JobSpec
-import io.reedmast.workers.Machine
 
 /**
  * Machines on which waiting gangs gather room.
--- a/src/main/kotlin/io/reedmast/workers/HeartbeatHandler.kt
+++ b/src/main/kotlin/io/reedmast/heartbeats/HeartbeatHandler.kt
@@ -1,10 +1,13 @@
-package io.reedmast.workers
+package io.reedmast.heartbeats
 
+import io.reedmast.commands.CommandDispatcher
 import io.reedmast.gangs.GangCoordinator
-import io.reedmast.jobs.Placement
-import io.reedmast.jobs.ShardState
-import io.reedmast.jobs.StopReason
-import io.reedmast.ownership.FencingToken
+import io.reedmast.model.DecommissionReason
+import io.reedmast.model.FencingToken
+import io.reedmast.model.Machine
+import io.reedmast.model.Placement
+import io.reedmast.model.ShardState
+import io.reedmast.model.StopReason
 import io.reedmast.wire.Cause
 import io.reedmast.wire.TaskId
 import io.reedmast.wire.TaskState
--- a/src/main/kotlin/io/reedmast/jobs/JobIndex.kt
+++ b/src/main/kotlin/io/reedmast/jobs/JobIndex.kt
@@ -5,8 +5,8 @@
 import io.reedmast.kvstore.StoredItem
 import io.reedmast.kvstore.UnreadableRecordLog
 import io.reedmast.kvstore.WatchEvent
-import io.reedmast.peers.Cancellation
-import io.reedmast.peers.JobProgress
+import io.reedmast.ports.Cancellation
+import io.reedmast.ports.JobProgress
 import io.reedmast.settings.Settings
 import io.reedmast.settings.ShardId
 import io.reedmast.wire.Fields
@@ -17,47 +17,13 @@
 import io.reedmast.wire.map
 import io.reedmast.wire.optionalFlag
 
-/** The record of an unfinished job, under its shard. Whoever cancels the job rewrites it. */
-class LiveRecord(val spec: JobSpec, val chunkSize: Int, val acceptedAtMs: Long, val isCancelled: Boolean) {
-    fun toFields(): Fields {
-        val fields = mapOf("spec" to spec.toFields(), "chunk" to chunkSize, "at" to acceptedAtMs)
-        return if (isCancelled) fields + ("aborted" to true) else fields
-    }
-
-    fun cancelled() = LiveRecord(spec, chunkSize, acceptedAtMs, true)
-
-    companion object {
-        fun parse(fields: Fields) =
-            LiveRecord(JobSpec.parse(fields.map("spec")), maxOf(1, fields.count("chunk").toInt()), fields.count("at"), fields.optionalFlag("aborted"))
-    }
-}
-
-/** The record of a job that is over, kept for good. */
-class EndRecord(val state: JobState, val taskCount: Int) {
-    fun toFields(): Fields = mapOf("state" to state.wire, "tasks" to taskCount)
-
-    companion object {
-        fun parse(fields: Fields) = EndRecord(
-            JobState.entries.firstOrNull { it.isFinal && it.wire == fields["state"] } ?: throw MalformedException("state is unknown"),
-            fields.count("tasks").toInt(),
-        )
-    }
-}
-
-/** An unfinished job as every controller knows it. */
-class LiveJob(val shard: ShardId, val record: LiveRecord, val version: Long) {
-    /** Counts for display, as the shard's owner last told. */
-    var done = 0
-    var running = 0
-}
-
 /**
  * All unfinished jobs, and as many ended ones as fit, as the watch on their records tells.
  *
  * Every controller has it, so that a question about a job need not be read from the store one by one: with hundreds of
  * users asking, those reads were more than the service takes.
  */
-class JobIndex(private val settings: Settings, private val owned: () -> List<ShardOwner>) {
+class JobIndex(private val settings: Settings, private val listeners: () -> List<JobListener>) {
     val unreadable = UnreadableRecordLog()
     private val live = HashMap<String, LiveJob>()
 
@@ -150,7 +116,7 @@
             job.running = it.running
         }
         live[jobId] = job
-        owned().forEach { if (it.index == job.shard) it.onJobChanged(job) }
+        listeners().forEach { if (it.index == job.shard) it.onJobChanged(job) }
     }
 
     private fun remove(jobId: String, version: Long) {
@@ -158,7 +124,7 @@
         val known = live[jobId] ?: return
         if (known.version > version) return
         live.remove(jobId)
-        owned().forEach { if (it.index == known.shard) it.onJobGone(jobId) }
+        listeners().forEach { if (it.index == known.shard) it.onJobGone(jobId) }
     }
 
     /** All cancelled jobs that are not over. */
--- a/src/main/kotlin/io/reedmast/kvstore/InDoubtResolution.kt
+++ b/src/main/kotlin/io/reedmast/kvstore/InDoubtResolution.kt
@@ -2,15 +2,6 @@
 
 import org.slf4j.LoggerFactory
 
-/** What the sender of a batch of changes has to do next, after a pause. */
-sealed interface ResolutionStep {
-    data class Send(val transaction: StoreTransaction, val afterMs: Long) : ResolutionStep
-
-    data class Read(val path: String, val afterMs: Long) : ResolutionStep
-
-    data object Done : ResolutionStep
-}
-
 /**
  * Finds out what becomes of a batch of changes that share a transaction, and reports each change once that is certain.
  *
--- a/src/main/kotlin/io/reedmast/kvstore/StoreClient.kt
+++ b/src/main/kotlin/io/reedmast/kvstore/StoreClient.kt
@@ -11,35 +11,6 @@
 import java.net.URLEncoder
 import java.util.concurrent.TimeUnit
 
-/** One change of a watched prefix; a null [value] is a deletion. */
-data class WatchEvent(val path: String, val value: Fields?, val version: Long)
-
-sealed interface WatchResult {
-    data class Events(val revision: Long, val events: List<WatchEvent>) : WatchResult
-
-    /** The service has dropped the changes asked for: read the keys again. */
-    data object Compacted : WatchResult
-
-    data object Failed : WatchResult
-}
-
-sealed interface CommitReply {
-    data class Applied(val revision: Long) : CommitReply
-
-    data class PreconditionFailed(val paths: Set<String>) : CommitReply
-
-    data class Malformed(val reason: String) : CommitReply
-
-    /** Certainly not executed: worth sending again after a pause. */
-    data object NotExecuted : CommitReply
-
-    /** Not executed, for a limit: the service is there, and wants less. */
-    data object RateLimited : CommitReply
-
-    /** May have been executed, or may yet be. */
-    data object Unknown : CommitReply
-}
-
 /** Blocking calls to the store, kept within this controller's part of its limits. */
 class StoreClient(private val address: String, private val limits: EffectiveLimits, nodes: Int, private val caller: Caller) {
     private val log = LoggerFactory.getLogger("store")
--- a/src/main/kotlin/io/reedmast/workers/MachineLifecycle.kt
+++ b/src/main/kotlin/io/reedmast/machines/MachineLifecycle.kt
@@ -1,15 +1,18 @@
-package io.reedmast.workers
-
-import io.reedmast.fleet.ScaleInPolicy
-import io.reedmast.jobs.ShardState
-import io.reedmast.jobs.StopReason
-import io.reedmast.ports.Gateway
+package io.reedmast.machines
+
+import io.reedmast.autoscaling.ScaleInPolicy
+import io.reedmast.commands.CommandDispatcher
+import io.reedmast.model.DecommissionReason
+import io.reedmast.model.Machine
+import io.reedmast.model.ShardState
+import io.reedmast.model.StopReason
+import io.reedmast.ports.Cloud
 import org.slf4j.LoggerFactory
 
 /** Which machines of a shard stay, move or go. */
 class MachineLifecycle(
     private val shardState: ShardState,
-    private val out: Gateway,
+    private val cloud: Cloud,
     private val dispatcher: CommandDispatcher,
     private val scaleInPolicy: ScaleInPolicy,
     private val removeMachines: (Set<String>) -> Unit,
@@ -161,7 +164,8 @@
         for (placement in machine.placements.values.toList()) {
             val spec = placement.job.spec
             val ranS = if (placement.running) (now - placement.runningSince) / 1000.0 else 0.0
-            val endsSoon = !spec.service && placement.running && spec.estimateS - ranS < ENDS_SOON_S && ranS < spec.estimateS + ENDS_SOON_S
+            val endsSoon =
+                !spec.service && placement.running && spec.estimateS - ranS < ScaleInPolicy.ENDS_SOON_S && ranS < spec.estimateS + ScaleInPolicy.ENDS_SOON_S
             if (!endsSoon) dispatcher.stop(placement, StopReason.DRAINED)
         }
     }
@@ -212,7 +216,7 @@
         val leaving = toReturn.take(MAX_MACHINES_PER_RETURN)
         toReturn.removeAll(leaving.toSet())
         returnInFlight = true
-        out.returnMachines(leaving.map { it.name }) { confirmed ->
+        cloud.returnMachines(leaving.map { it.name }) { confirmed ->
             returnInFlight = false
             if (shardState.dropped) return@returnMachines
             leaving.forEach { if (confirmed) returned(it) else it.returning = false }
@@ -232,8 +236,6 @@
     }
 
     companion object {
-        /** Work that has this long to go, by its owner's estimate, is let end on a machine that is to move. */
-        const val ENDS_SOON_S = 15.0
         private const val JUST_PLACED_MS = 6_000L
         private const val MAX_MACHINES_PER_RETURN = 100
         private const val MAX_UNREACHABLE = 3
--- a/src/main/kotlin/io/reedmast/fairshare/Usage.kt
+++ b/src/main/kotlin/io/reedmast/model/ChargedUsage.kt
@@ -1,4 +1,4 @@
-package io.reedmast.fairshare
+package io.reedmast.model
 
 import io.reedmast.settings.TeamId
 import io.reedmast.wire.Fields
@@ -13,7 +13,7 @@
  * A task is charged, for each second, its largest share of its machine. Best-effort work has no protected minimum and is
  * not charged.
  */
-class Usage(private val windowMs: Long) {
+class ChargedUsage(private val windowMs: Long) {
     private val bucketMs = maxOf(1L, windowMs / BUCKETS)
     private val charged = HashMap<TeamId, TreeMap<Long, Double>>()
 
@@ -60,36 +60,3 @@
         const val BUCKETS = 36
     }
 }
-
-/** Work of the lowest rank declares no minimum run time: it is not charged, and any funded request may take its place. */
-val Priority.funded: Boolean get() = this != Priority.BEST_EFFORT
-
-/** What [mayPreempt] needs to know of a running task. */
-data class PreemptionCandidate(
-    val priority: Priority,
-    val resumable: Boolean,
-    val sameTeam: Boolean,
-    val ranForS: Double,
-    val minimumS: Double,
-    /** Whether the team runs more than its guarantee. */
-    val teamBeyondGuarantee: Boolean,
-    val teamRatio: Double,
-)
-
-/** What [mayPreempt] needs to know of a waiting request. */
-data class Request(val priority: Priority, val withinGuarantee: Boolean, val teamRatio: Double)
-
-/**
- * Whether [runner] may be stopped to make room for [request], where both the design and the protocol permit it.
- *
- * The design lets uncharged work yield to any funded request, and resumable work past its minimum to a team further below
- * its share. The protocol asks that the request have a higher rank, or that it be within its team's guarantee and the
- * runner beyond its own.
- */
-fun mayPreempt(runner: PreemptionCandidate, request: Request): Boolean {
-    if (!request.priority.funded) return false
-    val protocol = request.priority < runner.priority || (!runner.sameTeam && request.withinGuarantee && runner.teamBeyondGuarantee)
-    if (!protocol) return false
-    if (!runner.priority.funded) return true
-    return runner.resumable && !runner.sameTeam && runner.ranForS >= runner.minimumS && request.teamRatio < runner.teamRatio
-}
--- /dev/null
+++ b/src/main/kotlin/io/reedmast/model/Chunk.kt
@@ -0,0 +1,28 @@
+package io.reedmast.model
+
+import io.reedmast.settings.TeamId
+import io.reedmast.wire.JobSpec
+import io.reedmast.wire.TaskId
+import java.util.BitSet
+import java.util.TreeMap
+
+/** Tasks `first` to `first + size - 1` of a job, the unit in which progress is stored. */
+class Chunk(val job: Job, val index: Int, val first: Int, val size: Int) {
+    val done = BitSet(size)
+    val placements = TreeMap<Int, Placement>()
+
+    /** The stored value that holds it, from its first change on. */
+    var page: ChunkPage? = null
+
+    /** Whether it has changed since its page was last handed to the store. */
+    var dirty = false
+
+    /** How many stored pages of another division hold an older copy of it and are yet to be cleared. */
+    var olderCopies = 0
+
+    /** Whether the store holds its present state, though another page may hold an older one too. */
+    val isInItsPage: Boolean get() = !dirty && page?.writing != true
+
+    /** Whether the store holds its present state, and nothing else of it. */
+    val stored: Boolean get() = isInItsPage && olderCopies == 0
+}
--- a/src/main/kotlin/io/reedmast/ownership/FencingToken.kt
+++ b/src/main/kotlin/io/reedmast/model/FencingToken.kt
@@ -1,4 +1,4 @@
-package io.reedmast.ownership
+package io.reedmast.model
 
 /**
  * Tokens of shards' owners. Each taking of a shard gets a range of them, above every range given before.
--- a/src/main/kotlin/io/reedmast/jobs/Job.kt
+++ b/src/main/kotlin/io/reedmast/model/Job.kt
@@ -1,82 +1,18 @@
-package io.reedmast.jobs
+package io.reedmast.model
 
 import io.reedmast.settings.TeamId
 import io.reedmast.wire.JobSpec
 import io.reedmast.wire.TaskId
-import io.reedmast.workers.Machine
 import java.util.BitSet
 import java.util.TreeMap
 
-/** Why an owner wants an attempt stopped. */
-enum class StopReason {
-    CANCELLED,
-    PREEMPTED,
-    DRAINED,
-
-    /** Another task of its gang is gone. */
-    GANG_INCOMPLETE,
-}
-
-/**
- * One attempt to run one task on one machine, from the decision until there is evidence that the attempt is over.
- *
- * Quota, zone rules and free room count every placement, whatever is known of it.
- */
-class Placement(val job: Job, val task: Int, val attempt: Long, val machine: Machine, val madeAt: Long) {
-    val id = TaskId(job.spec.jobId, task)
-
-    /** Whether the store holds it: nothing is launched before. */
-    var committed = false
-
-    /** The worker's session for which a launch was last sent, 0 if this owner sent none. */
-    var launchEpoch = 0L
-
-    /** The sequence of the report in whose answer a launch was last sent. */
-    var answeredSequence = -1L
-
-    /** In how many answers a launch was sent since the worker last showed the attempt. */
-    var launchesAnswered = 0
-
-    var seen = false
-    var runningSince = 0L
-    var stopReason: StopReason? = null
-
-    /** Until then it yields to no work of its own team: its job had got nothing for long. */
-    var keptUntil = 0L
-
-    /** Until then it yields to nothing: its job had got nothing for very long. */
-    var keptFromAllUntil = 0L
-    val running: Boolean get() = runningSince != 0L
-}
-
-/** Tasks `first` to `first + size - 1` of a job, the unit in which progress is stored. */
-class Chunk(val job: Job, val index: Int, val first: Int, val size: Int) {
-    val done = BitSet(size)
-    val placements = TreeMap<Int, Placement>()
-
-    /** The stored value that holds it, from its first change on. */
-    var page: ProgressPage? = null
-
-    /** Whether it has changed since its page was last handed to the store. */
-    var dirty = false
-
-    /** How many stored pages of another division hold an older copy of it and are yet to be cleared. */
-    var olderCopies = 0
-
-    /** Whether the store holds its present state, though another page may hold an older one too. */
-    val isInItsPage: Boolean get() = !dirty && page?.writing != true
-
-    /** Whether the store holds its present state, and nothing else of it. */
-    val stored: Boolean get() = isInItsPage && olderCopies == 0
-}
-
 /** An unfinished job in the hands of its shard's owner. */
 class Job(
     val spec: JobSpec,
     val team: TeamId,
     private val chunkSize: Int,
     val acceptedAtMs: Long,
-    /** Stamp of the job's [LiveRecord]: whoever cancels or ends the job moves it. */
+    /** Stamp of the job's record: whoever cancels or ends the job moves it. */
     var version: Long,
 ) {
     val chunks: Array<Chunk?> = arrayOfNulls((spec.taskCount + chunkSize - 1) / chunkSize)
--- a/src/main/kotlin/io/reedmast/workers/Machine.kt
+++ b/src/main/kotlin/io/reedmast/model/Machine.kt
@@ -1,26 +1,9 @@
-package io.reedmast.workers
+package io.reedmast.model
 
-import io.reedmast.jobs.Chunk
-import io.reedmast.jobs.Placement
 import io.reedmast.wire.MachineType
 import io.reedmast.wire.TaskId
 import io.reedmast.wire.WorkerStatus
 
-/** A machine as the records of its shard name it. */
-data class MachineRecord(val name: String, val typeName: String, val zone: String, val spot: Boolean)
-
-/** Why a machine is to go. */
-enum class DecommissionReason {
-    IDLE,
-    MISSED_HEARTBEATS,
-
-    /** Its reports arrive, and nothing reaches it. */
-    UNREACHABLE,
-    BOOT_TIMEOUT,
-    UNHEALTHY,
-    TRANSFER,
-}
-
 /** The worker's session and the token that a direct launch was sent under. */
 data class DirectLaunch(val epoch: Long, val token: Long)
 
--- a/src/main/kotlin/io/reedmast/jobs/ShardState.kt
+++ b/src/main/kotlin/io/reedmast/model/ShardState.kt
@@ -1,7 +1,5 @@
-package io.reedmast.jobs
+package io.reedmast.model
 
-import io.reedmast.fairshare.Usage
-import io.reedmast.fairshare.funded
 import io.reedmast.kvstore.EffectiveLimits
 import io.reedmast.kvstore.Keys
 import io.reedmast.kvstore.Precondition
@@ -13,7 +11,6 @@
 import io.reedmast.settings.Tuning
 import io.reedmast.wire.JobSpec
 import io.reedmast.wire.MachineType
-import io.reedmast.workers.Machine
 
 /**
  * What an owner knows of its shard. The duties around it (reports, commands, placing, storing, upkeep, demand) read and
@@ -43,7 +40,7 @@
 
     val jobs = LinkedHashMap<String, Job>()
     val machines = LinkedHashMap<String, Machine>()
-    val usage = Usage((tuning.windowS * 1000).toLong())
+    val usage = ChargedUsage((tuning.windowS * 1000).toLong())
     val teams = settings.teams.indices.map { TeamId(it) }.filter { settings.shardOf(it) == index }
     private val usedCpus = DoubleArray(settings.teams.size)
     private val usedGpus = DoubleArray(settings.teams.size)
@@ -117,7 +114,7 @@
     /** A chunk differs from what is stored. */
     fun markDirty(chunk: Chunk) {
         chunk.dirty = true
-        chunk.page?.let { if (it.dirtySince == 0L) it.dirtySince = clock.now() }
+        chunk.page?.markDirty(clock.now())
         changed.add(chunk.job)
     }
 
@@ -136,7 +133,7 @@
         for (machine in machines.values) {
             val machineType = machine.machineType ?: continue
             for (placement in machine.placements.values) {
-                if (placement.seen && placement.job.spec.priority.funded) sums[placement.job.team.value] += charge(placement.job.spec, machineType)
+                if (placement.seen && placement.job.spec.priority.isFunded) sums[placement.job.team.value] += charge(placement.job.spec, machineType)
             }
         }
         val wall = clock.wall()
--- a/src/main/kotlin/io/reedmast/peers/PeerCodec.kt
+++ b/src/main/kotlin/io/reedmast/peers/PeerCodec.kt
@@ -1,8 +1,11 @@
 package io.reedmast.peers
 
+import io.reedmast.ports.Cancellation
+import io.reedmast.ports.JobProgress
+import io.reedmast.ports.MachineHint
+import io.reedmast.ports.PeerMessage
 import io.reedmast.settings.ControllerId
 import io.reedmast.settings.ShardId
-import io.reedmast.workers.MachineHint
 import okio.Buffer
 import okio.BufferedSink
 import okio.BufferedSource
--- a/src/main/kotlin/io/reedmast/peers/PeerServer.kt
+++ b/src/main/kotlin/io/reedmast/peers/PeerServer.kt
@@ -1,5 +1,6 @@
 package io.reedmast.peers
 
+import io.reedmast.ports.PeerMessage
 import okio.IOException
 import okio.buffer
 import okio.source
--- a/src/main/kotlin/io/reedmast/jobs/PageForm.kt
+++ b/src/main/kotlin/io/reedmast/persistence/PageForm.kt
@@ -1,5 +1,6 @@
-package io.reedmast.jobs
+package io.reedmast.persistence
 
+import io.reedmast.model.Chunk
 import io.reedmast.rollout.GateSnapshot
 import io.reedmast.wire.Fields
 import io.reedmast.wire.MalformedException
--- a/src/main/kotlin/io/reedmast/jobs/PageReader.kt
+++ b/src/main/kotlin/io/reedmast/persistence/PageReader.kt
@@ -1,6 +1,8 @@
-package io.reedmast.jobs
+package io.reedmast.persistence
 
 import io.reedmast.kvstore.StoredItem
+import io.reedmast.model.Job
+import io.reedmast.model.ShardState
 import io.reedmast.wire.MalformedException
 import io.reedmast.wire.Tree
 import org.slf4j.LoggerFactory
@@ -9,7 +11,7 @@
 /**
  * Takes up a shard's stored pages.
  *
- * A page whose division is not today's is read, and its content goes to other pages: see [PageRetirement]. Until it has been cleared, two
+ * A page whose division is not today's is read, and its content goes to other pages: see [SupersededPages]. Until it has been cleared, two
  * pages speak for the same tasks, and the newer one is right.
  *
  * @param chunkSizes the sizes of chunks by the jobs' records
@@ -18,7 +20,7 @@
 class PageReader(
     private val shardState: ShardState,
     private val pages: MutableList<ProgressPage>,
-    private val decommissionReason: PageRetirement,
+    private val supersededPages: SupersededPages,
     private val pageBytes: Int,
     private val chunkSizes: Map<String, Int>,
     private val place: (Job, StoredPlacement) -> Unit,
@@ -83,7 +85,7 @@
         if (divided) {
             tasks.mapTo(LinkedHashSet()) {
                 job.chunkOf(it)
-            }.forEach { decommissionReason.supersede(page, it) }
+            }.forEach { supersededPages.supersede(page, it) }
         } else {
             page.add(job.chunkOf(stored.first))
         }
--- /dev/null
+++ b/src/main/kotlin/io/reedmast/persistence/ProgressListener.kt
@@ -0,0 +1,35 @@
+package io.reedmast.persistence
+
+import io.reedmast.jobs.EndRecord
+import io.reedmast.kvstore.CasTransaction
+import io.reedmast.kvstore.CommitOutcome
+import io.reedmast.kvstore.Keys
+import io.reedmast.kvstore.Precondition
+import io.reedmast.kvstore.ReadResult
+import io.reedmast.kvstore.StoredItem
+import io.reedmast.kvstore.Write
+import io.reedmast.kvstore.WritePriority
+import io.reedmast.model.Job
+import io.reedmast.model.Placement
+import io.reedmast.ports.Gateway
+import io.reedmast.rollout.RecordAccess
+import io.reedmast.wire.JobState
+import org.slf4j.LoggerFactory
+
+/** What an owner's storing tells the rest of it. */
+interface ProgressListener {
+    /** The placement is in the store now, and may be launched. */
+    fun placed(placement: Placement)
+
+    /** The term may have moved on. */
+    fun termInDoubt()
+
+    /** A gate of the rollout has moved. */
+    fun gatesInDoubt()
+
+    /** A job's record has moved on, or was found anew. */
+    fun recordChanged(path: String, item: StoredItem?)
+
+    /** The job's final state is stored. */
+    fun ended(job: Job, end: EndRecord, revision: Long)
+}
--- a/src/main/kotlin/io/reedmast/jobs/ProgressPage.kt
+++ b/src/main/kotlin/io/reedmast/persistence/ProgressPage.kt
@@ -1,5 +1,9 @@
-package io.reedmast.jobs
+package io.reedmast.persistence
 
+import io.reedmast.model.Chunk
+import io.reedmast.model.ChunkPage
+import io.reedmast.model.PendingWrite
+import io.reedmast.model.Placement
 import io.reedmast.wire.Fields
 import java.util.EnumMap
 
@@ -9,21 +13,9 @@
  * Each put counts against the store's limit, whatever its size: a record for each job cost several puts a second
  * where one does. A chunk stays in its page; room for all its tasks is set aside when it comes.
  */
-class ProgressPage(val index: Int) {
-    /** What waits for a page to be stored, the most pressing last. */
-    enum class Waiting {
-        /** Results only: stored late, they save repeated work. */
-        NOTHING,
-
-        /** Placements of arrays, which are launched once they are stored. */
-        ARRAYS,
-
-        /** Placements of services and of other work that is to start soon. */
-        SOON,
-    }
-
+class ProgressPage(val index: Int) : ChunkPage {
     var version = 0L
-    var writing = false
+    override var writing = false
     val chunks = LinkedHashSet<Chunk>()
     private val reserved = EnumMap<PageForm, Int>(PageForm::class.java)
 
@@ -43,7 +35,16 @@
     var waitedFor = false
 
     /** What waits for it to be stored. */
-    var waiting = Waiting.NOTHING
+    var pending = PendingWrite.RESULTS
+
+    override fun markDirty(now: Long) {
+        if (dirtySince == 0L) dirtySince = now
+    }
+
+    override fun requestWrite(now: Long, pendingWrite: PendingWrite) {
+        markDirty(now)
+        pending = maxOf(pending, pendingWrite)
+    }
 
     /** The room that its chunks may come to take in [form]. */
     fun reservedIn(form: PageForm): Int = reserved[form] ?: 0
@@ -55,7 +56,7 @@
         if (chunks.add(chunk)) PageForm.entries.forEach { reserved[it] = reservedIn(it) + it.reserveFor(chunk) }
     }
 
-    fun remove(chunk: Chunk) {
+    override fun remove(chunk: Chunk) {
         if (chunks.remove(chunk)) PageForm.entries.forEach { reserved[it] = reservedIn(it) - it.reserveFor(chunk) }
     }
 
--- a/src/main/kotlin/io/reedmast/jobs/ProgressStore.kt
+++ b/src/main/kotlin/io/reedmast/persistence/ProgressStore.kt
@@ -1,5 +1,6 @@
-package io.reedmast.jobs
+package io.reedmast.persistence
 
+import io.reedmast.jobs.EndRecord
 import io.reedmast.kvstore.CasTransaction
 import io.reedmast.kvstore.CommitOutcome
 import io.reedmast.kvstore.Keys
@@ -8,31 +9,18 @@
 import io.reedmast.kvstore.StoredItem
 import io.reedmast.kvstore.Write
 import io.reedmast.kvstore.WritePriority
-import io.reedmast.ports.Gateway
+import io.reedmast.model.Chunk
+import io.reedmast.model.Job
+import io.reedmast.model.PendingWrite
+import io.reedmast.model.Placement
+import io.reedmast.model.ShardState
+import io.reedmast.ports.KeyValueStore
 import io.reedmast.rollout.RecordAccess
 import io.reedmast.wire.JobState
 import org.slf4j.LoggerFactory
 
-/** What an owner's storing tells the rest of it. */
-interface ProgressListener {
-    /** The placement is in the store now, and may be launched. */
-    fun placed(placement: Placement)
-
-    /** The term may have moved on. */
-    fun termInDoubt()
-
-    /** A gate of the rollout has moved. */
-    fun gatesInDoubt()
-
-    /** A job's record has moved on, or was found anew. */
-    fun recordChanged(path: String, item: StoredItem?)
-
-    /** The job's final state is stored. */
-    fun ended(job: Job, end: EndRecord, revision: Long)
-}
-
 /** The storing of a shard: pages of progress, and the ends of jobs. */
-class ProgressStore(private val shardState: ShardState, private val out: Gateway, private val listener: ProgressListener) {
+class ProgressStore(private val shardState: ShardState, private val store: KeyValueStore, private val listener: ProgressListener) {
     private val log = LoggerFactory.getLogger("shard")
     private val shard = shardState.index.value
     private val pages = ArrayList<ProgressPage>()
@@ -40,7 +28,7 @@
 
     /** Whether the pages were read when the reduced limits were known to hold, so that they were divided accordingly. */
     private val dividedForReduced = shardState.limits.isReduced
-    private val decommissionReason = PageRetirement(shardState, out)
+    private val supersededPages = SupersededPages(shardState, store)
     private val toEnd = LinkedHashSet<Job>()
     private var endings = 0
 
@@ -61,7 +49,7 @@
 
     /** Takes up stored pages as they were read; [place] takes up each placement. [chunkSizes] are those of the jobs' records. */
     fun load(items: List<StoredItem>, chunkSizes: Map<String, Int>, place: (Job, StoredPlacement) -> Unit) =
-        PageReader(shardState, pages, decommissionReason, pageBytes, chunkSizes, place).load(items)
+        PageReader(shardState, pages, supersededPages, pageBytes, chunkSizes, place).load(items)
 
     /** Stores what differs from what is stored, as far as the limit on changes allows. */
     fun flush(now: Long) {
@@ -71,21 +59,20 @@
             for (chunk in job.chunks) {
                 if (chunk == null || !chunk.dirty) continue
                 val page = chunk.page ?: pageFor(chunk)
-                if (page.dirtySince == 0L) page.dirtySince = now
-                page.waiting = maxOf(page.waiting, waitingFor(chunk))
+                page.requestWrite(now, pendingWriteOf(chunk))
             }
         }
         shardState.changed.clear()
         if (!shardState.isCurrent()) return
         endJobs()
-        decommissionReason.clear(pages, shard)
+        supersededPages.clear(pages, shard)
         var onTheirWay = pages.count { it.writing && it.waitedFor }
         val due = pages.filter { it.dirtySince != 0L && !it.writing && now >= it.refusedUntil && !isOverfull(it) }
-        for (page in due.sortedWith(compareBy({ -it.waiting.ordinal }, { it.dirtySince }))) {
-            if (page.waiting != ProgressPage.Waiting.NOTHING) {
+        for (page in due.sortedWith(compareBy({ -it.pending.ordinal }, { it.dirtySince }))) {
+            if (page.pending != PendingWrite.RESULTS) {
                 // Not to the last change that is allowed: an acceptance, whose user waits, takes one and should find it. Nor more at once
                 // than it may wait behind: what is placed meanwhile shares the page's next put.
-                if (out.writePermitLevel() <= FULL_ENOUGH_TO_PLACE || onTheirWay >= maxPagesAtOnce(page.waiting)) continue
+                if (store.writePermitLevel() <= FULL_ENOUGH_TO_PLACE || onTheirWay >= maxPagesAtOnce(page.pending)) continue
                 store(page, WritePriority.URGENT)
                 onTheirWay++
             } else if (isTimeForResults(page, now)) {
@@ -99,18 +86,18 @@
      */
     private fun isTimeForResults(page: ProgressPage, now: Long): Boolean {
         val age = now - page.dirtySince
-        return (age >= DEFERRED_MAX_MS && out.writePermitLevel() > ROOM_FOR_RESULTS) || (age >= OVERDUE_MS && out.writePermitLevel() > FULL_ENOUGH_TO_PLACE)
+        return (age >= DEFERRED_MAX_MS && store.writePermitLevel() > ROOM_FOR_RESULTS) || (age >= OVERDUE_MS && store.writePermitLevel() > FULL_ENOUGH_TO_PLACE)
     }
 
-    private fun waitingFor(chunk: Chunk): ProgressPage.Waiting = when {
-        chunk.placements.values.all { it.committed } -> ProgressPage.Waiting.NOTHING
-        shardState.isLatencySensitive(chunk.job) -> ProgressPage.Waiting.SOON
-        else -> ProgressPage.Waiting.ARRAYS
+    private fun pendingWriteOf(chunk: Chunk): PendingWrite = when {
+        chunk.placements.values.all { it.committed } -> PendingWrite.RESULTS
+        shardState.isLatencySensitive(chunk.job) -> PendingWrite.URGENT_PLACEMENTS
+        else -> PendingWrite.ARRAY_PLACEMENTS
     }
 
-    private fun maxPagesAtOnce(waiting: ProgressPage.Waiting) = when {
-        out.writePermitLevel() > NEARLY_FULL -> PAGES_AT_ONCE
-        waiting == ProgressPage.Waiting.SOON -> SOME_PAGES_AT_ONCE
+    private fun maxPagesAtOnce(pending: PendingWrite) = when {
+        store.writePermitLevel() > NEARLY_FULL -> PAGES_AT_ONCE
+        pending == PendingWrite.URGENT_PLACEMENTS -> SOME_PAGES_AT_ONCE
         else -> FEW_PAGES_AT_ONCE
     }
 
@@ -118,7 +105,7 @@
     private fun pageFor(chunk: Chunk): ProgressPage {
         val form = PageForm.toWrite(shardState.gates(), shardState.limits.isReduced)
         val open = pages.filter { !it.writing && it.hasRoom(chunk, pageBytes, form) }
-        val page = open.firstOrNull { it.waiting != ProgressPage.Waiting.NOTHING } ?: open.firstOrNull { it.dirtySince != 0L } ?: open.firstOrNull()
+        val page = open.firstOrNull { it.pending != PendingWrite.RESULTS } ?: open.firstOrNull { it.dirtySince != 0L } ?: open.firstOrNull()
         return (page ?: ProgressPage(pages.size).also { pages.add(it) }).also { it.add(chunk) }
     }
 
@@ -129,10 +116,10 @@
         val jobs = pending.mapTo(LinkedHashSet()) { it.job }.take(shardState.limits.target.opsPerCommit * CONDITIONAL_JOBS_PER_WRITE)
         val included = pending.filter { it.job in jobs }
         val left = pending.filterTo(HashSet()) { it.job !in jobs }
-        page.waitedFor = page.waiting != ProgressPage.Waiting.NOTHING
+        page.waitedFor = page.pending != PendingWrite.RESULTS
         page.chunks.forEach { it.dirty = false }
         page.dirtySince = if (left.isEmpty()) 0L else page.dirtySince
-        page.waiting = if (left.isEmpty()) ProgressPage.Waiting.NOTHING else page.waiting
+        page.pending = if (left.isEmpty()) PendingWrite.RESULTS else page.pending
         page.writing = true
         // The form and the condition that it is the right one come from one look at the gates.
         val gates = shardState.gates()
@@ -142,7 +129,7 @@
         preconditions.add(gates.precondition)
         preconditions.add(Precondition(path, page.version))
         jobs.mapTo(preconditions) { Precondition(Keys.live(shard, it.spec.jobId), it.version) }
-        out.commit(
+        store.commit(
             CasTransaction(preconditions, listOf(Write.Put(path, page.toFields(left, form))), writePriority) { outcome ->
                 page.writing = false
                 if (shardState.dropped) return@CasTransaction
@@ -175,8 +162,8 @@
     private fun again(page: ProgressPage) {
         page.chunks.forEach { shardState.markDirty(it) }
         page.dirtySince = shardState.clock.now()
-        page.waiting = page.chunks.maxOfOrNull { waitingFor(it) } ?: ProgressPage.Waiting.NOTHING
-        if (page.waiting == ProgressPage.Waiting.NOTHING) page.waiting = ProgressPage.Waiting.ARRAYS
+        page.pending = page.chunks.maxOfOrNull { pendingWriteOf(it) } ?: PendingWrite.RESULTS
+        if (page.pending == PendingWrite.RESULTS) page.pending = PendingWrite.ARRAY_PLACEMENTS
     }
 
     /** Something had moved on: the term, a job that its user has cancelled, or the page, if an answer of ours was lost. */
@@ -191,11 +178,11 @@
             // Sent again as it is, it would only fail again: nothing is placed before the record is known.
             included.filter { it.job.spec.jobId == jobId && !it.committed }.forEach { shardState.finish(it, done = false) }
             shardState.jobs[jobId]?.let { it.notBefore = shardState.clock.now() + REREAD_MS }
-            out.get(path) { if (!shardState.dropped && it !is ReadResult.Failed) listener.recordChanged(path, (it as? ReadResult.Found)?.item) }
+            store.get(path) { if (!shardState.dropped && it !is ReadResult.Failed) listener.recordChanged(path, (it as? ReadResult.Found)?.item) }
         }
         if (page != null && Keys.page(shard, page.index) in failed) {
             page.writing = true
-            out.get(Keys.page(shard, page.index)) {
+            store.get(Keys.page(shard, page.index)) {
                 page.writing = false
                 if (it is ReadResult.Found) page.version = maxOf(page.version, it.item.version)
             }
@@ -211,7 +198,7 @@
                 each.remove()
                 continue
             }
-            if (shardState.clock.now() < job.endNotBefore || (job.isCancelled && out.writePermitLevel() < FULL_ENOUGH)) continue
+            if (shardState.clock.now() < job.endNotBefore || (job.isCancelled && store.writePermitLevel() < FULL_ENOUGH)) continue
             each.remove()
             end(job)
         }
@@ -225,7 +212,7 @@
         val end = EndRecord(if (job.isCancelled) JobState.CANCELLED else JobState.DONE, job.spec.taskCount)
         val preconditions = listOf(shardState.termPrecondition, Precondition(live, job.version), Precondition(Keys.end(jobId), 0))
         val writes = listOf(Write.Put(Keys.end(jobId), end.toFields()), Write.Delete(live))
-        out.commit(
+        store.commit(
             CasTransaction(preconditions, writes, if (job.isCancelled) WritePriority.DEFERRED else WritePriority.URGENT) { outcome ->
                 endings--
                 if (shardState.dropped) return@CasTransaction
@@ -250,7 +237,7 @@
     }
 
     /** Whether all that was decided is stored, and nothing is on its way to be. */
-    val isSettled: Boolean get() = endings == 0 && toEnd.isEmpty() && pages.none { it.writing || it.waiting != ProgressPage.Waiting.NOTHING }
+    val isSettled: Boolean get() = endings == 0 && toEnd.isEmpty() && pages.none { it.writing || it.pending != PendingWrite.RESULTS }
 
     /** How a migration gets at the pages: one that is to be stored anyway gets the wanted form by that. */
     val access = object : RecordAccess {
--- a/src/main/kotlin/io/reedmast/jobs/StoredChunk.kt
+++ b/src/main/kotlin/io/reedmast/persistence/StoredChunk.kt
@@ -1,4 +1,4 @@
-package io.reedmast.jobs
+package io.reedmast.persistence
 
 import io.reedmast.wire.Fields
 import io.reedmast.wire.MalformedException
--- a/src/main/kotlin/io/reedmast/jobs/PageRetirement.kt
+++ b/src/main/kotlin/io/reedmast/persistence/SupersededPages.kt
@@ -1,4 +1,4 @@
-package io.reedmast.jobs
+package io.reedmast.persistence
 
 import io.reedmast.kvstore.CasTransaction
 import io.reedmast.kvstore.CommitOutcome
@@ -7,7 +7,9 @@
 import io.reedmast.kvstore.ReadResult
 import io.reedmast.kvstore.Write
 import io.reedmast.kvstore.WritePriority
-import io.reedmast.ports.Gateway
+import io.reedmast.model.Chunk
+import io.reedmast.model.ShardState
+import io.reedmast.ports.KeyValueStore
 
 /**
  * Clears stored pages whose content has been divided anew.
@@ -16,7 +18,7 @@
  * So each of its parts is first stored in another page. Until all are, the old page stays as it is, and whoever reads both takes the
  * newer copy of a task. Any step may be the last that is carried out.
  */
-class PageRetirement(private val shardState: ShardState, private val out: Gateway) {
+class SupersededPages(private val shardState: ShardState, private val store: KeyValueStore) {
     /** [chunk] speaks for tasks of which [page] holds an older copy. */
     fun supersede(page: ProgressPage, chunk: Chunk) {
         if (!page.superseded.add(chunk)) return
@@ -43,7 +45,7 @@
         val gates = shardState.gates()
         val form = PageForm.toWrite(gates, shardState.limits.isReduced)
         val preconditions = listOf(shardState.termPrecondition, gates.precondition, Precondition(path, page.version))
-        out.commit(
+        store.commit(
             CasTransaction(preconditions, listOf(Write.Put(path, form.toFields(emptyList()))), WritePriority.DEFERRED) { outcome ->
                 page.writing = false
                 if (shardState.dropped) return@CasTransaction
@@ -62,7 +64,7 @@
     /** Nobody else writes the page under this term: an answer of our own may have been lost. */
     private fun reread(page: ProgressPage, path: String) {
         page.writing = true
-        out.get(path) {
+        store.get(path) {
             page.writing = false
             if (it is ReadResult.Found) page.version = maxOf(page.version, it.item.version)
         }
--- a/src/main/kotlin/io/reedmast/gangs/GangChoice.kt
+++ b/src/main/kotlin/io/reedmast/placement/GangPacking.kt
@@ -1,10 +1,8 @@
-package io.reedmast.gangs
+package io.reedmast.placement
 
-import io.reedmast.jobs.Job
-import io.reedmast.placement.isEligible
-import io.reedmast.placement.score
+import io.reedmast.model.Job
+import io.reedmast.model.Machine
 import io.reedmast.wire.JobSpec
-import io.reedmast.workers.Machine
 
 /** How many tasks of a gang start on each machine; together they are the whole gang. */
 data class GangAssignment(val tasksByMachine: Map<Machine, Int>)
--- a/src/main/kotlin/io/reedmast/placement/MachineSelector.kt
+++ b/src/main/kotlin/io/reedmast/placement/MachineSelector.kt
@@ -1,9 +1,9 @@
 package io.reedmast.placement
 
-import io.reedmast.jobs.Job
+import io.reedmast.model.Job
+import io.reedmast.model.Machine
 import io.reedmast.wire.JobSpec
 import io.reedmast.wire.MachineType
-import io.reedmast.workers.Machine
 
 /** Whether a job may ever run on a machine of this kind, whatever else is on it. */
 fun isEligible(spec: JobSpec, typeName: String, zone: String, spot: Boolean): Boolean =
--- /dev/null
+++ b/src/main/kotlin/io/reedmast/ports/KeyValueStore.kt
@@ -0,0 +1,25 @@
+package io.reedmast.ports
+
+import io.reedmast.kvstore.CasTransaction
+import io.reedmast.kvstore.ReadResult
+import io.reedmast.kvstore.StoredItem
+
+/** The key-value store as decisions use it; each call answers later, on the deciding thread. */
+interface KeyValueStore {
+    /** False while the store is known not to accept transactions. */
+    val isAvailable: Boolean
+
+    /** Queues a transaction. False if it was refused because too many wait already; only a [refusable] one can be. */
+    fun commit(transaction: CasTransaction, refusable: Boolean = false): Boolean
+
+    /** How many writes this controller's part of the store's limit allows now, as a part of a second's worth. */
+    fun writePermitLevel(): Double
+
+    fun get(path: String, done: (ReadResult) -> Unit)
+
+    /** Reads all keys that begin with [prefix]; [done] gets null if they could not be read. */
+    fun list(prefix: String, done: (List<StoredItem>?) -> Unit)
+
+    /** Extends [lease] by [lifeMs] milliseconds, or asks for a new one if it is null. */
+    fun extendLease(lease: Long?, lifeMs: Long, done: (LeaseState) -> Unit)
+}
--- a/src/main/kotlin/io/reedmast/peers/PeerMessage.kt
+++ b/src/main/kotlin/io/reedmast/ports/PeerMessage.kt
@@ -1,8 +1,7 @@
-package io.reedmast.peers
+package io.reedmast.ports
 
 import io.reedmast.settings.ControllerId
 import io.reedmast.settings.ShardId
-import io.reedmast.workers.MachineHint
 
 /** How far a job is, as its shard's owner knows it. */
 data class JobProgress(val jobId: String, val done: Int, val running: Int)
--- a/src/main/kotlin/io/reedmast/jobs/JobRequestHandler.kt
+++ b/src/main/kotlin/io/reedmast/requests/JobRequestHandler.kt
@@ -1,6 +1,9 @@
-package io.reedmast.jobs
+package io.reedmast.requests
 
-import io.reedmast.gangs.zoneRulesNeverHold
+import io.reedmast.cluster.Cluster
+import io.reedmast.jobs.EndRecord
+import io.reedmast.jobs.LiveJob
+import io.reedmast.jobs.LiveRecord
 import io.reedmast.kvstore.CasTransaction
 import io.reedmast.kvstore.CommitOutcome
 import io.reedmast.kvstore.EffectiveLimits
@@ -9,9 +12,10 @@
 import io.reedmast.kvstore.ReadResult
 import io.reedmast.kvstore.Write
 import io.reedmast.kvstore.WritePriority
-import io.reedmast.ownership.Cluster
+import io.reedmast.persistence.PageForm
+import io.reedmast.placement.zoneRulesNeverHold
 import io.reedmast.ports.Clock
-import io.reedmast.ports.Gateway
+import io.reedmast.ports.KeyValueStore
 import io.reedmast.settings.Settings
 import io.reedmast.wire.JobShape
 import io.reedmast.wire.JobSpec
@@ -31,7 +35,7 @@
 class JobRequestHandler(
     private val settings: Settings,
     private val clock: Clock,
-    private val out: Gateway,
+    private val store: KeyValueStore,
     private val limits: EffectiveLimits,
     private val cluster: Cluster,
     private val machineTypes: () -> Map<String, MachineType>,
@@ -55,7 +59,7 @@
             refuse(spec.jobId, refusal, answer)
             return
         }
-        if (!cluster.ready || machineTypes().isEmpty() || !out.isStoreAvailable) {
+        if (!cluster.ready || machineTypes().isEmpty() || !store.isAvailable) {
             answer(later())
             return
         }
@@ -90,7 +94,7 @@
                     is CommitOutcome.Refused -> answer(UserAnswer(413, error = "the job's description is too large"))
                 }
             }
-        if (!out.commit(change, refusable = true)) answer(UserAnswer(429, error = "overloaded", retryAfterS = RETRY_AFTER_S))
+        if (!store.commit(change, refusable = true)) answer(UserAnswer(429, error = "overloaded", retryAfterS = RETRY_AFTER_S))
     }
 
     /**
@@ -163,7 +167,7 @@
     }
 
     /** Not among the unfinished: it ended long ago, or nobody has submitted it. */
-    private fun readEnd(jobId: String, answer: (UserAnswer) -> Unit) = out.get(Keys.end(jobId)) { fetched ->
+    private fun readEnd(jobId: String, answer: (UserAnswer) -> Unit) = store.get(Keys.end(jobId)) { fetched ->
         when (fetched) {
             is ReadResult.Failed -> answer(later())
 
@@ -185,13 +189,13 @@
             answer(cancelledAnswer(jobId))
             return@find
         }
-        if (!out.isStoreAvailable) {
+        if (!store.isAvailable) {
             answer(later())
             return@find
         }
         val path = Keys.live(job.shard.value, jobId)
         val record = job.record.cancelled().toFields()
-        out.commit(
+        store.commit(
             CasTransaction(listOf(Precondition(path, job.version)), listOf(Write.Put(path, record)), WritePriority.USER) { outcome ->
                 if (outcome is CommitOutcome.Applied) {
                     log.info("job {}: cancelled by its user", jobId)
--- a/src/main/kotlin/io/reedmast/placement/Scheduler.kt
+++ b/src/main/kotlin/io/reedmast/scheduling/Scheduler.kt
@@ -1,24 +1,27 @@
-package io.reedmast.placement
+package io.reedmast.scheduling
 
+import io.reedmast.autoscaling.DemandEstimator
+import io.reedmast.autoscaling.ScaleInPolicy
+import io.reedmast.autoscaling.isTooExpensive
+import io.reedmast.commands.CommandDispatcher
+import io.reedmast.fairshare.PlacementRequest
 import io.reedmast.fairshare.PreemptionCandidate
-import io.reedmast.fairshare.Request
-import io.reedmast.fairshare.funded
 import io.reedmast.fairshare.mayPreempt
-import io.reedmast.fleet.DemandEstimator
-import io.reedmast.fleet.ScaleInPolicy
-import io.reedmast.fleet.isTooExpensive
 import io.reedmast.gangs.GangReservations
-import io.reedmast.gangs.packGang
-import io.reedmast.gangs.tasksThatFit
-import io.reedmast.jobs.Job
-import io.reedmast.jobs.Placement
-import io.reedmast.jobs.ShardState
-import io.reedmast.jobs.StopReason
-import io.reedmast.ownership.FencingToken
+import io.reedmast.model.FencingToken
+import io.reedmast.model.Job
+import io.reedmast.model.Machine
+import io.reedmast.model.Placement
+import io.reedmast.model.ShardState
+import io.reedmast.model.StopReason
+import io.reedmast.placement.ServiceHeadroom
+import io.reedmast.placement.isEligible
+import io.reedmast.placement.packGang
+import io.reedmast.placement.satisfiesZoneRules
+import io.reedmast.placement.selectMachine
+import io.reedmast.placement.tasksThatFit
 import io.reedmast.settings.TeamId
 import io.reedmast.wire.MachineType
-import io.reedmast.workers.CommandDispatcher
-import io.reedmast.workers.Machine
 import org.slf4j.LoggerFactory
 
 /** Queue order, placement and preemption: a pass over all that waits, at a bounded rate. */
@@ -86,7 +89,7 @@
         for (funded in listOf(true, false)) {
             val queues =
                 ready
-                    .filter { it.spec.priority.funded == funded }
+                    .filter { it.spec.priority.isFunded == funded }
                     .groupBy { it.team }
                     .mapValuesTo(LinkedHashMap()) { (_, list) -> ArrayDeque(list.sortedWith(queueOrder)) }
             while (queues.isNotEmpty()) {
@@ -125,7 +128,7 @@
      */
     private fun waitingGangs(ready: List<Job>, now: Long): List<Job> = ready
         .filter {
-            it.spec.gang && it.spec.priority.funded && now - it.waitsSince > PASS_EVERY_MS && fitsWithinLimits(it) && shardState.isGangWithinGuarantee(it)
+            it.spec.gang && it.spec.priority.isFunded && now - it.waitsSince > PASS_EVERY_MS && fitsWithinLimits(it) && shardState.isGangWithinGuarantee(it)
         }
         .sortedWith(compareBy({ it.spec.priority }, { it.waitsSince }))
 
@@ -219,12 +222,12 @@
         val coming = demandEstimator.coming()
         var tries = 0
         for (job in ready) {
-            if (!job.spec.priority.funded || job.pendingCount <= job.preempting || shardState.remainingQuota(job) <= job.preempting) continue
+            if (!job.spec.priority.isFunded || job.pendingCount <= job.preempting || shardState.remainingQuota(job) <= job.preempting) continue
             if (now - job.waitsSince < preemptAfterMs(job)) continue
             // What only has to be done some time fits on the machines that are on their way; what has to start soon does not.
             if (!shardState.isLatencySensitive(job) && demandEstimator.comingHolds(job, coming)) continue
             if (++tries > MAX_PREEMPTING) break
-            val request = Request(job.spec.priority, shardState.isWithinGuarantee(job.team, job.spec), shardState.ratio(job.team, wall))
+            val request = PlacementRequest(job.spec.priority, shardState.isWithinGuarantee(job.team, job.spec), shardState.ratio(job.team, wall))
             if (job.spec.gang) {
                 preemptForGang(job, request, wall)
                 continue
@@ -248,7 +251,7 @@
     }
 
     /** Stops work on the machines that are kept for the gang, if all of it fits there then. */
-    private fun preemptForGang(job: Job, request: Request, wall: Long) {
+    private fun preemptForGang(job: Job, request: PlacementRequest, wall: Long) {
         if (job.preempting > 0 || !fitsWithinLimits(job)) return
         val stops = LinkedHashMap<Machine, List<Placement>>()
         var left = job.spec.taskCount
@@ -278,13 +281,13 @@
 
     /** Whether the work yields to anything at all: funded work that cannot resume never does. */
     private fun isPreemptable(placement: Placement) =
-        shardState.clock.now() >= placement.keptFromAllUntil && (!placement.job.spec.priority.funded || placement.job.spec.resumable)
+        shardState.clock.now() >= placement.keptFromAllUntil && (!placement.job.spec.priority.isFunded || placement.job.spec.resumable)
 
     /** Whether the work was preferred to [job], of the same team, for its long wait, and too lately to be stopped for it. */
     private fun isKeptFrom(placement: Placement, job: Job) = shardState.clock.now() < placement.keptUntil && placement.job.team == job.team
 
     /** What must be stopped so that [tasks] tasks of [job] fit on the machine; null if that is not allowed or not needed. */
-    private fun victims(job: Job, machine: Machine, request: Request, wall: Long, tasks: Int = 1): List<Placement>? {
+    private fun victims(job: Job, machine: Machine, request: PlacementRequest, wall: Long, tasks: Int = 1): List<Placement>? {
         var cpus = machine.freeCpus
         var gpus = machine.freeGpus
         var memoryGb = machine.freeMemoryGb
--- a/src/main/kotlin/io/reedmast/jobs/ShardMachines.kt
+++ b/src/main/kotlin/io/reedmast/shard/ShardMachines.kt
@@ -1,9 +1,11 @@
-package io.reedmast.jobs
+package io.reedmast.shard
 
-import io.reedmast.workers.DecommissionReason
-import io.reedmast.workers.Machine
-import io.reedmast.workers.MachineLifecycle
-import io.reedmast.workers.MachineRecord
+import io.reedmast.machines.MachineLifecycle
+import io.reedmast.model.DecommissionReason
+import io.reedmast.model.Machine
+import io.reedmast.model.MachineRecord
+import io.reedmast.model.Placement
+import io.reedmast.model.ShardState
 
 /** Brings the machines of a shard, as its owner knows them, in line with those that the records name. */
 class ShardMachines(private val shardState: ShardState, private val lifecycle: MachineLifecycle, private val records: ShardRecords) {
--- a/src/main/kotlin/io/reedmast/jobs/ShardOwner.kt
+++ b/src/main/kotlin/io/reedmast/shard/ShardOwner.kt
@@ -1,19 +1,35 @@
-package io.reedmast.jobs
+package io.reedmast.shard
 
-import io.reedmast.fleet.ArrivalRates
-import io.reedmast.fleet.DemandEstimator
-import io.reedmast.fleet.ScaleInPolicy
-import io.reedmast.fleet.UsageSummaryWriter
+import io.reedmast.autoscaling.ArrivalRates
+import io.reedmast.autoscaling.DemandEstimator
+import io.reedmast.autoscaling.ScaleInPolicy
+import io.reedmast.autoscaling.UsageSummaryWriter
+
+import io.reedmast.cluster.ShardRecord
+import io.reedmast.commands.CommandDispatcher
 import io.reedmast.gangs.GangCoordinator
+import io.reedmast.heartbeats.HeartbeatHandler
+import io.reedmast.jobs.EndRecord
+import io.reedmast.jobs.JobListener
+import io.reedmast.jobs.LiveJob
+import io.reedmast.jobs.LiveRecord
 import io.reedmast.kvstore.EffectiveLimits
 import io.reedmast.kvstore.Keys
 import io.reedmast.kvstore.StoredItem
-import io.reedmast.ownership.ClusterRollout
-import io.reedmast.ownership.ShardRecord
-import io.reedmast.placement.Scheduler
+import io.reedmast.machines.MachineLifecycle
+import io.reedmast.model.Job
+import io.reedmast.model.MachineDirectory
+import io.reedmast.model.MachineRecord
+import io.reedmast.model.Placement
+import io.reedmast.model.ShardState
+import io.reedmast.model.StopReason
+import io.reedmast.persistence.PageForm
+import io.reedmast.persistence.ProgressListener
+import io.reedmast.persistence.ProgressStore
 import io.reedmast.ports.Clock
 import io.reedmast.ports.Gateway
 import io.reedmast.rollout.MigrationUnit
+import io.reedmast.scheduling.Scheduler
 import io.reedmast.settings.Settings
 import io.reedmast.settings.ShardId
 import io.reedmast.settings.Tuning
@@ -21,42 +37,8 @@
 import io.reedmast.wire.MalformedException
 import io.reedmast.wire.WorkerCommand
 import io.reedmast.wire.WorkerStatus
-import io.reedmast.workers.CommandDispatcher
-import io.reedmast.workers.HeartbeatHandler
-import io.reedmast.workers.MachineDirectory
-import io.reedmast.workers.MachineLifecycle
-import io.reedmast.workers.MachineRecord
 import org.slf4j.LoggerFactory
 
-/** The records of shards and their machines, which their owner asks to change and others may change too. */
-interface ShardRecords {
-    val jobs: JobIndex
-    val machineDirectory: MachineDirectory
-
-    /** What is rolled out, and this controller's part in it. */
-    val rollout: ClusterRollout
-
-    /** The machines that the records name for the shard, and the shards that they are to move to. */
-    fun transferTargetsOf(shard: ShardId): Map<MachineRecord, Int?>
-
-    /** Stamp of the newest change to them. */
-    fun machinesVersion(shard: ShardId): Long
-
-    /** Asks for a fresh token: a worker has seen a higher one than ours. */
-    fun renewToken(shard: ShardId)
-
-    /** The term may have moved on: read the record again. */
-    fun refresh(shard: ShardId)
-
-    /** Asks the other controllers to take the shard, since its workers do not reach this one. */
-    fun requestFailover(shard: ShardId)
-
-    fun removeMachines(shard: ShardId, machineNames: Set<String>)
-
-    /** Gives empty machines to the shards that they are marked to leave for. */
-    fun transferMachines(shard: ShardId, machineNames: Collection<String>)
-}
-
 /**
  * The work of one shard's owner, joined from its duties: reports and commands, placing, storing, upkeep, demand.
  *
@@ -64,36 +46,36 @@
  * in [reconcile], at a bounded rate, so that the work for a report does not grow with the shard.
  */
 class ShardOwner(
-    val index: ShardId,
+    override val index: ShardId,
     private val settings: Settings,
     tuning: Tuning,
     private val clock: Clock,
-    private val out: Gateway,
+    private val gateway: Gateway,
     private val limits: EffectiveLimits,
     machineTypes: () -> Collection<MachineType>,
     isCurrent: () -> Boolean,
     private val records: ShardRecords,
-) {
+) : JobListener {
     private val log = LoggerFactory.getLogger("shard")
     private val shard = index.value
     val shardState = ShardState(index, settings, tuning, clock, machineTypes, isCurrent, limits) { records.rollout.gates }
-    private val dispatcher = CommandDispatcher(shardState, out) { machine, status -> heartbeats.onStatusReport(machine, status) }
+    private val dispatcher = CommandDispatcher(shardState, gateway, gateway) { machine, status -> heartbeats.onStatusReport(machine, status) }
     private val gangs = GangCoordinator(shardState, dispatcher)
     private val heartbeats: HeartbeatHandler = HeartbeatHandler(shardState, dispatcher, gangs) { records.renewToken(index) }
     private val arrivals = ArrivalRates(shardState)
     private val demandEstimator = DemandEstimator(shardState, arrivals)
     private val scaleInPolicy = ScaleInPolicy(shardState, arrivals)
     private val usageSummaryWriter =
-        UsageSummaryWriter(shardState, out, demandEstimator, scaleInPolicy, { records.machinesVersion(index) }, { records.refresh(index) })
+        UsageSummaryWriter(shardState, gateway, demandEstimator, scaleInPolicy, { records.machinesVersion(index) }, { records.refresh(index) })
     val scheduler = Scheduler(shardState, dispatcher, demandEstimator, scaleInPolicy)
-    private val progressStore = ProgressStore(shardState, out, Storing())
+    private val progressStore = ProgressStore(shardState, gateway, Storing())
     private val lifecycle =
-        MachineLifecycle(shardState, out, dispatcher, scaleInPolicy, {
+        MachineLifecycle(shardState, gateway, dispatcher, scaleInPolicy, {
             records.removeMachines(index, it)
         }, { records.transferMachines(index, it) }, { records.requestFailover(index) })
     private val migration = records.rollout.reconciler(MigrationUnit.Shard(shard), progressStore.access)
     private val machines = ShardMachines(shardState, lifecycle, records)
-    private val news = ShardStatusPublisher(shardState, out, records)
+    private val news = ShardStatusPublisher(shardState, gateway, records)
 
     val token: Long get() = shardState.token
 
@@ -172,7 +154,7 @@
     // ---- jobs -----------------------------------------------------------------------------------------------------
 
     /** A job of the shard is new, or its user has cancelled it. While the shard is being read, the index remembers. */
-    fun onJobChanged(live: LiveJob) {
+    override fun onJobChanged(live: LiveJob) {
         if (!active) return
         val job = shardState.jobs[live.record.spec.jobId] ?: addJob(live) ?: return
         job.version = maxOf(job.version, live.version)
@@ -215,7 +197,7 @@
         if (limits.isReduced) minOf(record.chunkSize, PageForm.chunkSizeFor(limits.target.valueBytes)) else record.chunkSize
 
     /** The record of the job is gone. What still runs of it, if anything could, is stopped. */
-    fun onJobGone(jobId: String) {
+    override fun onJobGone(jobId: String) {
         val job = shardState.jobs[jobId] ?: return
         if (job.placedCount == 0) {
             forget(job)
--- a/src/main/kotlin/io/reedmast/jobs/ShardStatusPublisher.kt
+++ b/src/main/kotlin/io/reedmast/shard/ShardStatusPublisher.kt
@@ -1,11 +1,12 @@
-package io.reedmast.jobs
+package io.reedmast.shard
 
-import io.reedmast.peers.JobProgress
-import io.reedmast.peers.PeerMessage
-import io.reedmast.ports.Gateway
+import io.reedmast.model.ShardState
+import io.reedmast.ports.JobProgress
+import io.reedmast.ports.PeerMessage
+import io.reedmast.ports.PeerTransport
 
 /** Tells the other controllers how far jobs are, for their users' display, and what helps whoever takes the shard over. */
-class ShardStatusPublisher(private val shardState: ShardState, private val out: Gateway, private val records: ShardRecords) {
+class ShardStatusPublisher(private val shardState: ShardState, private val peers: PeerTransport, private val records: ShardRecords) {
     private var due = 0L
     private var publications = 0
 
@@ -18,7 +19,7 @@
         val hints = records.machineDirectory.hints(shardState.machines.keys, all)
         if (progress.isEmpty() && hints.isEmpty()) return
         records.jobs.applyProgressUpdates(progress)
-        out.sendToPeers(PeerMessage.ShardStatusUpdate(progress, hints))
+        peers.broadcast(PeerMessage.ShardStatusUpdate(progress, hints))
     }
 
     private fun progress(all: Boolean): List<JobProgress> {
--- a/src/main/kotlin/io/reedmast/wire/Submission.kt
+++ b/src/main/kotlin/io/reedmast/wire/Submission.kt
@@ -8,6 +8,9 @@
     BEST_EFFORT("best_effort"),
     ;
 
+    /** Work of the lowest rank declares no minimum run time: it is not charged, and any funded request may take its place. */
+    val isFunded: Boolean get() = this != BEST_EFFORT
+
     companion object {
         fun of(text: String): Priority = entries.firstOrNull { it.wire == text } ?: throw MalformedException("rank is unknown: $text")
     }
--- a/src/test/kotlin/io/reedmast/CountedWorkTest.kt
+++ b/src/test/kotlin/io/reedmast/CountedWorkTest.kt
@@ -1,8 +1,9 @@
 package io.reedmast
 
+import io.reedmast.cluster.MachineListPart
 import io.reedmast.kvstore.WritePriority
 import io.reedmast.kvstore.WriteRateLimiter
-import io.reedmast.ownership.MachineListPart
+import io.reedmast.model.MachineRecord
 import io.reedmast.settings.CloudLimits
 import io.reedmast.settings.ControllerId
 import io.reedmast.settings.Member
@@ -13,7 +14,6 @@
 import io.reedmast.sim.World
 import io.reedmast.wire.MachineType
 import io.reedmast.wire.Tree
-import io.reedmast.workers.MachineRecord
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
--- a/src/test/kotlin/io/reedmast/ProductionFormatTest.kt
+++ b/src/test/kotlin/io/reedmast/ProductionFormatTest.kt
@@ -1,17 +1,19 @@
 package io.reedmast
 
-import io.reedmast.fairshare.Usage
-import io.reedmast.fleet.ShardUsageSummary
+import io.reedmast.autoscaling.ShardUsageSummary
+import io.reedmast.cluster.MachineListPart
+import io.reedmast.cluster.ShardRecord
 import io.reedmast.jobs.EndRecord
-import io.reedmast.jobs.Job
 import io.reedmast.jobs.LiveRecord
-import io.reedmast.jobs.PageForm
-import io.reedmast.jobs.Placement
-import io.reedmast.jobs.ProgressPage
-import io.reedmast.jobs.StoredChunk
-import io.reedmast.ownership.MachineListPart
-import io.reedmast.ownership.ShardRecord
+import io.reedmast.model.ChargedUsage
+import io.reedmast.model.Job
+import io.reedmast.model.Machine
+import io.reedmast.model.MachineRecord
+import io.reedmast.model.Placement
 import io.reedmast.peers.PeerCodec
+import io.reedmast.persistence.PageForm
+import io.reedmast.persistence.ProgressPage
+import io.reedmast.persistence.StoredChunk
 import io.reedmast.settings.ShardId
 import io.reedmast.settings.TeamId
 import io.reedmast.wire.Fields
@@ -20,8 +22,6 @@
 import io.reedmast.wire.map
 import io.reedmast.wire.maps
 import io.reedmast.wire.text
-import io.reedmast.workers.Machine
-import io.reedmast.workers.MachineRecord
 import okio.Buffer
 import okio.ByteString.Companion.decodeHex
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -57,7 +57,7 @@
     @Test
     fun `totals of a slice`() {
         val totals = ShardUsageSummary.parse(ShardId(1), record("totals"))
-        val usage = Usage(SIX_HOURS_MS).apply { load(totals.usage) }
+        val usage = ChargedUsage(SIX_HOURS_MS).apply { load(totals.usage) }
         assertEquals(record("totals").map("usage"), stored(usage.toFields(listOf(TeamId(0), TeamId(3)))))
         assertSameForm("totals", totals.within(VALUE_BYTES).toFields() + ("term" to record("totals")["term"]))
     }
--- a/src/test/kotlin/io/reedmast/CommandLineTest.kt
+++ b/src/test/kotlin/io/reedmast/app/CommandLineTest.kt
@@ -1,4 +1,4 @@
-package io.reedmast
+package io.reedmast.app
 
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
--- a/src/test/kotlin/io/reedmast/EventLoopTest.kt
+++ b/src/test/kotlin/io/reedmast/app/EventLoopTest.kt
@@ -1,8 +1,5 @@
-package io.reedmast
+package io.reedmast.app
 
-import io.reedmast.app.EventLoop
-import io.reedmast.app.Urgency
-import io.reedmast.app.WorkPool
 import io.reedmast.ports.Clock
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
--- a/src/test/kotlin/io/reedmast/ownership/PeerStatusesTest.kt
+++ b/src/test/kotlin/io/reedmast/cluster/PeerStatusesTest.kt
@@ -1,7 +1,7 @@
-package io.reedmast.ownership
+package io.reedmast.cluster
 
-import io.reedmast.peers.Cancellation
-import io.reedmast.peers.PeerMessage
+import io.reedmast.ports.Cancellation
+import io.reedmast.ports.PeerMessage
 import io.reedmast.settings.ControllerId
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
--- a/src/test/kotlin/io/reedmast/ownership/ShardAcquisitionTest.kt
+++ b/src/test/kotlin/io/reedmast/cluster/ShardAcquisitionTest.kt
@@ -1,4 +1,4 @@
-package io.reedmast.ownership
+package io.reedmast.cluster
 
 import io.reedmast.kvstore.CasTransaction
 import io.reedmast.kvstore.CommitOutcome
--- a/src/test/kotlin/io/reedmast/ownership/WatchStalenessTest.kt
+++ b/src/test/kotlin/io/reedmast/cluster/WatchStalenessTest.kt
@@ -1,4 +1,4 @@
-package io.reedmast.ownership
+package io.reedmast.cluster
 
 import io.reedmast.ports.Clock
 import io.reedmast.settings.WorkerRules
--- a/src/test/kotlin/io/reedmast/workers/CommandDispatcherTest.kt
+++ b/src/test/kotlin/io/reedmast/commands/CommandDispatcherTest.kt
@@ -1,9 +1,11 @@
-package io.reedmast.workers
+package io.reedmast.commands
 
-import io.reedmast.jobs.Job
-import io.reedmast.jobs.Placement
-import io.reedmast.jobs.ShardState
-import io.reedmast.jobs.StopReason
+import io.reedmast.model.Job
+import io.reedmast.model.Machine
+import io.reedmast.model.MachineRecord
+import io.reedmast.model.Placement
+import io.reedmast.model.ShardState
+import io.reedmast.model.StopReason
 import io.reedmast.ports.Clock
 import io.reedmast.settings.ShardId
 import io.reedmast.settings.TeamId
@@ -26,7 +28,7 @@
     private val settings = testSettings()
     private val out = RecordingGateway()
     private val shardState = ShardState(ShardId(0), settings, Tuning(), clock, { listOf(machineType) }, { true })
-    private val dispatcher = CommandDispatcher(shardState, out) { _, _ -> }
+    private val dispatcher = CommandDispatcher(shardState, out, out) { _, _ -> }
     private val machine = Machine(MachineRecord("host-1", "m", "x", false), machineType, 0, 0).apply {
         addr = "10.1.0.1:9000"
         trusted = true
--- a/src/test/kotlin/io/reedmast/deploy/RolloutFileTest.kt
+++ b/src/test/kotlin/io/reedmast/deploy/RolloutFileTest.kt
@@ -1,7 +1,7 @@
 package io.reedmast.deploy
 
-import io.reedmast.jobs.DensePages
-import io.reedmast.ownership.ClusterFeatures
+import io.reedmast.cluster.ClusterFeatures
+import io.reedmast.persistence.DensePages
 import io.reedmast.rollout.MigrationPace
 import io.reedmast.rollout.Target
 import org.junit.jupiter.api.Assertions.assertEquals
--- a/src/test/kotlin/io/reedmast/gangs/GangReservationsTest.kt
+++ b/src/test/kotlin/io/reedmast/gangs/GangReservationsTest.kt
@@ -1,12 +1,12 @@
 package io.reedmast.gangs
 
-import io.reedmast.jobs.Job
-import io.reedmast.jobs.Placement
+import io.reedmast.model.Job
+import io.reedmast.model.Machine
+import io.reedmast.model.MachineRecord
+import io.reedmast.model.Placement
 import io.reedmast.settings.TeamId
 import io.reedmast.sim.World
 import io.reedmast.wire.MachineType
-import io.reedmast.workers.Machine
-import io.reedmast.workers.MachineRecord
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertTrue
--- a/src/test/kotlin/io/reedmast/kvstore/CommitterTest.kt
+++ b/src/test/kotlin/io/reedmast/kvstore/CommitterTest.kt
@@ -1,6 +1,5 @@
 package io.reedmast.kvstore
 
-import io.reedmast.kvstore.EffectiveLimits
 import io.reedmast.kvstore.StoreStub.Fate
 import org.junit.jupiter.api.AfterEach
 import org.junit.jupiter.api.Assertions.assertEquals
--- a/src/test/kotlin/io/reedmast/kvstore/StoreStub.kt
+++ b/src/test/kotlin/io/reedmast/kvstore/StoreStub.kt
@@ -2,7 +2,6 @@
 
 import com.sun.net.httpserver.HttpExchange
 import com.sun.net.httpserver.HttpServer
-import io.reedmast.kvstore.EffectiveLimits
 import io.reedmast.settings.StoreLimits
 import io.reedmast.wire.Caller
 import io.reedmast.wire.Fields
--- a/src/test/kotlin/io/reedmast/loopback/LoopbackRolloutTest.kt
+++ b/src/test/kotlin/io/reedmast/loopback/LoopbackRolloutTest.kt
@@ -1,6 +1,6 @@
 package io.reedmast.loopback
 
-import io.reedmast.jobs.DensePages
+import io.reedmast.persistence.DensePages
 import io.reedmast.sim.World
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertNull
--- a/src/test/kotlin/io/reedmast/peers/PeerClientTest.kt
+++ b/src/test/kotlin/io/reedmast/peers/PeerClientTest.kt
@@ -1,5 +1,6 @@
 package io.reedmast.peers
 
+import io.reedmast.ports.PeerMessage
 import io.reedmast.settings.ControllerId
 import okio.buffer
 import okio.source
--- a/src/test/kotlin/io/reedmast/peers/PeerCodecTest.kt
+++ b/src/test/kotlin/io/reedmast/peers/PeerCodecTest.kt
@@ -1,5 +1,7 @@
 package io.reedmast.peers
 
+import io.reedmast.ports.Cancellation
+import io.reedmast.ports.PeerMessage
 import io.reedmast.settings.ControllerId
 import io.reedmast.settings.ShardId
 import okio.Buffer
--- a/src/test/kotlin/io/reedmast/jobs/DensePagesProperties.kt
+++ b/src/test/kotlin/io/reedmast/persistence/DensePagesProperties.kt
@@ -1,14 +1,17 @@
-package io.reedmast.jobs
+package io.reedmast.persistence
 
+import io.reedmast.cluster.TokenCounter
 import io.reedmast.kvstore.Write
-import io.reedmast.ownership.TokenCounter
+import io.reedmast.model.Job
+import io.reedmast.model.Machine
+import io.reedmast.model.MachineRecord
+import io.reedmast.model.Placement
+import io.reedmast.persistence.ProgressPage
 import io.reedmast.settings.TeamId
 import io.reedmast.sim.World
 import io.reedmast.wire.Fields
 import io.reedmast.wire.MalformedException
 import io.reedmast.wire.Tree
-import io.reedmast.workers.Machine
-import io.reedmast.workers.MachineRecord
 import net.jqwik.api.Arbitraries
 import net.jqwik.api.Arbitrary
 import net.jqwik.api.Combinators
--- a/src/test/kotlin/io/reedmast/jobs/PageDivisionTest.kt
+++ b/src/test/kotlin/io/reedmast/persistence/PageDivisionTest.kt
@@ -1,11 +1,17 @@
-package io.reedmast.jobs
+package io.reedmast.persistence
 
+import io.reedmast.jobs.EndRecord
 import io.reedmast.kvstore.CasTransaction
 import io.reedmast.kvstore.CommitOutcome
 import io.reedmast.kvstore.EffectiveLimits
 import io.reedmast.kvstore.Keys
 import io.reedmast.kvstore.StoredItem
 import io.reedmast.kvstore.Write
+import io.reedmast.model.Job
+import io.reedmast.model.Machine
+import io.reedmast.model.MachineRecord
+import io.reedmast.model.Placement
+import io.reedmast.model.ShardState
 import io.reedmast.ports.Clock
 import io.reedmast.settings.ShardId
 import io.reedmast.settings.StoreLimits
@@ -17,8 +23,6 @@
 import io.reedmast.sim.testSettings
 import io.reedmast.wire.Fields
 import io.reedmast.wire.maps
-import io.reedmast.workers.Machine
-import io.reedmast.workers.MachineRecord
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertTrue
--- a/src/test/kotlin/io/reedmast/gangs/GangChoiceTest.kt
+++ b/src/test/kotlin/io/reedmast/placement/GangPackingTest.kt
@@ -1,19 +1,19 @@
-package io.reedmast.gangs
+package io.reedmast.placement
 
-import io.reedmast.jobs.Job
-import io.reedmast.jobs.Placement
+import io.reedmast.model.Job
+import io.reedmast.model.Machine
+import io.reedmast.model.MachineRecord
+import io.reedmast.model.Placement
 import io.reedmast.settings.TeamId
 import io.reedmast.sim.World
 import io.reedmast.wire.MachineType
-import io.reedmast.workers.Machine
-import io.reedmast.workers.MachineRecord
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertNull
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-class GangChoiceTest {
+class GangPackingTest {
     private val machineType = MachineType("m", 4.0, 0.0, 64.0, 50.0, 0.5, 1.0, 0.3, 20.0, listOf("x", "y"))
     private var machineCount = 0
 
--- a/src/test/kotlin/io/reedmast/SettingsTest.kt
+++ b/src/test/kotlin/io/reedmast/settings/SettingsTest.kt
@@ -1,8 +1,5 @@
-package io.reedmast
+package io.reedmast.settings
 
-import io.reedmast.settings.Settings
-import io.reedmast.settings.SettingsException
-import io.reedmast.settings.StoreLimits
 import io.reedmast.wire.Tree
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertThrows
--- a/src/test/kotlin/io/reedmast/sim/OutputRecorder.kt
+++ b/src/test/kotlin/io/reedmast/sim/OutputRecorder.kt
@@ -1,7 +1,7 @@
 package io.reedmast.sim
 
 import io.reedmast.peers.PeerCodec
-import io.reedmast.peers.PeerMessage
+import io.reedmast.ports.PeerMessage
 import io.reedmast.wire.Fields
 import io.reedmast.wire.Tree
 import okio.Buffer
--- a/src/test/kotlin/io/reedmast/sim/RecordingGateway.kt
+++ b/src/test/kotlin/io/reedmast/sim/RecordingGateway.kt
@@ -1,12 +1,12 @@
 package io.reedmast.sim
 
-import io.reedmast.fleet.ProvisioningRequest
 import io.reedmast.kvstore.CasTransaction
 import io.reedmast.kvstore.ReadResult
 import io.reedmast.kvstore.StoredItem
-import io.reedmast.peers.PeerMessage
 import io.reedmast.ports.Gateway
 import io.reedmast.ports.LeaseState
+import io.reedmast.ports.PeerMessage
+import io.reedmast.ports.ProvisioningRequest
 import io.reedmast.ports.ProvisioningResult
 import io.reedmast.settings.ControllerId
 import io.reedmast.wire.ListedMachine
@@ -18,9 +18,9 @@
 class RecordingGateway : Gateway {
     val commits = ArrayList<CasTransaction>()
     val directCommands = ArrayList<WorkerCommand>()
-    override val isStoreAvailable = true
+    override val isAvailable = true
 
-    override fun commit(change: CasTransaction, refusable: Boolean): Boolean = commits.add(change)
+    override fun commit(transaction: CasTransaction, refusable: Boolean): Boolean = commits.add(transaction)
 
     override fun writePermitLevel(): Double = 1.0
 
@@ -28,15 +28,15 @@
 
     override fun list(prefix: String, done: (List<StoredItem>?) -> Unit) = Unit
 
-    override fun sendToPeers(message: PeerMessage) = Unit
+    override fun broadcast(message: PeerMessage) = Unit
 
-    override fun sendToPeer(peer: ControllerId, message: PeerMessage) = Unit
+    override fun send(peer: ControllerId, message: PeerMessage) = Unit
 
-    override fun direct(addr: String, token: Long, epoch: Long, commands: List<WorkerCommand>, done: (Reply) -> Unit) {
+    override fun call(addr: String, token: Long, epoch: Long, commands: List<WorkerCommand>, done: (Reply) -> Unit) {
         directCommands.addAll(commands)
     }
 
-    override fun provision(rental: ProvisioningRequest, done: (ProvisioningResult) -> Unit) = Unit
+    override fun provision(request: ProvisioningRequest, done: (ProvisioningResult) -> Unit) = Unit
 
     override fun returnMachines(machineNames: List<String>, done: (Boolean) -> Unit) = Unit
 
@@ -48,7 +48,7 @@
 
     override fun shareLimits(aliveControllers: Int, leading: Boolean) = Unit
 
-    override fun endProcess(reason: String) = Unit
+    override fun end(reason: String) = Unit
 
     override fun expectMachines(count: Int) = Unit
 }
--- a/src/test/kotlin/io/reedmast/sim/RolloutRules.kt
+++ b/src/test/kotlin/io/reedmast/sim/RolloutRules.kt
@@ -1,10 +1,10 @@
 package io.reedmast.sim
 
-import io.reedmast.jobs.DensePages
+import io.reedmast.cluster.ClusterFeatures
 import io.reedmast.kvstore.Keys
 import io.reedmast.kvstore.StoreTransaction
 import io.reedmast.kvstore.Write
-import io.reedmast.ownership.ClusterFeatures
+import io.reedmast.persistence.DensePages
 import io.reedmast.rollout.GateState
 import io.reedmast.rollout.RolloutRecord
 import io.reedmast.wire.Fields
--- a/src/test/kotlin/io/reedmast/sim/Scenario.kt
+++ b/src/test/kotlin/io/reedmast/sim/Scenario.kt
@@ -1,8 +1,8 @@
 package io.reedmast.sim
 
 import io.reedmast.app.Controller
-import io.reedmast.ownership.FencingToken
-import io.reedmast.ownership.TokenCounter
+import io.reedmast.cluster.TokenCounter
+import io.reedmast.model.FencingToken
 import io.reedmast.rollout.FeatureName
 import io.reedmast.rollout.FormatVersion
 import io.reedmast.rollout.Target
--- a/src/test/kotlin/io/reedmast/sim/SimGateway.kt
+++ b/src/test/kotlin/io/reedmast/sim/SimGateway.kt
@@ -1,6 +1,5 @@
 package io.reedmast.sim
 
-import io.reedmast.fleet.ProvisioningRequest
 import io.reedmast.kvstore.CasTransaction
 import io.reedmast.kvstore.CommitQueue
 import io.reedmast.kvstore.CommitReply
@@ -14,9 +13,10 @@
 import io.reedmast.kvstore.TransactionIds
 import io.reedmast.kvstore.Write
 import io.reedmast.kvstore.WriteRateLimiter
-import io.reedmast.peers.PeerMessage
 import io.reedmast.ports.Gateway
 import io.reedmast.ports.LeaseState
+import io.reedmast.ports.PeerMessage
+import io.reedmast.ports.ProvisioningRequest
 import io.reedmast.ports.ProvisioningResult
 import io.reedmast.settings.ControllerId
 import io.reedmast.wire.CloudMessages
@@ -41,7 +41,7 @@
     private var idleCommitters = COMMITTERS
     private var waiting = false
 
-    override var isStoreAvailable = true
+    override var isAvailable = true
         private set
 
     private val reachable: Boolean get() = node.hearsState && node.life == life
@@ -57,9 +57,9 @@
 
     // ---- the store --------------------------------------------------------------------------------------------
 
-    override fun commit(change: CasTransaction, refusable: Boolean): Boolean {
-        if (node.old && change.writes.any { it.path == Keys.FORMAT }) return true
-        if (!queue.offer(if (node.old) asBeforeRollouts(change) else change, refusable)) return false
+    override fun commit(transaction: CasTransaction, refusable: Boolean): Boolean {
+        if (node.old && transaction.writes.any { it.path == Keys.FORMAT }) return true
+        if (!queue.offer(if (node.old) asBeforeRollouts(transaction) else transaction, refusable)) return false
         drain()
         return true
     }
@@ -100,7 +100,7 @@
             is ResolutionStep.Send -> node.later(step.afterMs) {
                 if (node.life == life) {
                     send(step.transaction) {
-                        isStoreAvailable = it !is CommitReply.NotExecuted && it !is CommitReply.Unknown
+                        isAvailable = it !is CommitReply.NotExecuted && it !is CommitReply.Unknown
                         if (it is CommitReply.Malformed && limits.exceedsOnlyReduced(step.transaction)) limits.reduce()
                         if (it is CommitReply.RateLimited) writeLimiter.empty()
                         resolution.replied(it)
@@ -208,17 +208,17 @@
 
     // ---- other controllers and workers --------------------------------------------------------------------------------
 
-    override fun sendToPeers(message: PeerMessage) {
-        world.nodes.filter { it.index != node.index }.forEach { sendToPeer(ControllerId(it.index), message) }
+    override fun broadcast(message: PeerMessage) {
+        world.nodes.filter { it.index != node.index }.forEach { send(ControllerId(it.index), message) }
     }
 
-    override fun sendToPeer(peer: ControllerId, message: PeerMessage) {
+    override fun send(peer: ControllerId, message: PeerMessage) {
         val to = world.nodes[peer.value]
         world.recorder?.record(world.now(), "${node.label} to ${to.label}", message)
         if (!node.peersCut && !to.peersCut) to.receive(message)
     }
 
-    override fun direct(addr: String, token: Long, epoch: Long, commands: List<WorkerCommand>, done: (Reply) -> Unit) {
+    override fun call(addr: String, token: Long, epoch: Long, commands: List<WorkerCommand>, done: (Reply) -> Unit) {
         world.messages++
         record("direct $addr", WorkerReplies.directCall(token, epoch, commands))
         val worker = world.workerAt(addr)
@@ -248,7 +248,7 @@
         }
     }
 
-    override fun endProcess(reason: String) {
+    override fun end(reason: String) {
         record("end", emptyMap())
         node.endUnfit(reason)
     }
@@ -257,9 +257,9 @@
 
     // ---- the cloud ----------------------------------------------------------------------------------------------------
 
-    override fun provision(rental: ProvisioningRequest, done: (ProvisioningResult) -> Unit) {
-        record("rent", CloudMessages.rental(rental.requestName, rental.typeName, rental.zone, rental.spot, rental.count))
-        reply(CLOUD_MS, done) { world.provision(rental) }
+    override fun provision(request: ProvisioningRequest, done: (ProvisioningResult) -> Unit) {
+        record("rent", CloudMessages.rental(request.requestName, request.typeName, request.zone, request.spot, request.count))
+        reply(CLOUD_MS, done) { world.provision(request) }
     }
 
     override fun returnMachines(machineNames: List<String>, done: (Boolean) -> Unit) {
--- a/src/test/kotlin/io/reedmast/sim/SimNode.kt
+++ b/src/test/kotlin/io/reedmast/sim/SimNode.kt
@@ -1,12 +1,12 @@
 package io.reedmast.sim
 
 import io.reedmast.app.Controller
+import io.reedmast.cluster.ClusterFeatures
 import io.reedmast.kvstore.EffectiveLimits
 import io.reedmast.kvstore.Keys
 import io.reedmast.kvstore.StoredItem
-import io.reedmast.ownership.ClusterFeatures
-import io.reedmast.peers.PeerMessage
 import io.reedmast.ports.Clock
+import io.reedmast.ports.PeerMessage
 import io.reedmast.rollout.FeatureName
 import io.reedmast.rollout.FeatureRegistry
 import io.reedmast.rollout.FormatVersion
--- a/src/test/kotlin/io/reedmast/sim/SimOperator.kt
+++ b/src/test/kotlin/io/reedmast/sim/SimOperator.kt
@@ -1,6 +1,7 @@
 package io.reedmast.sim
 
-import io.reedmast.jobs.DensePages
+import io.reedmast.cluster.ClusterFeatures
+import io.reedmast.cluster.StoredClusterRecords
 import io.reedmast.kvstore.CasTransaction
 import io.reedmast.kvstore.CommitOutcome
 import io.reedmast.kvstore.CommitReply
@@ -8,8 +9,7 @@
 import io.reedmast.kvstore.ReadResult
 import io.reedmast.kvstore.StoreTransaction
 import io.reedmast.kvstore.StoredItem
-import io.reedmast.ownership.ClusterFeatures
-import io.reedmast.ownership.StoredClusterRecords
+import io.reedmast.persistence.DensePages
 import io.reedmast.rollout.Act
 import io.reedmast.rollout.ActResult
 import io.reedmast.rollout.FeatureName
--- a/src/test/kotlin/io/reedmast/sim/SimStore.kt
+++ b/src/test/kotlin/io/reedmast/sim/SimStore.kt
@@ -1,6 +1,6 @@
 package io.reedmast.sim
 
-import io.reedmast.jobs.PageForm
+import io.reedmast.cluster.MachineListPart
 import io.reedmast.kvstore.CommitReply
 import io.reedmast.kvstore.EffectiveLimits
 import io.reedmast.kvstore.Keys
@@ -8,7 +8,7 @@
 import io.reedmast.kvstore.StoredItem
 import io.reedmast.kvstore.WatchEvent
 import io.reedmast.kvstore.Write
-import io.reedmast.ownership.MachineListPart
+import io.reedmast.persistence.PageForm
 import io.reedmast.settings.StoreLimits
 import io.reedmast.wire.Fields
 import io.reedmast.wire.StoreMessages
--- a/src/test/kotlin/io/reedmast/sim/World.kt
+++ b/src/test/kotlin/io/reedmast/sim/World.kt
@@ -2,16 +2,16 @@
 
 import io.reedmast.app.Controller
 import io.reedmast.app.WorkerAnswer
-import io.reedmast.fleet.ProvisioningRequest
 import io.reedmast.kvstore.CasTransaction
 import io.reedmast.kvstore.CommitOutcome
 import io.reedmast.kvstore.ReadResult
 import io.reedmast.kvstore.StoredItem
-import io.reedmast.peers.PeerMessage
 import io.reedmast.placement.isEligible
 import io.reedmast.ports.Clock
 import io.reedmast.ports.Gateway
 import io.reedmast.ports.LeaseState
+import io.reedmast.ports.PeerMessage
+import io.reedmast.ports.ProvisioningRequest
 import io.reedmast.ports.ProvisioningResult
 import io.reedmast.settings.ControllerId
 import io.reedmast.settings.Settings
--- a/src/test/kotlin/io/reedmast/WireTest.kt
+++ b/src/test/kotlin/io/reedmast/wire/WireTest.kt
@@ -1,10 +1,5 @@
-package io.reedmast
+package io.reedmast.wire
 
-import io.reedmast.wire.JobSpec
-import io.reedmast.wire.MalformedException
-import io.reedmast.wire.Tree
-import io.reedmast.wire.amount
-import io.reedmast.wire.count
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertThrows
 import org.junit.jupiter.api.Test
