--- a/src/main/kotlin/io/reedmast/app/Controller.kt
+++ b/src/main/kotlin/io/reedmast/app/Controller.kt
@@ -28,7 +28,9 @@
     data object Unavailable : WorkerAnswer
 }
 
-/** All the deciding parts of a controller, joined; used by one thread. [incarnation] names this process and no other. */
+/**
+ * All the deciding parts of a controller, joined; used by one thread. [incarnation] names this process and no other.
+ */
 class Controller(
     private val settings: Settings,
     tuning: Tuning,
@@ -86,11 +88,16 @@
             return WorkerAnswer.Elsewhere(cluster.shardOfMachine(status.machineName)?.let { cluster.ownerOf(it) })
         }
         val owner = cluster.owners[shard.value]
-        if (owner == null || owner.dropped) return WorkerAnswer.Elsewhere(cluster.redirectTarget(shard, status.machineName, status.addr))
+        if (owner == null ||
+            owner.dropped
+        ) {
+            return WorkerAnswer.Elsewhere(cluster.redirectTarget(shard, status.machineName, status.addr))
+        }
         // While the shard is still being read, the answer shows the worker our token and renews its lease.
         if (!owner.active) return WorkerAnswer.Commands(cluster.records[shard.value]?.record?.token ?: 0L, emptyList())
         val commands = owner.onHeartbeat(status)
-        // The worker would drop our answer and stay here until its lease is over: it must look for the shard's new owner.
+        // The worker would drop our answer and stay here until its lease is over: it must look for the shard's new
+        // owner.
         if (status.token > FencingToken.last(owner.token)) return WorkerAnswer.Elsewhere(null)
         return WorkerAnswer.Commands(owner.tokenFor(status.machineName), commands)
     }
@@ -104,10 +111,11 @@
     fun onPeerMessage(message: PeerMessage) = cluster.onPeerMessage(message)
 
     /**
-     * Whether users should come here. During an outage for all controllers none is better than another, and one that the load
-     * balancer has removed gets its users back only a while after the outage.
+     * Whether users should come here. During an outage for all controllers none is better than another, and one that
+     * the load balancer has removed gets its users back only a while after the outage.
      */
-    fun healthy(): Boolean = cluster.ready && machineTypes.isNotEmpty() && (cluster.isCurrent() || cluster.outageForAll())
+    fun healthy(): Boolean =
+        cluster.ready && machineTypes.isNotEmpty() && (cluster.isCurrent() || cluster.outageForAll())
 
     private companion object {
         const val RUN_INTERVAL_MS = 250L
--- a/src/main/kotlin/io/reedmast/app/ControllerHandle.kt
+++ b/src/main/kotlin/io/reedmast/app/ControllerHandle.kt
@@ -9,7 +9,11 @@
 import org.slf4j.LoggerFactory
 
 /** What the threads at the door and at the watches may ask of the deciding thread. */
-class ControllerHandle(private val eventLoop: EventLoop, private val controller: Controller, private val timings: Timings) {
+class ControllerHandle(
+    private val eventLoop: EventLoop,
+    private val controller: Controller,
+    private val timings: Timings,
+) {
     private val log = LoggerFactory.getLogger("main")
 
     @Volatile
@@ -31,12 +35,18 @@
         controller.runOnce()
         timings.runOnce()
         val healthy = controller.healthy()
-        if (healthy != healthyNow) log.info(if (healthy) "healthy" else "not healthy: {}", controller.cluster.staleness.describe())
+        if (healthy !=
+            healthyNow
+        ) {
+            log.info(if (healthy) "healthy" else "not healthy: {}", controller.cluster.staleness.describe())
+        }
         healthyNow = healthy
         updateQuestionsWaiting()
     }
 
-    fun onHeartbeat(status: WorkerStatus, answer: (WorkerAnswer) -> Unit): Boolean = eventLoop.offer(Urgency.REPORT) { answer(controller.onHeartbeat(status)) }
+    fun onHeartbeat(status: WorkerStatus, answer: (WorkerAnswer) -> Unit): Boolean = eventLoop.offer(Urgency.REPORT) {
+        answer(controller.onHeartbeat(status))
+    }
 
     fun submit(spec: JobSpec, answer: (UserAnswer) -> Unit): Boolean = eventLoop.offer(Urgency.SUBMISSION) {
         controller.submit(spec, answer)
@@ -54,21 +64,25 @@
     }
 
     /**
-     * No rule depends on the arrival of a peer's message. News for display wait behind the questions of users; what controllers
-     * confirm to each other must not, or many questions would end all work in an outage.
+     * No rule depends on the arrival of a peer's message. News for display wait behind the questions of users; what
+     * controllers confirm to each other must not, or many questions would end all work in an outage.
      */
     fun onPeerMessage(message: PeerMessage) {
         val urgency = if (message is PeerMessage.ShardStatusUpdate) Urgency.SUBMISSION else Urgency.DECISION
         eventLoop.offer(urgency) { controller.onPeerMessage(message) }
     }
 
-    fun snapshot(items: List<StoredItem>, revision: Long, askedAt: Long) = eventLoop.post { controller.cluster.snapshot(items, revision, askedAt) }
+    fun snapshot(items: List<StoredItem>, revision: Long, askedAt: Long) = eventLoop.post {
+        controller.cluster.snapshot(items, revision, askedAt)
+    }
 
     fun clusterEvents(events: List<WatchEvent>, revision: Long, askedAt: Long) = eventLoop.post {
         controller.cluster.clusterEvents(events, revision, askedAt)
     }
 
-    fun jobsSnapshot(items: List<StoredItem>, revision: Long, askedAt: Long) = eventLoop.post { controller.cluster.jobsSnapshot(items, revision, askedAt) }
+    fun jobsSnapshot(items: List<StoredItem>, revision: Long, askedAt: Long) = eventLoop.post {
+        controller.cluster.jobsSnapshot(items, revision, askedAt)
+    }
 
     fun jobEvents(events: List<WatchEvent>, revision: Long, askedAt: Long) = eventLoop.post {
         controller.cluster.jobEvents(events, revision, askedAt)
--- a/src/main/kotlin/io/reedmast/app/DirectStore.kt
+++ b/src/main/kotlin/io/reedmast/app/DirectStore.kt
@@ -21,7 +21,8 @@
 
     /** It takes a controller's part of the limits for the moment that it runs. */
     private val client = StoreClient(settings.storeAddress, limits, settings.members.size, Caller(CONNECT_MS, READ_MS))
-    private val committer = Committer(client, limits, MAX_QUEUED, TransactionIds(incarnation)) { change, outcome -> change.done(outcome) }
+    private val committer =
+        Committer(client, limits, MAX_QUEUED, TransactionIds(incarnation)) { change, outcome -> change.done(outcome) }
 
     init {
         NetworkGateway.startThread("commit", committer::run)
@@ -29,11 +30,18 @@
 
     override fun commit(change: CasTransaction) {
         val answered = CompletableFuture<CommitOutcome>()
-        committer.offer(CasTransaction(change.preconditions, change.writes, change.writePriority) { answered.complete(it) }, refusable = false)
+        committer.offer(
+            CasTransaction(change.preconditions, change.writes, change.writePriority) {
+                answered.complete(it)
+            },
+            refusable = false,
+        )
         val outcome = try {
             answered.get(PATIENCE_S, TimeUnit.SECONDS)
         } catch (e: TimeoutException) {
-            CommitOutcome.Refused("the store has not answered within $PATIENCE_S s; the change may yet be made, see the status")
+            CommitOutcome.Refused(
+                "the store has not answered within $PATIENCE_S s; the change may yet be made, see the status",
+            )
         }
         change.done(outcome)
     }
--- a/src/main/kotlin/io/reedmast/app/EventLoop.kt
+++ b/src/main/kotlin/io/reedmast/app/EventLoop.kt
@@ -12,14 +12,15 @@
 }
 
 /**
- * Where all deciding is done, one piece of work at a time, and its queues: one for each [Urgency], the most urgent first.
+ * Where all deciding is done, one piece of work at a time, and its queues: one for each [Urgency], the most urgent
+ * first.
  *
- * All state of the service is touched here alone. A thread that comes while nothing is being decided does its work itself;
- * otherwise the work is queued, and the deciding thread, which also ticks, does it. Handed over each time, a report cost
- * a dozen calls of the system for waking threads, which was most of its processor time.
+ * All state of the service is touched here alone. A thread that comes while nothing is being decided does its work
+ * itself; otherwise the work is queued, and the deciding thread, which also ticks, does it. Handed over each time, a
+ * report cost a dozen calls of the system for waking threads, which was most of its processor time.
  *
- * Queues for what comes from outside are bounded; results of the controller's own calls are not refused, since the calls
- * themselves are bounded.
+ * Queues for what comes from outside are bounded; results of the controller's own calls are not refused, since the
+ * calls themselves are bounded.
  */
 class EventLoop(private val clock: Clock, private val maxQueued: Int) {
     private val log = LoggerFactory.getLogger("event-loop")
@@ -75,7 +76,8 @@
     /**
      * The body of the deciding thread: runs [runOnce] every [tickMs], or every [idleMs] while no messages come.
      *
-     * A tick costs little; forty of them a second through a quiet hour, in three processes, cost more than the work did.
+     * A tick costs little; forty of them a second through a quiet hour, in three processes, cost more than the work
+     * did.
      */
     fun run(tickMs: Long, idleMs: Long, runOnce: () -> Unit) {
         while (!Thread.currentThread().isInterrupted) {
--- a/src/main/kotlin/io/reedmast/app/HttpApi.kt
+++ b/src/main/kotlin/io/reedmast/app/HttpApi.kt
@@ -32,8 +32,8 @@
     private val questions = Semaphore(QUESTIONS_AT_ONCE)
 
     /**
-     * The few paths are told apart by hand: http4k's router compiles a pattern for each of its routes with every request,
-     * which took a fifth of the processor time of a report.
+     * The few paths are told apart by hand: http4k's router compiles a pattern for each of its routes with every
+     * request, which took a fifth of the processor time of a report.
      */
     private val handler: HttpHandler = { request ->
         val path = request.uri.path
@@ -42,7 +42,9 @@
         when {
             path == "/checkin" -> only(Method.POST, method) { timings.time("checkin") { onHeartbeat(request) } }
             path == "/submissions" -> only(Method.POST, method) { timings.time("submission") { submit(request) } }
-            path == "/healthz" -> only(Method.GET, method) { Response(if (handle.healthy()) Status.OK else Status.SERVICE_UNAVAILABLE) }
+            path == "/healthz" -> only(Method.GET, method) {
+                Response(if (handle.healthy()) Status.OK else Status.SERVICE_UNAVAILABLE)
+            }
             job == null -> Response(Status.NOT_FOUND)
             job.endsWith(ABORT) -> only(Method.POST, method) { ask(job.removeSuffix(ABORT), handle::cancel) }
             else -> only(Method.GET, method) { ask(job, handle::poll) }
@@ -55,8 +57,12 @@
     fun start() {
         // Read once by the JDK's server when its classes load.
         System.setProperty("sun.net.httpserver.nodelay", "true")
-        // The last controller left has the workers of the whole fleet: nearly all sockets are theirs, and few are for our own calls.
-        System.setProperty("sun.net.httpserver.maxIdleConnections", (settings.maxConnections * IDLE_PART).toInt().toString())
+        // The last controller left has the workers of the whole fleet: nearly all sockets are theirs, and few are for
+        // our own calls.
+        System.setProperty(
+            "sun.net.httpserver.maxIdleConnections",
+            (settings.maxConnections * IDLE_PART).toInt().toString(),
+        )
         System.setProperty("jdk.httpserver.maxConnections", (settings.maxConnections * SERVED_PART).toInt().toString())
         val server = HttpServer.create(settings.front, BACKLOG)
         server.createContext("/", HttpExchangeHandler(handler))
@@ -100,7 +106,13 @@
     private fun user(answer: UserAnswer?): Response {
         if (answer == null) return Response(Status.GATEWAY_TIMEOUT).header("Retry-After", "1")
         val response = cbor(Status(answer.status, ""), answer.toFields())
-        return if (answer.retryAfterS == null) response else response.header("Retry-After", answer.retryAfterS.toString())
+        return if (answer.retryAfterS ==
+            null
+        ) {
+            response
+        } else {
+            response.header("Retry-After", answer.retryAfterS.toString())
+        }
     }
 
     private fun busy() = Response(Status.TOO_MANY_REQUESTS).header("Retry-After", "1")
@@ -145,7 +157,10 @@
         const val QUEUED = 400
         const val SUBMISSIONS_AT_ONCE = 16
 
-        /** A question holds a thread until the next answer of the watch: at 14, users of a rough day were refused thousands of times. */
+        /**
+         * A question holds a thread until the next answer of the watch: at 14, users of a rough day were refused
+         * thousands of times.
+         */
         const val QUESTIONS_AT_ONCE = 56
         const val WORKER_PATIENCE_MS = 3_000L
         const val USER_PATIENCE_MS = 4_500L
--- a/src/main/kotlin/io/reedmast/app/Main.kt
+++ b/src/main/kotlin/io/reedmast/app/Main.kt
@@ -63,23 +63,33 @@
         help = "File (JSON) of the features that the cluster is to have (default: none is changed)",
         metavar = "FILE",
     )
-    private val rehearse by option(help = "Stop after this time: the build records the classes that start-up loads", metavar = "SECONDS").double()
+    private val rehearse by option(
+        help = "Stop after this time: the build records the classes that start-up loads",
+        metavar = "SECONDS",
+    ).double()
 
-    private fun seconds(name: String, value: Double, help: String) =
-        option("--$name-s", envvar = "REEDMAST_${name.uppercase().replace('-', '_')}_S", help = "$help, in seconds (default $value)", metavar = "SECONDS")
-            .double()
-            .default(value)
-            .check("must be above 0") { it > 0 && it.isFinite() }
+    private fun seconds(name: String, value: Double, help: String) = option(
+        "--$name-s",
+        envvar = "REEDMAST_${name.uppercase().replace('-', '_')}_S",
+        help = "$help, in seconds (default $value)",
+        metavar = "SECONDS",
+    )
+        .double()
+        .default(value)
+        .check("must be above 0") { it > 0 && it.isFinite() }
 
     init {
-        versionOption(Reedmast::class.java.`package`?.implementationVersion ?: "development", names = setOf("--version"))
+        versionOption(
+            Reedmast::class.java.`package`?.implementationVersion ?: "development",
+            names = setOf("--version"),
+        )
     }
 
     /** Without a subcommand it runs a controller. */
     override val invokeWithoutSubcommand = true
 
-    override fun help(context: Context): String =
-        "Runs one controller of a reedmast cluster. LOG_LEVEL (error, info, debug) says how much is logged to standard error."
+    override fun help(context: Context): String = "Runs one controller of a reedmast cluster. " +
+        "LOG_LEVEL (error, info, debug) says how much is logged to standard error."
 
     override fun run() {
         val settings =
@@ -113,25 +123,47 @@
         val log = LoggerFactory.getLogger("main")
         val eventLoop = EventLoop(SystemClock, MAX_QUEUED)
         val limits = EffectiveLimits(settings.storeLimits, settings.nextStoreLimits)
-        val client = StoreClient(settings.storeAddress, limits, settings.members.size, Caller(STORE_CONNECT_MS, STORE_READ_MS))
+        val client =
+            StoreClient(settings.storeAddress, limits, settings.members.size, Caller(STORE_CONNECT_MS, STORE_READ_MS))
         // Time of day and process start tell two processes of a controller apart.
-        val incarnation = "${settings.label}-${java.lang.Long.toString(SystemClock.wall(), 36)}-${java.lang.Long.toString(System.nanoTime(), 36)}"
+        val incarnation = "${settings.label}-${java.lang.Long.toString(
+            SystemClock.wall(),
+            36,
+        )}-${java.lang.Long.toString(System.nanoTime(), 36)}"
         val out = NetworkGateway(settings, eventLoop, client, limits, incarnation, ::endUnfit)
-        val controller = Controller(settings, Tuning(window, protectCap, resize, totals, idle), SystemClock, out, limits, incarnation, rolloutOptions)
+        val controller =
+            Controller(
+                settings,
+                Tuning(window, protectCap, resize, totals, idle),
+                SystemClock,
+                out,
+                limits,
+                incarnation,
+                rolloutOptions,
+            )
         val timings = Timings(SystemClock)
         val handle = ControllerHandle(eventLoop, controller, timings)
         try {
             HttpApi(settings, handle, timings).start()
-            val peers = PeerServer(settings.clusterListen, WorkPool("peer-in", settings.members.size * 2, settings.members.size), handle::onPeerMessage)
+            val peers =
+                PeerServer(
+                    settings.clusterListen,
+                    WorkPool("peer-in", settings.members.size * 2, settings.members.size),
+                    handle::onPeerMessage,
+                )
             val listening = peers.open()
             NetworkGateway.startThread("peers") { peers.run(listening) }
         } catch (e: IOException) {
-            unusable("cannot listen on front ${settings.front} or cluster_listen ${settings.clusterListen}: ${e.message}")
+            unusable(
+                "cannot listen on front ${settings.front} or cluster_listen ${settings.clusterListen}: ${e.message}",
+            )
         }
         out.start()
         Watches(client, SystemClock, handle).start()
         log.info("controller {}: listens on {}", settings.label, settings.front)
-        val deciding = NetworkGateway.startThread("event-loop") { eventLoop.run(RUN_INTERVAL_MS, IDLE_RUN_INTERVAL_MS, handle::runOnce) }
+        val deciding = NetworkGateway.startThread("event-loop") {
+            eventLoop.run(RUN_INTERVAL_MS, IDLE_RUN_INTERVAL_MS, handle::runOnce)
+        }
         val limit = rehearse
         if (limit == null) {
             deciding.join()
@@ -170,7 +202,11 @@
     System.setProperty("org.slf4j.simpleLogger.showThreadName", "false")
     System.setProperty("org.slf4j.simpleLogger.showDateTime", "true")
     System.setProperty("org.slf4j.simpleLogger.dateTimeFormat", "HH:mm:ss.SSS")
-    if (asked != null && level == null) LoggerFactory.getLogger("main").warn("LOG_LEVEL {} is unknown; info is used", asked)
+    if (asked != null &&
+        level == null
+    ) {
+        LoggerFactory.getLogger("main").warn("LOG_LEVEL {} is unknown; info is used", asked)
+    }
 }
 
 fun main(args: Array<String>) {
--- a/src/main/kotlin/io/reedmast/app/NetworkGateway.kt
+++ b/src/main/kotlin/io/reedmast/app/NetworkGateway.kt
@@ -58,7 +58,10 @@
 
     /** Those that wait longer would be asked for again before they are stored. */
     private fun submissionsQueued(limits: EffectiveLimits): Int =
-        (limits.target.writesPerS / settings.members.size * SUBMISSIONS_WAIT_S).toInt().coerceIn(FEWEST_SUBMISSIONS_QUEUED, MAX_SUBMISSIONS_QUEUED)
+        (limits.target.writesPerS / settings.members.size * SUBMISSIONS_WAIT_S).toInt().coerceIn(
+            FEWEST_SUBMISSIONS_QUEUED,
+            MAX_SUBMISSIONS_QUEUED,
+        )
 
     override val isAvailable: Boolean get() = committer.answering
 
@@ -66,11 +69,16 @@
         repeat(COMMIT_THREADS) { startThread("commit-$it", committer::run) }
     }
 
-    override fun commit(transaction: CasTransaction, refusable: Boolean): Boolean = committer.offer(transaction, refusable)
+    override fun commit(transaction: CasTransaction, refusable: Boolean): Boolean =
+        committer.offer(transaction, refusable)
 
-    override fun get(path: String, done: (ReadResult) -> Unit) = call(reads, { client.get(path) }, ReadResult.Failed, done)
+    override fun get(path: String, done: (ReadResult) -> Unit) = call(reads, {
+        client.get(path)
+    }, ReadResult.Failed, done)
 
-    override fun list(prefix: String, done: (List<StoredItem>?) -> Unit) = call(reads, { client.list(prefix)?.first }, null, done)
+    override fun list(prefix: String, done: (List<StoredItem>?) -> Unit) = call(reads, {
+        client.list(prefix)?.first
+    }, null, done)
 
     override fun writePermitLevel(): Double = client.writeLimiter.permitLevel()
 
@@ -83,7 +91,9 @@
 
     private fun otherMembers() = settings.members.indices.map { ControllerId(it) }.filter { it != settings.self }
 
-    /** The connection to one other controller, with a thread of its own: one that hangs holds up no messages to others. */
+    /**
+     * The connection to one other controller, with a thread of its own: one that hangs holds up no messages to others.
+     */
     private class Peer(member: Member) {
         val client = PeerClient(member.address)
         val calls = WorkPool("peer-${member.label}", 1, PEER_CALLS_QUEUED)
@@ -91,19 +101,35 @@
 
     override fun call(addr: String, token: Long, epoch: Long, commands: List<WorkerCommand>, done: (Reply) -> Unit) {
         val body = WorkerReplies.directCall(token, epoch, commands)
-        call(directs, { workerCaller.call("POST", addr, "/do", body) }, Reply.NotSent("too many calls"), done, STALE_DIRECT_MS)
+        call(directs, {
+            workerCaller.call("POST", addr, "/do", body)
+        }, Reply.NotSent("too many calls"), done, STALE_DIRECT_MS)
     }
 
     override fun provision(request: ProvisioningRequest, done: (ProvisioningResult) -> Unit) {
-        val body = CloudMessages.rental(request.requestName, request.typeName, request.zone, request.spot, request.count)
+        val body = CloudMessages.rental(
+            request.requestName,
+            request.typeName,
+            request.zone,
+            request.spot,
+            request.count,
+        )
         call(cloudCalls, { provisioned(cloud("POST", "/machines", body)) }, ProvisioningResult.Failed, done)
     }
 
     private fun provisioned(reply: Reply): ProvisioningResult {
         if (reply !is Reply.Answer) return ProvisioningResult.Failed
         return when (reply.status) {
-            200 -> reading { ProvisioningResult.Machines(CloudMessages.rentedMachines(reply.body)) } ?: ProvisioningResult.Failed
-            503 -> if (CloudMessages.isOutOfCapacity(reply.body)) ProvisioningResult.NoCapacity else ProvisioningResult.Failed
+            200 -> reading { ProvisioningResult.Machines(CloudMessages.rentedMachines(reply.body)) }
+                ?: ProvisioningResult.Failed
+            503 -> if (CloudMessages.isOutOfCapacity(
+                    reply.body,
+                )
+            ) {
+                ProvisioningResult.NoCapacity
+            } else {
+                ProvisioningResult.Failed
+            }
             400 -> ProvisioningResult.NoCapacity
             else -> ProvisioningResult.Failed
         }
@@ -136,7 +162,11 @@
 
     override fun machineTypes(done: (List<MachineType>?) -> Unit) = call(
         cloudCalls,
-        { (cloud("GET", "/flavors") as? Reply.Answer)?.takeIf { it.status == 200 }?.let { reading { MachineType.parseAll(it.body) } } },
+        {
+            (cloud("GET", "/flavors") as? Reply.Answer)?.takeIf {
+                it.status == 200
+            }?.let { reading { MachineType.parseAll(it.body) } }
+        },
         null,
         done,
     )
@@ -178,7 +208,13 @@
     }
 
     private fun cloud(method: String, path: String, body: Map<String, Any?>? = null): Reply {
-        if (!cloudLimit.tryAcquire(CLOUD_PATIENCE_S, TimeUnit.SECONDS)) return Reply.NotSent("over this controller's part of the limit")
+        if (!cloudLimit.tryAcquire(
+                CLOUD_PATIENCE_S,
+                TimeUnit.SECONDS,
+            )
+        ) {
+            return Reply.NotSent("over this controller's part of the limit")
+        }
         val reply = cloudCaller.call(method, settings.cloudAddress, path, body)
         if (reply !is Reply.Answer || reply.status != 200) log.info("{} {}: {}", method, path, reply)
         return reply
@@ -194,8 +230,9 @@
     /**
      * Has [ask] done by [pool], unless it comes to its turn more than [staleMs] later.
      *
-     * What was decided seconds ago may be wrong by now: the process may have stood still meanwhile and been replaced, or
-     * hung machines kept the threads. No rule rests on it, but a machine might be returned that another owner has filled.
+     * What was decided seconds ago may be wrong by now: the process may have stood still meanwhile and been replaced,
+     * or hung machines kept the threads. No rule rests on it, but a machine might be returned that another owner has
+     * filled.
      */
     private fun <T> call(pool: WorkPool, ask: () -> T, refused: T, done: (T) -> Unit, staleMs: Long = Long.MAX_VALUE) {
         val decidedAt = System.nanoTime()
@@ -234,8 +271,14 @@
         private const val RESTART_PAUSE_MS = 500L
         private const val STALE_RETURN_MS = 15_000L
 
-        /** Starts a thread for [body]; one that fails is begun again, since a controller without it would be up and do nothing. */
-        fun startThread(name: String, body: () -> Unit): Thread = Thread({ keepDoing(name, body) }, name).apply { isDaemon = true }.also { it.start() }
+        /**
+         * Starts a thread for [body]; one that fails is begun again, since a controller without it would be up and do
+         * nothing.
+         */
+        fun startThread(name: String, body: () -> Unit): Thread = Thread({ keepDoing(name, body) }, name).apply {
+            isDaemon =
+                true
+        }.also { it.start() }
 
         private fun keepDoing(name: String, body: () -> Unit) {
             while (true) {
--- a/src/main/kotlin/io/reedmast/app/RolloutCommand.kt
+++ b/src/main/kotlin/io/reedmast/app/RolloutCommand.kt
@@ -32,12 +32,24 @@
         subcommands(
             StatusCommand(),
             WishCommand("enable", Target.ENABLED, "Enable a feature as soon as every controller understands it"),
-            WishCommand("finalize", Target.FINALIZED, "Finalize a feature once all records are migrated; it cannot be taken back then"),
+            WishCommand(
+                "finalize",
+                Target.FINALIZED,
+                "Finalize a feature once all records are migrated; it cannot be taken back then",
+            ),
             WishCommand("revert", Target.DORMANT, "Take a feature back: migrated records get their old form again"),
-            ControllerCommand("exclude", "Do not count a controller that is silent") { name, act, done -> exclude(name, act, done) },
-            ControllerCommand("include", "Count an excluded controller again") { name, act, done -> include(name, act, done) },
-            ControllerCommand("drain", "Have a controller give its shards up before it is stopped") { name, act, done -> drain(name, act, done) },
-            ControllerCommand("undrain", "Have a drained controller take shards again") { name, _, done -> endDrain(name, done) },
+            ControllerCommand("exclude", "Do not count a controller that is silent") { name, act, done ->
+                exclude(name, act, done)
+            },
+            ControllerCommand("include", "Count an excluded controller again") { name, act, done ->
+                include(name, act, done)
+            },
+            ControllerCommand("drain", "Have a controller give its shards up before it is stopped") { name, act, done ->
+                drain(name, act, done)
+            },
+            ControllerCommand("undrain", "Have a drained controller take shards again") { name, _, done ->
+                endDrain(name, done)
+            },
             ReadyCommand(),
         )
     }
@@ -54,10 +66,17 @@
     override fun help(context: Context): String = helpText
 
     protected fun administration(): RolloutAdministration {
-        val incarnation = "operator-${java.lang.Long.toString(System.currentTimeMillis(), RADIX)}-${ProcessHandle.current().pid()}"
+        val startedAt = java.lang.Long.toString(System.currentTimeMillis(), RADIX)
+        val incarnation = "operator-$startedAt-${ProcessHandle.current().pid()}"
         val configured = settings.members.mapTo(HashSet()) { it.label }
         val records = StoredClusterRecords(settings.shardCount)
-        return RolloutAdministration(ClusterFeatures.registry, configured, records, System::currentTimeMillis, DirectStore(settings, incarnation))
+        return RolloutAdministration(
+            ClusterFeatures.registry,
+            configured,
+            records,
+            System::currentTimeMillis,
+            DirectStore(settings, incarnation),
+        )
     }
 
     protected fun refuse(reason: String): Nothing {
@@ -86,14 +105,22 @@
     private fun gates(status: RolloutStatus): List<String> = ClusterFeatures.registry.inOrder.map { feature ->
         val record = status.view.gates.record
         val state = status.snapshot.stateOf(feature.name, record).storedName
-        val progress = status.snapshot.unitsOf(feature).mapNotNull { unit -> status.view.progressOf(feature.name, unit)?.let { unit.key to it.progress } }
+        val progress = status.snapshot.unitsOf(feature).mapNotNull { unit ->
+            status.view.progressOf(feature.name, unit)?.let {
+                unit.key to
+                    it.progress
+            }
+        }
         val migration = progress.joinToString("") { (unit, of) -> " [$unit: ${describe(of)}]" }
         "feature ${feature.name}: $state$migration" + status.waiting[feature.name]?.let { "; waits: $it" }.orEmpty()
     }
 
     private fun describe(progress: MigrationProgress): String {
-        val blocked = if (progress.unreadable + progress.oversized == 0L) "" else ", ${progress.unreadable} unreadable, ${progress.oversized} oversized"
-        return "${progress.direction.storedName} ${progress.migrated}$blocked${if (progress.complete) ", complete" else ""}"
+        val blocked = ", ${progress.unreadable} unreadable, ${progress.oversized} oversized"
+            .takeIf { progress.unreadable + progress.oversized > 0L }
+            .orEmpty()
+        val complete = if (progress.complete) ", complete" else ""
+        return "${progress.direction.storedName} ${progress.migrated}$blocked$complete"
     }
 
     private fun controllers(status: RolloutStatus): List<String> = status.snapshot.configured.sorted().map { label ->
@@ -101,14 +128,17 @@
         val shards = status.snapshot.shards.withIndex().filter { it.value?.owner == label }.map { it.index }
         val excluded = status.view.gates.record.excluded[label]?.let { ", excluded by ${it.by}: ${it.why}" }.orEmpty()
         val drain = if (status.isDraining(label)) ", draining" else ""
-        "controller $label: ${versions?.let { "versions ${it.range}" } ?: "silent"}, shards $shards$drain$excluded"
+        val presence = versions?.let { "versions ${it.range}" } ?: "silent"
+        "controller $label: $presence, shards $shards$drain$excluded"
     }
 
-    private fun history(status: RolloutStatus): List<String> =
-        status.view.gates.record.history.map { "${Instant.ofEpochMilli(it.made.atMs)} ${it.what} by ${it.made.by}: ${it.made.why}" }
+    private fun history(status: RolloutStatus): List<String> = status.view.gates.record.history.map {
+        "${Instant.ofEpochMilli(it.made.atMs)} ${it.what} by ${it.made.by}: ${it.made.why}"
+    }
 }
 
-private class WishCommand(name: String, private val target: Target, helpText: String) : AdministrationCommand(name, helpText) {
+private class WishCommand(name: String, private val target: Target, helpText: String) :
+    AdministrationCommand(name, helpText) {
     private val feature by argument("FEATURE")
     private val by by option("--by", help = "Who asks for it").required()
     private val why by option("--why", help = "The reason, which is kept").required()
@@ -116,8 +146,11 @@
     override fun run() = administration().wish(FeatureName(feature), target, Act(by, why), ::report)
 }
 
-private class ControllerCommand(name: String, helpText: String, private val act: RolloutAdministration.(String, Act, (ActResult) -> Unit) -> Unit) :
-    AdministrationCommand(name, helpText) {
+private class ControllerCommand(
+    name: String,
+    helpText: String,
+    private val act: RolloutAdministration.(String, Act, (ActResult) -> Unit) -> Unit,
+) : AdministrationCommand(name, helpText) {
     private val controller by argument("CONTROLLER")
     private val by by option("--by", help = "Who asks for it").default("operator")
     private val why by option("--why", help = "The reason, which is kept").required()
@@ -125,7 +158,8 @@
     override fun run() = administration().act(controller, Act(by, why), ::report)
 }
 
-private class ReadyCommand : AdministrationCommand("ready", "Say whether a controller may be stopped now: exit code 0, or 1 and the reasons") {
+private class ReadyCommand :
+    AdministrationCommand("ready", "Say whether a controller may be stopped now: exit code 0, or 1 and the reasons") {
     private val controller by argument("CONTROLLER")
 
     override fun run() = administration().readiness(controller) { readiness ->
--- a/src/main/kotlin/io/reedmast/app/Timings.kt
+++ b/src/main/kotlin/io/reedmast/app/Timings.kt
@@ -8,7 +8,9 @@
 /** How long requests of each kind took, logged once a minute. */
 class Timings(private val clock: Clock) {
     private val log = LoggerFactory.getLogger("timings")
-    private val histograms = listOf("checkin", "submission", "question").associateWith { ConcurrentHistogram(MAX_MS, DIGITS) }
+    private val histograms = listOf("checkin", "submission", "question").associateWith {
+        ConcurrentHistogram(MAX_MS, DIGITS)
+    }
     private var due = clock.now() + EVERY_MS
 
     /** Runs [work] and records its time under [kind]. */
--- a/src/main/kotlin/io/reedmast/app/Watches.kt
+++ b/src/main/kotlin/io/reedmast/app/Watches.kt
@@ -38,9 +38,9 @@
     }
 
     /**
-     * Every question of a user waits for the next answer of the watch on jobs, and all that came before it share one request
-     * to the store: while somebody waits, the watch asks again and again. Otherwise it waits for a change, but never
-     * so long that the next question would wait for it in vain.
+     * Every question of a user waits for the next answer of the watch on jobs, and all that came before it share one
+     * request to the store: while somebody waits, the watch asks again and again. Otherwise it waits for a change, but
+     * never so long that the next question would wait for it in vain.
      */
     private fun followJobs() {
         while (true) {
--- a/src/main/kotlin/io/reedmast/app/WorkPool.kt
+++ b/src/main/kotlin/io/reedmast/app/WorkPool.kt
@@ -10,8 +10,8 @@
 /**
  * At most [most] threads and [queued] tasks that wait for one. The thread that became idle last works next.
  *
- * With a common queue each task goes to the thread that has been idle longest: dozens of threads then take turns at what
- * one could do, each with its own cold stack and its own piece of the heap.
+ * With a common queue each task goes to the thread that has been idle longest: dozens of threads then take turns at
+ * what one could do, each with its own cold stack and its own piece of the heap.
  */
 class WorkPool(name: String, most: Int, queued: Int) :
     ThreadPoolExecutor(
@@ -25,7 +25,9 @@
     private val overflow = ArrayBlockingQueue<Runnable>(queued)
 
     init {
-        setRejectedExecutionHandler { task, _ -> if (!overflow.offer(task)) throw RejectedExecutionException("$name: too much to do") }
+        setRejectedExecutionHandler { task, _ ->
+            if (!overflow.offer(task)) throw RejectedExecutionException("$name: too much to do")
+        }
     }
 
     override fun afterExecute(task: Runnable, failure: Throwable?) {
--- a/src/main/kotlin/io/reedmast/autoscaling/ArrivalRates.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/ArrivalRates.kt
@@ -14,12 +14,23 @@
         return arrivals.sumOf { it.cpus } * part + 2 * sqrt(arrivals.sumOf { it.cpus * it.cpus } * part)
     }
 
-    private fun ArrayDeque<ShardState.Arrival>.since(at: Long) = apply { while (isNotEmpty() && first().at < at) removeFirst() }
+    private fun ArrayDeque<ShardState.Arrival>.since(at: Long) = apply {
+        while (isNotEmpty() &&
+            first().at < at
+        ) {
+            removeFirst()
+        }
+    }
 
-    /** Array work that arrives in a second, in CPU seconds, as far as it is sure: below the mean by one deviation and a half. */
+    /**
+     * Array work that arrives in a second, in CPU seconds, as far as it is sure: below the mean by one deviation and a
+     * half.
+     */
     fun arrayCpuSecondsPerS(): Double {
         val arrivals = shardState.arrayArrivals.since(shardState.clock.now() - ARRAYS_WINDOW_MS)
-        return maxOf(0.0, arrivals.sumOf { it.cpus } - RATE_DEVIATIONS * sqrt(arrivals.sumOf { it.cpus * it.cpus })) * 1000.0 / ARRAYS_WINDOW_MS
+        return maxOf(0.0, arrivals.sumOf { it.cpus } - RATE_DEVIATIONS * sqrt(arrivals.sumOf { it.cpus * it.cpus })) *
+            1000.0 /
+            ARRAYS_WINDOW_MS
     }
 
     private companion object {
--- a/src/main/kotlin/io/reedmast/autoscaling/Autoscaler.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/Autoscaler.kt
@@ -13,7 +13,10 @@
 import io.reedmast.wire.WorkerStatus
 import org.slf4j.LoggerFactory
 
-/** The leader's duties and when each is due: renting for what shards ask, resizing shards, taking in machines of no shard. */
+/**
+ * The leader's duties and when each is due: renting for what shards ask, resizing shards, taking in machines of no
+ * shard.
+ */
 class Autoscaler(
     private val settings: Settings,
     private val tuning: Tuning,
@@ -102,7 +105,8 @@
 
     /** Whether the totals show all machines that are on their way to the shard: else more would come than it wants. */
     private fun isSettled(totals: ShardUsageSummary): Boolean =
-        intake.isCurrent(totals) && !provisioner.isProvisioningFor(totals.shard) && !resizer.isMovingTo(totals.shard) && !intake.awaits(totals.shard)
+        intake.isCurrent(totals) && !provisioner.isProvisioningFor(totals.shard) && !resizer.isMovingTo(totals.shard) &&
+            !intake.awaits(totals.shard)
 
     /** A worker of no shard reports. */
     fun onUnassignedWorker(status: WorkerStatus) = intake.onUnassignedWorker(status)
--- a/src/main/kotlin/io/reedmast/autoscaling/Demand.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/Demand.kt
@@ -6,7 +6,6 @@
 import io.reedmast.wire.amount
 import io.reedmast.wire.count
 import io.reedmast.wire.flag
-import io.reedmast.wire.map
 import io.reedmast.wire.optionalText
 import io.reedmast.wire.optionalTexts
 
@@ -53,7 +52,8 @@
     }
 
     fun runsOn(typeName: String, zone: String, onSpot: Boolean): Boolean =
-        (!onSpot || spot) && (allowedTypes == null || typeName in allowedTypes) && (this.zone == null || this.zone == zone)
+        (!onSpot || spot) && (allowedTypes == null || typeName in allowedTypes) &&
+            (this.zone == null || this.zone == zone)
 
     /** Both together; their averages weigh by their counts. */
     fun plus(other: Demand): Demand {
@@ -76,7 +76,17 @@
     companion object {
         /** [zone]: the only zone in which room is of use, by the job itself or by where its other tasks are. */
         fun of(spec: JobSpec, late: Boolean, count: Int, zone: String? = spec.zone) = Demand(
-            spec.cpus, spec.gpus, spec.memoryGb, spec.cpus, spec.gpus, spec.memoryGb, spec.spot, spec.allowedTypes?.sorted(), zone, late, count,
+            cpus = spec.cpus,
+            gpus = spec.gpus,
+            memoryGb = spec.memoryGb,
+            maxCpus = spec.cpus,
+            maxGpus = spec.gpus,
+            maxMemoryGb = spec.memoryGb,
+            spot = spec.spot,
+            allowedTypes = spec.allowedTypes?.sorted(),
+            zone = zone,
+            late = late,
+            count = count,
         )
 
         fun parse(fields: Fields) = Demand(
--- a/src/main/kotlin/io/reedmast/autoscaling/DemandEstimator.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/DemandEstimator.kt
@@ -15,17 +15,29 @@
      * One that was up before and does not report is rather dead than booting: its room must not hide what is wanted.
      */
     fun coming(): List<FreeCapacity> {
-        val justTaken = shardState.clock.now() - shardState.activeAt < shardState.settings.workers.reportS * 1000 * REPORTS_TO_SHOW_UP
+        val justTaken =
+            shardState.clock.now() - shardState.activeAt <
+                shardState.settings.workers.reportS * 1000 * REPORTS_TO_SHOW_UP
         return shardState.machines.values
-            .filter { !it.trusted && it.decommissionReason == null && it.machineType != null && (justTaken || !it.everReported) }
+            .filter {
+                !it.trusted && it.decommissionReason == null && it.machineType != null &&
+                    (justTaken || !it.everReported)
+            }
             .map { FreeCapacity(it.record, it.freeCpus, it.freeGpus, it.freeMemoryGb) }
     }
 
-    /** What a task of each job takes of which nothing has run for long, and since how many seconds, the longest first. */
+    /**
+     * What a task of each job takes of which nothing has run for long, and since how many seconds, the longest first.
+     */
     fun starving(now: Long): List<Starving> = shardState.jobs.values
         .filter { shardState.isNearlyStarving(it) && !it.ending && shardState.remainingQuota(it) >= tasksAtOnce(it) }
         .sortedBy { shardState.starvingSince(it) }.take(MAX_STARVING)
-        .map { Starving(Demand.of(it.spec, true, tasksAtOnce(it), onlyZone(it)), (now - shardState.starvingSince(it)) / 1000.0) }
+        .map {
+            Starving(
+                Demand.of(it.spec, true, tasksAtOnce(it), onlyZone(it)),
+                (now - shardState.starvingSince(it)) / 1000.0,
+            )
+        }
 
     /** The zone in which new room for the job must be, if its other tasks or its user leave only one. */
     private fun onlyZone(job: Job): String? = openZones(job, zones())?.singleOrNull() ?: zoneForGang(job)
@@ -34,8 +46,8 @@
     private fun tasksAtOnce(job: Job): Int = if (job.spec.gang) job.spec.taskCount else 1
 
     /**
-     * The zone in which to find room for a gang that needs one: that with most free room of ours, then the others in turn, since the
-     * cloud may have nothing left in one.
+     * The zone in which to find room for a gang that needs one: that with most free room of ours, then the others in
+     * turn, since the cloud may have nothing left in one.
      */
     private fun zoneForGang(job: Job): String? {
         if (!job.spec.gang || !job.spec.oneZone || job.spec.zone != null) return job.spec.zone
@@ -48,7 +60,10 @@
 
     private fun zones() = shardState.machineTypes.flatMapTo(LinkedHashSet()) { it.zones }
 
-    /** A gang that is to be spread needs room in several zones at once: machines in one zone alone would stay empty and go again. */
+    /**
+     * A gang that is to be spread needs room in several zones at once: machines in one zone alone would stay empty and
+     * go again.
+     */
     private fun demandOfSpreadGang(job: Job): List<Demand> {
         val spec = job.spec
         val inOneZone = (spec.taskCount + 1) / 2
@@ -63,8 +78,17 @@
         return demands
     }
 
-    private fun zonesByFreeRoom(): List<String> =
-        zones().sortedByDescending { zone -> shardState.machines.values.sumOf { if (it.record.zone == zone && it.usable) it.freeCpus else 0.0 } }
+    private fun zonesByFreeRoom(): List<String> = zones().sortedByDescending { zone ->
+        shardState.machines.values.sumOf {
+            if (it.record.zone == zone &&
+                it.usable
+            ) {
+                it.freeCpus
+            } else {
+                0.0
+            }
+        }
+    }
 
     fun demand(): List<Demand> {
         val rooms = coming()
@@ -73,8 +97,15 @@
         val pace = Pace(rooms)
         val now = shardState.clock.wall()
         val zones = zones()
-        val waiting = shardState.jobs.values.filter { it.pendingCount > 0 && !it.ending && !shardState.isSuspectedFaulty(it) }
-        for (job in waiting.sortedWith(compareBy({ !it.spec.service }, { it.spec.priority }, { shardState.deadlineMs(it) }))) {
+        val waiting = shardState.jobs.values.filter {
+            it.pendingCount > 0 && !it.ending &&
+                !shardState.isSuspectedFaulty(it)
+        }
+        for (job in waiting.sortedWith(
+            compareBy({
+                !it.spec.service
+            }, { it.spec.priority }, { shardState.deadlineMs(it) }),
+        )) {
             val spec = job.spec
             var tasks = minOf(job.pendingCount, shardState.remainingQuota(job))
             val share = shardState.settings.teams[job.team.value]
@@ -87,11 +118,26 @@
             }
             val open = openZones(job, zones) ?: if (spec.gang) zoneForGang(job)?.let { setOf(it) } else null
             tasks = countWithoutRoom(spec, tasks, if (open == null) rooms else rooms.filter { it.record.zone in open })
-            // The pace takes any room of the shard for room of the job. Where it is in another zone, say, the job would wait for ever.
-            if (!spec.service && !spec.gang) tasks = minOf(tasks, maxOf(pace.tasksToProvisionFor(job, tasks, now), if (shardState.isStarving(job)) 1 else 0))
+            // The pace takes any room of the shard for room of the job. Where it is in another zone, say, the job would
+            // wait for ever.
+            if (!spec.service &&
+                !spec.gang
+            ) {
+                tasks =
+                    minOf(
+                        tasks,
+                        maxOf(pace.tasksToProvisionFor(job, tasks, now), if (shardState.isStarving(job)) 1 else 0),
+                    )
+            }
             if (tasks <= 0 || open?.isEmpty() == true) continue
             val zone = if (open == null || open.size == zones.size) spec.zone else open.minBy { machinesIn(it) }
-            val wanted = if (spec.gang && spec.spread) demandOfSpreadGang(job) else listOf(Demand.of(spec, shardState.isPastDeadline(job), tasks, zone))
+            val wanted = if (spec.gang &&
+                spec.spread
+            ) {
+                demandOfSpreadGang(job)
+            } else {
+                listOf(Demand.of(spec, shardState.isPastDeadline(job), tasks, zone))
+            }
             wanted.forEach { kinds.merge(it.kind(), it, Demand::plus) }
         }
         return kinds.values.toList()
@@ -100,8 +146,8 @@
     /**
      * How fast the shard gets through its array work, in the order it is due, and what it lacks to be in time.
      *
-     * Run times are the owners' estimates. Work that the machines at hand get through by its due time needs no more of them,
-     * and no new machine is up in time for what is due before it has booted.
+     * Run times are the owners' estimates. Work that the machines at hand get through by its due time needs no more of
+     * them, and no new machine is up in time for what is due before it has booted.
      */
     private inner class Pace(rooms: List<FreeCapacity>) {
         private val bootS = shardState.shortestBootS() ?: 0.0
--- a/src/main/kotlin/io/reedmast/autoscaling/FleetView.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/FleetView.kt
@@ -3,7 +3,10 @@
 import io.reedmast.model.MachineRecord
 import io.reedmast.settings.ShardId
 
-/** The cluster as the leader's decisions about machines see it, and the changes that they make to the records of machines. */
+/**
+ * The cluster as the leader's decisions about machines see it, and the changes that they make to the records of
+ * machines.
+ */
 interface FleetView {
     /** Whether this controller leads. */
     val leading: Boolean
--- a/src/main/kotlin/io/reedmast/autoscaling/FreeCapacity.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/FreeCapacity.kt
@@ -6,7 +6,12 @@
 import io.reedmast.wire.JobSpec
 
 /** Free room of a machine, which is filled up in thought. */
-class FreeCapacity(val record: MachineRecord, private var cpus: Double, private var gpus: Double, private var memoryGb: Double) {
+class FreeCapacity(
+    val record: MachineRecord,
+    private var cpus: Double,
+    private var gpus: Double,
+    private var memoryGb: Double,
+) {
     val freeCpus: Double get() = cpus
 
     /** Takes as many of [most] tasks as fit, and returns how many. */
--- a/src/main/kotlin/io/reedmast/autoscaling/InstanceOffering.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/InstanceOffering.kt
@@ -28,7 +28,11 @@
         for (spot in listOf(true, false)) {
             val price = if (spot) machineType.spotPrice?.times(SPOT_RISK) else machineType.hourlyPrice
             if (price == null || (spot && !demand.spot)) continue
-            if (!spot && demand.spot && !demand.late && isTooExpensive(machineType, machineTypes, demand.cpus, demand.gpus, demand.memoryGb)) continue
+            if (!spot && demand.spot && !demand.late &&
+                isTooExpensive(machineType, machineTypes, demand.cpus, demand.gpus, demand.memoryGb)
+            ) {
+                continue
+            }
             val zone = zones.firstOrNull { !isUnavailable(InstanceOffering(machineType.label, it, spot)) } ?: continue
             // A machine that is only partly filled still costs as a whole.
             val cost = price * count
--- a/src/main/kotlin/io/reedmast/autoscaling/MachineIntake.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/MachineIntake.kt
@@ -13,7 +13,10 @@
 import io.reedmast.wire.WorkerStatus
 import org.slf4j.LoggerFactory
 
-/** Gives machines that belong to no shard to one, whether they were rented or nobody expected them, and returns those that only cost. */
+/**
+ * Gives machines that belong to no shard to one, whether they were rented or nobody expected them, and returns those
+ * that only cost.
+ */
 class MachineIntake(
     private val settings: Settings,
     private val clock: Clock,
@@ -71,14 +74,22 @@
     /**
      * A worker nobody has given to a shard reports: once it has answered a call, it is used.
      *
-     * The report alone proves nothing: it may be a late copy from a machine that was returned, and such a machine must not
-     * come back into a shard; and a machine that hears nothing is of no use.
+     * The report alone proves nothing: it may be a late copy from a machine that was returned, and such a machine must
+     * not come back into a shard; and a machine that hears nothing is of no use.
      */
     fun onUnassignedWorker(status: WorkerStatus) {
-        if (!fleet.leading || !fleet.isCurrent() || status.machineName in returning || fleet.departedLately(status.machineName)) return
+        if (!fleet.leading || !fleet.isCurrent() || status.machineName in returning ||
+            fleet.departedLately(status.machineName)
+        ) {
+            return
+        }
         // At a first start the shards appear one by one; waiting for all of them spreads the machines evenly.
         if (fleet.hasUnownedShards) return
-        if (unassigned.keys.any { it.name == status.machineName } || calling.size >= MAX_CALLS || !calling.add(status.machineName)) return
+        if (unassigned.keys.any { it.name == status.machineName } || calling.size >= MAX_CALLS ||
+            !calling.add(status.machineName)
+        ) {
+            return
+        }
         // Neither token nor session are the worker's: nothing is executed, and the refusal is its newest report.
         workers.call(status.addr, 0L, 0L, emptyList()) { reply ->
             calling.remove(status.machineName)
@@ -93,10 +104,18 @@
     }
 
     private fun accept(status: WorkerStatus) {
-        if (fleet.shardOfMachine(status.machineName) != null || status.machineName in returning || fleet.departedLately(status.machineName)) return
+        if (fleet.shardOfMachine(status.machineName) != null || status.machineName in returning ||
+            fleet.departedLately(status.machineName)
+        ) {
+            return
+        }
         val record = MachineRecord(status.machineName, status.typeName, status.zone, status.spot)
         val shard = emptiest()
-        log.info("machine {}: sends heartbeats and belongs to no shard, assigned to shard {}", status.machineName, shard.value)
+        log.info(
+            "machine {}: sends heartbeats and belongs to no shard, assigned to shard {}",
+            status.machineName,
+            shard.value,
+        )
         add(record, shard, status.token)
         assign()
     }
@@ -104,7 +123,10 @@
     /** The shard with the fewest CPUs, so that machines found at the start are spread evenly. */
     private fun emptiest(): ShardId {
         val cpus = DoubleArray(fleet.shardCount)
-        for (shard in cpus.indices) cpus[shard] = fleet.machinesOf(ShardId(shard)).sumOf { machineTypes()[it.typeName]?.cpus ?: 1.0 }
+        for (shard in cpus.indices) {
+            cpus[shard] =
+                fleet.machinesOf(ShardId(shard)).sumOf { machineTypes()[it.typeName]?.cpus ?: 1.0 }
+        }
         for ((record, to) in unassigned) cpus[to.shard.value] += machineTypes()[record.typeName]?.cpus ?: 1.0
         return ShardId(cpus.indices.minByOrNull { cpus[it] } ?: 0)
     }
@@ -117,13 +139,20 @@
         val expected = unassigned.keys.mapTo(HashSet()) { it.name }
         val lost = ArrayList<String>()
         for (machine in machines) {
-            if (fleet.shardOfMachine(machine.name) != null || fleet.departedLately(machine.name) || machine.name in expected) {
+            if (fleet.shardOfMachine(machine.name) != null || fleet.departedLately(machine.name) ||
+                machine.name in expected
+            ) {
                 unassignedSince.remove(machine.name)
                 continue
             }
             val since = unassignedSince.getOrPut(machine.name) { now }
-            val patience = ((machineTypes()[machine.typeName]?.bootS ?: 60.0) * 2 + settings.cloudLimits.listLagS * 2) * 1000
-            if ((machine.stage == "failed" || now - since > patience) && machine.name !in returning) lost.add(machine.name)
+            val patience =
+                ((machineTypes()[machine.typeName]?.bootS ?: 60.0) * 2 + settings.cloudLimits.listLagS * 2) * 1000
+            if ((machine.stage == "failed" || now - since > patience) &&
+                machine.name !in returning
+            ) {
+                lost.add(machine.name)
+            }
         }
         if (lost.isEmpty()) return
         val names = lost.take(MAX_MACHINES_PER_RETURN)
--- a/src/main/kotlin/io/reedmast/autoscaling/MachineProvisioner.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/MachineProvisioner.kt
@@ -33,19 +33,27 @@
     private class Part(val shard: ShardId, val count: Int)
 
     /**
-     * Rents for all shards and all that they want together: the cloud takes few calls, and up to [MAX_MACHINES_PER_REQUEST] machines
-     * with each.
+     * Rents for all shards and all that they want together: the cloud takes few calls, and up to
+     * [MAX_MACHINES_PER_REQUEST] machines with each.
      */
     fun provision(wanting: List<ShardUsageSummary>, unavailableZones: Set<String>, now: Long) {
         val parts = LinkedHashMap<InstanceOffering, ArrayList<Part>>()
         val held = HashMap<String, Int>()
-        for (shard in 0 until fleet.shardCount) fleet.machinesOf(ShardId(shard)).forEach { held.merge(it.zone, 1, Int::plus) }
+        for (shard in 0 until fleet.shardCount) {
+            fleet.machinesOf(ShardId(shard)).forEach {
+                held.merge(it.zone, 1, Int::plus)
+            }
+        }
         for (needy in wanting) {
             for (demand in needy.demand) {
                 var left = demand
                 // Spread over zones: a zone that is cut off takes only its part with it.
                 while (left.count > 0) {
-                    val (offer, count) = selectOffering(left, machineTypes().values, { (unavailableUntil[it] ?: 0L) > now || it.zone in unavailableZones }, {
+                    val (offer, count) = selectOffering(left, machineTypes().values, {
+                        (unavailableUntil[it] ?: 0L) >
+                            now ||
+                            it.zone in unavailableZones
+                    }, {
                         held[it]
                             ?: 0
                     })
@@ -74,7 +82,13 @@
                 mine.add(Part(share.shard, some))
             }
             mine.mapTo(HashSet()) { it.shard }.forEach { provisioning.merge(it, 1, Int::plus) }
-            val rental = ProvisioningRequest("$requestPrefix-${++requests}", offer.typeName, offer.zone, offer.spot, MAX_MACHINES_PER_REQUEST - room)
+            val rental = ProvisioningRequest(
+                "$requestPrefix-${++requests}",
+                offer.typeName,
+                offer.zone,
+                offer.spot,
+                MAX_MACHINES_PER_REQUEST - room,
+            )
             send(mine, offer, rental, PROVISIONING_TRIES)
         }
     }
@@ -87,7 +101,17 @@
                 send(shares, offer, rental, tries - 1)
                 return@provision
             }
-            shares.mapTo(HashSet()) { it.shard }.forEach { provisioning.computeIfPresent(it) { _, n -> if (n > 1) n - 1 else null } }
+            shares.mapTo(HashSet()) { it.shard }.forEach {
+                provisioning.computeIfPresent(it) { _, n ->
+                    if (n >
+                        1
+                    ) {
+                        n - 1
+                    } else {
+                        null
+                    }
+                }
+            }
             if (provisioned is ProvisioningResult.NoCapacity) unavailableUntil[offer] = now + UNAVAILABLE_MS
             if (provisioned is ProvisioningResult.Machines) {
                 log.info(
@@ -103,7 +127,11 @@
                 for (share in shares) {
                     repeat(share.count) {
                         names.removeFirstOrNull()?.let {
-                            intake.add(MachineRecord(it, rental.typeName, rental.zone, rental.spot), share.shard, seenToken = 0L)
+                            intake.add(
+                                MachineRecord(it, rental.typeName, rental.zone, rental.spot),
+                                share.shard,
+                                seenToken = 0L,
+                            )
                         }
                     }
                 }
--- a/src/main/kotlin/io/reedmast/autoscaling/Pricing.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/Pricing.kt
@@ -1,10 +1,15 @@
 package io.reedmast.autoscaling
 
 import io.reedmast.wire.MachineType
-import kotlin.math.ceil
 
 /** Whether an ordinary machine of this type is too dear for tasks of this shape that may use spot machines. */
-fun isTooExpensive(machineType: MachineType, machineTypes: Collection<MachineType>, cpus: Double, gpus: Double, memoryGb: Double): Boolean {
+fun isTooExpensive(
+    machineType: MachineType,
+    machineTypes: Collection<MachineType>,
+    cpus: Double,
+    gpus: Double,
+    memoryGb: Double,
+): Boolean {
     fun perTask(of: MachineType, price: Double?): Double {
         val holds = of.holds(cpus, gpus, memoryGb)
         return if (price == null || holds < 1) Double.MAX_VALUE else price / holds
--- a/src/main/kotlin/io/reedmast/autoscaling/ScaleInPolicy.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/ScaleInPolicy.kt
@@ -15,43 +15,62 @@
         }
     }
 
-    fun spareCpus(now: Long) = Headroom(shardState.machines.values.filter { it.usable && !it.record.spot }.sumOf { it.freeCpus }, serviceHeadroom(now))
+    fun spareCpus(now: Long) = Headroom(
+        shardState.machines.values.filter {
+            it.usable && !it.record.spot
+        }.sumOf { it.freeCpus },
+        serviceHeadroom(now),
+    )
 
     /** CPUs of the services that arrive within a boot. */
-    private fun serviceHeadroom(now: Long): Double = shardState.shortestBootS()?.let { arrivals.serviceCpus(now, it) } ?: 0.0
+    private fun serviceHeadroom(now: Long): Double =
+        shardState.shortestBootS()?.let { arrivals.serviceCpus(now, it) } ?: 0.0
 
-    /** FreeCapacity that other work leaves free on machines with services, for the services that arrive within a few seconds. */
+    /**
+     * FreeCapacity that other work leaves free on machines with services, for the services that arrive within a few
+     * seconds.
+     */
     fun serviceReserve(now: Long): Double = arrivals.serviceCpus(now, RESERVE_S)
 
     private var meanImageGb = 0.0
 
     /** Takes up the size of the images that the shard's jobs need. */
     fun recordImages() {
-        meanImageGb = if (shardState.jobs.isEmpty()) 0.0 else shardState.jobs.values.sumOf { it.spec.imageGb } / shardState.jobs.size
+        meanImageGb =
+            if (shardState.jobs.isEmpty()) {
+                0.0
+            } else {
+                shardState.jobs.values.sumOf { it.spec.imageGb } /
+                    shardState.jobs.size
+            }
     }
 
     /**
      * How long an empty machine is kept.
      *
-     * What is lost with it is its boot and its images; a boot is partly hidden, since machines are rented as work comes.
-     * Spot machines cost a fraction, and are kept longer by the same measure.
+     * What is lost with it is its boot and its images; a boot is partly hidden, since machines are rented as work
+     * comes. Spot machines cost a fraction, and are kept longer by the same measure.
      */
     fun scaleInDelayMs(machine: Machine): Double {
         val machineType = machine.machineType ?: return 0.0
         val ordinary =
             shardState.tuning.idleS
-                ?: maxOf(machineType.bootS * BOOT_WORTH + meanImageGb / machineType.fetchGbPerS, shardState.settings.workers.reportS * KEPT_REPORTS)
+                ?: maxOf(
+                    machineType.bootS * BOOT_WORTH + meanImageGb / machineType.fetchGbPerS,
+                    shardState.settings.workers.reportS * KEPT_REPORTS,
+                )
         return ordinary * 1000 * if (machine.record.spot) SPOT_DELAY_FACTOR else 1.0
     }
 
     /**
-     * Empty for a while and not kept for services, or still booting and not asked for just now: a machine that has just come
-     * covers what was wanted, so that nothing is, and went on to the next shard before it could be used.
+     * Empty for a while and not kept for services, or still booting and not asked for just now: a machine that has just
+     * come covers what was wanted, so that nothing is, and went on to the next shard before it could be used.
      */
     fun movable(now: Long): List<String> {
         val headroom = spareCpus(now)
         return shardState.machines.values.filter { machine ->
-            machine.placements.isEmpty() && machine.decommissionReason == null && !machine.returning && machine.machineType != null &&
+            machine.placements.isEmpty() && machine.decommissionReason == null && !machine.returning &&
+                machine.machineType != null &&
                 (
                     (!machine.everReported && now - machine.firstSeenAt > JUST_COME_MS) ||
                         (machine.trusted && now - machine.emptySince > IDLE_TO_MOVE_MS && !headroom.needs(machine))
@@ -60,19 +79,24 @@
     }
 
     /**
-     * Machines that could be emptied for another shard, those that lose least by it first, some of each kind. Empty ones that
-     * are kept for services to come are among them.
+     * Machines that could be emptied for another shard, those that lose least by it first, some of each kind. Empty
+     * ones that are kept for services to come are among them.
      *
-     * Services are placed again at once, and what ends within seconds is waited for; other work that cannot resume is lost.
+     * Services are placed again at once, and what ends within seconds is waited for; other work that cannot resume is
+     * lost.
      */
     fun lendable(now: Long): List<String> {
         val usable = shardState.machines.values.filter {
-            it.usable && it.noticeUntil == 0L && it.placements.values.none { p -> now - p.madeAt < JUST_PLACED_MS || p.job.spec.gang }
+            it.usable && it.noticeUntil == 0L &&
+                it.placements.values.none { p -> now - p.madeAt < JUST_PLACED_MS || p.job.spec.gang }
         }
         val free = usable.sumOf { it.freeCpus }
         return usable
             // With less room on the others, the work of this one would starve next, and the machine come back.
-            .filter { machine -> machine.placements.values.sumOf { it.job.spec.cpus } <= free - machine.freeCpus + Machine.EPSILON }
+            .filter { machine ->
+                machine.placements.values.sumOf { it.job.spec.cpus } <=
+                    free - machine.freeCpus + Machine.EPSILON
+            }
             .sortedBy { machine -> machine.placements.values.sumOf { emptyingCost(it, now) } }
             .groupBy { Triple(it.record.typeName, it.record.zone, it.record.spot) }.values
             .flatMap { it.take(LENDABLE_OF_A_KIND) }.take(MAX_LENDABLE).map { it.name }
@@ -90,13 +114,17 @@
     }
 
     /**
-     * Zones most of whose machines fell silent lately: a zone that is cut off. What is rented there cannot be reached either,
-     * and with its machines returned it would look like the zone with the most room.
+     * Zones most of whose machines fell silent lately: a zone that is cut off. What is rented there cannot be reached
+     * either, and with its machines returned it would look like the zone with the most room.
      */
     fun unavailableZones(now: Long): List<String> = shardState.silentMachinesByZone.filter { (zone, times) ->
         while (times.isNotEmpty() && now - times.first() > UNAVAILABLE_ZONE_MS) times.removeFirst()
         times.size >= MIN_SILENT_IN_ZONE &&
-            times.size > shardState.machines.values.count { it.record.zone == zone && it.trusted && now - it.lastHeartbeatAt <= shardState.heartbeatLateMs }
+            times.size >
+            shardState.machines.values.count {
+                it.record.zone == zone && it.trusted &&
+                    now - it.lastHeartbeatAt <= shardState.heartbeatLateMs
+            }
     }.keys.toList()
 
     companion object {
--- a/src/main/kotlin/io/reedmast/autoscaling/ShardRebalancer.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/ShardRebalancer.kt
@@ -5,8 +5,15 @@
 import io.reedmast.wire.MachineType
 import org.slf4j.LoggerFactory
 
-/** Which machines move between shards: idle ones to where they are wanted, and now and then one that is emptied for a starving job. */
-class ShardRebalancer(private val clock: Clock, private val fleet: FleetView, private val machineTypes: () -> Map<String, MachineType>) {
+/**
+ * Which machines move between shards: idle ones to where they are wanted, and now and then one that is emptied for a
+ * starving job.
+ */
+class ShardRebalancer(
+    private val clock: Clock,
+    private val fleet: FleetView,
+    private val machineTypes: () -> Map<String, MachineType>,
+) {
     private val log = LoggerFactory.getLogger("autoscaler")
 
     /** Shards that machines are on their way to, and until when that keeps the leader from renting for them. */
@@ -35,13 +42,22 @@
                     if (record.name !in idle || fleet.isMarkedForTransfer(giver.shard, record.name)) continue
                     val machineType = machineTypes()[record.typeName] ?: continue
                     val demand =
-                        left.entries.firstOrNull { it.value > 0 && it.key.runsOn(record.typeName, record.zone, record.spot) && it.key.heldBy(machineType) > 0 }
+                        left.entries.firstOrNull {
+                            it.value > 0 &&
+                                it.key.runsOn(record.typeName, record.zone, record.spot) &&
+                                it.key.heldBy(machineType) > 0
+                        }
                             ?: continue
                     demand.setValue(demand.value - demand.key.heldBy(machineType))
                     given.add(record.name)
                 }
                 if (given.isEmpty()) continue
-                log.info("shard {}: {} machines are to move to shard {}", giver.shard.value, given.size, needy.shard.value)
+                log.info(
+                    "shard {}: {} machines are to move to shard {}",
+                    giver.shard.value,
+                    given.size,
+                    needy.shard.value,
+                )
                 fleet.markForTransfer(giver.shard, given, needy.shard)
                 // Their room is not known to the needy shard before they have moved.
                 moving[needy.shard] = clock.now() + MOVE_MS
@@ -50,10 +66,11 @@
     }
 
     /**
-     * Has a machine of another shard emptied for a job that starves, once what could be rented for it has not come in time.
+     * Has a machine of another shard emptied for a job that starves, once what could be rented for it has not come in
+     * time.
      *
-     * Shards lend each other only whole machines, and with some work on every one of them a job could wait for ever beside
-     * room that would hold it.
+     * Shards lend each other only whole machines, and with some work on every one of them a job could wait for ever
+     * beside room that would hold it.
      */
     fun relieve(totals: List<ShardUsageSummary>, now: Long) {
         for (needy in totals.filter { it.shard !in relieving }) {
@@ -63,7 +80,12 @@
                 val (giver, machineNames) = totals.filter { it.shard != needy.shard }.firstNotNullOfOrNull { giver ->
                     machinesFor(demand, giver).takeIf { it.isNotEmpty() }?.let { giver to it }
                 } ?: continue
-                log.info("shard {}: {} are drained for shard {}, where a job is starving", giver.shard.value, machineNames, needy.shard.value)
+                log.info(
+                    "shard {}: {} are drained for shard {}, where a job is starving",
+                    giver.shard.value,
+                    machineNames,
+                    needy.shard.value,
+                )
                 fleet.markForTransfer(giver.shard, machineNames, needy.shard)
                 relieving[needy.shard] = now + RELIEVED_MS
                 break
@@ -71,7 +93,9 @@
         }
     }
 
-    /** Machines of a shard that hold what starves: a single task, or a whole gang, as far as [MAX_EMPTIED] machines do. */
+    /**
+     * Machines of a shard that hold what starves: a single task, or a whole gang, as far as [MAX_EMPTIED] machines do.
+     */
     private fun machinesFor(demand: Demand, giver: ShardUsageSummary): List<String> {
         val machineNames = ArrayList<String>()
         var left = demand.count
@@ -84,13 +108,16 @@
         return machineNames
     }
 
-    private fun heldBy(shard: ShardId, name: String, demand: Demand): Int =
-        fleet.machinesOf(shard).firstOrNull { it.name == name }?.let { machineTypes()[it.typeName] }?.let { demand.heldBy(it) } ?: 0
+    private fun heldBy(shard: ShardId, name: String, demand: Demand): Int = fleet.machinesOf(shard).firstOrNull {
+        it.name == name
+    }?.let { machineTypes()[it.typeName] }?.let { demand.heldBy(it) }
+        ?: 0
 
     private fun suits(shard: ShardId, name: String, demand: Demand): Boolean {
         val record = fleet.machinesOf(shard).firstOrNull { it.name == name } ?: return false
         val machineType = machineTypes()[record.typeName] ?: return false
-        return !fleet.isMarkedForTransfer(shard, name) && demand.runsOn(record.typeName, record.zone, record.spot) && demand.heldBy(machineType) > 0
+        return !fleet.isMarkedForTransfer(shard, name) && demand.runsOn(record.typeName, record.zone, record.spot) &&
+            demand.heldBy(machineType) > 0
     }
 
     private companion object {
--- a/src/main/kotlin/io/reedmast/autoscaling/ShardUsageSummary.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/ShardUsageSummary.kt
@@ -10,7 +10,10 @@
 import io.reedmast.wire.maps
 import io.reedmast.wire.optionalTexts
 
-/** What an owner stores of its shard every few seconds: its teams' charged use, and what the leader needs to resize shards. */
+/**
+ * What an owner stores of its shard every few seconds: its teams' charged use, and what the leader needs to resize
+ * shards.
+ */
 class ShardUsageSummary(
     val shard: ShardId,
     /** The version of the newest change to the shard's machines that the owner knew. */
--- a/src/main/kotlin/io/reedmast/autoscaling/UsageSummaryWriter.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/UsageSummaryWriter.kt
@@ -75,7 +75,10 @@
     }
 
     /** Charged use may take a third of the value, whatever it is made of. */
-    private fun maxBuckets(): Int = maxOf(2, shardState.limits.target.valueBytes / 3 / maxOf(1, shardState.teams.size) / BYTES_PER_BUCKET)
+    private fun maxBuckets(): Int = maxOf(
+        2,
+        shardState.limits.target.valueBytes / 3 / maxOf(1, shardState.teams.size) / BYTES_PER_BUCKET,
+    )
 
     private fun store(totals: ShardUsageSummary, writePriority: WritePriority) {
         writing = true
--- a/src/main/kotlin/io/reedmast/cluster/Cluster.kt
+++ b/src/main/kotlin/io/reedmast/cluster/Cluster.kt
@@ -3,7 +3,6 @@
 import io.reedmast.autoscaling.FleetView
 import io.reedmast.jobs.JobIndex
 import io.reedmast.kvstore.EffectiveLimits
-import io.reedmast.kvstore.Keys
 import io.reedmast.kvstore.ReadResult
 import io.reedmast.kvstore.StoredItem
 import io.reedmast.kvstore.UnreadableRecordLog
@@ -25,9 +24,11 @@
 import org.slf4j.LoggerFactory
 
 /**
- * This controller's view of the cluster, joined from its duties: freshness, membership, shards and their machines, takeovers.
+ * This controller's view of the cluster, joined from its duties: freshness, membership, shards and their machines,
+ * takeovers.
  *
- * What the watches and the answers to this controller's own changes tell goes to the tables; [runOnce] makes the changes that are due.
+ * What the watches and the answers to this controller's own changes tell goes to the tables; [runOnce] makes the
+ * changes that are due.
  */
 class Cluster(
     private val settings: Settings,
@@ -51,11 +52,15 @@
     /** How recent the view of the store is. */
     val staleness = WatchStaleness(clock, settings.workers)
     private val shards = ShardTable(settings.shardCount, gateway, ::shardChanged)
-    override val rollout = ClusterRollout(settings, clock, gateway, gateway, limits, rolloutOptions, incarnation, shards) { reread(it) }
-    private val membership = Membership(settings, clock, gateway, gateway, ::memberFields) { rollout.gates.precondition }
-    private val machines = MachineTable(settings, clock, gateway, limits, { owners[it.value]?.syncMachines() }, machineDirectory::forget)
+    override val rollout =
+        ClusterRollout(settings, clock, gateway, gateway, limits, rolloutOptions, incarnation, shards) { reread(it) }
+    private val membership =
+        Membership(settings, clock, gateway, gateway, ::memberFields) { rollout.gates.precondition }
+    private val machines =
+        MachineTable(settings, clock, gateway, limits, { owners[it.value]?.syncMachines() }, machineDirectory::forget)
     private val reachability = WorkerReachability(clock, gateway)
-    private val assignment = MachineAssignment(settings, gateway, limits, shards, machines, rollout, { membership.leaderVersion }, ::reread)
+    private val assignment =
+        MachineAssignment(settings, gateway, limits, shards, machines, rollout, { membership.leaderVersion }, ::reread)
     private val acquisition =
         ShardAcquisition(
             settings,
@@ -83,7 +88,8 @@
     override val leading: Boolean get() = membership.leading
     val records: Array<StoredRecord?> get() = shards.records
 
-    private fun newOwner(shard: ShardId) = ShardOwner(shard, settings, tuning, clock, gateway, limits, machineTypes, ::isCurrent, this)
+    private fun newOwner(shard: ShardId) =
+        ShardOwner(shard, settings, tuning, clock, gateway, limits, machineTypes, ::isCurrent, this)
 
     private fun memberFields() = rollout.memberFields(ownsNothing = shards.countOf(settings.label) == 0)
 
@@ -91,8 +97,8 @@
     override fun isCurrent(): Boolean = staleness.isCurrent && rollout.isAdmitted
 
     /**
-     * Whether this controller may still answer workers with 200: it knows all cancellations that users were told of, up to a short
-     * time ago, from the store or, during an outage, from every other controller.
+     * Whether this controller may still answer workers with 200: it knows all cancellations that users were told of, up
+     * to a short time ago, from the store or, during an outage, from every other controller.
      */
     fun mayAcknowledgeHeartbeats(): Boolean {
         if (!rollout.mayAcknowledgeHeartbeats) return false
@@ -118,7 +124,8 @@
 
     override fun transferTargetsOf(shard: ShardId): Map<MachineRecord, Int?> = machines.transferTargetsOf(shard)
 
-    override fun isMarkedForTransfer(shard: ShardId, machineName: String) = machines.isMarkedForTransfer(shard, machineName)
+    override fun isMarkedForTransfer(shard: ShardId, machineName: String) =
+        machines.isMarkedForTransfer(shard, machineName)
 
     override fun departedLately(machineName: String): Boolean = machines.departedLately(machineName)
 
@@ -126,7 +133,8 @@
     fun onWorkerContact() = reachability.recordContact()
 
     /** Where to send a worker of [shard], which is not ours. */
-    fun redirectTarget(shard: ShardId, machineName: String, addr: String): String? = acquisition.redirectTarget(shard, machineName, addr)
+    fun redirectTarget(shard: ShardId, machineName: String, addr: String): String? =
+        acquisition.redirectTarget(shard, machineName, addr)
 
     // ---- what the watches tell --------------------------------------------------------------------------------------
 
@@ -137,7 +145,13 @@
         items.forEach { applyRecord(it.path, it.value, it.version) }
         membership.recordAbsent(items.mapTo(HashSet()) { it.path })
         if (!staleness.clusterLoaded) {
-            log.info("cluster: read from the store, {} shards, {} controllers", shards.records.count { it != null }, membership.presentCount)
+            log.info(
+                "cluster: read from the store, {} shards, {} controllers",
+                shards.records.count {
+                    it != null
+                },
+                membership.presentCount,
+            )
         }
         staleness.onClusterObserved(askedAt)
         membership.shareLimits()
@@ -231,14 +245,20 @@
 
     private var releaseDue = 0L
 
-    /** Before it is stopped, a drained controller has the others take its shards, each one when all that it decided there is stored. */
+    /**
+     * Before it is stopped, a drained controller has the others take its shards, each one when all that it decided
+     * there is stored.
+     */
     private fun releaseShards(now: Long) {
         if (!rollout.isDraining || now < releaseDue) return
         releaseDue = now + RELEASE_INTERVAL_MS
         owned().filter { it.isSettled }.forEach { requestFailover(it.index) }
     }
 
-    /** Once no earlier version reads the records any more, what is too large for the reduced limits is stored anew in smaller parts. */
+    /**
+     * Once no earlier version reads the records any more, what is too large for the reduced limits is stored anew in
+     * smaller parts.
+     */
     private fun divideForReducedLimits() {
         if (!limits.isReduced) return
         if (!sharedReduced) membership.shareLimits()
@@ -251,7 +271,8 @@
 
     fun reconcile() = owned().forEach { it.reconcile() }
 
-    // ---- other controllers --------------------------------------------------------------------------------------------
+    // ---- other controllers
+    // --------------------------------------------------------------------------------------------
 
     /** Another controller has sent a message. */
     fun onPeerMessage(message: PeerMessage) = when (message) {
@@ -287,7 +308,8 @@
         gateway.broadcast(peerStatuses.query(now))
     }
 
-    // ---- changes to records -------------------------------------------------------------------------------------------
+    // ---- changes to records
+    // -------------------------------------------------------------------------------------------
 
     override fun renewToken(shard: ShardId) = acquisition.renewToken(shard)
 
@@ -299,16 +321,22 @@
 
     override fun refresh(shard: ShardId) = shards.refresh(shard, ::applyReadResult)
 
-    override fun removeMachines(shard: ShardId, machineNames: Set<String>) = assignment.removeMachines(shard, machineNames)
+    override fun removeMachines(shard: ShardId, machineNames: Set<String>) =
+        assignment.removeMachines(shard, machineNames)
 
-    override fun transferMachines(shard: ShardId, machineNames: Collection<String>) = assignment.transferMachines(shard, machineNames)
+    override fun transferMachines(shard: ShardId, machineNames: Collection<String>) =
+        assignment.transferMachines(shard, machineNames)
 
-    /** The leader gives machines to a shard; [seen] is the highest token that any of them has seen. [done] tells which were. */
+    /**
+     * The leader gives machines to a shard; [seen] is the highest token that any of them has seen. [done] tells which
+     * were.
+     */
     override fun addMachines(shard: ShardId, records: List<MachineRecord>, seen: Long, done: (Set<String>) -> Unit) =
         assignment.addMachines(shard, records, seen, done)
 
     /** The leader marks machines that are to leave for another shard as soon as they are empty. */
-    override fun markForTransfer(shard: ShardId, machineNames: Collection<String>, to: ShardId) = assignment.markForTransfer(shard, machineNames, to)
+    override fun markForTransfer(shard: ShardId, machineNames: Collection<String>, to: ShardId) =
+        assignment.markForTransfer(shard, machineNames, to)
 
     private companion object {
         const val QUERY_PEERS_AFTER_MS = 3_500L
--- a/src/main/kotlin/io/reedmast/cluster/ClusterFeatures.kt
+++ b/src/main/kotlin/io/reedmast/cluster/ClusterFeatures.kt
@@ -1,29 +1,22 @@
 package io.reedmast.cluster
 
-import io.reedmast.kvstore.Keys
-import io.reedmast.kvstore.Precondition
-import io.reedmast.kvstore.StoredItem
-import io.reedmast.kvstore.Write
 import io.reedmast.persistence.DensePages
-import io.reedmast.rollout.ClusterRecords
 import io.reedmast.rollout.Feature
 import io.reedmast.rollout.FeatureName
 import io.reedmast.rollout.FeatureRegistry
 import io.reedmast.rollout.FormatVersion
-import io.reedmast.rollout.GateSnapshot
-import io.reedmast.rollout.MigrationScope
-import io.reedmast.rollout.RecordMigration
-import io.reedmast.rollout.ShardOwnership
 import io.reedmast.rollout.VersionRange
-import io.reedmast.wire.Fields
-import io.reedmast.wire.count
 
 /** The features of this version, and the versions of the stored forms that it reads and writes. */
 object ClusterFeatures {
-    /** Records are divided to fit reduced limits. Its gate is `c/format`, from before there was a record of the rollout. */
+    /**
+     * Records are divided to fit reduced limits. Its gate is `c/format`, from before there was a record of the rollout.
+     */
     val DIVIDED_RECORDS = FeatureName("divided-records")
 
-    /** The token counter has a form that versions before the rollout record cannot read, so that they can take no shard. */
+    /**
+     * The token counter has a form that versions before the rollout record cannot read, so that they can take no shard.
+     */
     val FENCED_TOKENS = FeatureName("fenced-tokens")
 
     private val OLDEST = FormatVersion.NONE
@@ -35,5 +28,6 @@
     val fencedTokens = Feature(FENCED_TOKENS, WITH_ROLLOUT, setOf(DIVIDED_RECORDS), migration = TokenCounter)
     val densePages = Feature(DensePages.FEATURE, WITH_DENSE_PAGES, setOf(FENCED_TOKENS), migration = DensePages)
 
-    val registry = FeatureRegistry(listOf(dividedRecords, fencedTokens, densePages), VersionRange(OLDEST, WITH_DENSE_PAGES))
+    val registry =
+        FeatureRegistry(listOf(dividedRecords, fencedTokens, densePages), VersionRange(OLDEST, WITH_DENSE_PAGES))
 }
--- a/src/main/kotlin/io/reedmast/cluster/ClusterRollout.kt
+++ b/src/main/kotlin/io/reedmast/cluster/ClusterRollout.kt
@@ -57,8 +57,14 @@
     /** Whether this process takes part in the cluster: nothing is written or answered for it otherwise. */
     override val isAdmitted: Boolean get() = view.admission == Admission.Admitted
 
-    /** Whether workers may be answered: while the record cannot be read what runs goes on, but a process that does not fit is silent. */
-    val mayAcknowledgeHeartbeats: Boolean get() = view.admission.let { it == Admission.Admitted || it is Admission.Withheld }
+    /**
+     * Whether workers may be answered: while the record cannot be read what runs goes on, but a process that does not
+     * fit is silent.
+     */
+    val mayAcknowledgeHeartbeats: Boolean get() = view.admission.let {
+        it == Admission.Admitted ||
+            it is Admission.Withheld
+    }
 
     /** Whether an operator has ordered this process to give its shards up. */
     val isDraining: Boolean get() = view.drainOf(settings.label)?.order?.incarnation == incarnation
@@ -71,7 +77,9 @@
 
     /** The migration of one part of the records, for whoever may write them. */
     override fun reconciler(unit: MigrationUnit, access: RecordAccess) =
-        MigrationReconciler(unit, options.registry, rolloutStore, access, options.pace, clock::now) { limits.allowed.valueBytes }
+        MigrationReconciler(unit, options.registry, rolloutStore, access, options.pace, clock::now) {
+            limits.allowed.valueBytes
+        }
 
     fun reset() = view.reset()
 
@@ -85,9 +93,17 @@
 
     /** What this controller publishes of itself under its lease. */
     fun memberFields(ownsNothing: Boolean): Fields = mapOf("label" to settings.label) + FormatGate.fields() +
-        MemberVersions(options.registry.range, options.desired, incarnation, drained = isDraining && ownsNothing).toFields()
-
-    /** Called regularly once the cluster's keys have been read: ends this process if it must not go on, or asks that it count again. */
+        MemberVersions(
+            options.registry.range,
+            options.desired,
+            incarnation,
+            drained = isDraining && ownsNothing,
+        ).toFields()
+
+    /**
+     * Called regularly once the cluster's keys have been read: ends this process if it must not go on, or asks that it
+     * count again.
+     */
     fun checkAdmission() {
         when (val admission = view.admission) {
             Admission.Admitted, is Admission.Withheld -> Unit
@@ -102,7 +118,10 @@
         process.end(reason)
     }
 
-    /** Called regularly while the store is heard and this process is admitted; [leaderVersion] is null unless this controller leads. */
+    /**
+     * Called regularly while the store is heard and this process is admitted; [leaderVersion] is null unless this
+     * controller leads.
+     */
     fun runOnce(leaderVersion: Long?) {
         formatGate.runOnce()
         if (leaderVersion == null) return
@@ -110,10 +129,18 @@
         clusterMigration.runOnce(gates, Precondition(Keys.LEADER, leaderVersion), view)
     }
 
-    private fun snapshot(): ClusterSnapshot =
-        view.snapshot(configured, shards.records.map { stored -> stored?.let { ShardOwnership(it.record.owner, it.version) } }, formatGate.finalized)
+    private fun snapshot(): ClusterSnapshot = view.snapshot(
+        configured,
+        shards.records.map { stored ->
+            stored?.let { ShardOwnership(it.record.owner, it.version) }
+        },
+        formatGate.finalized,
+    )
 
-    /** Nobody keeps a copy of the cluster's records that a migration could make stale: whoever writes one reads it again after a conflict. */
+    /**
+     * Nobody keeps a copy of the cluster's records that a migration could make stale: whoever writes one reads it again
+     * after a conflict.
+     */
     private object UncontendedRecords : RecordAccess {
         override fun tryAcquire(path: String): Boolean = true
 
--- a/src/main/kotlin/io/reedmast/cluster/FormatGate.kt
+++ b/src/main/kotlin/io/reedmast/cluster/FormatGate.kt
@@ -15,13 +15,18 @@
 import org.slf4j.LoggerFactory
 
 /**
- * The gate of [ClusterFeatures.dividedRecords], which is older than the record of the rollout and keeps its own stored form.
+ * The gate of [ClusterFeatures.dividedRecords], which is older than the record of the rollout and keeps its own stored
+ * form.
  *
- * Each controller names the feature's version in its membership key, where earlier versions ignore the field. The feature cannot be taken
- * back: a controller that has been seen with it counts for good, and the gate is finalized at once when all have been. A process that starts
- * later need not see all of them again.
+ * Each controller names the feature's version in its membership key, where earlier versions ignore the field. The
+ * feature cannot be taken back: a controller that has been seen with it counts for good, and the gate is finalized at
+ * once when all have been. A process that starts later need not see all of them again.
  */
-class FormatGate(private val settings: Settings, private val store: KeyValueStore, private val limits: EffectiveLimits) {
+class FormatGate(
+    private val settings: Settings,
+    private val store: KeyValueStore,
+    private val limits: EffectiveLimits,
+) {
     private val log = LoggerFactory.getLogger("cluster")
     private val upgraded = hashSetOf(settings.label)
     private var stored = false
@@ -66,6 +71,7 @@
         fun fields(): Fields = mapOf(RolloutView.LEGACY_VERSION to feature.requires.value.toLong())
 
         /** Whether a record, of a controller or of the gate, names the feature's version or a later one. */
-        fun isReached(value: Fields): Boolean = (value[RolloutView.LEGACY_VERSION] as? Long ?: 0L) >= feature.requires.value
+        fun isReached(value: Fields): Boolean =
+            (value[RolloutView.LEGACY_VERSION] as? Long ?: 0L) >= feature.requires.value
     }
 }
--- a/src/main/kotlin/io/reedmast/cluster/MachineAssignment.kt
+++ b/src/main/kotlin/io/reedmast/cluster/MachineAssignment.kt
@@ -16,8 +16,8 @@
 import org.slf4j.LoggerFactory
 
 /**
- * The changes to the records of shards' machines: a leader gives machines and marks those that are to move, an owner hands
- * them over and removes those that are gone.
+ * The changes to the records of shards' machines: a leader gives machines and marks those that are to move, an owner
+ * hands them over and removes those that are gone.
  *
  * Each change has the record's own version as a condition, and the key that entitles this controller to it.
  */
@@ -42,19 +42,35 @@
         val term = shards.records[shard.value]?.takeIf { it.record.owner == settings.label }?.version ?: return
         for ((index, held) in machines.partsOf(shard)) {
             if (held.part.records.none { it.name in machineNames }) continue
-            rewrite(shard, index, held.part.without(machineNames), Precondition(Keys.shard(shard.value), term), writePriority = WritePriority.DEFERRED) {}
+            rewrite(
+                shard,
+                index,
+                held.part.without(machineNames),
+                Precondition(Keys.shard(shard.value), term),
+                writePriority = WritePriority.DEFERRED,
+            ) {
+            }
         }
     }
 
     /** Moves empty machines, as many as share a record and a destination; the others follow with the next call. */
     fun transferMachines(shard: ShardId, machineNames: Collection<String>) {
         val from = shards.records[shard.value] ?: return
-        val (index, held) = machines.partsOf(shard).entries.firstOrNull { (_, held) -> machineNames.any { it in held.part.transfers } } ?: return
+        val (index, held) = machines.partsOf(shard).entries.firstOrNull { (_, held) ->
+            machineNames.any {
+                it in
+                    held.part.transfers
+            }
+        }
+            ?: return
         val to = machineNames.firstNotNullOfOrNull { held.part.transfers[it] }?.let { ShardId(it) } ?: return
         val target = shards.records.getOrNull(to.value) ?: return
         if (to == shard) return
         val divided = namedTwice(shard)
-        val moving = held.part.records.filter { it.name in machineNames && it.name !in divided && held.part.transfers[it.name] == to.value }
+        val moving = held.part.records.filter {
+            it.name in machineNames && it.name !in divided &&
+                held.part.transfers[it.name] == to.value
+        }
         val destination = machines.roomIn(to, moving)
         val moved = moving.filter { destination.part.holds(it.name) }.mapTo(HashSet()) { it.name }
         if (moved.isEmpty() || !isStorable(held.part.without(moved))) return
@@ -65,7 +81,14 @@
     /** The record that machines leave. */
     private class Source(val shard: ShardId, val index: Int, val held: StoredMachineListPart, val owner: StoredRecord)
 
-    private fun move(source: Source, left: MachineListPart, to: ShardId, target: StoredRecord, destination: MachineTable.Grown, moved: Set<String>) {
+    private fun move(
+        source: Source,
+        left: MachineListPart,
+        to: ShardId,
+        target: StoredRecord,
+        destination: MachineTable.Grown,
+        moved: Set<String>,
+    ) {
         val fromPath = Keys.machineNames(source.shard.value, source.index)
         val toPath = Keys.machineNames(to.value, destination.index)
         if (fromPath in writing || toPath in writing) return
@@ -75,9 +98,16 @@
             Precondition(toPath, destination.held?.version ?: 0L),
             Precondition(Keys.shard(to.value), target.version),
         )
-        val writes = arrayListOf<Write>(Write.Put(fromPath, left.toFields()), Write.Put(toPath, destination.part.toFields()))
+        val writes =
+            arrayListOf<Write>(Write.Put(fromPath, left.toFields()), Write.Put(toPath, destination.part.toFields()))
         // The other shard's owner must have a token above all that these machines have seen, which is at most ours.
-        val renewed = if (target.record.token > source.owner.record.token) null else target.record.copy(token = FencingToken.after(shards.token))
+        val renewed = if (target.record.token >
+            source.owner.record.token
+        ) {
+            null
+        } else {
+            target.record.copy(token = FencingToken.after(shards.token))
+        }
         if (renewed != null) {
             val counter = TokenCounter.moveTo(renewed.token, shards.tokenVersion, rollout.gates)
             preconditions.addAll(counter.preconditions)
@@ -99,13 +129,18 @@
                     machines.applyPart(to, destination.index, destination.part, outcome.revision)
                     machines.applyPart(source.shard, source.index, left, outcome.revision)
                 } else {
-                    listOf(Keys.shard(source.shard.value), Keys.shard(to.value), Keys.TOKEN, fromPath, toPath).forEach { reread(it) {} }
+                    listOf(Keys.shard(source.shard.value), Keys.shard(to.value), Keys.TOKEN, fromPath, toPath).forEach {
+                        reread(it) {}
+                    }
                 }
             },
         )
     }
 
-    /** The leader gives machines to a shard; [seen] is the highest token that any of them has seen. [done] tells which were. */
+    /**
+     * The leader gives machines to a shard; [seen] is the highest token that any of them has seen. [done] tells which
+     * were.
+     */
     fun addMachines(shard: ShardId, records: List<MachineRecord>, seen: Long, done: (Set<String>) -> Unit) {
         val owner = shards.records[shard.value]
         val grown = machines.roomIn(shard, records)
@@ -136,27 +171,36 @@
             val mine = held.part.records.filter { it.name in machineNames }
             if (mine.isEmpty()) continue
             var marks = mine.size
-            fun marked() = held.part.copy(transfers = held.part.transfers + mine.take(marks).associate { it.name to to.value })
+            fun marked() = held.part.copy(
+                transfers =
+                held.part.transfers + mine.take(marks).associate { it.name to to.value },
+            )
             while (marks > 0 && Tree.jsonSize(marked().toFields()) > limits.allowed.valueBytes * MARKED) marks /= 2
             if (marks > 0) rewrite(shard, index, marked(), Precondition(Keys.LEADER, leaderVersion())) {}
         }
     }
 
-    /** Whether the store takes the record; one that an earlier version stored may be too large until it has been divided. */
+    /**
+     * Whether the store takes the record; one that an earlier version stored may be too large until it has been
+     * divided.
+     */
     private fun isStorable(part: MachineListPart) = Tree.jsonSize(part.toFields()) <= limits.allowed.valueBytes * MARKED
 
     /** Machines that stand in two records of a shard, one of which is being divided. */
     private fun namedTwice(shard: ShardId): Set<String> {
         val names = HashSet<String>()
-        return machines.partsOf(shard).values.flatMap { it.part.records }.map { it.name }.filterTo(HashSet()) { !names.add(it) }
+        return machines.partsOf(shard).values.flatMap {
+            it.part.records
+        }.map { it.name }.filterTo(HashSet()) { !names.add(it) }
     }
 
     /**
      * The owner divides records of machines that are larger than the reduced limits allow, a step at each call.
      *
-     * A record that is too large can only be replaced by a small one, so its machines are first copied to new records, one
-     * transaction each, with the old record's version as a condition. They stand in two records of the same shard then, which is
-     * harmless wherever it ends, and do not move until the old record has been cut down to what no other one names.
+     * A record that is too large can only be replaced by a small one, so its machines are first copied to new records,
+     * one transaction each, with the old record's version as a condition. They stand in two records of the same shard
+     * then, which is harmless wherever it ends, and do not move until the old record has been cut down to what no other
+     * one names.
      */
     fun divideOversized(shard: ShardId) {
         val term = shards.records[shard.value]?.takeIf { it.record.owner == settings.label }?.version ?: return
@@ -165,14 +209,26 @@
         val bytes = limits.target.valueBytes
         for ((index, held) in parts) {
             if (Tree.jsonSize(held.part.toFields()) <= bytes * MARKED) continue
-            val elsewhere = parts.filterKeys { it != index }.values.flatMapTo(HashSet()) { it.part.records.map { record -> record.name } }
+            val elsewhere = parts.filterKeys {
+                it != index
+            }.values.flatMapTo(HashSet()) { it.part.records.map { record -> record.name } }
             val rest = held.part.without(elsewhere)
             if (rest.fits(bytes)) {
                 rewrite(shard, index, rest, entitled) {}
             } else {
-                val copied = MachineListPart.EMPTY.with(rest.records, bytes).let { part -> part.copy(transfers = rest.transfers.filterKeys { part.holds(it) }) }
+                val copied = MachineListPart.EMPTY.with(rest.records, bytes).let { part ->
+                    part.copy(transfers = rest.transfers.filterKeys { part.holds(it) })
+                }
                 val unchanged = Precondition(Keys.machineNames(shard.value, index), held.version)
-                rewrite(shard, parts.keys.max() + 1, copied, entitled, StoredMachineListPart(MachineListPart.EMPTY, 0L), listOf(unchanged)) {}
+                rewrite(
+                    shard,
+                    parts.keys.max() + 1,
+                    copied,
+                    entitled,
+                    StoredMachineListPart(MachineListPart.EMPTY, 0L),
+                    listOf(unchanged),
+                ) {
+                }
             }
             return
         }
@@ -196,15 +252,19 @@
         }
         val preconditions = listOf(Precondition(path, held.version), entitled) + morePreconditions
         store.commit(
-            CasTransaction(preconditions, listOf(Write.Put(path, part.toFields())) + moreWrites, writePriority) { outcome ->
+            CasTransaction(
+                preconditions,
+                listOf(Write.Put(path, part.toFields())) + moreWrites,
+                writePriority,
+            ) { outcome ->
                 writing.remove(path)
                 if (outcome is CommitOutcome.Applied) {
                     moreWrites.forEach { shards.applyRecord(it.path, it.value, outcome.revision) }
                     machines.applyPart(shard, index, part, outcome.revision)
                     done(true)
                 } else {
-                    // The change may have been applied and replaced since. Whoever asked for it must see that before asking again: a
-                    // machine would be given to a second shard.
+                    // The change may have been applied and replaced since. Whoever asked for it must see that before
+                    // asking again: a machine would be given to a second shard.
                     reread(Keys.shard(shard.value)) {}
                     reread(path) { done(false) }
                 }
--- a/src/main/kotlin/io/reedmast/cluster/MachineListPart.kt
+++ b/src/main/kotlin/io/reedmast/cluster/MachineListPart.kt
@@ -20,7 +20,12 @@
     fun toFields(): Fields = mapOf(
         "kinds" to
             records.groupBy { Triple(it.typeName, it.zone, it.spot) }.map { (kind, of) ->
-                mapOf("typeName" to kind.first, "zone" to kind.second, "spot" to kind.third, "hosts" to of.map { it.name })
+                mapOf(
+                    "typeName" to kind.first,
+                    "zone" to kind.second,
+                    "spot" to kind.third,
+                    "hosts" to of.map { it.name },
+                )
             },
         "leaving" to transfers,
     )
@@ -47,10 +52,18 @@
         fun parse(fields: Fields) = MachineListPart(
             fields.maps("kinds").flatMap { kind ->
                 kind.list("hosts").map {
-                    MachineRecord(it as? String ?: throw MalformedException("hosts holds no name"), kind.text("typeName"), kind.text("zone"), kind.flag("spot"))
+                    MachineRecord(
+                        it as? String ?: throw MalformedException("hosts holds no name"),
+                        kind.text("typeName"),
+                        kind.text("zone"),
+                        kind.flag("spot"),
+                    )
                 }
             },
-            fields.map("leaving").mapValues { (_, v) -> (v as? Long)?.toInt() ?: throw MalformedException("leaving names no shard") },
+            fields.map("leaving").mapValues { (_, v) ->
+                (v as? Long)?.toInt()
+                    ?: throw MalformedException("leaving names no shard")
+            },
         )
     }
 }
--- a/src/main/kotlin/io/reedmast/cluster/MachineTable.kt
+++ b/src/main/kotlin/io/reedmast/cluster/MachineTable.kt
@@ -31,7 +31,8 @@
     private val departed = HashMap<String, Long>()
 
     /** Late copies of a machine's reports come for longer than its lease; lists show it for twice their lag. */
-    private val rememberDepartedMs = ((settings.cloudLimits.listLagS + settings.workers.leaseS) * 3000 + 60_000).toLong()
+    private val rememberDepartedMs =
+        ((settings.cloudLimits.listLagS + settings.workers.leaseS) * 3000 + 60_000).toLong()
 
     fun shardOf(machineName: String): ShardId? = shardByMachine[machineName]
 
@@ -41,9 +42,14 @@
 
     fun partsOf(shard: ShardId): Map<Int, StoredMachineListPart> = parts[shard.value]
 
-    fun machinesOf(shard: ShardId): Sequence<MachineRecord> = parts[shard.value].values.asSequence().flatMap { it.part.records }
+    fun machinesOf(shard: ShardId): Sequence<MachineRecord> = parts[shard.value].values.asSequence().flatMap {
+        it.part.records
+    }
 
-    fun isMarkedForTransfer(shard: ShardId, machineName: String) = parts[shard.value].values.any { machineName in it.part.transfers }
+    fun isMarkedForTransfer(shard: ShardId, machineName: String) = parts[shard.value].values.any {
+        machineName in
+            it.part.transfers
+    }
 
     /** Stamp of the newest change to the shard's machines. */
     fun versionOf(shard: ShardId): Long = parts[shard.value].values.maxOfOrNull { it.version } ?: 0L
--- a/src/main/kotlin/io/reedmast/cluster/Membership.kt
+++ b/src/main/kotlin/io/reedmast/cluster/Membership.kt
@@ -16,7 +16,8 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Which controllers live and which of them leads, by keys that are attached to their leases; and this controller's own lease.
+ * Which controllers live and which of them leads, by keys that are attached to their leases; and this controller's own
+ * lease.
  *
  * Nobody's safety rests on it: it only chooses good moments for taking shards, and who rents machines.
  */
@@ -68,8 +69,8 @@
     /**
      * All keys have been read anew, and follow; they are at least as new as [revision].
      *
-     * The version of the leader's key is forgotten with its value: a leader who had not changed in the gap was otherwise not seen
-     * again, and nobody led by this controller's account for as long as he stayed.
+     * The version of the leader's key is forgotten with its value: a leader who had not changed in the gap was
+     * otherwise not seen again, and nobody led by this controller's account for as long as he stayed.
      */
     fun reset(revision: Long) {
         present.clear()
@@ -85,7 +86,9 @@
 
     /** All keys have been read: those of controllers that are not among [paths] are gone. */
     fun recordAbsent(paths: Set<String>) {
-        settings.members.filter { Keys.member(it.label) !in paths }.forEach { absentSince.putIfAbsent(it.label, clock.now()) }
+        settings.members.filter {
+            Keys.member(it.label) !in paths
+        }.forEach { absentSince.putIfAbsent(it.label, clock.now()) }
     }
 
     /** Takes up the value under [path], if it is one of these keys; a null [value] is a deletion. */
@@ -158,7 +161,12 @@
         if (resigning) return
         resigning = true
         log.info("leader: {} resigns", settings.label)
-        store.commit(CasTransaction(listOf(Precondition(Keys.LEADER, leaderVersion)), listOf(Write.Delete(Keys.LEADER))) { resigning = false })
+        store.commit(
+            CasTransaction(listOf(Precondition(Keys.LEADER, leaderVersion)), listOf(Write.Delete(Keys.LEADER))) {
+                resigning =
+                    false
+            },
+        )
     }
 
     private fun claimMemberKey() {
@@ -178,7 +186,10 @@
     private fun putMemberKey(held: Long, fields: Fields, version: Long) {
         val path = Keys.member(settings.label)
         store.commit(
-            CasTransaction(listOf(Precondition(path, version), gatesPrecondition()), listOf(Write.Put(path, fields, held))) { outcome ->
+            CasTransaction(
+                listOf(Precondition(path, version), gatesPrecondition()),
+                listOf(Write.Put(path, fields, held)),
+            ) { outcome ->
                 claimingMemberKey = false
                 when (outcome) {
                     is CommitOutcome.Applied -> {
@@ -205,7 +216,11 @@
             ) { outcome ->
                 claimingLeader = false
                 // The watch tells the same: whichever is first counts. What it has told of may be over by now.
-                if (outcome is CommitOutcome.Applied && outcome.revision > observedRevision) applyLeader(settings.label, outcome.revision)
+                if (outcome is CommitOutcome.Applied &&
+                    outcome.revision > observedRevision
+                ) {
+                    applyLeader(settings.label, outcome.revision)
+                }
                 if (outcome is CommitOutcome.Refused && lease == held) lease = null
             },
         )
--- a/src/main/kotlin/io/reedmast/cluster/MisdirectedHeartbeats.kt
+++ b/src/main/kotlin/io/reedmast/cluster/MisdirectedHeartbeats.kt
@@ -5,8 +5,8 @@
 /**
  * Workers that report to us although another controller owns their shard: it does not answer them.
  *
- * An owner may be cut off from workers alone. It keeps its key and its term then, and nothing tells it so; if nobody took
- * its shards over, every task of them would end with the workers' leases.
+ * An owner may be cut off from workers alone. It keeps its key and its term then, and nothing tells it so; if nobody
+ * took its shards over, every task of them would end with the workers' leases.
  */
 class MisdirectedHeartbeats(shards: Int, reportS: Double) {
     /** A worker that was redirects on to the owner; [again]: not for the first time. */
@@ -15,7 +15,9 @@
     private val redirects = Array(shards) { HashMap<String, Redirect>() }
     private val changedAt = LongArray(shards)
 
-    /** A worker reports a quarter late, waits for an answer in vain, and is redirects on, before it reaches a new owner. */
+    /**
+     * A worker reports a quarter late, waits for an answer in vain, and is redirects on, before it reaches a new owner.
+     */
     private val settledMs = ((reportS * 1.25 + FRUITLESS_S) * SLACK * 1000).toLong()
 
     fun none(shard: ShardId): Boolean = redirects[shard.value].isEmpty()
@@ -29,8 +31,9 @@
     }
 
     /**
-     * Names and addresses of some workers, if the owner seems out of reach for most of [machineNames], the shard's machines that
-     * have ever been up. A few workers may be lost on their own account, so of them it takes one that came back.
+     * Names and addresses of some workers, if the owner seems out of reach for most of [machineNames], the shard's
+     * machines that have ever been up. A few workers may be lost on their own account, so of them it takes one that
+     * came back.
      */
     fun sampleIfMost(shard: ShardId, machineNames: Int, now: Long): Map<String, String> {
         val of = redirects[shard.value]
@@ -47,15 +50,17 @@
     }
 
     /**
-     * This controller hears nothing from the store. Its owners may be no better off and send their workers away: after an
-     * outage the workers of all of them went round, and one controller took every shard from owners that were well.
+     * This controller hears nothing from the store. Its owners may be no better off and send their workers away: after
+     * an outage the workers of all of them went round, and one controller took every shard from owners that were well.
      */
     fun isCutOff(now: Long) {
         for (shard in redirects.indices) newOwner(ShardId(shard), now)
     }
 
     private companion object {
-        /** A worker waits four seconds for an answer and one before it goes on, and may pause half a second on its way. */
+        /**
+         * A worker waits four seconds for an answer and one before it goes on, and may pause half a second on its way.
+         */
         const val BACK_WITHIN_MS = 8_000L
         const val FRUITLESS_S = 5.5
         const val SLACK = 1.5
--- a/src/main/kotlin/io/reedmast/cluster/PeerStatuses.kt
+++ b/src/main/kotlin/io/reedmast/cluster/PeerStatuses.kt
@@ -6,10 +6,10 @@
 /**
  * What the other controllers report while this one does not hear the store.
  *
- * A controller tells a user of a cancellation only after recording it in its job index, and its report holds all that are
- * there. With a report of every other controller, asked for at some time, all cancellations that a user had been told of by
- * then are known here, although the store does not answer. A report counts only if that controller's process was
- * already running when this one last heard the store: what an earlier process of it confirmed since then is not in
+ * A controller tells a user of a cancellation only after recording it in its job index, and its report holds all that
+ * are there. With a report of every other controller, asked for at some time, all cancellations that a user had been
+ * told of by then are known here, although the store does not answer. A report counts only if that controller's process
+ * was already running when this one last heard the store: what an earlier process of it confirmed since then is not in
  * the report.
  */
 class PeerStatuses(private val self: ControllerId, members: Int, private val incarnation: String) {
@@ -22,7 +22,9 @@
         var confirmedAt: Long? = null
     }
 
-    private val peers: Map<ControllerId, Peer> = (0 until members).map { ControllerId(it) }.filter { it != self }.associateWith { Peer() }
+    private val peers: Map<ControllerId, Peer> = (0 until members).map {
+        ControllerId(it)
+    }.filter { it != self }.associateWith { Peer() }
     private val askedAt = object : LinkedHashMap<Long, Long>() {
         override fun removeEldestEntry(eldest: Map.Entry<Long, Long>) = size > MAX_OPEN_QUERIES
     }
@@ -35,8 +37,8 @@
     }
 
     /**
-     * Takes up a report, whose cancellations have been noted already. [observedThrough] is the time up to which all that was stored
-     * is known here.
+     * Takes up a report, whose cancellations have been noted already. [observedThrough] is the time up to which all
+     * that was stored is known here.
      */
     fun heard(report: PeerMessage.StatusReport, now: Long, observedThrough: Long?) {
         val peer = peers[report.from] ?: return
@@ -47,10 +49,16 @@
         peer.askedAt = asked
         peer.storeAgeMs = report.storeAgeMs
         val latestStart = now - (report.uptimeMs * (1 - CLOCK_DRIFT)).toLong()
-        if (report.cancellations != null && observedThrough != null && latestStart < observedThrough) peer.confirmedAt = asked
+        if (report.cancellations != null && observedThrough != null &&
+            latestStart < observedThrough
+        ) {
+            peer.confirmedAt = asked
+        }
     }
 
-    /** All cancellations that any other controller has told a user of before this time are known here; null if unknown. */
+    /**
+     * All cancellations that any other controller has told a user of before this time are known here; null if unknown.
+     */
     fun confirmedAt(): Long? {
         var earliest = Long.MAX_VALUE
         for (peer in peers.values) earliest = minOf(earliest, peer.confirmedAt ?: return null)
--- a/src/main/kotlin/io/reedmast/cluster/ShardAcquisition.kt
+++ b/src/main/kotlin/io/reedmast/cluster/ShardAcquisition.kt
@@ -10,6 +10,7 @@
 import io.reedmast.kvstore.Write
 import io.reedmast.model.FencingToken
 import io.reedmast.model.MachineDirectory
+import io.reedmast.model.ShardRecord
 import io.reedmast.ports.Clock
 import io.reedmast.ports.KeyValueStore
 import io.reedmast.ports.PeerMessage
@@ -23,8 +24,8 @@
 /**
  * When this controller takes a shard, and how.
  *
- * Taking is a conditional write of the shard's record under a fresh token. It is safe at any time; the rules here only choose
- * a good moment for it.
+ * Taking is a conditional write of the shard's record under a fresh token. It is safe at any time; the rules here only
+ * choose a good moment for it.
  */
 class ShardAcquisition(
     private val settings: Settings,
@@ -63,7 +64,10 @@
 
     private class Request(val at: Long, val term: Long)
 
-    /** Until then a shard that others have taken from this controller is left to them, and how long that is the next time. */
+    /**
+     * Until then a shard that others have taken from this controller is left to them, and how long that is the next
+     * time.
+     */
     private var failbackNotBefore = 0L
     private var failbackDelayMs = MIN_FAILBACK_DELAY_MS
 
@@ -91,10 +95,13 @@
 
     fun onNewOwner(shard: ShardId) = misdirected.newOwner(shard, clock.now())
 
-    /** Where to send a worker of [shard], which is not ours: to its owner, but not twice in a row to one that is silent. */
+    /**
+     * Where to send a worker of [shard], which is not ours: to its owner, but not twice in a row to one that is silent.
+     */
     fun redirectTarget(shard: ShardId, machineName: String, addr: String): String? {
         val facts = machineDirectory.of(machineName)
-        // A new machine reports to any controller first: with a shard that grows fast, most of its workers are new ones.
+        // A new machine reports to any controller first: with a shard that grows fast, most of its workers are new
+        // ones.
         val known = facts.addr == addr
         facts.addr = addr
         val again = known && misdirected.recordRedirect(shard, machineName, addr, clock.now())
@@ -110,7 +117,10 @@
         if (!wanted && owner != null && membership.isPresent(owner)) checkMisdirected(shard, now)
     }
 
-    /** Takes the shard of another controller only if its workers can be reached, or if nobody else has taken it for long. */
+    /**
+     * Takes the shard of another controller only if its workers can be reached, or if nobody else has taken it for
+     * long.
+     */
     private fun acquireIfReachable(shard: ShardId, owner: String?, now: Long) {
         val addresses = machines.machinesOf(shard).mapNotNull { machineDirectory.of(it.name).addr }.toList()
         val ofAnother = owner != null && owner != settings.label
@@ -144,11 +154,15 @@
         }
     }
 
-    private fun isRequested(shard: ShardId) = requests[shard]?.let { it.term == shards.records[shard.value]?.version } ?: false
+    private fun isRequested(shard: ShardId) =
+        requests[shard]?.let { it.term == shards.records[shard.value]?.version } ?: false
 
     /** The controller with the least to do comes first; the others follow if it does not act. */
-    private fun turn(owner: String): Int =
-        (membership.alive() - owner - rollout.draining()).sortedWith(compareBy({ shards.countOf(it) }, { it })).indexOf(settings.label)
+    private fun turn(owner: String): Int = (membership.alive() - owner - rollout.draining()).sortedWith(
+        compareBy({
+            shards.countOf(it)
+        }, { it }),
+    ).indexOf(settings.label)
 
     /**
      * Takes a shard whose owner lives, if its machines do not reach that owner.
@@ -196,7 +210,8 @@
         val newToken = FencingToken.after(shards.token)
         val record = ShardRecord(settings.label, newToken)
         val mine = Claim(shard, record).also { claim = it }
-        // A process that has not heard of a move of the gates takes nothing: it may not be able to read what it would own.
+        // A process that has not heard of a move of the gates takes nothing: it may not be able to read what it would
+        // own.
         val counter = TokenCounter.moveTo(newToken, shards.tokenVersion, rollout.gates)
         val preconditions = counter.preconditions + Precondition(Keys.shard(shard.value), held?.version ?: 0L)
         val writes = listOf(Write.Put(Keys.shard(shard.value), record.toFields()), counter.write)
@@ -218,8 +233,8 @@
     }
 
     /**
-     * The watch tells of a record with this controller as owner. If it is the one that a take is about to store, the shard is taken: its
-     * answer may be lost for seconds, in which an owner of before would act under the new term.
+     * The watch tells of a record with this controller as owner. If it is the one that a take is about to store, the
+     * shard is taken: its answer may be lost for seconds, in which an owner of before would act under the new term.
      */
     fun confirmedByWatch(shard: ShardId, record: ShardRecord, version: Long): Boolean {
         val open = claim ?: return false
@@ -262,7 +277,13 @@
 
         // A page may name a job that the watch has not told of yet: without the wait its tasks would run twice.
         fun part() {
-            if (--open == 0) staleness.awaitJobsBarrier { known -> finishReading(owner, pages.takeIf { known }, totals, startedAt) }
+            if (--open ==
+                0
+            ) {
+                staleness.awaitJobsBarrier { known ->
+                    finishReading(owner, pages.takeIf { known }, totals, startedAt)
+                }
+            }
         }
         store.list(Keys.pagesOf(shard.value)) {
             pages = it
--- a/src/main/kotlin/io/reedmast/cluster/ShardTable.kt
+++ b/src/main/kotlin/io/reedmast/cluster/ShardTable.kt
@@ -2,6 +2,7 @@
 
 import io.reedmast.kvstore.Keys
 import io.reedmast.kvstore.ReadResult
+import io.reedmast.model.ShardRecord
 import io.reedmast.ports.KeyValueStore
 import io.reedmast.settings.ShardId
 import io.reedmast.wire.Fields
--- a/src/main/kotlin/io/reedmast/cluster/StoredClusterRecords.kt
+++ b/src/main/kotlin/io/reedmast/cluster/StoredClusterRecords.kt
@@ -1,28 +1,19 @@
 package io.reedmast.cluster
 
 import io.reedmast.kvstore.Keys
-import io.reedmast.kvstore.Precondition
 import io.reedmast.kvstore.StoredItem
-import io.reedmast.kvstore.Write
-import io.reedmast.persistence.DensePages
+import io.reedmast.model.ShardRecord
 import io.reedmast.rollout.ClusterRecords
-import io.reedmast.rollout.Feature
 import io.reedmast.rollout.FeatureName
-import io.reedmast.rollout.FeatureRegistry
-import io.reedmast.rollout.FormatVersion
-import io.reedmast.rollout.GateSnapshot
-import io.reedmast.rollout.MigrationScope
-import io.reedmast.rollout.RecordMigration
 import io.reedmast.rollout.ShardOwnership
-import io.reedmast.rollout.VersionRange
-import io.reedmast.wire.Fields
-import io.reedmast.wire.count
 
 /** The cluster's records as the rollout's administration needs them. */
 class StoredClusterRecords(private val shards: Int) : ClusterRecords {
     override fun shardOwners(items: List<StoredItem>): List<ShardOwnership?> {
         val byPath = items.associateBy { it.path }
-        return (0 until shards).map { index -> byPath[Keys.shard(index)]?.let { ShardOwnership(ShardRecord.parse(it.value).owner, it.version) } }
+        return (0 until shards).map { index ->
+            byPath[Keys.shard(index)]?.let { ShardOwnership(ShardRecord.parse(it.value).owner, it.version) }
+        }
     }
 
     override fun externallyFinalized(items: List<StoredItem>): Set<FeatureName> {
--- a/src/main/kotlin/io/reedmast/cluster/TokenCounter.kt
+++ b/src/main/kotlin/io/reedmast/cluster/TokenCounter.kt
@@ -2,27 +2,18 @@
 
 import io.reedmast.kvstore.Keys
 import io.reedmast.kvstore.Precondition
-import io.reedmast.kvstore.StoredItem
 import io.reedmast.kvstore.Write
-import io.reedmast.persistence.DensePages
-import io.reedmast.rollout.ClusterRecords
-import io.reedmast.rollout.Feature
-import io.reedmast.rollout.FeatureName
-import io.reedmast.rollout.FeatureRegistry
-import io.reedmast.rollout.FormatVersion
 import io.reedmast.rollout.GateSnapshot
 import io.reedmast.rollout.MigrationScope
 import io.reedmast.rollout.RecordMigration
-import io.reedmast.rollout.ShardOwnership
-import io.reedmast.rollout.VersionRange
 import io.reedmast.wire.Fields
 import io.reedmast.wire.count
 
 /**
  * The two forms of the token counter.
  *
- * Versions before the rollout record take a shard without looking at any gate. They find no `token` in the fenced form, so their condition
- * on the counter's version never holds, and they come by no term under which they could write.
+ * Versions before the rollout record take a shard without looking at any gate. They find no `token` in the fenced form,
+ * so their condition on the counter's version never holds, and they come by no term under which they could write.
  */
 object TokenCounter : RecordMigration {
     private const val OPEN = "token"
@@ -33,15 +24,27 @@
 
     override fun forward(record: Fields): Fields = if (FENCED in record) record else mapOf(FENCED to record.count(OPEN))
 
-    override fun back(record: Fields): Fields = if (FENCED in record) mapOf(OPEN to record.count(FENCED)) else record.also { it.count(OPEN) }
+    override fun back(record: Fields): Fields = if (FENCED in
+        record
+    ) {
+        mapOf(OPEN to record.count(FENCED))
+    } else {
+        record.also { it.count(OPEN) }
+    }
 
     /** The counter's value in either form. */
     fun tokenOf(record: Fields): Long = record.count(if (FENCED in record) FENCED else OPEN)
 
-    /** Moves the counter from its version [seen] to [token], in the form that [gates] want and on condition that they have not moved. */
+    /**
+     * Moves the counter from its version [seen] to [token], in the form that [gates] want and on condition that they
+     * have not moved.
+     */
     fun moveTo(token: Long, seen: Long, gates: GateSnapshot): CounterUpdate {
         val field = if (gates.writes(ClusterFeatures.FENCED_TOKENS)) FENCED else OPEN
-        return CounterUpdate(listOf(Precondition(Keys.TOKEN, seen), gates.precondition), Write.Put(Keys.TOKEN, mapOf(field to token)))
+        return CounterUpdate(
+            listOf(Precondition(Keys.TOKEN, seen), gates.precondition),
+            Write.Put(Keys.TOKEN, mapOf(field to token)),
+        )
     }
 }
 
--- a/src/main/kotlin/io/reedmast/cluster/WatchStaleness.kt
+++ b/src/main/kotlin/io/reedmast/cluster/WatchStaleness.kt
@@ -18,10 +18,13 @@
     private val waiters = ArrayDeque<Waiter>()
 
     /**
-     * How long workers may be answered on old knowledge. A cancelled task must be gone `cancel_s` after its user was told,
-     * and a worker's lease outlasts the last answer by `lease_s`.
+     * How long workers may be answered on old knowledge. A cancelled task must be gone `cancel_s` after its user was
+     * told, and a worker's lease outlasts the last answer by `lease_s`.
      */
-    private val selfFenceMs = (maxOf((rules.cancelS - rules.leaseS) * (1 - CLOCK_DRIFT) - SELF_FENCE_SLACK_S, MIN_SELF_FENCE_S) * 1000).toLong()
+    private val selfFenceMs = (
+        maxOf((rules.cancelS - rules.leaseS) * (1 - CLOCK_DRIFT) - SELF_FENCE_SLACK_S, MIN_SELF_FENCE_S) *
+            1000
+        ).toLong()
 
     /** Whether the cluster's keys, and all unfinished jobs, have been read since this process started. */
     val clusterLoaded: Boolean get() = clusterObservedThrough != null
--- a/src/main/kotlin/io/reedmast/cluster/WorkerReachability.kt
+++ b/src/main/kotlin/io/reedmast/cluster/WorkerReachability.kt
@@ -23,7 +23,10 @@
     /** Whether a worker was heard so recently that nothing need be tried. */
     val isRecent: Boolean get() = heardAt?.let { clock.now() - it < RECENT_MS } ?: false
 
-    /** Calls some of the workers of [shard] at [addresses], all over the list; [failed] is called if none of them answers. */
+    /**
+     * Calls some of the workers of [shard] at [addresses], all over the list; [failed] is called if none of them
+     * answers.
+     */
     fun probe(shard: ShardId, addresses: List<String>, failed: () -> Unit) {
         if (addresses.isEmpty() || !probing.add(shard)) return
         val step = maxOf(1, addresses.size / PROBES)
--- a/src/main/kotlin/io/reedmast/commands/CommandDispatcher.kt
+++ b/src/main/kotlin/io/reedmast/commands/CommandDispatcher.kt
@@ -31,7 +31,11 @@
     fun announceToken(now: Long) = announcer.runOnce(now)
 
     fun launch(placement: Placement) {
-        if (placement.machine.trusted) outbox.getOrPut(placement.machine) { ArrayList() }.add(WorkerCommand.StartTask(placement.id, placement.attempt))
+        if (placement.machine.trusted) {
+            outbox.getOrPut(placement.machine) {
+                ArrayList()
+            }.add(WorkerCommand.StartTask(placement.id, placement.attempt))
+        }
     }
 
     /** Stops an attempt, and with a task of a gang all of it: each has to save at the same time. */
@@ -39,7 +43,11 @@
         val begins = placement.stopReason == null
         stopOne(placement, reason)
         // Whatever stopped the first of them has stopped all.
-        if (begins && placement.job.spec.gang) placement.job.placements().filter { it.stopReason == null }.toList().forEach { stopOne(it, reason) }
+        if (begins &&
+            placement.job.spec.gang
+        ) {
+            placement.job.placements().filter { it.stopReason == null }.toList().forEach { stopOne(it, reason) }
+        }
     }
 
     private fun stopOne(placement: Placement, reason: StopReason) {
@@ -48,7 +56,13 @@
         if (reason !=
             StopReason.CANCELLED
         ) {
-            log.info("task {} attempt {}: to be stopped on {}: {}", placement.id, placement.attempt, placement.machine.name, reason)
+            log.info(
+                "task {} attempt {}: to be stopped on {}: {}",
+                placement.id,
+                placement.attempt,
+                placement.machine.name,
+                reason,
+            )
         }
         val machine = placement.machine
         if (placement.committed && machine.trusted && placement.launchEpoch == machine.epoch) {
@@ -63,7 +77,8 @@
     }
 
     /** The progress is of no use to anybody, or is lost already. */
-    private fun savesNothing(reason: StopReason?) = reason == StopReason.CANCELLED || reason == StopReason.GANG_INCOMPLETE
+    private fun savesNothing(reason: StopReason?) =
+        reason == StopReason.CANCELLED || reason == StopReason.GANG_INCOMPLETE
 
     /** Sends what has gathered for the workers. */
     fun send() {
@@ -73,7 +88,8 @@
         for ((machine, gathered) in batches) {
             val commands = gathered.filter { it !is WorkerCommand.StartTask || isWanted(machine, it) }
             val addr = machine.addr
-            if (commands.isEmpty() || addr == null || !machine.trusted || machine.directCalls >= MAX_DIRECT_CALLS || !shardState.isCurrent() ||
+            if (commands.isEmpty() || addr == null || !machine.trusted || machine.directCalls >= MAX_DIRECT_CALLS ||
+                !shardState.isCurrent() ||
                 seemsAway(machine)
             ) {
                 continue
@@ -89,7 +105,12 @@
             workers.call(addr, token, epoch, commands) { reply ->
                 machine.directCalls--
                 if (reply is Reply.NotSent) launches.forEach { machine.recordNotSent(it.id, it.attempt) }
-                if (reply is Reply.Answer) answered(machine, reply) else machine.callUnansweredAt = shardState.clock.now()
+                if (reply is Reply.Answer) {
+                    answered(machine, reply)
+                } else {
+                    machine.callUnansweredAt =
+                        shardState.clock.now()
+                }
             }
         }
     }
@@ -101,11 +122,11 @@
     }
 
     /**
-     * Whether calling the machine would only hold a thread for seconds: it left a command unanswered since its last report,
-     * or its report is overdue. A few dozen hung machines would otherwise hold up the commands to all others.
+     * Whether calling the machine would only hold a thread for seconds: it left a command unanswered since its last
+     * report, or its report is overdue. A few dozen hung machines would otherwise hold up the commands to all others.
      */
-    private fun seemsAway(machine: Machine) =
-        machine.callUnansweredAt >= machine.lastHeartbeatAt || shardState.clock.now() - machine.lastHeartbeatAt > shardState.heartbeatLateMs
+    private fun seemsAway(machine: Machine) = machine.callUnansweredAt >= machine.lastHeartbeatAt ||
+        shardState.clock.now() - machine.lastHeartbeatAt > shardState.heartbeatLateMs
 
     private fun answered(machine: Machine, reply: Reply.Answer): WorkerStatus? {
         if (shardState.dropped || (reply.status != 200 && reply.status != 409)) return null
--- a/src/main/kotlin/io/reedmast/commands/TokenAnnouncer.kt
+++ b/src/main/kotlin/io/reedmast/commands/TokenAnnouncer.kt
@@ -10,9 +10,9 @@
 /**
  * Shows a new owner's token to the machines of its shard.
  *
- * Their workers may still report to the old owner, which answers them as long as it does not know better; having seen our token they
- * drop its answers, and its commands reach them no more. Without it a machine takes no work before it has reported twice, which is
- * several seconds for each failover.
+ * Their workers may still report to the old owner, which answers them as long as it does not know better; having seen
+ * our token they drop its answers, and its commands reach them no more. Without it a machine takes no work before it
+ * has reported twice, which is several seconds for each failover.
  */
 class TokenAnnouncer(
     private val shardState: ShardState,
@@ -28,7 +28,11 @@
     fun begin() {
         listDue = shardState.clock.now() + LIST_AFTER_MS
         for (machine in shardState.machines.values.toList()) {
-            if (!machine.trusted && machine.decommissionReason == null) call(machine, machine.addr ?: continue, machine.epoch, again = true)
+            if (!machine.trusted &&
+                machine.decommissionReason == null
+            ) {
+                call(machine, machine.addr ?: continue, machine.epoch, again = true)
+            }
         }
     }
 
@@ -51,13 +55,18 @@
         }
     }
 
-    private fun lacksToken(machine: Machine) = !machine.trusted && machine.decommissionReason == null && machine.placements.isNotEmpty()
+    private fun lacksToken(machine: Machine) =
+        !machine.trusted && machine.decommissionReason == null && machine.placements.isNotEmpty()
 
     private fun call(machine: Machine, addr: String, epoch: Long, again: Boolean) {
         workers.call(addr, shardState.tokenFor(machine), epoch, emptyList()) { reply ->
             val status = (reply as? Reply.Answer)?.let { answered(machine, it) }
             // Refused for its session, which the answer tells.
-            if (status != null && again && status.token < shardState.token) call(machine, addr, status.epoch, again = false)
+            if (status != null && again &&
+                status.token < shardState.token
+            ) {
+                call(machine, addr, status.epoch, again = false)
+            }
         }
     }
 
--- a/src/main/kotlin/io/reedmast/deploy/RolloutFile.kt
+++ b/src/main/kotlin/io/reedmast/deploy/RolloutFile.kt
@@ -57,7 +57,9 @@
     }
 
     private fun schema(): String {
-        val resource = RolloutFile::class.java.getResourceAsStream(SCHEMA) ?: throw IllegalStateException("$SCHEMA is not in this program")
+        val resource =
+            RolloutFile::class.java.getResourceAsStream(SCHEMA)
+                ?: throw IllegalStateException("$SCHEMA is not in this program")
         return resource.use { it.readAllBytes().decodeToString() }
     }
 
@@ -72,11 +74,22 @@
     private fun check(desired: Map<FeatureName, Target>, registry: FeatureRegistry) {
         for ((name, target) in desired) {
             val feature = registry[name]
-                ?: throw RolloutFileException("there is no feature $name; known are ${registry.inOrder.joinToString { it.name.value }}")
+                ?: throw RolloutFileException(
+                    "there is no feature $name; known are ${registry.inOrder.joinToString {
+                        it.name.value
+                    }}",
+                )
             if (target == Target.DORMANT) continue
             for (dependency in feature.dependsOn) {
                 val of = desired[dependency] ?: continue
-                if (of < target) throw RolloutFileException("$name cannot be ${target.storedName} while $dependency, which it depends on, is ${of.storedName}")
+                if (of <
+                    target
+                ) {
+                    throw RolloutFileException(
+                        "$name cannot be ${target.storedName} while $dependency, " +
+                            "which it depends on, is ${of.storedName}",
+                    )
+                }
             }
         }
     }
--- a/src/main/kotlin/io/reedmast/fairshare/Preemption.kt
+++ b/src/main/kotlin/io/reedmast/fairshare/Preemption.kt
@@ -1,11 +1,6 @@
 package io.reedmast.fairshare
 
-import io.reedmast.settings.TeamId
-import io.reedmast.wire.Fields
-import io.reedmast.wire.MalformedException
 import io.reedmast.wire.Priority
-import java.util.TreeMap
-import kotlin.math.roundToLong
 
 /** What [mayPreempt] needs to know of a running task. */
 data class PreemptionCandidate(
@@ -25,14 +20,17 @@
 /**
  * Whether [runner] may be stopped to make room for [request], where both the design and the protocol permit it.
  *
- * The design lets uncharged work yield to any funded request, and resumable work past its minimum to a team further below
- * its share. The protocol asks that the request have a higher rank, or that it be within its team's guarantee and the
- * runner beyond its own.
+ * The design lets uncharged work yield to any funded request, and resumable work past its minimum to a team further
+ * below its share. The protocol asks that the request have a higher rank, or that it be within its team's guarantee and
+ * the runner beyond its own.
  */
 fun mayPreempt(runner: PreemptionCandidate, request: PlacementRequest): Boolean {
     if (!request.priority.isFunded) return false
-    val protocol = request.priority < runner.priority || (!runner.sameTeam && request.withinGuarantee && runner.teamBeyondGuarantee)
+    val protocol =
+        request.priority < runner.priority ||
+            (!runner.sameTeam && request.withinGuarantee && runner.teamBeyondGuarantee)
     if (!protocol) return false
     if (!runner.priority.isFunded) return true
-    return runner.resumable && !runner.sameTeam && runner.ranForS >= runner.minimumS && request.teamRatio < runner.teamRatio
+    return runner.resumable && !runner.sameTeam && runner.ranForS >= runner.minimumS &&
+        request.teamRatio < runner.teamRatio
 }
--- a/src/main/kotlin/io/reedmast/gangs/GangCoordinator.kt
+++ b/src/main/kotlin/io/reedmast/gangs/GangCoordinator.kt
@@ -11,8 +11,9 @@
 /**
  * Keeps the tasks of a gang together: all of an attempt start, or all of it ends, before there is another attempt.
  *
- * A gang that has lost a task cannot go on. Its other tasks are stopped, and only when the evidence for the end of each of them is
- * there is the gang placed again, under a new attempt number. Until then a task of it may still run somewhere.
+ * A gang that has lost a task cannot go on. Its other tasks are stopped, and only when the evidence for the end of each
+ * of them is there is the gang placed again, under a new attempt number. Until then a task of it may still run
+ * somewhere.
  */
 class GangCoordinator(private val shardState: ShardState, private val dispatcher: CommandDispatcher) {
     private val log = LoggerFactory.getLogger("gangs")
@@ -43,7 +44,8 @@
         when (cause) {
             Cause.DONE -> complete(job)
 
-            // An orderly stop that began before this owner knew of it: the others must be told in time, with grace to save.
+            // An orderly stop that began before this owner knew of it: the others must be told in time, with grace to
+            // save.
             Cause.HALTED -> {
                 stopRest(job, StopReason.DRAINED)
                 shardState.finish(placement, done = false)
@@ -58,7 +60,10 @@
         }
     }
 
-    /** The tasks of a gang complete together: one that is done proves it of all, also of those whose machines are not heard any more. */
+    /**
+     * The tasks of a gang complete together: one that is done proves it of all, also of those whose machines are not
+     * heard any more.
+     */
     private fun complete(job: Job) {
         log.info("job {}: gang done", job.spec.jobId)
         job.placements().toList().forEach { shardState.finish(it, done = true) }
@@ -72,7 +77,10 @@
         }
     }
 
-    /** The gang did not become whole in time: its machines were too slow, or not reached. Tried at once, it might happen for ever. */
+    /**
+     * The gang did not become whole in time: its machines were too slow, or not reached. Tried at once, it might happen
+     * for ever.
+     */
     private fun backOff(job: Job, attempt: Long) {
         if (job.lastAloneAttempt == attempt) return
         job.lastAloneAttempt = attempt
@@ -94,8 +102,8 @@
     /**
      * Whether a placement that its worker does not list may be launched, now or again.
      *
-     * Nothing of a gang is launched before all its placements are stored. One that has started does not take a task back: the
-     * others are about to leave.
+     * Nothing of a gang is launched before all its placements are stored. One that has started does not take a task
+     * back: the others are about to leave.
      */
     fun mayLaunch(placement: Placement): Boolean {
         val job = placement.job
--- a/src/main/kotlin/io/reedmast/heartbeats/HeartbeatHandler.kt
+++ b/src/main/kotlin/io/reedmast/heartbeats/HeartbeatHandler.kt
@@ -41,7 +41,12 @@
         process(machine, status, isHeartbeat = false, ArrayList())
     }
 
-    private fun process(machine: Machine, status: WorkerStatus, isHeartbeat: Boolean, commands: MutableList<WorkerCommand>): Boolean {
+    private fun process(
+        machine: Machine,
+        status: WorkerStatus,
+        isHeartbeat: Boolean,
+        commands: MutableList<WorkerCommand>,
+    ): Boolean {
         if (!machine.isNewer(status)) return false
         val now = shardState.clock.now()
         if (status.epoch > machine.epoch && machine.everReported) onEpochLost(machine, now)
@@ -51,7 +56,11 @@
         machine.noticeUntil = if (status.noticeS == null) {
             0L
         } else {
-            if (machine.noticeUntil == 0L) log.info("machine {}: the cloud takes it back in {} s", machine.name, status.noticeS)
+            if (machine.noticeUntil ==
+                0L
+            ) {
+                log.info("machine {}: the cloud takes it back in {} s", machine.name, status.noticeS)
+            }
             now + (status.noticeS * 1000).toLong()
         }
         if (status.token > FencingToken.last(shardState.token)) {
@@ -112,7 +121,13 @@
         }
     }
 
-    private fun onReportedTask(machine: Machine, placement: Placement, reported: TaskStatus, now: Long, commands: MutableList<WorkerCommand>) {
+    private fun onReportedTask(
+        machine: Machine,
+        placement: Placement,
+        reported: TaskStatus,
+        now: Long,
+        commands: MutableList<WorkerCommand>,
+    ) {
         placement.seen = true
         placement.launchEpoch = machine.epoch
         if (placement.launchesAnswered > 0) {
@@ -137,8 +152,14 @@
             }
         }
         // An owner before us has begun to stop the gang: its other tasks must be told in time, or nothing is saved.
-        if (placement.job.spec.gang && reported.state == TaskState.SAVING) dispatcher.stop(placement, StopReason.DRAINED)
-        if (placement.stopReason != null && (reported.state != TaskState.SAVING || placement.stopReason == StopReason.CANCELLED)) {
+        if (placement.job.spec.gang &&
+            reported.state == TaskState.SAVING
+        ) {
+            dispatcher.stop(placement, StopReason.DRAINED)
+        }
+        if (placement.stopReason != null &&
+            (reported.state != TaskState.SAVING || placement.stopReason == StopReason.CANCELLED)
+        ) {
             commands.add(dispatcher.stopCommand(placement))
         }
     }
@@ -160,8 +181,8 @@
 
             Cause.ERROR -> if (countsAsFailure(placement)) {
                 machine.failedJobs.add(job.spec.jobId)
-                // Several tasks that fail together on one machine say no more of the job than one does: counted each, they made
-                // a sick machine look like a job with a mistake, and the machine was kept.
+                // Several tasks that fail together on one machine say no more of the job than one does: counted each,
+                // they made a sick machine look like a job with a mistake, and the machine was kept.
                 if (job.failedOn.add(machine)) job.failures++
                 if (shardState.isSuspectedFaulty(job)) {
                     // It fails wherever it runs: the job has a mistake, and the machines have not.
@@ -195,14 +216,18 @@
     }
 
     /**
-     * Tasks of several jobs failed there since the last success, and one of the jobs is known to run elsewhere. Without that, a
-     * few jobs with a mistake that met on one machine had it returned.
+     * Tasks of several jobs failed there since the last success, and one of the jobs is known to run elsewhere. Without
+     * that, a few jobs with a mistake that met on one machine had it returned.
      */
     private fun decommissionIfUnhealthy(machine: Machine) {
         if (machine.decommissionReason != null || machine.failedJobs.size < JOBS_FAILED_ON_UNHEALTHY_MACHINE) return
         val now = shardState.clock.now()
         val good = machine.failedJobs.any { jobId ->
-            shardState.jobs[jobId]?.let { job -> job.hasSucceeded || job.placements().any { it.running && now - it.runningSince > PROVES_A_JOB_MS } } == true
+            shardState.jobs[jobId]?.let { job ->
+                job.hasSucceeded ||
+                    job.placements().any { it.running && now - it.runningSince > PROVES_A_JOB_MS }
+            } ==
+                true
         }
         if (!good && machine.failedJobs.size < JOBS_FAILED_IN_ANY_CASE) return
         log.info("machine {}: unhealthy, every task fails there, decommissioned", machine.name)
@@ -213,11 +238,20 @@
     private fun onUnknownTask(machine: Machine, reported: TaskStatus, commands: MutableList<WorkerCommand>) {
         val job = shardState.jobs[reported.id.jobId]
         if (reported.state == TaskState.ENDED) {
-            // Once forgotten, the attempt would start again if its launch came late; and its result must be stored first.
+            // Once forgotten, the attempt would start again if its launch came late; and its result must be stored
+            // first.
             val chunk = job?.takeIf { reported.id.task < it.spec.taskCount }?.chunkOf(reported.id.task)
             val stored = job == null || (!job.ending && chunk != null && chunk.stored)
             if (!stored) return
-            if (machine.mayLaunch(reported.id, reported.attempt)) raiseToken(machine) else commands.add(WorkerCommand.ForgetTask(reported.id, reported.attempt))
+            if (machine.mayLaunch(
+                    reported.id,
+                    reported.attempt,
+                )
+            ) {
+                raiseToken(machine)
+            } else {
+                commands.add(WorkerCommand.ForgetTask(reported.id, reported.attempt))
+            }
             return
         }
         commands.add(WorkerCommand.StopTask(reported.id, reported.attempt, 0.0))
@@ -231,9 +265,10 @@
     /**
      * Makes earlier direct calls to the worker void, so that their attempts can be forgotten.
      *
-     * Calls that were carried out are repeated at times, minutes later: the copy of a launch starts its attempt anew once it
-     * is forgotten, wherever the task then runs and even if its job was cancelled. A worker makes a report of a new token
-     * no more than once in half a lease, and no call of ours must be on its way that the new token would refuse.
+     * Calls that were carried out are repeated at times, minutes later: the copy of a launch starts its attempt anew
+     * once it is forgotten, wherever the task then runs and even if its job was cancelled. A worker makes a report of a
+     * new token no more than once in half a lease, and no call of ours must be on its way that the new token would
+     * refuse.
      */
     private fun raiseToken(machine: Machine) {
         val now = shardState.clock.now()
@@ -245,30 +280,39 @@
     }
 
     /** A stored placement that the newest report does not list. */
-    private fun onMissingTask(machine: Machine, placement: Placement, status: WorkerStatus, isHeartbeat: Boolean, commands: MutableList<WorkerCommand>) {
+    private fun onMissingTask(
+        machine: Machine,
+        placement: Placement,
+        status: WorkerStatus,
+        isHeartbeat: Boolean,
+        commands: MutableList<WorkerCommand>,
+    ) {
         val mayLaunch = machine.mayLaunch(placement.id, placement.attempt)
         val sentBefore = placement.launchEpoch != 0L
         if (sentBefore && placement.launchEpoch < status.epoch && !mayLaunch) {
             // A later session: everything of the earlier one was killed, and its launches are refused.
             log.info("task {} attempt {}: lost with an epoch of {}", placement.id, placement.attempt, machine.name)
-            if (placement.stopReason != null || !machine.usable || machine.noticeUntil != 0L || placement.job.spec.gang) {
+            if (placement.stopReason != null || !machine.usable || machine.noticeUntil != 0L ||
+                placement.job.spec.gang
+            ) {
                 shardState.finish(placement, done = false)
                 return
             }
-            // The worker is back, and has the image. Placed anew, all tasks of a fleet waited for the store's limit and for
-            // images after an outage that was longer than the fence.
+            // The worker is back, and has the image. Placed anew, all tasks of a fleet waited for the store's limit and
+            // for images after an outage that was longer than the fence.
             placement.job.recordLost(placement)
         }
         if (!isHeartbeat) return
         if (placement.stopReason == null) {
-            // What runs is answered on through an outage, but nothing starts: its user may have been told that it is cancelled.
+            // What runs is answered on through an outage, but nothing starts: its user may have been told that it is
+            // cancelled.
             if (shardState.isCurrent() && gangs.mayLaunch(placement)) launch(placement, status.sequence, commands)
             return
         }
         if (mayLaunch && machine.directCalls > 0) return
         if (mayLaunch) {
-            // A direct launch, or a copy of it, may still come. Launched and stopped here, the attempt is known to the worker as ended,
-            // and the late launch has no effect.
+            // A direct launch, or a copy of it, may still come. Launched and stopped here, the attempt is known to the
+            // worker as ended, and the late launch has no effect.
             launch(placement, status.sequence, commands)
             commands.add(dispatcher.stopCommand(placement))
         } else if (!sentBefore || status.sequence > placement.answeredSequence) {
--- a/src/main/kotlin/io/reedmast/jobs/JobIndex.kt
+++ b/src/main/kotlin/io/reedmast/jobs/JobIndex.kt
@@ -10,12 +10,8 @@
 import io.reedmast.settings.Settings
 import io.reedmast.settings.ShardId
 import io.reedmast.wire.Fields
-import io.reedmast.wire.JobSpec
-import io.reedmast.wire.JobState
 import io.reedmast.wire.MalformedException
-import io.reedmast.wire.count
 import io.reedmast.wire.map
-import io.reedmast.wire.optionalFlag
 
 /**
  * All unfinished jobs, and as many ended ones as fit, as the watch on their records tells.
@@ -30,10 +26,15 @@
     /** The revision up to which the watch has told of every change; 0 before the first reading. */
     private var observedRevision = 0L
 
-    /** Jobs whose end this controller knows from its own change, by the change's revision, until the watch has told as much. */
+    /**
+     * Jobs whose end this controller knows from its own change, by the change's revision, until the watch has told as
+     * much.
+     */
     private val endedHere = HashMap<String, Long>()
 
-    /** Unfinished jobs whose records cannot be read, by the versions of these: nobody may be told that they are unknown. */
+    /**
+     * Unfinished jobs whose records cannot be read, by the versions of these: nobody may be told that they are unknown.
+     */
     private val unreadableLive = HashMap<String, Long>()
 
     /** Final states never change, so those that do not fit are read again. */
@@ -54,7 +55,9 @@
     fun load(items: List<StoredItem>, revision: Long) {
         recordObserved(revision)
         val listed = items.mapTo(HashSet()) { it.path.substringAfterLast('/') }
-        live.filter { (jobId, job) -> jobId !in listed && job.version <= revision }.keys.toList().forEach { remove(it, Long.MAX_VALUE) }
+        live.filter { (jobId, job) ->
+            jobId !in listed && job.version <= revision
+        }.keys.toList().forEach { remove(it, Long.MAX_VALUE) }
         unreadableLive.entries.removeIf { (jobId, version) -> jobId !in listed && version <= revision }
         items.forEach { accept(it.path, it.value, it.version) }
     }
@@ -71,10 +74,12 @@
     }
 
     /**
-     * Takes up a record that a read, or a change of this controller's own, shows to have been stored, or (null) deleted.
+     * Takes up a record that a read, or a change of this controller's own, shows to have been stored, or (null)
+     * deleted.
      *
-     * It may be long ago: an answer that was lost is made up for seconds later. If the watch has told of all changes up to then and
-     * the job is not among the unfinished, it is over: taken up again, it was called queued after its user had been told of its end.
+     * It may be long ago: an answer that was lost is made up for seconds later. If the watch has told of all changes up
+     * to then and the job is not among the unfinished, it is over: taken up again, it was called queued after its user
+     * had been told of its end.
      */
     fun applyRecord(path: String, value: Fields?, version: Long) {
         val jobId = path.substringAfterLast('/')
@@ -105,7 +110,11 @@
         if (jobId in endedHere || ends.getIfPresent(jobId) != null) return
         val known = live[jobId]
         if (known != null && known.version >= version) return
-        if (shard == null || shard !in 0 until settings.shardCount) throw MalformedException("the job belongs to no shard")
+        if (shard == null ||
+            shard !in 0 until settings.shardCount
+        ) {
+            throw MalformedException("the job belongs to no shard")
+        }
         put(jobId, LiveJob(ShardId(shard), LiveRecord.parse(value), version))
         unreadableLive.remove(jobId)
     }
@@ -128,12 +137,18 @@
     }
 
     /** All cancelled jobs that are not over. */
-    fun cancellations(): List<Cancellation> = live.filterValues { it.record.isCancelled }.map { (jobId, job) -> Cancellation(jobId, job.version) }
+    fun cancellations(): List<Cancellation> = live.filterValues {
+        it.record.isCancelled
+    }.map { (jobId, job) -> Cancellation(jobId, job.version) }
 
     /** Another controller knows that a job is cancelled, while the watch tells nothing. */
     fun applyCancellation(cancellation: Cancellation) {
         val job = live[cancellation.jobId] ?: return
-        if (job.version < cancellation.version) put(cancellation.jobId, LiveJob(job.shard, job.record.cancelled(), cancellation.version))
+        if (job.version <
+            cancellation.version
+        ) {
+            put(cancellation.jobId, LiveJob(job.shard, job.record.cancelled(), cancellation.version))
+        }
     }
 
     fun applyProgressUpdates(progress: List<JobProgress>) {
--- a/src/main/kotlin/io/reedmast/jobs/JobRecords.kt
+++ b/src/main/kotlin/io/reedmast/jobs/JobRecords.kt
@@ -1,14 +1,5 @@
 package io.reedmast.jobs
 
-import com.github.benmanes.caffeine.cache.Caffeine
-import io.reedmast.kvstore.Keys
-import io.reedmast.kvstore.StoredItem
-import io.reedmast.kvstore.UnreadableRecordLog
-import io.reedmast.kvstore.WatchEvent
-import io.reedmast.ports.Cancellation
-import io.reedmast.ports.JobProgress
-import io.reedmast.settings.Settings
-import io.reedmast.settings.ShardId
 import io.reedmast.wire.Fields
 import io.reedmast.wire.JobSpec
 import io.reedmast.wire.JobState
@@ -27,8 +18,12 @@
     fun cancelled() = LiveRecord(spec, chunkSize, acceptedAtMs, true)
 
     companion object {
-        fun parse(fields: Fields) =
-            LiveRecord(JobSpec.parse(fields.map("spec")), maxOf(1, fields.count("chunk").toInt()), fields.count("at"), fields.optionalFlag("aborted"))
+        fun parse(fields: Fields) = LiveRecord(
+            JobSpec.parse(fields.map("spec")),
+            maxOf(1, fields.count("chunk").toInt()),
+            fields.count("at"),
+            fields.optionalFlag("aborted"),
+        )
     }
 }
 
@@ -38,7 +33,8 @@
 
     companion object {
         fun parse(fields: Fields) = EndRecord(
-            JobState.entries.firstOrNull { it.isFinal && it.wire == fields["state"] } ?: throw MalformedException("state is unknown"),
+            JobState.entries.firstOrNull { it.isFinal && it.wire == fields["state"] }
+                ?: throw MalformedException("state is unknown"),
             fields.count("tasks").toInt(),
         )
     }
--- a/src/main/kotlin/io/reedmast/kvstore/CasTransaction.kt
+++ b/src/main/kotlin/io/reedmast/kvstore/CasTransaction.kt
@@ -1,9 +1,5 @@
 package io.reedmast.kvstore
 
-import io.reedmast.wire.Fields
-import io.reedmast.wire.StoreMessages
-import io.reedmast.wire.Tree
-
 /**
  * Writes that are applied together or not at all.
  *
--- a/src/main/kotlin/io/reedmast/kvstore/CommitOutcome.kt
+++ b/src/main/kotlin/io/reedmast/kvstore/CommitOutcome.kt
@@ -1,9 +1,5 @@
 package io.reedmast.kvstore
 
-import io.reedmast.wire.Fields
-import io.reedmast.wire.StoreMessages
-import io.reedmast.wire.Tree
-
 sealed interface CommitOutcome {
     /** Applied; [revision] is the new version of everything written. */
     data class Applied(val revision: Long) : CommitOutcome
--- a/src/main/kotlin/io/reedmast/kvstore/CommitQueue.kt
+++ b/src/main/kotlin/io/reedmast/kvstore/CommitQueue.kt
@@ -5,7 +5,12 @@
 import java.util.ArrayDeque
 
 /** Changes that wait for the store, and which of them share the next transaction. Not thread-safe. */
-class CommitQueue(private val limits: StoreLimits, private val writeLimiter: WriteRateLimiter, private val maxQueued: Int, private val nowMs: () -> Long) {
+class CommitQueue(
+    private val limits: StoreLimits,
+    private val writeLimiter: WriteRateLimiter,
+    private val maxQueued: Int,
+    private val nowMs: () -> Long,
+) {
     /** What [poll] found. */
     sealed interface Polled {
         /** These changes are paid for from the budget and share one transaction. */
@@ -62,14 +67,22 @@
     }
 
     /**
-     * Users' changes first, since users wait; but when work has waited behind some of them, it goes next, whatever the budget keeps for
-     * users: a burst of submissions must not hold up the placements of what was accepted.
+     * Users' changes first, since users wait; but when work has waited behind some of them, it goes next, whatever the
+     * budget keeps for users: a burst of submissions must not hold up the placements of what was accepted.
      */
     private fun candidates(): List<Candidate> {
         val deferred = queues[WritePriority.DEFERRED.ordinal]
-        if (batches % OVERDUE_TURN == 0L && deferred.isOverdue()) return listOf(Candidate(deferred, WritePriority.URGENT))
+        if (batches % OVERDUE_TURN == 0L &&
+            deferred.isOverdue()
+        ) {
+            return listOf(Candidate(deferred, WritePriority.URGENT))
+        }
         val urgent = queues[WritePriority.URGENT.ordinal]
-        if (urgent.isNotEmpty() && usersInARow >= MAX_USER_BATCHES_IN_A_ROW) return listOf(Candidate(urgent, WritePriority.USER))
+        if (urgent.isNotEmpty() &&
+            usersInARow >= MAX_USER_BATCHES_IN_A_ROW
+        ) {
+            return listOf(Candidate(urgent, WritePriority.USER))
+        }
         val found = ArrayList<Candidate>(2)
         if (users.isNotEmpty()) found.add(Candidate(users, WritePriority.USER))
         if (urgent.isNotEmpty()) found.add(Candidate(urgent, WritePriority.URGENT))
@@ -78,12 +91,13 @@
     }
 
     /**
-     * Under a load that never lets the prompt ones end, what has waited for long gets every eighth transaction: a page that is
-     * waiting to be stored lazily takes up no new placements, and their jobs would wait with it. With all of them before the prompt
-     * ones, a slow store left a third of the acceptances.
+     * Under a load that never lets the prompt ones end, what has waited for long gets every eighth transaction: a page
+     * that is waiting to be stored lazily takes up no new placements, and their jobs would wait with it. With all of
+     * them before the prompt ones, a slow store left a third of the acceptances.
      */
     private fun ArrayDeque<Queued>.isOverdue(): Boolean =
-        peek()?.let { it.change.writePriority == WritePriority.DEFERRED && nowMs() - it.since > DEFERRED_MAX_MS } ?: false
+        peek()?.let { it.change.writePriority == WritePriority.DEFERRED && nowMs() - it.since > DEFERRED_MAX_MS }
+            ?: false
 
     /** Changes that can share a transaction. */
     private class Batch(private val limits: StoreLimits) {
@@ -93,15 +107,21 @@
         private val preconditions = HashMap<String, Long>()
         private val written = HashSet<String>()
 
-        private fun size(change: CasTransaction) = change.writes.sumOf { if (it is Write.Put) Tree.jsonSize(it.value) + it.path.length else it.path.length } +
-            change.preconditions.size * PRECONDITION_BYTES
+        private fun size(change: CasTransaction) =
+            change.writes.sumOf { if (it is Write.Put) Tree.jsonSize(it.value) + it.path.length else it.path.length } +
+                change.preconditions.size * PRECONDITION_BYTES
 
         /** Two changes that disagree about a key, or write the same one, cannot share a transaction. */
         fun accepts(next: CasTransaction): Boolean {
             val newPreconditions = next.preconditions.count { it.path !in preconditions }
-            if (ops + next.writes.size > limits.opsPerCommit || preconditions.size + newPreconditions > limits.opsPerCommit * 4) return false
+            if (ops + next.writes.size > limits.opsPerCommit ||
+                preconditions.size + newPreconditions > limits.opsPerCommit * 4
+            ) {
+                return false
+            }
             val clash =
-                next.preconditions.any { g -> preconditions[g.path]?.let { it != g.version } ?: false } || next.preconditions.any { it.path in written } ||
+                next.preconditions.any { g -> preconditions[g.path]?.let { it != g.version } ?: false } ||
+                    next.preconditions.any { it.path in written } ||
                     next.writes.any { it.path in preconditions }
             return !clash && bytes + size(next) <= MAX_BYTES
         }
--- a/src/main/kotlin/io/reedmast/kvstore/CommitReply.kt
+++ b/src/main/kotlin/io/reedmast/kvstore/CommitReply.kt
@@ -1,16 +1,5 @@
 package io.reedmast.kvstore
 
-import com.google.common.util.concurrent.RateLimiter
-import io.reedmast.wire.Caller
-import io.reedmast.wire.Fields
-import io.reedmast.wire.KeyedValue
-import io.reedmast.wire.MalformedException
-import io.reedmast.wire.Reply
-import io.reedmast.wire.StoreMessages
-import org.slf4j.LoggerFactory
-import java.net.URLEncoder
-import java.util.concurrent.TimeUnit
-
 sealed interface CommitReply {
     data class Applied(val revision: Long) : CommitReply
 
--- a/src/main/kotlin/io/reedmast/kvstore/Committer.kt
+++ b/src/main/kotlin/io/reedmast/kvstore/Committer.kt
@@ -6,7 +6,8 @@
 /**
  * Sends changes to the store, several in one transaction where they fit.
  *
- * A change stays here until what became of it is certain, which [InDoubtResolution] finds out; this class does the waiting and the I/O.
+ * A change stays here until what became of it is certain, which [InDoubtResolution] finds out; this class does the
+ * waiting and the I/O.
  */
 class Committer(
     private val client: StoreClient,
--- a/src/main/kotlin/io/reedmast/kvstore/InDoubtResolution.kt
+++ b/src/main/kotlin/io/reedmast/kvstore/InDoubtResolution.kt
@@ -5,13 +5,14 @@
 /**
  * Finds out what becomes of a batch of changes that share a transaction, and reports each change once that is certain.
  *
- * A transaction that got no answer is in doubt: it may have been executed, or may yet be. It is sent again as it was, since its
- * preconditions keep it from being applied twice. If the repeat fails, either the first copy was applied or it never will be, and the
- * keys that it puts are read: one that carries the transaction's id proves that all of it was applied. Nothing else does. An
- * equal value may have been stored by another controller, and must not pass for changes that merely shared the transaction.
+ * A transaction that got no answer is in doubt: it may have been executed, or may yet be. It is sent again as it was,
+ * since its preconditions keep it from being applied twice. If the repeat fails, either the first copy was applied or
+ * it never will be, and the keys that it puts are read: one that carries the transaction's id proves that all of it was
+ * applied. Nothing else does. An equal value may have been stored by another controller, and must not pass for changes
+ * that merely shared the transaction.
  *
- * A change is reported as a conflict as well if it was applied and all that it put has been replaced since. Whoever is told of a
- * conflict therefore reads the keys again before deciding anything.
+ * A change is reported as a conflict as well if it was applied and all that it put has been replaced since. Whoever is
+ * told of a conflict therefore reads the keys again before deciding anything.
  *
  * This class does no I/O: the caller carries out each [ResolutionStep] and hands back the result.
  */
@@ -28,7 +29,11 @@
     private class Group(val changes: List<CasTransaction>, val inDoubt: Set<String>)
 
     /** Keys still to be read for the id of a transaction in doubt, and what follows if none carries it. */
-    private class Check(val preconditions: Map<String, Long>, val unread: ArrayDeque<String>, val notApplied: () -> Unit)
+    private class Check(
+        val preconditions: Map<String, Long>,
+        val unread: ArrayDeque<String>,
+        val notApplied: () -> Unit,
+    )
 
     private val groups = ArrayDeque(listOf(Group(changes, emptySet())))
     private var transaction: StoreTransaction? = null
@@ -61,7 +66,13 @@
 
             is CommitReply.Malformed -> {
                 log.info("store: a transaction was refused as malformed: {}", reply.reason)
-                if (group.changes.size > 1) split(group) else unlessApplied(group, emptySet()) { finish(group) { CommitOutcome.Refused(reply.reason) } }
+                if (group.changes.size >
+                    1
+                ) {
+                    split(group)
+                } else {
+                    unlessApplied(group, emptySet()) { finish(group) { CommitOutcome.Refused(reply.reason) } }
+                }
             }
 
             is CommitReply.RateLimited, is CommitReply.NotExecuted -> backOff()
@@ -97,8 +108,8 @@
                 finish(group) { CommitOutcome.Applied(item.version) }
             }
 
-            // A key that has not moved shows that the transaction was not applied, and no other key needs to be read. One that
-            // is missing shows nothing: a key under a lease is gone once the lease has ended.
+            // A key that has not moved shows that the transaction was not applied, and no other key needs to be read.
+            // One that is missing shows nothing: a key under a lease is gone once the lease has ended.
             running.unread.isEmpty() || (item != null && item.version == running.preconditions[path]) -> {
                 check = null
                 running.notApplied()
@@ -107,7 +118,8 @@
     }
 
     /**
-     * Does [notApplied] at once if no transaction with these changes is in doubt, or once it is certain that none was applied.
+     * Does [notApplied] at once if no transaction with these changes is in doubt, or once it is certain that none was
+     * applied.
      *
      * Keys whose preconditions have not [failed] are read first: one that has not moved saves reading the others.
      */
--- a/src/main/kotlin/io/reedmast/kvstore/Keys.kt
+++ b/src/main/kotlin/io/reedmast/kvstore/Keys.kt
@@ -1,9 +1,5 @@
 package io.reedmast.kvstore
 
-import io.reedmast.wire.Fields
-import io.reedmast.wire.StoreMessages
-import io.reedmast.wire.Tree
-
 /** Where things are kept in the store. */
 object Keys {
     /** Shards, controllers, leader and token counter: few keys, watched by every controller. */
--- a/src/main/kotlin/io/reedmast/kvstore/ResolutionStep.kt
+++ b/src/main/kotlin/io/reedmast/kvstore/ResolutionStep.kt
@@ -1,7 +1,5 @@
 package io.reedmast.kvstore
 
-import org.slf4j.LoggerFactory
-
 /** What the sender of a batch of changes has to do next, after a pause. */
 sealed interface ResolutionStep {
     data class Send(val transaction: StoreTransaction, val afterMs: Long) : ResolutionStep
--- a/src/main/kotlin/io/reedmast/kvstore/StoreClient.kt
+++ b/src/main/kotlin/io/reedmast/kvstore/StoreClient.kt
@@ -12,7 +12,12 @@
 import java.util.concurrent.TimeUnit
 
 /** Blocking calls to the store, kept within this controller's part of its limits. */
-class StoreClient(private val address: String, private val limits: EffectiveLimits, nodes: Int, private val caller: Caller) {
+class StoreClient(
+    private val address: String,
+    private val limits: EffectiveLimits,
+    nodes: Int,
+    private val caller: Caller,
+) {
     private val log = LoggerFactory.getLogger("store")
     private val requests = RateLimiter.create(limits.allowed.requestsPerS * SAFETY / nodes)
     val writeLimiter = WriteRateLimiter(limits.allowed.writesPerS * SAFETY / nodes) { System.nanoTime() / 1_000_000 }
@@ -92,7 +97,12 @@
     }
 
     fun follow(prefix: String, after: Long, holdMs: Int): WatchResult {
-        val reply = ask("GET", "/follow?prefix=${encode(prefix)}&after=$after&holdMs=$holdMs", scaleInDelayMs = holdMs + FOLLOW_GRACE_MS)
+        val reply = ask(
+            "GET",
+            "/follow?prefix=${encode(prefix)}&after=$after&holdMs=$holdMs",
+            scaleInDelayMs =
+            holdMs + FOLLOW_GRACE_MS,
+        )
         // Asked again, it would only have grown: reading all keys takes their present values alone, page by page.
         if (reply is Reply.TooLarge) return WatchResult.Compacted
         if (reply !is Reply.Answer) return WatchResult.Failed
@@ -117,9 +127,21 @@
     private fun item(of: KeyedValue) = StoredItem(of.key, of.value.orEmpty(), of.version)
 
     private fun ask(method: String, path: String, body: Fields? = null, scaleInDelayMs: Int? = null): Reply {
-        if (!requests.tryAcquire(PATIENCE_MS, TimeUnit.MILLISECONDS)) return Reply.NotSent("over this controller's part of the limit")
+        if (!requests.tryAcquire(
+                PATIENCE_MS,
+                TimeUnit.MILLISECONDS,
+            )
+        ) {
+            return Reply.NotSent("over this controller's part of the limit")
+        }
         val reply =
-            if (scaleInDelayMs == null) caller.call(method, address, path, body) else caller.call(method, address, path, body, scaleInDelayMs)
+            if (scaleInDelayMs ==
+                null
+            ) {
+                caller.call(method, address, path, body)
+            } else {
+                caller.call(method, address, path, body, scaleInDelayMs)
+            }
         if (reply !is Reply.Answer || reply.status >= 500) log.debug("{} {}: {}", method, path, reply)
         return reply
     }
--- a/src/main/kotlin/io/reedmast/kvstore/StoredItem.kt
+++ b/src/main/kotlin/io/reedmast/kvstore/StoredItem.kt
@@ -2,7 +2,6 @@
 
 import io.reedmast.wire.Fields
 import io.reedmast.wire.StoreMessages
-import io.reedmast.wire.Tree
 
 data class StoredItem(val path: String, val value: Fields, val version: Long) {
     /** The transaction that stored it; null if that cannot be told. */
--- a/src/main/kotlin/io/reedmast/kvstore/WriteRateLimiter.kt
+++ b/src/main/kotlin/io/reedmast/kvstore/WriteRateLimiter.kt
@@ -3,8 +3,8 @@
 /**
  * This controller's part of the store's limit on changes: a bucket that fills at [perS] and holds a second's worth.
  *
- * A plain rate limiter would make an acceptance wait behind a large clean-up; here clean-up is asked to leave part of the
- * bucket, and only a transaction larger than the whole bucket draws it below zero.
+ * A plain rate limiter would make an acceptance wait behind a large clean-up; here clean-up is asked to leave part of
+ * the bucket, and only a transaction larger than the whole bucket draws it below zero.
  */
 class WriteRateLimiter(perS: Double, private val nowMs: () -> Long) {
     private var rate = perS
@@ -58,7 +58,9 @@
     }
 
     private companion object {
-        /** A user's change finds room at once, however many others there are: the rate at which these go is the same. */
+        /**
+         * A user's change finds room at once, however many others there are: the rate at which these go is the same.
+         */
         const val RESERVED_FOR_USERS = 0.3
         const val RESERVED_FOR_URGENT = 0.45
     }
--- a/src/main/kotlin/io/reedmast/machines/MachineLifecycle.kt
+++ b/src/main/kotlin/io/reedmast/machines/MachineLifecycle.kt
@@ -64,19 +64,28 @@
             if (!machine.everReported && machine.decommissionReason == null && machineType != null &&
                 now - machine.firstSeenAt > (machineType.bootS * LOST_BOOT_FACTOR + LOST_BOOT_S) * 1000
             ) {
-                log.info("machine {}: not up after {} s, decommissioned", machine.name, (now - machine.firstSeenAt) / 1000)
+                log.info(
+                    "machine {}: not up after {} s, decommissioned",
+                    machine.name,
+                    (now - machine.firstSeenAt) / 1000,
+                )
                 machine.decommissionReason = DecommissionReason.BOOT_TIMEOUT
             }
             val notice = machine.noticeUntil
             if (notice != 0L) drain(machine, notice, now)
-            if (notice in 1..now && now - machine.lastHeartbeatAt > shardState.heartbeatLateMs && machine.decommissionReason == null) {
+            if (notice in 1..now && now - machine.lastHeartbeatAt > shardState.heartbeatLateMs &&
+                machine.decommissionReason == null
+            ) {
                 log.info("machine {}: taken back by the cloud as announced, decommissioned", machine.name)
                 machine.decommissionReason = DecommissionReason.MISSED_HEARTBEATS
             }
             when (machine.decommissionReason) {
                 null -> if (idle(machine, now, headroom)) decommissionIdle(machine, headroom)
 
-                DecommissionReason.MISSED_HEARTBEATS, DecommissionReason.UNREACHABLE, DecommissionReason.BOOT_TIMEOUT -> returnMachines(machine)
+                DecommissionReason.MISSED_HEARTBEATS,
+                DecommissionReason.UNREACHABLE,
+                DecommissionReason.BOOT_TIMEOUT,
+                -> returnMachines(machine)
 
                 DecommissionReason.UNHEALTHY -> if (machine.placements.isEmpty() ||
                     now - machine.lastHeartbeatAt > silentAfterMs
@@ -86,7 +95,12 @@
                     drainUnhealthy(machine)
                 }
 
-                DecommissionReason.IDLE -> if (machine.placements.isEmpty()) returnMachines(machine) else machine.decommissionReason = null
+                DecommissionReason.IDLE -> if (machine.placements.isEmpty()) {
+                    returnMachines(machine)
+                } else {
+                    machine.decommissionReason =
+                        null
+                }
 
                 DecommissionReason.TRANSFER -> {
                     if (machine.placements.isNotEmpty() || machine.directCalls > 0) {
@@ -106,16 +120,24 @@
     }
 
     /**
-     * Nearly all machines falling silent within one report's time is this controller's loss of its workers. It still has its keys and
-     * hears the store, so nobody else can tell as soon, and the workers' leases are short.
+     * Nearly all machines falling silent within one report's time is this controller's loss of its workers. It still
+     * has its keys and hears the store, so nobody else can tell as soon, and the workers' leases are short.
      */
     private fun detectLossOfWorkers(now: Long) {
         val lateMs = shardState.heartbeatLateMs
-        if (now < requestDue || now - maxOf(shardState.activeAt, observationGapUntil) < lateMs * SETTLED_HEARTBEATS) return
+        if (now < requestDue ||
+            now - maxOf(shardState.activeAt, observationGapUntil) < lateMs * SETTLED_HEARTBEATS
+        ) {
+            return
+        }
         val heard = shardState.machines.values.filter { it.trusted && it.decommissionReason == null }
         val overdue = heard.count { now - it.lastHeartbeatAt > lateMs }
         val newlySilent = heard.count { now - it.lastHeartbeatAt in lateMs..lateMs * SETTLED_HEARTBEATS }
-        if (heard.size < MIN_MACHINES_TO_JUDGE || overdue < heard.size * NEARLY_ALL || newlySilent * 2 < heard.size) return
+        if (heard.size < MIN_MACHINES_TO_JUDGE || overdue < heard.size * NEARLY_ALL ||
+            newlySilent * 2 < heard.size
+        ) {
+            return
+        }
         requestDue = now + REQUEST_EVERY_MS
         requestFailover()
     }
@@ -124,26 +146,55 @@
         // A machine that was up before we took the shard must show itself to us too, and may need a greeting for that.
         val heard = shardState.machines.values.filter { it.everReported || it.placements.isNotEmpty() }
         val silent = heard.filter {
-            now - maxOf(it.lastHeartbeatAt, shardState.activeAt + silentAfterMs / 2, observationGapUntil + silentAfterMs) >
+            now -
+                maxOf(
+                    it.lastHeartbeatAt,
+                    shardState.activeAt + silentAfterMs / 2,
+                    observationGapUntil + silentAfterMs,
+                ) >
                 silentAfterMs
         }
         // If most machines are silent at once, it is rather this controller that hears nothing.
-        val patience = if (silent.size * 2 > heard.size && heard.size > 1) (shardState.settings.workers.leaseS * 1000).toLong() else 0L
+        val patience = if (silent.size * 2 > heard.size &&
+            heard.size > 1
+        ) {
+            (shardState.settings.workers.leaseS * 1000).toLong()
+        } else {
+            0L
+        }
         for (machine in silent) {
-            if (machine.decommissionReason != null && machine.decommissionReason != DecommissionReason.TRANSFER) continue
+            if (machine.decommissionReason != null &&
+                machine.decommissionReason != DecommissionReason.TRANSFER
+            ) {
+                continue
+            }
             if (now - maxOf(machine.lastHeartbeatAt, shardState.activeAt) <= silentAfterMs + patience) continue
-            log.info("machine {}: no heartbeat for {} s, decommissioned", machine.name, (now - machine.lastHeartbeatAt) / 1000)
+            log.info(
+                "machine {}: no heartbeat for {} s, decommissioned",
+                machine.name,
+                (now - machine.lastHeartbeatAt) / 1000,
+            )
             machine.decommissionReason = DecommissionReason.MISSED_HEARTBEATS
             shardState.silentMachinesByZone.getOrPut(machine.record.zone) { ArrayDeque() }.addLast(now)
         }
     }
 
-    /** Machines that report and hear nothing. Several at once would rather be this controller's own answers that get lost. */
+    /**
+     * Machines that report and hear nothing. Several at once would rather be this controller's own answers that get
+     * lost.
+     */
     private fun decommissionUnreachable() {
-        val deaf = shardState.machines.values.filter { it.unacknowledged >= Machine.UNREACHABLE_AFTER && it.decommissionReason == null }
+        val deaf = shardState.machines.values.filter {
+            it.unacknowledged >= Machine.UNREACHABLE_AFTER &&
+                it.decommissionReason == null
+        }
         if (deaf.isEmpty()) return
         if (deaf.size > maxOf(MAX_UNREACHABLE, shardState.machines.size / 4)) {
-            log.info("shard {}: {} machines seem unreachable, which suggests a fault of this controller", shardState.index.value, deaf.size)
+            log.info(
+                "shard {}: {} machines seem unreachable, which suggests a fault of this controller",
+                shardState.index.value,
+                deaf.size,
+            )
             deaf.forEach { it.unacknowledged = 0 }
             return
         }
@@ -157,15 +208,20 @@
         machine.placements.values.toList().forEach { dispatcher.stop(it, StopReason.DRAINED) }
     }
 
-    /** What soon ends on a machine that is to move is waited for; for the rest, the shard that gets it would wait too long. */
+    /**
+     * What soon ends on a machine that is to move is waited for; for the rest, the shard that gets it would wait too
+     * long.
+     */
     private fun drainMoving(machine: Machine, now: Long) {
-        // Marked as idle, and given work before the mark was known here: that is not stopped a moment after it was placed.
+        // Marked as idle, and given work before the mark was known here: that is not stopped a moment after it was
+        // placed.
         if (machine.placements.values.any { it.madeAt > machine.movingSince - JUST_PLACED_MS }) return
         for (placement in machine.placements.values.toList()) {
             val spec = placement.job.spec
             val ranS = if (placement.running) (now - placement.runningSince) / 1000.0 else 0.0
             val endsSoon =
-                !spec.service && placement.running && spec.estimateS - ranS < ScaleInPolicy.ENDS_SOON_S && ranS < spec.estimateS + ScaleInPolicy.ENDS_SOON_S
+                !spec.service && placement.running && spec.estimateS - ranS < ScaleInPolicy.ENDS_SOON_S &&
+                    ranS < spec.estimateS + ScaleInPolicy.ENDS_SOON_S
             if (!endsSoon) dispatcher.stop(placement, StopReason.DRAINED)
         }
     }
@@ -178,21 +234,34 @@
             val ranS = if (placement.running) (now - placement.runningSince) / 1000.0 else 0.0
             val finishes = !spec.service && placement.running && spec.estimateS - ranS < left - 1.0
             val lastMoment = left < (if (spec.resumable) spec.saveS + DRAIN_SLACK_S else 0.0)
-            if (spec.service || !placement.running || lastMoment || (!spec.resumable && !finishes)) dispatcher.stop(placement, StopReason.DRAINED)
+            if (spec.service || !placement.running || lastMoment ||
+                (!spec.resumable && !finishes)
+            ) {
+                dispatcher.stop(placement, StopReason.DRAINED)
+            }
         }
     }
 
     private fun idle(machine: Machine, now: Long, headroom: ScaleInPolicy.Headroom): Boolean {
         if (machine.placements.isNotEmpty() || !machine.trusted) return false
-        // A machine that has just booted has been empty for all of its boot: it was returned before anything could be placed.
+        // A machine that has just booted has been empty for all of its boot: it was returned before anything could be
+        // placed.
         if (now - machine.trustedAt < JUST_UP_MS) return false
         val patience = scaleInPolicy.scaleInDelayMs(machine)
         // While this controller heard nothing from the store, nothing could be placed there.
-        return now - maxOf(machine.emptySince, observationGapUntil) > patience && now - shardState.activeAt > patience && !headroom.needs(machine)
+        return now - maxOf(
+            machine.emptySince,
+            observationGapUntil,
+        ) > patience && now - shardState.activeAt > patience &&
+            !headroom.needs(machine)
     }
 
     private fun decommissionIdle(machine: Machine, headroom: ScaleInPolicy.Headroom) {
-        log.info("machine {}: empty for {} s, decommissioned", machine.name, (shardState.clock.now() - machine.emptySince) / 1000)
+        log.info(
+            "machine {}: empty for {} s, decommissioned",
+            machine.name,
+            (shardState.clock.now() - machine.emptySince) / 1000,
+        )
         headroom.without(machine)
         machine.decommissionReason = DecommissionReason.IDLE
         returnMachines(machine)
@@ -208,8 +277,8 @@
     /**
      * One call for all machines that are to go, and one call at a time.
      *
-     * A call for each made silent machines wait, with the replicas on them, behind idle ones for this controller's part of the
-     * cloud's limit.
+     * A call for each made silent machines wait, with the replicas on them, behind idle ones for this controller's part
+     * of the cloud's limit.
      */
     private fun sendReturns() {
         if (returnInFlight || toReturn.isEmpty() || !shardState.isCurrent()) return
--- a/src/main/kotlin/io/reedmast/model/ChargedUsage.kt
+++ b/src/main/kotlin/io/reedmast/model/ChargedUsage.kt
@@ -3,15 +3,14 @@
 import io.reedmast.settings.TeamId
 import io.reedmast.wire.Fields
 import io.reedmast.wire.MalformedException
-import io.reedmast.wire.Priority
 import java.util.TreeMap
 import kotlin.math.roundToLong
 
 /**
  * Charged use of the teams of a shard over a sliding window, in buckets of time of day.
  *
- * A task is charged, for each second, its largest share of its machine. Best-effort work has no protected minimum and is
- * not charged.
+ * A task is charged, for each second, its largest share of its machine. Best-effort work has no protected minimum and
+ * is not charged.
  */
 class ChargedUsage(private val windowMs: Long) {
     private val bucketMs = maxOf(1L, windowMs / BUCKETS)
@@ -35,12 +34,27 @@
     }
 
     /** At most [maxBuckets] of each team: the oldest are added to the next ones, which a small record has room for. */
-    fun toFields(teams: Collection<TeamId>, maxBuckets: Int = BUCKETS + 1): Fields = teams.filter { it in charged }.associate { team ->
-        val buckets = charged.getValue(team)
-        val kept = buckets.entries.drop(maxOf(0, buckets.size - maxBuckets))
-        val older = buckets.entries.take(buckets.size - kept.size).sumOf { it.value }
-        team.value.toString() to kept.flatMapIndexed { i, (bucket, amount) -> listOf(bucket, (if (i == 0) amount + older else amount).roundToLong()) }
-    }
+    fun toFields(teams: Collection<TeamId>, maxBuckets: Int = BUCKETS + 1): Fields =
+        teams.filter { it in charged }.associate { team ->
+            val buckets = charged.getValue(team)
+            val kept = buckets.entries.drop(maxOf(0, buckets.size - maxBuckets))
+            val older = buckets.entries.take(buckets.size - kept.size).sumOf { it.value }
+            team.value.toString() to
+                kept.flatMapIndexed { i, (bucket, amount) ->
+                    listOf(
+                        bucket,
+                        (
+                            if (i ==
+                                0
+                            ) {
+                                amount + older
+                            } else {
+                                amount
+                            }
+                            ).roundToLong(),
+                    )
+                }
+        }
 
     /** Takes up stored totals in place of what is known of their teams. */
     fun load(fields: Fields) {
@@ -50,7 +64,9 @@
             val buckets = TreeMap<Long, Double>()
             for (i in 0 until numbers.size - 1 step 2) {
                 val bucket = numbers[i] as? Long ?: throw MalformedException("usage of team $team names no bucket")
-                buckets[bucket] = (numbers[i + 1] as? Number)?.toDouble() ?: throw MalformedException("usage of team $team is no number")
+                buckets[bucket] =
+                    (numbers[i + 1] as? Number)?.toDouble()
+                        ?: throw MalformedException("usage of team $team is no number")
             }
             charged[TeamId(index)] = buckets
         }
--- a/src/main/kotlin/io/reedmast/model/Chunk.kt
+++ b/src/main/kotlin/io/reedmast/model/Chunk.kt
@@ -1,8 +1,5 @@
 package io.reedmast.model
 
-import io.reedmast.settings.TeamId
-import io.reedmast.wire.JobSpec
-import io.reedmast.wire.TaskId
 import java.util.BitSet
 import java.util.TreeMap
 
--- a/src/main/kotlin/io/reedmast/model/DecommissionReason.kt
+++ b/src/main/kotlin/io/reedmast/model/DecommissionReason.kt
@@ -1,9 +1,5 @@
 package io.reedmast.model
 
-import io.reedmast.wire.MachineType
-import io.reedmast.wire.TaskId
-import io.reedmast.wire.WorkerStatus
-
 /** Why a machine is to go. */
 enum class DecommissionReason {
     IDLE,
--- a/src/main/kotlin/io/reedmast/model/FencingToken.kt
+++ b/src/main/kotlin/io/reedmast/model/FencingToken.kt
@@ -3,8 +3,8 @@
 /**
  * Tokens of shards' owners. Each taking of a shard gets a range of them, above every range given before.
  *
- * The owner commands under the first one. It moves on within its range, for one worker at a time, where copies of its own
- * earlier commands must become void: no record is written for that, and no term moves.
+ * The owner commands under the first one. It moves on within its range, for one worker at a time, where copies of its
+ * own earlier commands must become void: no record is written for that, and no term moves.
  */
 object FencingToken {
     private const val RANGE = 1L shl 20
@@ -15,6 +15,9 @@
     /** The last one of the range that begins with [first]. */
     fun last(first: Long): Long = first + RANGE - 1
 
-    /** How many ranges were given up to this one. Records of an earlier form counted takings alone, below a range's size. */
+    /**
+     * How many ranges were given up to this one. Records of an earlier form counted takings alone, below a range's
+     * size.
+     */
     fun acquisitions(token: Long): Long = if (token < RANGE) token else token / RANGE
 }
--- a/src/main/kotlin/io/reedmast/model/Job.kt
+++ b/src/main/kotlin/io/reedmast/model/Job.kt
@@ -2,9 +2,7 @@
 
 import io.reedmast.settings.TeamId
 import io.reedmast.wire.JobSpec
-import io.reedmast.wire.TaskId
 import java.util.BitSet
-import java.util.TreeMap
 
 /** An unfinished job in the hands of its shard's owner. */
 class Job(
@@ -55,7 +53,11 @@
 
     fun chunkOf(task: Int): Chunk {
         val index = task / chunkSize
-        return chunks[index] ?: Chunk(this, index, index * chunkSize, minOf(chunkSize, spec.taskCount - index * chunkSize)).also { chunks[index] = it }
+        return chunks[index]
+            ?: Chunk(this, index, index * chunkSize, minOf(chunkSize, spec.taskCount - index * chunkSize)).also {
+                chunks[index] =
+                    it
+            }
     }
 
     /** Of a gang: the last attempt that did not become whole in time, and how many there were. */
@@ -66,7 +68,8 @@
     var lastFailedAttempt = 0L
 
     /** Whether all tasks of the gang have placements, and the store holds each: nothing of it is launched before. */
-    val isWholeGangStored: Boolean get() = placedCount == spec.taskCount && placements().all { it.committed && it.stopReason == null }
+    val isWholeGangStored: Boolean get() = placedCount == spec.taskCount &&
+        placements().all { it.committed && it.stopReason == null }
 
     fun nextPending(): Int = waiting.nextSetBit(0)
 
--- a/src/main/kotlin/io/reedmast/model/Machine.kt
+++ b/src/main/kotlin/io/reedmast/model/Machine.kt
@@ -12,7 +12,9 @@
     val record: MachineRecord,
     var machineType: MachineType?,
     val firstSeenAt: Long,
-    /** The lowest token that proves, once the worker has seen it, that no earlier owner's command can arrive any more. */
+    /**
+     * The lowest token that proves, once the worker has seen it, that no earlier owner's command can arrive any more.
+     */
     var floor: Long,
     private val facts: MachineFacts = MachineFacts(record.name),
 ) {
@@ -57,15 +59,17 @@
     var unknownTaskMemoryGb = 0.0
 
     /**
-     * Direct launches by attempt, answered or not: the call, or one more copy of it, may arrive late and is carried out as
-     * long as session and token are still those it was sent under.
+     * Direct launches by attempt, answered or not: the call, or one more copy of it, may arrive late and is carried out
+     * as long as session and token are still those it was sent under.
      */
     private val launches = HashMap<Pair<TaskId, Long>, DirectLaunch>()
 
     /** Direct calls that wait for their answer. */
     var directCalls = 0
 
-    /** A token within its owner's range that this worker alone is shown, 0 if it never was; and when it last was raised. */
+    /**
+     * A token within its owner's range that this worker alone is shown, 0 if it never was; and when it last was raised.
+     */
     var raisedTo = 0L
     var raisedAt = 0L
 
@@ -79,7 +83,10 @@
     val freeCpus: Double get() = (machineType?.cpus ?: 0.0) - usedCpus - unknownTaskCpus
     val freeGpus: Double get() = (machineType?.gpus ?: 0.0) - usedGpus - unknownTaskGpus
     val freeMemoryGb: Double get() = (machineType?.memoryGb ?: 0.0) - usedMemoryGb - unknownTaskMemoryGb
-    val hourlyPrice: Double get() = machineType?.let { if (record.spot) it.spotPrice ?: it.hourlyPrice else it.hourlyPrice } ?: 0.0
+    val hourlyPrice: Double get() = machineType?.let {
+        if (record.spot) it.spotPrice ?: it.hourlyPrice else it.hourlyPrice
+    }
+        ?: 0.0
 
     private var services = 0
 
@@ -90,9 +97,12 @@
     val isServiceHome: Boolean get() = services > 0 && !record.spot
 
     /** Whether work may be placed here. A machine that may not hear us gets no more of it. */
-    val usable: Boolean get() = trusted && decommissionReason == null && !returning && machineType != null && unacknowledged < MAX_UNACKNOWLEDGED
+    val usable: Boolean get() = trusted && decommissionReason == null && !returning && machineType != null &&
+        unacknowledged < MAX_UNACKNOWLEDGED
 
-    /** Parts of jobs that have left the machine since they were last stored: a stored page may still name it for them. */
+    /**
+     * Parts of jobs that have left the machine since they were last stored: a stored page may still name it for them.
+     */
     private val left = HashSet<Chunk>()
 
     /** Whether nothing is here, and nobody who takes the shard over would think so. */
@@ -147,14 +157,17 @@
     }
 
     /** Messages overtake each other; only the newest says what is on the machine. */
-    fun isNewer(status: WorkerStatus): Boolean = status.epoch > epoch || (status.epoch == epoch && status.sequence > sequence)
+    fun isNewer(status: WorkerStatus): Boolean =
+        status.epoch > epoch || (status.epoch == epoch && status.sequence > sequence)
 
     fun recordImage(image: String, imageGb: Double) = facts.recordImage(image, imageGb, machineType?.cacheGb ?: 0.0)
 
     companion object {
         const val EPSILON = 1e-9
 
-        /** Answers in a row that seem not to have arrived, from which on nothing more is placed: one may be on the way. */
+        /**
+         * Answers in a row that seem not to have arrived, from which on nothing more is placed: one may be on the way.
+         */
         private const val MAX_UNACKNOWLEDGED = 3
 
         /** From which on the machine is replaced. */
--- a/src/main/kotlin/io/reedmast/model/MachineDirectory.kt
+++ b/src/main/kotlin/io/reedmast/model/MachineDirectory.kt
@@ -5,7 +5,8 @@
 /**
  * Addresses and images of all machines, told by their owners to the other controllers.
  *
- * A controller that takes a shard over can so show its token to the workers at once, and place work where its images are.
+ * A controller that takes a shard over can so show its token to the workers at once, and place work where its images
+ * are.
  */
 class MachineDirectory {
     private val facts = HashMap<String, MachineFacts>()
--- a/src/main/kotlin/io/reedmast/model/Placement.kt
+++ b/src/main/kotlin/io/reedmast/model/Placement.kt
@@ -1,10 +1,6 @@
 package io.reedmast.model
 
-import io.reedmast.settings.TeamId
-import io.reedmast.wire.JobSpec
 import io.reedmast.wire.TaskId
-import java.util.BitSet
-import java.util.TreeMap
 
 /** Why an owner wants an attempt stopped. */
 enum class StopReason {
