--- a/src/main/kotlin/io/reedmast/model/ShardState.kt
+++ b/src/main/kotlin/io/reedmast/model/ShardState.kt
@@ -109,7 +109,8 @@
     }
 
     /** Whether the attempt ran long enough to count as service of its job: one that was stopped at once does not. */
-    private fun hasRun(placement: Placement, done: Boolean) = done || (placement.running && clock.now() - placement.runningSince >= COUNTS_AS_RUN_MS)
+    private fun hasRun(placement: Placement, done: Boolean) =
+        done || (placement.running && clock.now() - placement.runningSince >= COUNTS_AS_RUN_MS)
 
     /** A chunk differs from what is stored. */
     fun markDirty(chunk: Chunk) {
@@ -133,7 +134,12 @@
         for (machine in machines.values) {
             val machineType = machine.machineType ?: continue
             for (placement in machine.placements.values) {
-                if (placement.seen && placement.job.spec.priority.isFunded) sums[placement.job.team.value] += charge(placement.job.spec, machineType)
+                if (placement.seen &&
+                    placement.job.spec.priority.isFunded
+                ) {
+                    sums[placement.job.team.value] +=
+                        charge(placement.job.spec, machineType)
+                }
             }
         }
         val wall = clock.wall()
@@ -159,7 +165,13 @@
         val allocated = if (share.cpus > 0) share.cpus else share.gpus
         // What runs now counts for the next minute too, so that a burst of decisions sees its own effect.
         val soon = usedCpus[team.value] * LOOKAHEAD_S
-        return if (allocated <= 0.0) Double.MAX_VALUE else (usage.within(team, nowMs) + soon) / (allocated * tuning.windowS)
+        return if (allocated <=
+            0.0
+        ) {
+            Double.MAX_VALUE
+        } else {
+            (usage.within(team, nowMs) + soon) / (allocated * tuning.windowS)
+        }
     }
 
     /** Whether one more task of this shape is within the team's guarantee. */
@@ -173,10 +185,14 @@
     fun isGangWithinGuarantee(job: Job): Boolean {
         val share = settings.teams[job.team.value]
         return usedCpus[job.team.value] + job.spec.cpus * job.spec.taskCount <= share.cpus + Machine.EPSILON &&
-            (job.spec.gpus == 0.0 || usedGpus[job.team.value] + job.spec.gpus * job.spec.taskCount <= share.gpus + Machine.EPSILON)
+            (
+                job.spec.gpus == 0.0 ||
+                    usedGpus[job.team.value] + job.spec.gpus * job.spec.taskCount <= share.gpus + Machine.EPSILON
+                )
     }
 
-    fun isBeyondGuarantee(team: TeamId): Boolean = usedCpus[team.value] > settings.teams[team.value].cpus + Machine.EPSILON
+    fun isBeyondGuarantee(team: TeamId): Boolean =
+        usedCpus[team.value] > settings.teams[team.value].cpus + Machine.EPSILON
 
     /** How many more tasks of this shape the team's limit allows. */
     fun remainingQuota(job: Job): Int {
@@ -192,27 +208,38 @@
     }
 
     fun deadlineMs(job: Job): Long {
-        val due = job.spec.deadlineS ?: settings.objectives.firstOrNull { it.kind == "finished" && it.jobClass == job.spec.jobClass }?.withinS
+        val due =
+            job.spec.deadlineS
+                ?: settings.objectives.firstOrNull {
+                    it.kind == "finished" && it.jobClass == job.spec.jobClass
+                }?.withinS
         return if (due == null) job.acceptedAtMs else job.acceptedAtMs + (due * 1000).toLong()
     }
 
-    fun isPastDeadline(job: Job): Boolean = clock.wall() > deadlineMs(job) + if (job.spec.deadlineS == null) LATE_WITHOUT_DUE_MS else 0L
+    fun isPastDeadline(job: Job): Boolean =
+        clock.wall() > deadlineMs(job) + if (job.spec.deadlineS == null) LATE_WITHOUT_DUE_MS else 0L
 
     /**
-     * Nothing of it runs, or a service lacks replicas, and has for so long that what a machine costs, whose room it is or where
-     * it failed counts no more: with room for it somewhere it must not be left waiting for 90 s.
+     * Nothing of it runs, or a service lacks replicas, and has for so long that what a machine costs, whose room it is
+     * or where it failed counts no more: with room for it somewhere it must not be left waiting for 90 s.
      *
      * Not sooner: at 30 s, a swarm of small jobs took the room that services were to find.
      */
     fun isStarving(job: Job): Boolean = isNearlyStarving(job) && starvingSince(job) < clock.now() - STARVING_MS
 
-    /** No task of it has run for longer than a moment for so long that its next task comes before other work of its team. */
+    /**
+     * No task of it has run for longer than a moment for so long that its next task comes before other work of its
+     * team.
+     */
     fun isUnderserved(job: Job): Boolean = underservedForMs(job) > STARVING_MS
 
     /** As [isUnderserved], for so long that its next task yields to nothing. */
     fun isOverdue(job: Job): Boolean = underservedForMs(job) > OVERDUE_MS
 
-    /** How long a job that waits has got nothing that lasted, a service: lacked replicas; 0 if it does not wait for that. */
+    /**
+     * How long a job that waits has got nothing that lasted, a service: lacked replicas; 0 if it does not wait for
+     * that.
+     */
     fun underservedForMs(job: Job): Long {
         if (job.pendingCount <= 0 || isSuspectedFaulty(job)) return 0L
         return when {
@@ -223,7 +250,8 @@
     }
 
     /** It may starve before a machine of another shard is emptied for it, so that is thought of sooner. */
-    fun isNearlyStarving(job: Job): Boolean = job.pendingCount > 0 && !isSuspectedFaulty(job) && starvingSince(job) < clock.now() - NEARLY_STARVING_MS
+    fun isNearlyStarving(job: Job): Boolean =
+        job.pendingCount > 0 && !isSuspectedFaulty(job) && starvingSince(job) < clock.now() - NEARLY_STARVING_MS
 
     /** Since when the job lacks what it must not lack for long; in the future if it does not. */
     fun starvingSince(job: Job): Long = when {
@@ -232,7 +260,8 @@
         else -> Long.MAX_VALUE
     }
 
-    fun isLatencySensitive(job: Job) = job.spec.service || job.spec.gang || settings.objectives.any { it.kind == "wait" && it.jobClass == job.spec.jobClass }
+    fun isLatencySensitive(job: Job) = job.spec.service || job.spec.gang ||
+        settings.objectives.any { it.kind == "wait" && it.jobClass == job.spec.jobClass }
 
     /** It failed on several machines in a row: the job has a mistake, and the machines have not. */
     fun isSuspectedFaulty(job: Job) = job.failures >= FAILURES_OF_FAULTY_JOB
--- a/src/main/kotlin/io/reedmast/peers/PeerClient.kt
+++ b/src/main/kotlin/io/reedmast/peers/PeerClient.kt
@@ -11,8 +11,9 @@
 /**
  * Sends messages to one other controller.
  *
- * News share a connection, which is opened anew now and then. All other messages get one of their own: a controller that lost its
- * power and came back leaves the old connection open here, and what is written to it is lost without an error.
+ * News share a connection, which is opened anew now and then. All other messages get one of their own: a controller
+ * that lost its power and came back leaves the old connection open here, and what is written to it is lost without an
+ * error.
  */
 class PeerClient(private val address: InetSocketAddress) {
     private class Connection(val socket: Socket) {
--- a/src/main/kotlin/io/reedmast/peers/PeerCodec.kt
+++ b/src/main/kotlin/io/reedmast/peers/PeerCodec.kt
@@ -34,7 +34,10 @@
             is PeerMessage.ShardStatusUpdate -> writeNews(sink, message)
             is PeerMessage.StatusQuery -> writeQuery(sink, message)
             is PeerMessage.StatusReport -> writeReport(sink, message)
-            is PeerMessage.FailoverRequest -> send(sink, Buffer().writeByte(TAKEOVER).writeInt(message.shard.value).writeLong(message.term))
+            is PeerMessage.FailoverRequest -> send(
+                sink,
+                Buffer().writeByte(TAKEOVER).writeInt(message.shard.value).writeLong(message.term),
+            )
         }
         sink.flush()
     }
@@ -48,7 +51,11 @@
             }
             frame.write(entry, entry.size)
         }
-        for (job in update.jobs) add(Buffer().writeByte(JOB_ENTRY).text(job.jobId).writeInt(job.done).writeInt(job.running))
+        for (job in update.jobs) {
+            add(
+                Buffer().writeByte(JOB_ENTRY).text(job.jobId).writeInt(job.done).writeInt(job.running),
+            )
+        }
         for (hint in update.machines) add(machineEntry(hint))
         send(sink, frame)
     }
@@ -113,7 +120,10 @@
         return PeerMessage.ShardStatusUpdate(jobs, machines)
     }
 
-    private fun readImages(frame: Buffer) = List(frame.readSmall()) { frame.readText() to Double.fromBits(frame.readLong()) }
+    private fun readImages(frame: Buffer) = List(frame.readSmall()) {
+        frame.readText() to
+            Double.fromBits(frame.readLong())
+    }
 
     private fun readReport(frame: Buffer): PeerMessage.StatusReport {
         val from = ControllerId(frame.readInt())
--- a/src/main/kotlin/io/reedmast/peers/PeerServer.kt
+++ b/src/main/kotlin/io/reedmast/peers/PeerServer.kt
@@ -12,7 +12,11 @@
 import java.util.concurrent.RejectedExecutionException
 
 /** Receives the messages of the other controllers, each connection on a thread of [connections]. */
-class PeerServer(private val address: InetSocketAddress, private val connections: Executor, private val received: (PeerMessage) -> Unit) {
+class PeerServer(
+    private val address: InetSocketAddress,
+    private val connections: Executor,
+    private val received: (PeerMessage) -> Unit,
+) {
     private val log = LoggerFactory.getLogger("peers")
 
     /** Opens the port; the accepting loop is [run]. */
--- a/src/main/kotlin/io/reedmast/persistence/DensePages.kt
+++ b/src/main/kotlin/io/reedmast/persistence/DensePages.kt
@@ -12,8 +12,8 @@
 /**
  * The dense form of a page of progress, and the steps between it and the plain one.
  *
- * Machines stand in a table of the page, attempts are counted from the page's lowest one, tasks from the chunk's first one, and chunks
- * have no names for their parts. Both forms hold the same, so either can be made from the other.
+ * Machines stand in a table of the page, attempts are counted from the page's lowest one, tasks from the chunk's first
+ * one, and chunks have no names for their parts. Both forms hold the same, so either can be made from the other.
  */
 object DensePages : RecordMigration {
     val FEATURE = FeatureName("dense-pages")
@@ -28,10 +28,23 @@
 
     override fun prefix(shard: Int): String = Keys.pagesOf(shard)
 
-    override fun forward(record: Fields): Fields = if (isDense(record)) record.also { chunksOf(it) } else toFields(plainChunks(record))
+    override fun forward(record: Fields): Fields = if (isDense(record)) {
+        record.also {
+            chunksOf(it)
+        }
+    } else {
+        toFields(plainChunks(record))
+    }
 
-    override fun back(record: Fields): Fields =
-        if (isDense(record)) mapOf(PLAIN_CHUNKS to chunksOf(record).map { it.toFields() }) else record.also { plainChunks(it) }
+    override fun back(record: Fields): Fields = if (isDense(record)) {
+        mapOf(
+            PLAIN_CHUNKS to chunksOf(record).map {
+                it.toFields()
+            },
+        )
+    } else {
+        record.also { plainChunks(it) }
+    }
 
     fun isDense(record: Fields): Boolean = CHUNKS in record
 
@@ -46,15 +59,22 @@
             MACHINES to machines,
             LOWEST_ATTEMPT to lowest,
             CHUNKS to chunks.map { chunk ->
-                val placements = chunk.placements.flatMap { listOf(it.task.toLong() - chunk.first, it.attempt - lowest, indexOf.getValue(it.machineName)) }
+                val placements = chunk.placements.flatMap {
+                    listOf(it.task.toLong() - chunk.first, it.attempt - lowest, indexOf.getValue(it.machineName))
+                }
                 listOf(chunk.jobId, chunk.first.toLong(), chunk.size?.toLong(), StoredChunk.hex(chunk.done), placements)
             },
         )
     }
 
-    /** The chunks of a dense page. A chunk that cannot be read is handed to [unreadable], and the others are read all the same. */
+    /**
+     * The chunks of a dense page. A chunk that cannot be read is handed to [unreadable], and the others are read all
+     * the same.
+     */
     fun chunksOf(record: Fields, unreadable: (MalformedException) -> Unit = { throw it }): List<StoredChunk> {
-        val machines = record.list(MACHINES).map { it as? String ?: throw MalformedException("$MACHINES holds no name") }
+        val machines = record.list(MACHINES).map {
+            it as? String ?: throw MalformedException("$MACHINES holds no name")
+        }
         val lowest = integer(record[LOWEST_ATTEMPT])
         return record.list(CHUNKS).mapNotNull { chunk ->
             try {
@@ -78,7 +98,9 @@
             taskCount?.let { integer(it).toInt() },
             StoredChunk.bits(done as? String ?: throw MalformedException("done is no text")),
             flat.chunked(StoredChunk.PARTS_OF_A_PLACEMENT).map { (task, attempt, machine) ->
-                val machineName = machines.getOrNull(integer(machine).toInt()) ?: throw MalformedException("a placement names no machine")
+                val machineName =
+                    machines.getOrNull(integer(machine).toInt())
+                        ?: throw MalformedException("a placement names no machine")
                 StoredPlacement(first + integer(task).toInt(), lowest + integer(attempt), machineName)
             },
         )
--- a/src/main/kotlin/io/reedmast/persistence/PageReader.kt
+++ b/src/main/kotlin/io/reedmast/persistence/PageReader.kt
@@ -11,8 +11,8 @@
 /**
  * Takes up a shard's stored pages.
  *
- * A page whose division is not today's is read, and its content goes to other pages: see [SupersededPages]. Until it has been cleared, two
- * pages speak for the same tasks, and the newer one is right.
+ * A page whose division is not today's is read, and its content goes to other pages: see [SupersededPages]. Until it
+ * has been cleared, two pages speak for the same tasks, and the newer one is right.
  *
  * @param chunkSizes the sizes of chunks by the jobs' records
  * @param place takes up each placement
@@ -42,7 +42,9 @@
         page.version = item.version
         page.storedDense = DensePages.isDense(item.value)
         val chunks = chunksOf(item)
-        val divided = isDividedOtherwise(chunks) || isOverfull(page, chunks) || Tree.jsonSize(item.value) > shardState.limits.allowed.valueBytes
+        val divided =
+            isDividedOtherwise(chunks) || isOverfull(page, chunks) ||
+                Tree.jsonSize(item.value) > shardState.limits.allowed.valueBytes
         for (chunk in chunks) load(chunk, page, divided)
     }
 
@@ -69,7 +71,8 @@
     /** Whether a dense page that is to be stored plainly holds more than that form can. */
     private fun isOverfull(page: ProgressPage, chunks: List<StoredChunk>): Boolean {
         if (!page.storedDense || shardState.gates().writes(DensePages.FEATURE)) return false
-        return chunks.sumOf { PageForm.SIZED.reserveFor(shardState.jobs.getValue(it.jobId).chunkOf(it.first)) } > pageBytes
+        return chunks.sumOf { PageForm.SIZED.reserveFor(shardState.jobs.getValue(it.jobId).chunkOf(it.first)) } >
+            pageBytes
     }
 
     /** The tasks that the chunk speaks for. */
@@ -98,12 +101,14 @@
     }
 
     /**
-     * Something stored cannot be read, so tasks may run that nobody knows of. Nothing is placed before their workers have been told to stop
-     * them, or have lost their leases.
+     * Something stored cannot be read, so tasks may run that nobody knows of. Nothing is placed before their workers
+     * have been told to stop them, or have lost their leases.
      */
     private fun recordUnreadable(path: String, e: MalformedException) {
         log.error("shard {}: record {} cannot be read: {}", shardState.index.value, path, e.message)
-        shardState.passNotBefore = shardState.clock.now() + (shardState.settings.workers.leaseS * LEASES_UNTIL_UNKNOWN_WORK_IS_GONE * 1000).toLong()
+        shardState.passNotBefore =
+            shardState.clock.now() +
+            (shardState.settings.workers.leaseS * LEASES_UNTIL_UNKNOWN_WORK_IS_GONE * 1000).toLong()
     }
 
     private companion object {
--- a/src/main/kotlin/io/reedmast/persistence/ProgressListener.kt
+++ b/src/main/kotlin/io/reedmast/persistence/ProgressListener.kt
@@ -1,20 +1,9 @@
 package io.reedmast.persistence
 
 import io.reedmast.jobs.EndRecord
-import io.reedmast.kvstore.CasTransaction
-import io.reedmast.kvstore.CommitOutcome
-import io.reedmast.kvstore.Keys
-import io.reedmast.kvstore.Precondition
-import io.reedmast.kvstore.ReadResult
 import io.reedmast.kvstore.StoredItem
-import io.reedmast.kvstore.Write
-import io.reedmast.kvstore.WritePriority
 import io.reedmast.model.Job
 import io.reedmast.model.Placement
-import io.reedmast.ports.Gateway
-import io.reedmast.rollout.RecordAccess
-import io.reedmast.wire.JobState
-import org.slf4j.LoggerFactory
 
 /** What an owner's storing tells the rest of it. */
 interface ProgressListener {
--- a/src/main/kotlin/io/reedmast/persistence/ProgressPage.kt
+++ b/src/main/kotlin/io/reedmast/persistence/ProgressPage.kt
@@ -25,7 +25,9 @@
     /** Since when something in it is not stored, 0 if all is. */
     var dirtySince = 0L
 
-    /** What is stored under its key in another division than today's: it is cleared once all of this is in other pages. */
+    /**
+     * What is stored under its key in another division than today's: it is cleared once all of this is in other pages.
+     */
     val superseded = LinkedHashSet<Chunk>()
 
     /** The store has refused it: until then it is not tried again. */
@@ -49,7 +51,8 @@
     /** The room that its chunks may come to take in [form]. */
     fun reservedIn(form: PageForm): Int = reserved[form] ?: 0
 
-    fun hasRoom(chunk: Chunk, bytes: Int, form: PageForm) = superseded.isEmpty() && reservedIn(form) + form.reserveFor(chunk) <= bytes
+    fun hasRoom(chunk: Chunk, bytes: Int, form: PageForm) =
+        superseded.isEmpty() && reservedIn(form) + form.reserveFor(chunk) <= bytes
 
     fun add(chunk: Chunk) {
         chunk.page = this
@@ -61,11 +64,14 @@
     }
 
     /**
-     * Its value in [form], without the placements [left]. A chunk that supersedes an older copy is stored even if it is empty, or the older
-     * one would seem to hold.
+     * Its value in [form], without the placements [left]. A chunk that supersedes an older copy is stored even if it is
+     * empty, or the older one would seem to hold.
      */
-    fun toFields(left: Set<Placement>, form: PageForm): Fields =
-        form.toFields(chunks.filter { it.placements.isNotEmpty() || !it.done.isEmpty || it.olderCopies > 0 }.map { storedOf(it, left, form) })
+    fun toFields(left: Set<Placement>, form: PageForm): Fields = form.toFields(
+        chunks.filter {
+            it.placements.isNotEmpty() || !it.done.isEmpty || it.olderCopies > 0
+        }.map { storedOf(it, left, form) },
+    )
 
     private fun storedOf(chunk: Chunk, left: Set<Placement>, form: PageForm) = StoredChunk(
         chunk.job.spec.jobId,
--- a/src/main/kotlin/io/reedmast/persistence/ProgressStore.kt
+++ b/src/main/kotlin/io/reedmast/persistence/ProgressStore.kt
@@ -20,34 +20,51 @@
 import org.slf4j.LoggerFactory
 
 /** The storing of a shard: pages of progress, and the ends of jobs. */
-class ProgressStore(private val shardState: ShardState, private val store: KeyValueStore, private val listener: ProgressListener) {
+class ProgressStore(
+    private val shardState: ShardState,
+    private val store: KeyValueStore,
+    private val listener: ProgressListener,
+) {
     private val log = LoggerFactory.getLogger("shard")
     private val shard = shardState.index.value
     private val pages = ArrayList<ProgressPage>()
     private val pageBytes = shardState.limits.target.valueBytes * 95 / 100
 
-    /** Whether the pages were read when the reduced limits were known to hold, so that they were divided accordingly. */
+    /**
+     * Whether the pages were read when the reduced limits were known to hold, so that they were divided accordingly.
+     */
     private val dividedForReduced = shardState.limits.isReduced
     private val supersededPages = SupersededPages(shardState, store)
     private val toEnd = LinkedHashSet<Job>()
     private var endings = 0
 
-    /** Whether what it holds is to be read again, since the limits were lowered after it was, and some of it is too large for them. */
+    /**
+     * Whether what it holds is to be read again, since the limits were lowered after it was, and some of it is too
+     * large for them.
+     */
     val needsReload: Boolean get() = isUndivided || pages.any { isOverfull(it) }
 
     private val isUndivided: Boolean
-        get() = !dividedForReduced && shardState.limits.isReduced && pages.any { it.reservedIn(PageForm.SIZED) > pageBytes || isTooLarge(it) }
+        get() = !dividedForReduced && shardState.limits.isReduced &&
+            pages.any { it.reservedIn(PageForm.SIZED) > pageBytes || isTooLarge(it) }
 
-    /** Whether it holds more than its plain form can, in which it is to be stored again: its content has to go to several pages. */
+    /**
+     * Whether it holds more than its plain form can, in which it is to be stored again: its content has to go to
+     * several pages.
+     */
     private fun isOverfull(page: ProgressPage): Boolean =
-        page.storedDense && page.reservedIn(PageForm.SIZED) > pageBytes && !shardState.gates().writes(DensePages.FEATURE)
+        page.storedDense && page.reservedIn(PageForm.SIZED) > pageBytes &&
+            !shardState.gates().writes(DensePages.FEATURE)
 
     private fun isTooLarge(page: ProgressPage): Boolean {
         val most = PageForm.chunkSizeFor(shardState.limits.target.valueBytes)
         return page.chunks.any { it.size > most }
     }
 
-    /** Takes up stored pages as they were read; [place] takes up each placement. [chunkSizes] are those of the jobs' records. */
+    /**
+     * Takes up stored pages as they were read; [place] takes up each placement. [chunkSizes] are those of the jobs'
+     * records.
+     */
     fun load(items: List<StoredItem>, chunkSizes: Map<String, Int>, place: (Job, StoredPlacement) -> Unit) =
         PageReader(shardState, pages, supersededPages, pageBytes, chunkSizes, place).load(items)
 
@@ -70,9 +87,13 @@
         val due = pages.filter { it.dirtySince != 0L && !it.writing && now >= it.refusedUntil && !isOverfull(it) }
         for (page in due.sortedWith(compareBy({ -it.pending.ordinal }, { it.dirtySince }))) {
             if (page.pending != PendingWrite.RESULTS) {
-                // Not to the last change that is allowed: an acceptance, whose user waits, takes one and should find it. Nor more at once
-                // than it may wait behind: what is placed meanwhile shares the page's next put.
-                if (store.writePermitLevel() <= FULL_ENOUGH_TO_PLACE || onTheirWay >= maxPagesAtOnce(page.pending)) continue
+                // Not to the last change that is allowed: an acceptance, whose user waits, takes one and should find
+                // it. Nor more at once than it may wait behind: what is placed meanwhile shares the page's next put.
+                if (store.writePermitLevel() <= FULL_ENOUGH_TO_PLACE ||
+                    onTheirWay >= maxPagesAtOnce(page.pending)
+                ) {
+                    continue
+                }
                 store(page, WritePriority.URGENT)
                 onTheirWay++
             } else if (isTimeForResults(page, now)) {
@@ -82,11 +103,13 @@
     }
 
     /**
-     * A page that holds results only is handed over when there is room for it at once: while it waits to be stored, nothing new in it is.
+     * A page that holds results only is handed over when there is room for it at once: while it waits to be stored,
+     * nothing new in it is.
      */
     private fun isTimeForResults(page: ProgressPage, now: Long): Boolean {
         val age = now - page.dirtySince
-        return (age >= DEFERRED_MAX_MS && store.writePermitLevel() > ROOM_FOR_RESULTS) || (age >= OVERDUE_MS && store.writePermitLevel() > FULL_ENOUGH_TO_PLACE)
+        return (age >= DEFERRED_MAX_MS && store.writePermitLevel() > ROOM_FOR_RESULTS) ||
+            (age >= OVERDUE_MS && store.writePermitLevel() > FULL_ENOUGH_TO_PLACE)
     }
 
     private fun pendingWriteOf(chunk: Chunk): PendingWrite = when {
@@ -105,7 +128,9 @@
     private fun pageFor(chunk: Chunk): ProgressPage {
         val form = PageForm.toWrite(shardState.gates(), shardState.limits.isReduced)
         val open = pages.filter { !it.writing && it.hasRoom(chunk, pageBytes, form) }
-        val page = open.firstOrNull { it.pending != PendingWrite.RESULTS } ?: open.firstOrNull { it.dirtySince != 0L } ?: open.firstOrNull()
+        val page =
+            open.firstOrNull { it.pending != PendingWrite.RESULTS } ?: open.firstOrNull { it.dirtySince != 0L }
+                ?: open.firstOrNull()
         return (page ?: ProgressPage(pages.size).also { pages.add(it) }).also { it.add(chunk) }
     }
 
@@ -113,7 +138,9 @@
         val path = Keys.page(shard, page.index)
         val pending = page.chunks.flatMap { chunk -> chunk.placements.values.filter { !it.committed } }
         // Each job that is placed anew is a condition, and a transaction takes only so many.
-        val jobs = pending.mapTo(LinkedHashSet()) { it.job }.take(shardState.limits.target.opsPerCommit * CONDITIONAL_JOBS_PER_WRITE)
+        val jobs = pending.mapTo(LinkedHashSet()) {
+            it.job
+        }.take(shardState.limits.target.opsPerCommit * CONDITIONAL_JOBS_PER_WRITE)
         val included = pending.filter { it.job in jobs }
         val left = pending.filterTo(HashSet()) { it.job !in jobs }
         page.waitedFor = page.pending != PendingWrite.RESULTS
@@ -130,7 +157,11 @@
         preconditions.add(Precondition(path, page.version))
         jobs.mapTo(preconditions) { Precondition(Keys.live(shard, it.spec.jobId), it.version) }
         store.commit(
-            CasTransaction(preconditions, listOf(Write.Put(path, page.toFields(left, form))), writePriority) { outcome ->
+            CasTransaction(
+                preconditions,
+                listOf(Write.Put(path, page.toFields(left, form))),
+                writePriority,
+            ) { outcome ->
                 page.writing = false
                 if (shardState.dropped) return@CasTransaction
                 when (outcome) {
@@ -166,7 +197,9 @@
         if (page.pending == PendingWrite.RESULTS) page.pending = PendingWrite.ARRAY_PLACEMENTS
     }
 
-    /** Something had moved on: the term, a job that its user has cancelled, or the page, if an answer of ours was lost. */
+    /**
+     * Something had moved on: the term, a job that its user has cancelled, or the page, if an answer of ours was lost.
+     */
     private fun conflict(failed: Set<String>, page: ProgressPage?, included: List<Placement>) {
         if (Keys.shard(shard) in failed) listener.termInDoubt()
         if (Keys.ROLLOUT in failed) {
@@ -176,9 +209,17 @@
         for (path in failed) {
             val jobId = path.removePrefix("${Keys.LIVE}$shard/").takeIf { it != path } ?: continue
             // Sent again as it is, it would only fail again: nothing is placed before the record is known.
-            included.filter { it.job.spec.jobId == jobId && !it.committed }.forEach { shardState.finish(it, done = false) }
+            included.filter {
+                it.job.spec.jobId == jobId && !it.committed
+            }.forEach { shardState.finish(it, done = false) }
             shardState.jobs[jobId]?.let { it.notBefore = shardState.clock.now() + REREAD_MS }
-            store.get(path) { if (!shardState.dropped && it !is ReadResult.Failed) listener.recordChanged(path, (it as? ReadResult.Found)?.item) }
+            store.get(path) {
+                if (!shardState.dropped &&
+                    it !is ReadResult.Failed
+                ) {
+                    listener.recordChanged(path, (it as? ReadResult.Found)?.item)
+                }
+            }
         }
         if (page != null && Keys.page(shard, page.index) in failed) {
             page.writing = true
@@ -198,7 +239,11 @@
                 each.remove()
                 continue
             }
-            if (shardState.clock.now() < job.endNotBefore || (job.isCancelled && store.writePermitLevel() < FULL_ENOUGH)) continue
+            if (shardState.clock.now() < job.endNotBefore ||
+                (job.isCancelled && store.writePermitLevel() < FULL_ENOUGH)
+            ) {
+                continue
+            }
             each.remove()
             end(job)
         }
@@ -210,10 +255,15 @@
         val jobId = job.spec.jobId
         val live = Keys.live(shard, jobId)
         val end = EndRecord(if (job.isCancelled) JobState.CANCELLED else JobState.DONE, job.spec.taskCount)
-        val preconditions = listOf(shardState.termPrecondition, Precondition(live, job.version), Precondition(Keys.end(jobId), 0))
+        val preconditions =
+            listOf(shardState.termPrecondition, Precondition(live, job.version), Precondition(Keys.end(jobId), 0))
         val writes = listOf(Write.Put(Keys.end(jobId), end.toFields()), Write.Delete(live))
         store.commit(
-            CasTransaction(preconditions, writes, if (job.isCancelled) WritePriority.DEFERRED else WritePriority.URGENT) { outcome ->
+            CasTransaction(
+                preconditions,
+                writes,
+                if (job.isCancelled) WritePriority.DEFERRED else WritePriority.URGENT,
+            ) { outcome ->
                 endings--
                 if (shardState.dropped) return@CasTransaction
                 job.ending = false
@@ -237,7 +287,8 @@
     }
 
     /** Whether all that was decided is stored, and nothing is on its way to be. */
-    val isSettled: Boolean get() = endings == 0 && toEnd.isEmpty() && pages.none { it.writing || it.pending != PendingWrite.RESULTS }
+    val isSettled: Boolean get() = endings == 0 && toEnd.isEmpty() &&
+        pages.none { it.writing || it.pending != PendingWrite.RESULTS }
 
     /** How a migration gets at the pages: one that is to be stored anyway gets the wanted form by that. */
     val access = object : RecordAccess {
@@ -256,7 +307,9 @@
             page.storedDense = shardState.gates().writes(DensePages.FEATURE)
         }
 
-        private fun pageAt(path: String): ProgressPage? = path.substringAfterLast('/').toIntOrNull()?.let { pages.getOrNull(it) }
+        private fun pageAt(path: String): ProgressPage? = path.substringAfterLast('/').toIntOrNull()?.let {
+            pages.getOrNull(it)
+        }
     }
 
     fun forget(job: Job) {
@@ -272,7 +325,9 @@
     private companion object {
         const val DEFERRED_MAX_MS = 700L
 
-        /** Jobs that are placed anew by one put are conditions of it, of which a transaction takes four for each change. */
+        /**
+         * Jobs that are placed anew by one put are conditions of it, of which a transaction takes four for each change.
+         */
         const val CONDITIONAL_JOBS_PER_WRITE = 3
         const val FULL_ENOUGH = 0.5
         const val FULL_ENOUGH_TO_PLACE = 0.25
--- a/src/main/kotlin/io/reedmast/persistence/StoredChunk.kt
+++ b/src/main/kotlin/io/reedmast/persistence/StoredChunk.kt
@@ -16,7 +16,13 @@
  *
  * @property size how many tasks it speaks for; null in records of a version that knew only the size in the job's record
  */
-data class StoredChunk(val jobId: String, val first: Int, val size: Int?, val done: BitSet, val placements: List<StoredPlacement>) {
+data class StoredChunk(
+    val jobId: String,
+    val first: Int,
+    val size: Int?,
+    val done: BitSet,
+    val placements: List<StoredPlacement>,
+) {
     /** The plain form. */
     fun toFields(): Fields {
         val fields = mapOf(
--- a/src/main/kotlin/io/reedmast/persistence/SupersededPages.kt
+++ b/src/main/kotlin/io/reedmast/persistence/SupersededPages.kt
@@ -14,9 +14,9 @@
 /**
  * Clears stored pages whose content has been divided anew.
  *
- * A page that an earlier version stored may be larger than the reduced limits allow: it can then be replaced by a small value only.
- * So each of its parts is first stored in another page. Until all are, the old page stays as it is, and whoever reads both takes the
- * newer copy of a task. Any step may be the last that is carried out.
+ * A page that an earlier version stored may be larger than the reduced limits allow: it can then be replaced by a small
+ * value only. So each of its parts is first stored in another page. Until all are, the old page stays as it is, and
+ * whoever reads both takes the newer copy of a task. Any step may be the last that is carried out.
  */
 class SupersededPages(private val shardState: ShardState, private val store: KeyValueStore) {
     /** [chunk] speaks for tasks of which [page] holds an older copy. */
@@ -46,7 +46,11 @@
         val form = PageForm.toWrite(gates, shardState.limits.isReduced)
         val preconditions = listOf(shardState.termPrecondition, gates.precondition, Precondition(path, page.version))
         store.commit(
-            CasTransaction(preconditions, listOf(Write.Put(path, form.toFields(emptyList()))), WritePriority.DEFERRED) { outcome ->
+            CasTransaction(
+                preconditions,
+                listOf(Write.Put(path, form.toFields(emptyList()))),
+                WritePriority.DEFERRED,
+            ) { outcome ->
                 page.writing = false
                 if (shardState.dropped) return@CasTransaction
                 if (outcome is CommitOutcome.Applied) cleared(page, outcome.revision, form) else reread(page, path)
--- a/src/main/kotlin/io/reedmast/placement/GangPacking.kt
+++ b/src/main/kotlin/io/reedmast/placement/GangPacking.kt
@@ -10,16 +10,21 @@
 /**
  * Where all tasks of the gang [job] should start now, or null if there is no room for all of them.
  *
- * A gang starts when its slowest machine is ready, so among the zones that have room the one whose worst machine is best is taken.
- * [mayUse] leaves out machines that the job must not or should not use.
+ * A gang starts when its slowest machine is ready, so among the zones that have room the one whose worst machine is
+ * best is taken. [mayUse] leaves out machines that the job must not or should not use.
  */
 fun packGang(job: Job, machines: List<Machine>, mayUse: (Machine) -> Boolean): GangAssignment? {
     val spec = job.spec
     val usable = machines
-        .filter { isEligible(spec, it.record.typeName, it.record.zone, it.record.spot) && tasksThatFit(spec, it) > 0 && mayUse(it) }
+        .filter {
+            isEligible(spec, it.record.typeName, it.record.zone, it.record.spot) && tasksThatFit(spec, it) > 0 &&
+                mayUse(it)
+        }
         .sortedBy { score(spec, it) }
     val groups = if (spec.oneZone) usable.groupBy { it.record.zone }.values else listOf(usable)
-    return groups.mapNotNull { pack(spec, it) }.minByOrNull { packed -> packed.tasksByMachine.keys.maxOf { score(spec, it) } }
+    return groups.mapNotNull {
+        pack(spec, it)
+    }.minByOrNull { packed -> packed.tasksByMachine.keys.maxOf { score(spec, it) } }
 }
 
 /** Fills the machines in their order; null if the gang does not fit on them. */
@@ -43,11 +48,18 @@
 private fun maxInOneZone(spec: JobSpec) = if (spec.spread) (spec.taskCount + 1) / 2 else spec.taskCount
 
 /** How many tasks of this shape fit into what is free on the machine. */
-fun tasksThatFit(spec: JobSpec, machine: Machine): Int = tasksThatFit(spec, machine.freeCpus, machine.freeGpus, machine.freeMemoryGb)
+fun tasksThatFit(spec: JobSpec, machine: Machine): Int =
+    tasksThatFit(spec, machine.freeCpus, machine.freeGpus, machine.freeMemoryGb)
 
 /** How many tasks of this shape fit into this room. */
 fun tasksThatFit(spec: JobSpec, cpus: Double, gpus: Double, memoryGb: Double): Int {
-    fun share(room: Double, perTask: Double) = if (perTask <= 0.0) Int.MAX_VALUE else ((room + Machine.EPSILON) / perTask).toInt()
+    fun share(room: Double, perTask: Double) = if (perTask <=
+        0.0
+    ) {
+        Int.MAX_VALUE
+    } else {
+        ((room + Machine.EPSILON) / perTask).toInt()
+    }
     return maxOf(0, minOf(share(cpus, spec.cpus), share(gpus, spec.gpus), share(memoryGb, spec.memoryGb)))
 }
 
--- a/src/main/kotlin/io/reedmast/ports/PeerMessage.kt
+++ b/src/main/kotlin/io/reedmast/ports/PeerMessage.kt
@@ -20,7 +20,8 @@
     /**
      * Asks for a [StatusReport].
      *
-     * [incarnation] is of the asking process and never used again, so that an answer to an earlier process is told apart.
+     * [incarnation] is of the asking process and never used again, so that an answer to an earlier process is told
+     * apart.
      */
     data class StatusQuery(val from: ControllerId, val incarnation: String, val sequence: Long) : PeerMessage
 
@@ -33,7 +34,9 @@
         val uptimeMs: Long,
         /** How long ago it last heard the store on both watches; null if it never did. */
         val storeAgeMs: Long?,
-        /** All cancellations it may have told a user of, as far as the jobs are not over; null if there are too many. */
+        /**
+         * All cancellations it may have told a user of, as far as the jobs are not over; null if there are too many.
+         */
         val cancellations: List<Cancellation>?,
     ) : PeerMessage
 
--- a/src/main/kotlin/io/reedmast/ports/ProvisioningResult.kt
+++ b/src/main/kotlin/io/reedmast/ports/ProvisioningResult.kt
@@ -1,14 +1,5 @@
 package io.reedmast.ports
 
-import io.reedmast.kvstore.CasTransaction
-import io.reedmast.kvstore.ReadResult
-import io.reedmast.kvstore.StoredItem
-import io.reedmast.settings.ControllerId
-import io.reedmast.wire.ListedMachine
-import io.reedmast.wire.MachineType
-import io.reedmast.wire.Reply
-import io.reedmast.wire.WorkerCommand
-
 /** What a rental request came to. */
 sealed interface ProvisioningResult {
     data class Machines(val names: List<String>) : ProvisioningResult
--- a/src/main/kotlin/io/reedmast/requests/JobRequestHandler.kt
+++ b/src/main/kotlin/io/reedmast/requests/JobRequestHandler.kt
@@ -29,8 +29,9 @@
 /**
  * Submissions, polls and cancellations, on any controller.
  *
- * What a user is told is stored before, and a poll waits until this controller knows all that was stored when it came, so every
- * later answer of every controller agrees with it. Only final states are answered from memory at once, since they never change.
+ * What a user is told is stored before, and a poll waits until this controller knows all that was stored when it came,
+ * so every later answer of every controller agrees with it. Only final states are answered from memory at once, since
+ * they never change.
  */
 class JobRequestHandler(
     private val settings: Settings,
@@ -54,7 +55,13 @@
             return
         }
         val team = settings.teamsByName[spec.teamName]
-        val refusal = if (team == null) "unknown team" else refusal(spec, settings.teams[team.value].maxCpus, settings.teams[team.value].maxGpus)
+        val refusal = if (team ==
+            null
+        ) {
+            "unknown team"
+        } else {
+            refusal(spec, settings.teams[team.value].maxCpus, settings.teams[team.value].maxGpus)
+        }
         if (team == null || refusal != null) {
             refuse(spec.jobId, refusal, answer)
             return
@@ -73,7 +80,12 @@
         }
         val askedAt = clock.now()
         val shard = settings.shardOf(team).value
-        val record = LiveRecord(spec, PageForm.chunkSizeFor(limits.target.valueBytes), clock.wall(), isCancelled = false).toFields()
+        val record = LiveRecord(
+            spec,
+            PageForm.chunkSizeFor(limits.target.valueBytes),
+            clock.wall(),
+            isCancelled = false,
+        ).toFields()
         val path = Keys.live(shard, spec.jobId)
         // A late copy of a submission must not bring back a job that is over: its end is a condition too.
         val change =
@@ -84,7 +96,13 @@
             ) { outcome ->
                 when (outcome) {
                     is CommitOutcome.Applied -> {
-                        log.info("job {}: accepted, {} tasks of class {} for team {}", spec.jobId, spec.taskCount, spec.jobClass, spec.teamName)
+                        log.info(
+                            "job {}: accepted, {} tasks of class {} for team {}",
+                            spec.jobId,
+                            spec.taskCount,
+                            spec.jobClass,
+                            spec.teamName,
+                        )
                         jobs.applyRecord(path, record, outcome.revision)
                         accepted(spec.jobId, askedAt, answer)
                     }
@@ -94,31 +112,48 @@
                     is CommitOutcome.Refused -> answer(UserAnswer(413, error = "the job's description is too large"))
                 }
             }
-        if (!store.commit(change, refusable = true)) answer(UserAnswer(429, error = "overloaded", retryAfterS = RETRY_AFTER_S))
+        if (!store.commit(
+                change,
+                refusable = true,
+            )
+        ) {
+            answer(UserAnswer(429, error = "overloaded", retryAfterS = RETRY_AFTER_S))
+        }
     }
 
     /**
-     * The job's record is stored. Where that was found out only after a lost answer, the job may have been seen, cancelled and
-     * ended through other controllers since, and its present state is the answer.
+     * The job's record is stored. Where that was found out only after a lost answer, the job may have been seen,
+     * cancelled and ended through other controllers since, and its present state is the answer.
      */
     private fun accepted(jobId: String, askedAt: Long, answer: (UserAnswer) -> Unit) {
-        if (clock.now() - askedAt > LATE_MS) poll(jobId, answer) else answer(UserAnswer(201, JobStatus(jobId, JobState.QUEUED)))
+        if (clock.now() - askedAt >
+            LATE_MS
+        ) {
+            poll(jobId, answer)
+        } else {
+            answer(UserAnswer(201, JobStatus(jobId, JobState.QUEUED)))
+        }
     }
 
-    /** 422, unless the job was accepted before: a process that has just started, or has let go of an ended job, must look first. */
+    /**
+     * 422, unless the job was accepted before: a process that has just started, or has let go of an ended job, must
+     * look first.
+     */
     private fun refuse(jobId: String, reason: String?, answer: (UserAnswer) -> Unit) =
         poll(jobId) { known -> answer(if (known.status == UNKNOWN.status) UserAnswer(422, error = reason) else known) }
 
     private fun refusal(spec: JobSpec, maxCpus: Double, maxGpus: Double): String? {
         val times = if (spec.shape == JobShape.ARRAY) 1.0 else spec.taskCount.toDouble()
-        val above = (maxCpus > 0 && spec.cpus * times > maxCpus + SLACK) || (maxGpus > 0 && spec.gpus * times > maxGpus + SLACK)
+        val above =
+            (maxCpus > 0 && spec.cpus * times > maxCpus + SLACK) || (maxGpus > 0 && spec.gpus * times > maxGpus + SLACK)
         return if (above) "more than the team's limit" else null
     }
 
     private fun fitsNowhere(spec: JobSpec): Boolean =
         (spec.zone != null && spec.zone !in settings.zones && machineTypes().values.none { spec.zone in it.zones }) ||
             machineTypes().values.none { machineType ->
-                (spec.allowedTypes == null || machineType.label in spec.allowedTypes) && machineType.holds(spec.cpus, spec.gpus, spec.memoryGb) >= 1 &&
+                (spec.allowedTypes == null || machineType.label in spec.allowedTypes) &&
+                    machineType.holds(spec.cpus, spec.gpus, spec.memoryGb) >= 1 &&
                     (spec.zone == null || machineType.zones.isEmpty() || spec.zone in machineType.zones)
             }
 
@@ -132,8 +167,21 @@
     private fun cancelledAnswer(jobId: String) = ended(jobId, EndRecord(JobState.CANCELLED, 0))
 
     /** Counts are for display; a job of which no owner has told is shown as queued, which is never too new. */
-    private fun unfinished(jobId: String, job: LiveJob) =
-        UserAnswer(200, JobStatus(jobId, if (job.running > 0) JobState.RUNNING else JobState.QUEUED, job.done, job.running))
+    private fun unfinished(jobId: String, job: LiveJob) = UserAnswer(
+        200,
+        JobStatus(
+            jobId,
+            if (job.running >
+                0
+            ) {
+                JobState.RUNNING
+            } else {
+                JobState.QUEUED
+            },
+            job.done,
+            job.running,
+        ),
+    )
 
     fun poll(jobId: String, answer: (UserAnswer) -> Unit) = find(jobId, answer) { job ->
         answer(if (job.record.isCancelled) cancelledAnswer(jobId) else unfinished(jobId, job))
@@ -184,31 +232,36 @@
         }
     }
 
-    fun cancel(jobId: String, answer: (UserAnswer) -> Unit, tries: Int = ABORT_TRIES): Unit = find(jobId, answer) { job ->
-        if (job.record.isCancelled) {
-            answer(cancelledAnswer(jobId))
-            return@find
-        }
-        if (!store.isAvailable) {
-            answer(later())
-            return@find
+    fun cancel(jobId: String, answer: (UserAnswer) -> Unit, tries: Int = ABORT_TRIES): Unit =
+        find(jobId, answer) { job ->
+            if (job.record.isCancelled) {
+                answer(cancelledAnswer(jobId))
+                return@find
+            }
+            if (!store.isAvailable) {
+                answer(later())
+                return@find
+            }
+            val path = Keys.live(job.shard.value, jobId)
+            val record = job.record.cancelled().toFields()
+            store.commit(
+                CasTransaction(
+                    listOf(Precondition(path, job.version)),
+                    listOf(Write.Put(path, record)),
+                    WritePriority.USER,
+                ) { outcome ->
+                    if (outcome is CommitOutcome.Applied) {
+                        log.info("job {}: cancelled by its user", jobId)
+                        answer(cancelledAnswer(jobId))
+                        jobs.applyRecord(path, record, outcome.revision)
+                    } else if (tries > 1) {
+                        cancel(jobId, answer, tries - 1)
+                    } else {
+                        answer(later())
+                    }
+                },
+            )
         }
-        val path = Keys.live(job.shard.value, jobId)
-        val record = job.record.cancelled().toFields()
-        store.commit(
-            CasTransaction(listOf(Precondition(path, job.version)), listOf(Write.Put(path, record)), WritePriority.USER) { outcome ->
-                if (outcome is CommitOutcome.Applied) {
-                    log.info("job {}: cancelled by its user", jobId)
-                    answer(cancelledAnswer(jobId))
-                    jobs.applyRecord(path, record, outcome.revision)
-                } else if (tries > 1) {
-                    cancel(jobId, answer, tries - 1)
-                } else {
-                    answer(later())
-                }
-            },
-        )
-    }
 
     private companion object {
         val UNKNOWN = UserAnswer(404, error = "no such job")
--- a/src/main/kotlin/io/reedmast/rollout/Admission.kt
+++ b/src/main/kotlin/io/reedmast/rollout/Admission.kt
@@ -22,7 +22,9 @@
             val excluded = record.excluded[self]
             return when {
                 required > range.newest -> Unfit("the cluster requires version $required, this process has $range")
-                finalized < range.oldest && isInUse(record) -> Unfit("records of version $finalized may be stored, this process has $range")
+                finalized < range.oldest && isInUse(
+                    record,
+                ) -> Unfit("records of version $finalized may be stored, this process has $range")
                 excluded != null -> Excluded
                 else -> Admitted
             }
--- a/src/main/kotlin/io/reedmast/rollout/ClusterSnapshot.kt
+++ b/src/main/kotlin/io/reedmast/rollout/ClusterSnapshot.kt
@@ -15,7 +15,12 @@
  * @property incarnation the process, for acts that concern one process only; null in keys of earlier versions
  * @property drained whether it has given all its shards up, and takes none
  */
-data class MemberVersions(val range: VersionRange, val desired: Map<FeatureName, Target>, val incarnation: String?, val drained: Boolean) {
+data class MemberVersions(
+    val range: VersionRange,
+    val desired: Map<FeatureName, Target>,
+    val incarnation: String?,
+    val drained: Boolean,
+) {
     fun toFields(): Fields = buildMap {
         put(OLDEST, range.oldest.value.toLong())
         put(NEWEST, range.newest.value.toLong())
@@ -33,13 +38,18 @@
 
         /** [legacyVersion] is the one that the key names in the form of earlier versions, which had no range. */
         fun parse(fields: Fields, legacyVersion: FormatVersion): MemberVersions {
-            val newest = fields.optionalCount(NEWEST) ?: return MemberVersions(VersionRange(FormatVersion.NONE, legacyVersion), emptyMap(), null, false)
+            val newest =
+                fields.optionalCount(NEWEST)
+                    ?: return MemberVersions(VersionRange(FormatVersion.NONE, legacyVersion), emptyMap(), null, false)
             val oldest = fields.count(OLDEST)
             if (oldest > newest) throw MalformedException("oldest is above newest")
             val desired = fields[DESIRED]?.let { asFields(it) }.orEmpty()
             return MemberVersions(
                 VersionRange(FormatVersion(oldest.toInt()), FormatVersion(newest.toInt())),
-                desired.entries.associate { FeatureName(it.key) to Target.of(it.value as? String ?: throw MalformedException("desired names no target")) },
+                desired.entries.associate {
+                    FeatureName(it.key) to
+                        Target.of(it.value as? String ?: throw MalformedException("desired names no target"))
+                },
                 fields[INCARNATION] as? String,
                 fields[DRAINED] == true,
             )
@@ -73,10 +83,18 @@
     /** By shard; null for one that nobody has taken yet. */
     val shards: List<ShardOwnership?>,
     val progress: Map<Pair<FeatureName, MigrationUnit>, MigrationProgress>,
-    /** Features that are known to be finalized by records of their own, from before there was a record of the rollout. */
+    /**
+     * Features that are known to be finalized by records of their own, from before there was a record of the rollout.
+     */
     val externallyFinalized: Set<FeatureName> = emptySet(),
 ) {
-    fun stateOf(feature: FeatureName, record: RolloutRecord): GateState = if (feature in externallyFinalized) GateState.FINALIZED else record.stateOf(feature)
+    fun stateOf(feature: FeatureName, record: RolloutRecord): GateState = if (feature in
+        externallyFinalized
+    ) {
+        GateState.FINALIZED
+    } else {
+        record.stateOf(feature)
+    }
 
     /** Whether the records of all units have gone the way that the gate of [feature] has them go. */
     fun isMigrated(feature: Feature, record: RolloutRecord): Boolean {
@@ -98,15 +116,29 @@
     /** The controllers that count: all that are configured, but for those that an operator has excluded. */
     fun counted(record: RolloutRecord): Set<String> = configured - record.excluded.keys
 
-    /** Conditions that every counted controller is still the process that was seen, and every shard still has the owner that was seen. */
-    fun preconditions(record: RolloutRecord): List<Precondition> = memberPreconditions(counted(record)) + shardPreconditions()
+    /**
+     * Conditions that every counted controller is still the process that was seen, and every shard still has the owner
+     * that was seen.
+     */
+    fun preconditions(record: RolloutRecord): List<Precondition> =
+        memberPreconditions(counted(record)) + shardPreconditions()
 
     /** Conditions that [label] has the membership key that was seen, or none, and that no shard has changed hands. */
     fun preconditionsOf(label: String): List<Precondition> = memberPreconditions(setOf(label)) + shardPreconditions()
 
-    private fun memberPreconditions(labels: Set<String>) = labels.map { Precondition(Keys.member(it), present[it]?.keyVersion ?: 0L) }
+    private fun memberPreconditions(labels: Set<String>) = labels.map {
+        Precondition(
+            Keys.member(it),
+            present[it]?.keyVersion ?: 0L,
+        )
+    }
 
-    private fun shardPreconditions() = shards.mapIndexed { index, shard -> Precondition(Keys.shard(index), shard?.version ?: 0L) }
+    private fun shardPreconditions() = shards.mapIndexed { index, shard ->
+        Precondition(
+            Keys.shard(index),
+            shard?.version ?: 0L,
+        )
+    }
 
     /** The units that a migration of [feature] consists of. */
     fun unitsOf(feature: Feature): List<MigrationUnit> = when (feature.migration?.scope) {
--- a/src/main/kotlin/io/reedmast/rollout/Feature.kt
+++ b/src/main/kotlin/io/reedmast/rollout/Feature.kt
@@ -44,8 +44,9 @@
 /**
  * The steps between the old and the new form of the records that a feature changes.
  *
- * Both steps are pure and throw [io.reedmast.wire.MalformedException] for a record that cannot be read. [back] undoes [forward]
- * exactly, and either returns its argument unchanged if that already has the wanted form. Readers accept both forms at all times.
+ * Both steps are pure and throw [io.reedmast.wire.MalformedException] for a record that cannot be read. [back] undoes
+ * [forward] exactly, and either returns its argument unchanged if that already has the wanted form. Readers accept both
+ * forms at all times.
  */
 interface RecordMigration {
     val scope: MigrationScope
@@ -74,7 +75,10 @@
     val migration: RecordMigration? = null,
 )
 
-/** The features that are known to this binary. They are checked when the registry is made: a mistake is one of the program. */
+/**
+ * The features that are known to this binary. They are checked when the registry is made: a mistake is one of the
+ * program.
+ */
 class FeatureRegistry(features: List<Feature>, val range: VersionRange) {
     private val byName: Map<FeatureName, Feature> = features.associateBy { it.name }
 
@@ -100,7 +104,9 @@
         while (sorted.size < features.size) {
             val names = sorted.mapTo(HashSet()) { it.name }
             val next = features.filter { it !in sorted && names.containsAll(it.dependsOn) }
-            require(next.isNotEmpty()) { "features depend on each other in a cycle: ${(features - sorted).joinToString { it.name.value }}" }
+            require(next.isNotEmpty()) {
+                "features depend on each other in a cycle: ${(features - sorted).joinToString { it.name.value }}"
+            }
             sorted.addAll(next)
         }
         return sorted.toList()
--- a/src/main/kotlin/io/reedmast/rollout/GateDecision.kt
+++ b/src/main/kotlin/io/reedmast/rollout/GateDecision.kt
@@ -9,10 +9,16 @@
  */
 class GateMove(val feature: Feature, val to: GateState, val why: String, val preconditions: List<Precondition>)
 
-/** What follows from a picture of the cluster: at most one move, and why the other gates stay as they are although they should not. */
+/**
+ * What follows from a picture of the cluster: at most one move, and why the other gates stay as they are although they
+ * should not.
+ */
 class RolloutPlan(val move: GateMove?, val waiting: Map<FeatureName, String>)
 
-/** Decides which gate moves next. Pure: the leader stores the move under its term, on condition that what it saw still holds. */
+/**
+ * Decides which gate moves next. Pure: the leader stores the move under its term, on condition that what it saw still
+ * holds.
+ */
 class GateDecision(private val registry: FeatureRegistry) {
     /** Why a gate stays, or the move that it makes. */
     private sealed interface Verdict {
@@ -38,9 +44,19 @@
     }
 
     /** One feature in one picture. */
-    private inner class Case(private val feature: Feature, private val record: RolloutRecord, private val snapshot: ClusterSnapshot) {
+    private inner class Case(
+        private val feature: Feature,
+        private val record: RolloutRecord,
+        private val snapshot: ClusterSnapshot,
+    ) {
         private val counted = snapshot.counted(record)
-        private val unfit = counted.firstOrNull { label -> snapshot.present[label]?.let { feature.requires !in it.versions.range } ?: false }
+        private val unfit = counted.firstOrNull { label ->
+            snapshot.present[label]?.let {
+                feature.requires !in
+                    it.versions.range
+            }
+                ?: false
+        }
         private val silent = counted.firstOrNull { it !in snapshot.present }
 
         fun verdict(): Verdict {
@@ -50,20 +66,29 @@
                 GateState.READY -> readyNext(target)
                 GateState.ENABLED -> enabledNext(target)
                 GateState.REVERTING -> revertingNext(target)
-                GateState.FINALIZED -> if (target.wished == Target.DORMANT) Verdict.Waits("it is finalized and stays") else Verdict.Stays
+                GateState.FINALIZED -> if (target.wished ==
+                    Target.DORMANT
+                ) {
+                    Verdict.Waits("it is finalized and stays")
+                } else {
+                    Verdict.Stays
+                }
             }
         }
 
         private fun moves(to: GateState, why: String, preconditions: List<Precondition> = emptyList()) =
             Verdict.Moves(GateMove(feature, to, why, preconditions))
 
-        private fun ready(): Verdict =
-            missing()?.let { Verdict.Waits(it) } ?: moves(GateState.READY, "every controller reads version ${feature.requires}", preconditions())
+        private fun ready(): Verdict = missing()?.let { Verdict.Waits(it) }
+            ?: moves(GateState.READY, "every controller reads version ${feature.requires}", preconditions())
 
         private fun preconditions() = snapshot.preconditions(record)
 
         private fun missing(): String? = when {
-            unfit != null -> "$unfit has versions ${snapshot.present[unfit]?.versions?.range}, ${feature.requires} is required"
+            unfit != null -> {
+                val range = snapshot.present[unfit]?.versions?.range
+                "$unfit has versions $range, ${feature.requires} is required"
+            }
             silent != null -> "$silent is silent"
             else -> null
         }
@@ -71,7 +96,9 @@
         private fun readyNext(target: Wanted): Verdict = when {
             unfit != null -> moves(GateState.DORMANT, missing().orEmpty())
             !target.wantsEnabled -> target.orStays()
-            else -> (missing() ?: dependenciesMissing(finalized = false) ?: shardInOtherHands())?.let { Verdict.Waits(it) }
+            else -> (missing() ?: dependenciesMissing(finalized = false) ?: shardInOtherHands())?.let {
+                Verdict.Waits(it)
+            }
                 ?: moves(GateState.ENABLED, target.why, preconditions())
         }
 
@@ -89,7 +116,7 @@
 
         /** A process that does not count may still write under the term of a shard that it owns. */
         private fun shardInOtherHands(): String? = snapshot.shards.withIndex().firstNotNullOfOrNull { (index, shard) ->
-            if (shard != null && shard.owner !in counted) "shard $index is owned by ${shard.owner}, which does not count" else null
+            shard?.takeIf { it.owner !in counted }?.let { "shard $index is owned by ${it.owner}, which does not count" }
         }
 
         private fun enabledNext(target: Wanted): Verdict = when (target.wished) {
@@ -105,7 +132,13 @@
 
         private fun finalizing(target: Wanted): Verdict {
             val reason = missing() ?: dependenciesMissing(finalized = true) ?: migrationMissing()
-            return if (reason != null) Verdict.Waits(reason) else moves(GateState.FINALIZED, target.why, preconditions())
+            return if (reason !=
+                null
+            ) {
+                Verdict.Waits(reason)
+            } else {
+                moves(GateState.FINALIZED, target.why, preconditions())
+            }
         }
 
         private fun migrationMissing(): String? {
@@ -115,11 +148,16 @@
         }
 
         private fun revertingNext(target: Wanted): Verdict = when {
-            target.wantsEnabled -> missing()?.let { Verdict.Waits(it) } ?: moves(GateState.ENABLED, target.why, preconditions())
-            else -> migrationMissing()?.let { Verdict.Waits(it) } ?: moves(GateState.DORMANT, "all records have the old form again")
+            target.wantsEnabled -> missing()?.let { Verdict.Waits(it) }
+                ?: moves(GateState.ENABLED, target.why, preconditions())
+            else -> migrationMissing()?.let { Verdict.Waits(it) }
+                ?: moves(GateState.DORMANT, "all records have the old form again")
         }
 
-        /** An operator's wish goes before the deploy files, which must agree: else the gate would move with each change of the leader. */
+        /**
+         * An operator's wish goes before the deploy files, which must agree: else the gate would move with each change
+         * of the leader.
+         */
         private fun target(): Wanted {
             record.wishes[feature.name]?.let { return Wanted(it.target, "wished by ${it.made.by}: ${it.made.why}") }
             val desires = counted.associateWith { snapshot.present[it]?.versions?.desired?.get(feature.name) }
@@ -127,7 +165,10 @@
             return when {
                 distinct.all { it == null } -> Wanted(null, "")
                 distinct.size == 1 -> Wanted(distinct.first(), "wished by the deploy files")
-                else -> Wanted(null, "", "the deploy files differ: " + desires.entries.joinToString { "${it.key} ${it.value?.storedName ?: "nothing"}" })
+                else -> {
+                    val each = desires.entries.joinToString { "${it.key} ${it.value?.storedName ?: "nothing"}" }
+                    Wanted(null, "", "the deploy files differ: $each")
+                }
             }
         }
     }
--- a/src/main/kotlin/io/reedmast/rollout/GateSnapshot.kt
+++ b/src/main/kotlin/io/reedmast/rollout/GateSnapshot.kt
@@ -10,8 +10,8 @@
  */
 class GateSnapshot(val record: RolloutRecord, val version: Long) {
     /**
-     * The condition that no gate has moved since. It goes with every write whose form depends on a gate: a process that has not heard of a
-     * move, however long ago, can then store nothing in a form that the others no longer expect.
+     * The condition that no gate has moved since. It goes with every write whose form depends on a gate: a process that
+     * has not heard of a move, however long ago, can then store nothing in a form that the others no longer expect.
      */
     val precondition = Precondition(Keys.ROLLOUT, version)
 
--- a/src/main/kotlin/io/reedmast/rollout/MigrationProgress.kt
+++ b/src/main/kotlin/io/reedmast/rollout/MigrationProgress.kt
@@ -23,12 +23,14 @@
 }
 
 /**
- * How far the migration of one unit has come, as stored. A migration that is half done is a normal state: readers accept both forms.
+ * How far the migration of one unit has come, as stored. A migration that is half done is a normal state: readers
+ * accept both forms.
  *
  * @property generation that of the gate; progress of another one says nothing
  * @property after the last key that was dealt with, empty at the beginning
  * @property migrated records that have been changed
- * @property unreadable records that could not be read, and were left as they are: with any, the migration does not complete
+ * @property unreadable records that could not be read, and were left as they are: with any, the migration does not
+ *   complete
  * @property oversized records whose other form does not fit a value, until their owner has divided them
  */
 data class MigrationProgress(
@@ -53,7 +55,8 @@
     companion object {
         fun parse(fields: Fields) = MigrationProgress(
             fields.text("direction").let { name ->
-                Direction.entries.firstOrNull { it.storedName == name } ?: throw MalformedException("$name is no direction")
+                Direction.entries.firstOrNull { it.storedName == name }
+                    ?: throw MalformedException("$name is no direction")
             },
             fields.count("generation"),
             fields.text("after"),
--- a/src/main/kotlin/io/reedmast/rollout/MigrationReconciler.kt
+++ b/src/main/kotlin/io/reedmast/rollout/MigrationReconciler.kt
@@ -30,16 +30,20 @@
     val everyMs: Long = 100L,
     /** Nothing is migrated while less than this part of a second's worth of changes is left. */
     val leastFullness: Double = 0.7,
-    /** A record goes all the same once this time has passed without one: where there is never much left, migrations must end too. */
+    /**
+     * A record goes all the same once this time has passed without one: where there is never much left, migrations must
+     * end too.
+     */
     val lateMs: Long = 5_000L,
 )
 
 /**
  * Brings the records of one [unit] to the form that the gates want, one record at a time.
  *
- * It compares what is wanted with the stored progress and works on the difference, so that it goes on where any process stopped. Each
- * record is written on condition that it, the gates and the fence given to [runOnce] are unchanged: a write that is carried out late finds that
- * one of them has moved. Records that cannot be read are counted and left alone.
+ * It compares what is wanted with the stored progress and works on the difference, so that it goes on where any process
+ * stopped. Each record is written on condition that it, the gates and the fence given to [runOnce] are unchanged: a
+ * write that is carried out late finds that one of them has moved. Records that cannot be read are counted and left
+ * alone.
  *
  * @param valueBytes what a value may hold
  */
@@ -80,7 +84,8 @@
     /** Does the next piece of work. [fence] proves that this process may still write the unit's records. */
     fun runOnce(gates: GateSnapshot, fence: Precondition, view: RolloutView) {
         if (busy || now() < due) return
-        val current = pass?.takeIf { it.gates.version == gates.version && it.fence == fence } ?: begin(gates, fence, view)
+        val current =
+            pass?.takeIf { it.gates.version == gates.version && it.fence == fence } ?: begin(gates, fence, view)
         pass = current
         if (current == null) return
         due = now() + pace.everyMs
@@ -90,20 +95,22 @@
 
     private fun isAffordable() = store.writePermitLevel() >= pace.leastFullness || now() >= overdueAt
 
-    private fun begin(gates: GateSnapshot, fence: Precondition, view: RolloutView): Pass? = registry.inOrder.firstNotNullOfOrNull { feature ->
-        val migration = feature.migration?.takeIf { concerns(it) } ?: return@firstNotNullOfOrNull null
-        val gate = gates.record.gates[feature.name] ?: return@firstNotNullOfOrNull null
-        val direction = Direction.of(gate.state) ?: return@firstNotNullOfOrNull null
-        if (now() < (retryAt[feature.name] ?: 0L)) return@firstNotNullOfOrNull null
-        val stored = view.progressOf(feature.name, unit)
-        val known = stored?.progress?.takeIf { it.generation == gate.generation && it.direction == direction }
-        if (known?.complete == true) return@firstNotNullOfOrNull null
-        val from = known?.let { resumed(it) } ?: MigrationProgress(direction, gate.generation)
-        Pass(feature, migration, gates, fence, from).apply { progressVersion = stored?.version ?: 0L }
-    }
+    private fun begin(gates: GateSnapshot, fence: Precondition, view: RolloutView): Pass? =
+        registry.inOrder.firstNotNullOfOrNull { feature ->
+            val migration = feature.migration?.takeIf { concerns(it) } ?: return@firstNotNullOfOrNull null
+            val gate = gates.record.gates[feature.name] ?: return@firstNotNullOfOrNull null
+            val direction = Direction.of(gate.state) ?: return@firstNotNullOfOrNull null
+            if (now() < (retryAt[feature.name] ?: 0L)) return@firstNotNullOfOrNull null
+            val stored = view.progressOf(feature.name, unit)
+            val known = stored?.progress?.takeIf { it.generation == gate.generation && it.direction == direction }
+            if (known?.complete == true) return@firstNotNullOfOrNull null
+            val from = known?.let { resumed(it) } ?: MigrationProgress(direction, gate.generation)
+            Pass(feature, migration, gates, fence, from).apply { progressVersion = stored?.version ?: 0L }
+        }
 
     /** A pass from the beginning counts anew what it cannot migrate. */
-    private fun resumed(progress: MigrationProgress) = if (progress.after.isEmpty()) progress.copy(unreadable = 0, oversized = 0) else progress
+    private fun resumed(progress: MigrationProgress) =
+        if (progress.after.isEmpty()) progress.copy(unreadable = 0, oversized = 0) else progress
 
     private fun concerns(migration: RecordMigration) = when (unit) {
         MigrationUnit.Cluster -> migration.scope == MigrationScope.CLUSTER
@@ -114,7 +121,11 @@
         busy = true
         store.list(of.migration.prefix((unit as? MigrationUnit.Shard)?.index ?: 0)) { items ->
             busy = false
-            if (items != null) of.keys = items.mapTo(ArrayDeque()) { it.path }.apply { removeIf { it <= of.progress.after } }
+            if (items !=
+                null
+            ) {
+                of.keys = items.mapTo(ArrayDeque()) { it.path }.apply { removeIf { it <= of.progress.after } }
+            }
         }
     }
 
@@ -144,13 +155,23 @@
         val wanted = try {
             if (of.progress.direction == Direction.FORWARD) of.migration.forward(record) else of.migration.back(record)
         } catch (e: MalformedException) {
-            log.error("feature {}: record {} cannot be read and is left as it is: {}", of.feature.name, item.path, e.message)
+            log.error(
+                "feature {}: record {} cannot be read and is left as it is: {}",
+                of.feature.name,
+                item.path,
+                e.message,
+            )
             done(of, item.path) { it.copy(unreadable = it.unreadable + 1) }
             return
         }
         when {
             wanted == record -> done(of, item.path) { it }
-            Tree.jsonSize(wanted) + TRANSACTION_ID_BYTES > valueBytes() -> done(of, item.path) { it.copy(oversized = it.oversized + 1) }
+            Tree.jsonSize(wanted) + TRANSACTION_ID_BYTES > valueBytes() -> done(of, item.path) {
+                it.copy(
+                    oversized =
+                    it.oversized + 1,
+                )
+            }
             !isAffordable() -> due = now() + AFTER_REFUSAL_MS
             access.tryAcquire(item.path) -> write(of, item, wanted)
         }
@@ -190,9 +211,21 @@
             pass = null
             if (blocked) {
                 retryAt[of.feature.name] = now() + RETRY_BLOCKED_MS
-                log.error("feature {}: {} unreadable and {} oversized records of {} are left", of.feature.name, ended.unreadable, ended.oversized, unit.key)
+                log.error(
+                    "feature {}: {} unreadable and {} oversized records of {} are left",
+                    of.feature.name,
+                    ended.unreadable,
+                    ended.oversized,
+                    unit.key,
+                )
             } else {
-                log.info("feature {}: {} records of {} migrated {}", of.feature.name, ended.migrated, unit.key, ended.direction.storedName)
+                log.info(
+                    "feature {}: {} records of {} migrated {}",
+                    of.feature.name,
+                    ended.migrated,
+                    unit.key,
+                    ended.direction.storedName,
+                )
             }
         }
     }
@@ -202,14 +235,19 @@
         val path = Keys.migration(of.feature.name.value, unit.key)
         val preconditions = listOf(of.fence, of.gates.precondition, Precondition(path, of.progressVersion))
         store.commit(
-            CasTransaction(preconditions, listOf(Write.Put(path, progress.toFields())), WritePriority.DEFERRED) { outcome ->
+            CasTransaction(
+                preconditions,
+                listOf(Write.Put(path, progress.toFields())),
+                WritePriority.DEFERRED,
+            ) { outcome ->
                 busy = false
                 if (outcome is CommitOutcome.Applied) {
                     of.progressVersion = outcome.revision
                     of.sinceSaved = 0
                     then()
                 } else {
-                    // Somebody else has come further, or the answer to our own was lost: what is stored is read by the watch.
+                    // Somebody else has come further, or the answer to our own was lost: what is stored is read by the
+                    // watch.
                     pass = null
                     due = now() + AFTER_CONFLICT_MS
                 }
--- a/src/main/kotlin/io/reedmast/rollout/RolloutAdministration.kt
+++ b/src/main/kotlin/io/reedmast/rollout/RolloutAdministration.kt
@@ -24,7 +24,10 @@
 /** The cluster as an operator sees it; [waiting] says why gates stay as they are although somebody wishes otherwise. */
 class RolloutStatus(val view: RolloutView, val snapshot: ClusterSnapshot, val waiting: Map<FeatureName, String>)
 
-/** Reads shards' owners and features with records of their own from the cluster's keys, whose forms are not the rollout's. */
+/**
+ * Reads shards' owners and features with records of their own from the cluster's keys, whose forms are not the
+ * rollout's.
+ */
 interface ClusterRecords {
     fun shardOwners(items: List<StoredItem>): List<ShardOwnership?>
 
@@ -34,8 +37,8 @@
 /**
  * The acts of operators: wishes, exclusions, drains, and questions about them.
  *
- * Each act reads the cluster's keys, checks that it can be done, and stores it on condition that what it was checked against still holds.
- * Of two operators who act at once the second is told so, and sees what the first has done.
+ * Each act reads the cluster's keys, checks that it can be done, and stores it on condition that what it was checked
+ * against still holds. Of two operators who act at once the second is told so, and sees what the first has done.
  */
 class RolloutAdministration(
     private val registry: FeatureRegistry,
@@ -48,7 +51,9 @@
 
     /** Records that [feature] is to come to [target]; the leader moves its gate as soon as that is possible. */
     fun wish(feature: FeatureName, target: Target, act: Act, done: (ActResult) -> Unit) = change(done) { status ->
-        val known = registry[feature] ?: return@change refused("there is no feature $feature; known are ${registry.inOrder.joinToString { it.name.value }}")
+        val known = registry[feature] ?: return@change refused(
+            "there is no feature $feature; known are ${registry.inOrder.joinToString { it.name.value }}",
+        )
         val record = status.view.gates.record
         val refusal = when {
             feature in status.snapshot.externallyFinalized -> "$feature is finalized"
@@ -58,16 +63,21 @@
         if (refusal != null) refused(refusal) else Planned.Put(record.wishing(feature, target, made(act)), emptyList())
     }
 
-    private fun dependencyNotWished(feature: Feature, record: RolloutRecord, status: RolloutStatus): String? = feature.dependsOn
-        .firstOrNull { record.wishes[it]?.target == Target.DORMANT && !status.snapshot.stateOf(it, record).isActive }
-        ?.let { "${feature.name} depends on $it, which is wished dormant" }
+    private fun dependencyNotWished(feature: Feature, record: RolloutRecord, status: RolloutStatus): String? {
+        fun isWishedDormant(name: FeatureName) =
+            record.wishes[name]?.target == Target.DORMANT && !status.snapshot.stateOf(name, record).isActive
+        val dependency = feature.dependsOn.firstOrNull(::isWishedDormant) ?: return null
+        return "${feature.name} depends on $dependency, which is wished dormant"
+    }
 
     /** [label] does not count any more: it must be silent, must own nothing, and must not be the last one. */
     fun exclude(label: String, act: Act, done: (ActResult) -> Unit) = change(done) { status ->
         val record = status.view.gates.record
         val owned = status.snapshot.shards.indexOfFirst { it?.owner == label }
         when {
-            label !in configured -> refused("there is no controller $label; known are ${configured.sorted().joinToString()}")
+            label !in configured -> {
+                refused("there is no controller $label; known are ${configured.sorted().joinToString()}")
+            }
             label in record.excluded -> refused("$label is excluded already")
             status.snapshot.counted(record).size == 1 -> refused("$label is the last controller that counts")
             label in status.snapshot.present -> refused("$label is alive; stop it first")
@@ -80,7 +90,13 @@
     /** [label] counts again. */
     fun include(label: String, act: Act, done: (ActResult) -> Unit) = change(done) { status ->
         val record = status.view.gates.record
-        if (label !in record.excluded) refused("$label is not excluded") else Planned.Put(record.including(label, made(act)), emptyList())
+        if (label !in
+            record.excluded
+        ) {
+            refused("$label is not excluded")
+        } else {
+            Planned.Put(record.including(label, made(act)), emptyList())
+        }
     }
 
     /** The process that runs as [label] now gives its shards up; the order ends with that process. */
@@ -155,9 +171,16 @@
             is Admission.Unfit -> done(ActResult.Refused(admission.reason))
             Admission.Admitted, Admission.Excluded -> when (val planned = plan(status)) {
                 is Planned.Refused -> done(ActResult.Refused(planned.reason))
-                is Planned.Put -> commit(gates.precondition, planned.preconditions, Write.Put(Keys.ROLLOUT, planned.record.toFields()), done)
+                is Planned.Put -> commit(
+                    gates.precondition,
+                    planned.preconditions,
+                    Write.Put(Keys.ROLLOUT, planned.record.toFields()),
+                    done,
+                )
                 is Planned.Drain -> put(planned, gates, done)
-                is Planned.EndDrain -> Keys.drain(planned.label).let { commit(Precondition(it, planned.version), emptyList(), Write.Delete(it), done) }
+                is Planned.EndDrain -> Keys.drain(planned.label).let {
+                    commit(Precondition(it, planned.version), emptyList(), Write.Delete(it), done)
+                }
             }
         }
     }
@@ -168,12 +191,20 @@
         commit(Precondition(path, planned.version), listOf(gates.precondition), Write.Put(path, fields), done)
     }
 
-    private fun commit(precondition: Precondition, others: List<Precondition>, write: Write, done: (ActResult) -> Unit) = store.commit(
+    private fun commit(
+        precondition: Precondition,
+        others: List<Precondition>,
+        write: Write,
+        done: (ActResult) -> Unit,
+    ) = store.commit(
         CasTransaction(listOf(precondition) + others, listOf(write), WritePriority.USER) { outcome ->
             done(
                 when (outcome) {
                     is CommitOutcome.Applied -> ActResult.Done
-                    is CommitOutcome.Conflict -> ActResult.Refused("${outcome.failed.joinToString()} changed meanwhile; look again")
+                    is CommitOutcome.Conflict -> {
+                        val changed = outcome.failed.joinToString()
+                        ActResult.Refused("$changed changed meanwhile; look again")
+                    }
                     is CommitOutcome.Refused -> ActResult.Refused(outcome.reason)
                 },
             )
@@ -200,8 +231,8 @@
 
     companion object {
         /**
-         * A controller may be stopped when it has given its shards up, which it does only after all that it decided has been stored, and the
-         * others hold all shards.
+         * A controller may be stopped when it has given its shards up, which it does only after all that it decided has
+         * been stored, and the others hold all shards.
          */
         fun of(label: String, status: RolloutStatus): Readiness {
             val snapshot = status.snapshot
@@ -217,7 +248,9 @@
                     !in snapshot.present -> reasons.add("shard $index is owned by ${shard.owner}, which is silent")
                 }
             }
-            if (label in snapshot.present && snapshot.present[label]?.versions?.drained != true) reasons.add("$label has not said that it is drained")
+            if (label in snapshot.present && snapshot.present[label]?.versions?.drained != true) {
+                reasons.add("$label has not said that it is drained")
+            }
             return if (reasons.isEmpty()) Readiness.Ready else Readiness.NotReady(reasons)
         }
     }
--- a/src/main/kotlin/io/reedmast/rollout/RolloutCoordinator.kt
+++ b/src/main/kotlin/io/reedmast/rollout/RolloutCoordinator.kt
@@ -11,8 +11,9 @@
 /**
  * Moves gates, on the leader.
  *
- * Each move is one conditional write: the leader's key, the record of the rollout and, where every controller matters, their membership
- * keys and the shards must be as they were seen. A leader who has been replaced, or has seen too little, therefore moves nothing.
+ * Each move is one conditional write: the leader's key, the record of the rollout and, where every controller matters,
+ * their membership keys and the shards must be as they were seen. A leader who has been replaced, or has seen too
+ * little, therefore moves nothing.
  *
  * @param mostGuards how many conditions a transaction takes
  * @param reread reads the record of the rollout again
@@ -34,7 +35,10 @@
     /** Why gates stay as they are although somebody wishes otherwise. */
     val waiting: Map<FeatureName, String> get() = said
 
-    /** Called regularly while this controller leads, hears the state store and is admitted; [leaderVersion] is the version of its key. */
+    /**
+     * Called regularly while this controller leads, hears the state store and is admitted; [leaderVersion] is the
+     * version of its key.
+     */
     fun runOnce(leaderVersion: Long, snapshot: ClusterSnapshot) {
         if (storing) return
         val gates = view.gates
@@ -44,20 +48,36 @@
     }
 
     private fun report(waiting: Map<FeatureName, String>) {
-        for ((feature, reason) in waiting) if (said[feature] != reason) log.info("feature {}: waits, {}", feature, reason)
+        for ((feature, reason) in waiting) {
+            if (said[feature] !=
+                reason
+            ) {
+                log.info("feature {}: waits, {}", feature, reason)
+            }
+        }
         said = waiting
     }
 
     private fun store(move: GateMove, gates: GateSnapshot, leaderVersion: Long) {
         val preconditions = listOf(Precondition(Keys.LEADER, leaderVersion), gates.precondition) + move.preconditions
         if (preconditions.size > maxPreconditions) {
-            report(said + (move.feature.name to "${preconditions.size} conditions are needed, a transaction takes $maxPreconditions"))
+            report(
+                said +
+                    (
+                        move.feature.name to
+                            "${preconditions.size} conditions are needed, a transaction takes $maxPreconditions"
+                        ),
+            )
             return
         }
         storing = true
         val moved = gates.record.moved(move.feature, move.to, Provenance.of(self, wall(), move.why))
         store.commit(
-            CasTransaction(preconditions, listOf(Write.Put(Keys.ROLLOUT, moved.toFields())), WritePriority.URGENT) { outcome ->
+            CasTransaction(
+                preconditions,
+                listOf(Write.Put(Keys.ROLLOUT, moved.toFields())),
+                WritePriority.URGENT,
+            ) { outcome ->
                 storing = false
                 when (outcome) {
                     is CommitOutcome.Applied -> {
@@ -67,7 +87,11 @@
 
                     is CommitOutcome.Conflict -> reread()
 
-                    is CommitOutcome.Refused -> log.error("feature {}: the store refused its transition: {}", move.feature.name, outcome.reason)
+                    is CommitOutcome.Refused -> log.error(
+                        "feature {}: the store refused its transition: {}",
+                        move.feature.name,
+                        outcome.reason,
+                    )
                 }
             },
         )
@@ -82,9 +106,20 @@
         log.info("controller: excluded by {} ({}), asks to be included again", by?.by, by?.why)
         val included = gates.record.including(self, Provenance.of(self, wall(), "back with versions ${registry.range}"))
         store.commit(
-            CasTransaction(listOf(gates.precondition), listOf(Write.Put(Keys.ROLLOUT, included.toFields()))) { outcome ->
+            CasTransaction(
+                listOf(gates.precondition),
+                listOf(Write.Put(Keys.ROLLOUT, included.toFields())),
+            ) { outcome ->
                 storing = false
-                if (outcome is CommitOutcome.Applied) view.applyRecord(Keys.ROLLOUT, included.toFields(), outcome.revision) else reread()
+                if (outcome is CommitOutcome.Applied) {
+                    view.applyRecord(
+                        Keys.ROLLOUT,
+                        included.toFields(),
+                        outcome.revision,
+                    )
+                } else {
+                    reread()
+                }
             },
         )
     }
--- a/src/main/kotlin/io/reedmast/rollout/RolloutRecord.kt
+++ b/src/main/kotlin/io/reedmast/rollout/RolloutRecord.kt
@@ -28,8 +28,8 @@
     ;
 
     companion object {
-        fun of(storedName: String): GateState =
-            entries.firstOrNull { it.storedName == storedName } ?: throw MalformedException("$storedName is no state of a gate")
+        fun of(storedName: String): GateState = entries.firstOrNull { it.storedName == storedName }
+            ?: throw MalformedException("$storedName is no state of a gate")
     }
 }
 
@@ -41,7 +41,8 @@
     ;
 
     companion object {
-        fun of(storedName: String): Target = entries.firstOrNull { it.storedName == storedName } ?: throw MalformedException("$storedName is no target")
+        fun of(storedName: String): Target =
+            entries.firstOrNull { it.storedName == storedName } ?: throw MalformedException("$storedName is no target")
     }
 }
 
@@ -63,10 +64,16 @@
  * The stored state of one feature.
  *
  * @property requires the least version that reads the feature's form, for controllers that do not know the feature
- * @property generation grows with each move: progress of a migration counts only for the generation that it was made under
+ * @property generation grows with each move: progress of a migration counts only for the generation that it was made
+ *   under
  */
 data class Gate(val state: GateState, val requires: FormatVersion, val generation: Long, val moved: Provenance) {
-    fun toFields(): Fields = mapOf("state" to state.storedName, "requires" to requires.value.toLong(), "generation" to generation, "moved" to moved.toFields())
+    fun toFields(): Fields = mapOf(
+        "state" to state.storedName,
+        "requires" to requires.value.toLong(),
+        "generation" to generation,
+        "moved" to moved.toFields(),
+    )
 
     companion object {
         fun parse(fields: Fields) = Gate(
@@ -115,22 +122,28 @@
 
     /** The oldest form that may still be stored: what is finalized is not found in its old form any more. */
     val finalizedVersion: FormatVersion
-        get() = gates.values.filter { it.state == GateState.FINALIZED }.maxOfOrNull { it.requires } ?: FormatVersion.NONE
+        get() = gates.values.filter { it.state == GateState.FINALIZED }.maxOfOrNull { it.requires }
+            ?: FormatVersion.NONE
 
     /** With [feature]'s gate moved to [state]. */
     fun moved(feature: Feature, state: GateState, made: Provenance): RolloutRecord {
         val generation = (gates[feature.name]?.generation ?: 0L) + 1
-        return copy(gates = gates + (feature.name to Gate(state, feature.requires, generation, made))).noting("${feature.name} ${state.storedName}", made)
+        return copy(
+            gates = gates + (feature.name to Gate(state, feature.requires, generation, made)),
+        ).noting("${feature.name} ${state.storedName}", made)
     }
 
     fun wishing(feature: FeatureName, target: Target, made: Provenance): RolloutRecord =
         copy(wishes = wishes + (feature to Wish(target, made))).noting("$feature wished ${target.storedName}", made)
 
-    fun excluding(label: String, made: Provenance): RolloutRecord = copy(excluded = excluded + (label to made)).noting("$label excluded", made)
+    fun excluding(label: String, made: Provenance): RolloutRecord =
+        copy(excluded = excluded + (label to made)).noting("$label excluded", made)
 
-    fun including(label: String, made: Provenance): RolloutRecord = copy(excluded = excluded - label).noting("$label included", made)
+    fun including(label: String, made: Provenance): RolloutRecord =
+        copy(excluded = excluded - label).noting("$label included", made)
 
-    private fun noting(what: String, made: Provenance) = copy(history = (history + HistoryEntry(what, made)).takeLast(LONGEST_HISTORY))
+    private fun noting(what: String, made: Provenance) =
+        copy(history = (history + HistoryEntry(what, made)).takeLast(LONGEST_HISTORY))
 
     /** As it is stored: with as much of the history as leaves it small enough for the smallest values. */
     fun toFields(): Fields {
--- a/src/main/kotlin/io/reedmast/rollout/RolloutStore.kt
+++ b/src/main/kotlin/io/reedmast/rollout/RolloutStore.kt
@@ -7,8 +7,8 @@
 /**
  * The state store as the rollout needs it: conditional changes, and reads of the newest values.
  *
- * Results come later, on the thread that calls the rollout's classes. A change whose answer was lost is reported only once it is certain
- * whether it was applied.
+ * Results come later, on the thread that calls the rollout's classes. A change whose answer was lost is reported only
+ * once it is certain whether it was applied.
  */
 interface RolloutStore {
     fun commit(change: CasTransaction)
--- a/src/main/kotlin/io/reedmast/rollout/RolloutView.kt
+++ b/src/main/kotlin/io/reedmast/rollout/RolloutView.kt
@@ -24,9 +24,11 @@
 data class StoredDrain(val order: DrainOrder, val version: Long)
 
 /**
- * What one process knows of the rollout: the stored record, what controllers publish of themselves, and the progress of migrations.
+ * What one process knows of the rollout: the stored record, what controllers publish of themselves, and the progress of
+ * migrations.
  *
- * It is told of every value under the cluster's keys, by listings and by the watch, in any order; the newer version of a key counts.
+ * It is told of every value under the cluster's keys, by listings and by the watch, in any order; the newer version of
+ * a key counts.
  */
 class RolloutView(private val registry: FeatureRegistry, private val self: String) {
     private val log = LoggerFactory.getLogger("rollout")
@@ -35,11 +37,17 @@
     private val drains = HashMap<String, StoredDrain>()
     private var seenVersion = 0L
 
-    /** The gates as last read. While the record cannot be read they are those of before, whose version no write can match. */
+    /**
+     * The gates as last read. While the record cannot be read they are those of before, whose version no write can
+     * match.
+     */
     var gates: GateSnapshot = GateSnapshot.NONE
         private set
 
-    /** Whether this process may take part, by what it has read so far. It is asked for with every decision, and worked out with every change. */
+    /**
+     * Whether this process may take part, by what it has read so far. It is asked for with every decision, and worked
+     * out with every change.
+     */
     var admission: Admission = Admission.Admitted
         private set
 
@@ -101,19 +109,42 @@
         val unit = unitOf(name.substringAfterLast('/')) ?: return
         val known = progress[feature to unit]
         if (known != null && known.version >= version) return
-        if (value == null) progress.remove(feature to unit) else progress[feature to unit] = StoredProgress(MigrationProgress.parse(value), version)
+        if (value ==
+            null
+        ) {
+            progress.remove(feature to unit)
+        } else {
+            progress[feature to unit] =
+                StoredProgress(MigrationProgress.parse(value), version)
+        }
     }
 
-    private fun unitOf(key: String): MigrationUnit? =
-        if (key == MigrationUnit.Cluster.key) MigrationUnit.Cluster else key.toIntOrNull()?.let { MigrationUnit.Shard(it) }
+    private fun unitOf(key: String): MigrationUnit? = if (key ==
+        MigrationUnit.Cluster.key
+    ) {
+        MigrationUnit.Cluster
+    } else {
+        key.toIntOrNull()?.let { MigrationUnit.Shard(it) }
+    }
 
     private fun applyDrain(label: String, value: Fields?, version: Long) {
         if (value == null) drains.remove(label) else drains[label] = StoredDrain(DrainOrder.parse(value), version)
     }
 
-    /** What a decision about gates is made from; [shards] are the shards' owners, and [externallyFinalized] features with records of their own. */
+    /**
+     * What a decision about gates is made from; [shards] are the shards' owners, and [externallyFinalized] features
+     * with records of their own.
+     */
     fun snapshot(configured: Set<String>, shards: List<ShardOwnership?>, externallyFinalized: Set<FeatureName>) =
-        ClusterSnapshot(configured, present.toMap(), shards, progress.mapValues { it.value.progress }, externallyFinalized)
+        ClusterSnapshot(
+            configured,
+            present.toMap(),
+            shards,
+            progress.mapValues {
+                it.value.progress
+            },
+            externallyFinalized,
+        )
 
     companion object {
         /** The field of a membership key in which earlier versions name theirs. */
--- a/src/main/kotlin/io/reedmast/scheduling/Scheduler.kt
+++ b/src/main/kotlin/io/reedmast/scheduling/Scheduler.kt
@@ -44,9 +44,17 @@
         private set
 
     fun passIfDue(now: Long) {
-        if (!shardState.passRequested || now < nextPass || now < shardState.passNotBefore || !shardState.isCurrent()) return
+        if (!shardState.passRequested || now < nextPass || now < shardState.passNotBefore ||
+            !shardState.isCurrent()
+        ) {
+            return
+        }
         // Each pass that places something costs puts: tasks of arrays that follow each other on a machine share them.
-        if (now < lastPass + ARRAY_PASS_EVERY_MS && shardState.jobs.values.none { it.pendingCount > 0 && shardState.isLatencySensitive(it) }) return
+        if (now < lastPass + ARRAY_PASS_EVERY_MS &&
+            shardState.jobs.values.none { it.pendingCount > 0 && shardState.isLatencySensitive(it) }
+        ) {
+            return
+        }
         shardState.passRequested = false
         lastPass = now
         nextPass = now + PASS_EVERY_MS
@@ -65,7 +73,9 @@
         val late: Boolean,
     )
 
-    /** Funded work before uncharged work; teams within their guarantee first, then by charged use against allocation. */
+    /**
+     * Funded work before uncharged work; teams within their guarantee first, then by charged use against allocation.
+     */
     private fun pass(now: Long) {
         val ready = shardState.jobs.values.filter { it.pendingCount > 0 && !it.ending && now >= it.notBefore }
         if (ready.isEmpty()) return
@@ -79,7 +89,18 @@
         val full = HashSet<Shape>()
         val placed = HashMap<Job, Int>()
         for (job in waitingGangs(ready, now)) {
-            if (placeOne(job, machines, room, full, now)) placed.merge(job, 1, Int::plus) else reservations.reserve(job, machines, now)
+            if (placeOne(
+                    job,
+                    machines,
+                    room,
+                    full,
+                    now,
+                )
+            ) {
+                placed.merge(job, 1, Int::plus)
+            } else {
+                reservations.reserve(job, machines, now)
+            }
         }
         for (job in underservedJobs(ready, now)) {
             if (!placeOne(job, machines, room, full, now)) continue
@@ -104,16 +125,26 @@
         preempt(ready, now, wall)
     }
 
-    /** Within a team: by priority, then what has got nothing for long, of which one task is placed at a time, then by due time. */
-    private val queueOrder = compareBy<Job>({ it.spec.priority }, { !shardState.isUnderserved(it) }, { !it.spec.gang }, { shardState.deadlineMs(it) })
+    /**
+     * Within a team: by priority, then what has got nothing for long, of which one task is placed at a time, then by
+     * due time.
+     */
+    private val queueOrder =
+        compareBy<Job>({
+            it.spec.priority
+        }, { !shardState.isUnderserved(it) }, { !it.spec.gang }, { shardState.deadlineMs(it) })
 
     /**
-     * A few jobs of each team that have got nothing for longest, now and then: a team that is always at its limit, or in a full shard,
-     * with work of a higher priority or with a large array, would never begin its other jobs.
+     * A few jobs of each team that have got nothing for longest, now and then: a team that is always at its limit, or
+     * in a full shard, with work of a higher priority or with a large array, would never begin its other jobs.
      */
     private fun underservedJobs(ready: List<Job>, now: Long): List<Job> = ready
         .filter { now >= (nextUnderservedAt[it.team] ?: 0L) && shardState.isUnderserved(it) }
-        .groupBy { it.team }.values.flatMap { jobs -> jobs.sortedByDescending { shardState.underservedForMs(it) }.take(MAX_UNDERSERVED_AT_ONCE) }
+        .groupBy {
+            it.team
+        }.values.flatMap { jobs ->
+            jobs.sortedByDescending { shardState.underservedForMs(it) }.take(MAX_UNDERSERVED_AT_ONCE)
+        }
 
     private fun keepRoomForGangs(machines: List<Machine>, now: Long) {
         val arrivals = shardState.gangArrivals
@@ -123,12 +154,13 @@
     }
 
     /**
-     * Funded gangs within their teams' guarantees that found no room in an earlier pass. Each piece of room that comes free would go
-     * to an array of some team before there is enough for a gang.
+     * Funded gangs within their teams' guarantees that found no room in an earlier pass. Each piece of room that comes
+     * free would go to an array of some team before there is enough for a gang.
      */
     private fun waitingGangs(ready: List<Job>, now: Long): List<Job> = ready
         .filter {
-            it.spec.gang && it.spec.priority.isFunded && now - it.waitsSince > PASS_EVERY_MS && fitsWithinLimits(it) && shardState.isGangWithinGuarantee(it)
+            it.spec.gang && it.spec.priority.isFunded && now - it.waitsSince > PASS_EVERY_MS && fitsWithinLimits(it) &&
+                shardState.isGangWithinGuarantee(it)
         }
         .sortedWith(compareBy({ it.spec.priority }, { it.waitsSince }))
 
@@ -136,10 +168,17 @@
 
     private fun first(queues: Map<TeamId, ArrayDeque<Job>>, wall: Long): TeamId {
         if (queues.size == 1) return queues.keys.first()
-        return queues.keys.minWith(compareBy({ t -> !shardState.isWithinGuarantee(t, queues.getValue(t).first().spec) }, { t -> shardState.ratio(t, wall) }))
+        return queues.keys.minWith(
+            compareBy({ t ->
+                !shardState.isWithinGuarantee(t, queues.getValue(t).first().spec)
+            }, { t -> shardState.ratio(t, wall) }),
+        )
     }
 
-    /** Machines whose report is overdue may be gone or hang; unless most are overdue, which would be this controller's fault. */
+    /**
+     * Machines whose report is overdue may be gone or hang; unless most are overdue, which would be this controller's
+     * fault.
+     */
     private fun candidates(now: Long): List<Machine> {
         val usable = shardState.machines.values.filter { it.usable && it.noticeUntil == 0L }
         val heard = usable.filter { now - it.lastHeartbeatAt <= shardState.heartbeatLateMs }
@@ -147,7 +186,13 @@
     }
 
     /** True if a task was placed and the job may have another one to place. */
-    private fun placeOne(job: Job, machines: List<Machine>, room: ServiceHeadroom, full: MutableSet<Shape>, now: Long): Boolean {
+    private fun placeOne(
+        job: Job,
+        machines: List<Machine>,
+        room: ServiceHeadroom,
+        full: MutableSet<Shape>,
+        now: Long,
+    ): Boolean {
         if (job.pendingCount <= 0 || shardState.remainingQuota(job) < 1) return false
         if (job.spec.gang) return placeGang(job, machines, room, now)
         val task = job.nextPending()
@@ -162,7 +207,13 @@
             Shape(spec.cpus, spec.gpus, spec.memoryGb, spec.spot, spec.allowedTypes, spec.zone, late)
         }
         if (shape != null && shape in full) return false
-        val open = if (spec.service || isStarving || reservations.isEmpty) machines else machines.filter { !reservations.isKeptFrom(job, it) }
+        val open = if (spec.service || isStarving ||
+            reservations.isEmpty
+        ) {
+            machines
+        } else {
+            machines.filter { !reservations.isKeptFrom(job, it) }
+        }
         val machine = selectMachine(job, open, late, isStarving, room, ::isExpensive)
         if (machine == null) {
             if (shape != null) full.add(shape)
@@ -178,16 +229,22 @@
         val isStarving = shardState.isStarving(job)
         val late = isStarving || shardState.isPastDeadline(job)
         val assignment = packGang(job, machines) { machine ->
-            (isStarving || (machine !in job.failedOn && !reservations.isKeptFrom(job, machine))) && (late || !isTooExpensiveFor(job, machine))
+            (isStarving || (machine !in job.failedOn && !reservations.isKeptFrom(job, machine))) &&
+                (late || !isTooExpensiveFor(job, machine))
         } ?: return false
         val attempt = nextAttempt()
         var task = 0
-        for ((machine, count) in assignment.tasksByMachine) repeat(count) { start(job, task++, attempt, machine, room, now) }
+        for ((machine, count) in assignment.tasksByMachine) {
+            repeat(count) {
+                start(job, task++, attempt, machine, room, now)
+            }
+        }
         return true
     }
 
     private fun isTooExpensiveFor(job: Job, machine: Machine) =
-        job.spec.spot && !machine.record.spot && !machine.held && machine.machineType?.let { isExpensive(it, job) } == true
+        job.spec.spot && !machine.record.spot && !machine.held &&
+            machine.machineType?.let { isExpensive(it, job) } == true
 
     private fun nextAttempt(): Long = (FencingToken.acquisitions(shardState.token) shl ATTEMPT_BITS) + ++attempts
 
@@ -213,21 +270,38 @@
     }
 
     private fun isExpensive(machineType: MachineType, job: Job): Boolean =
-        job.expensiveTypes.getOrPut(machineType.label) { isTooExpensive(machineType, shardState.machineTypes, job.spec.cpus, job.spec.gpus, job.spec.memoryGb) }
+        job.expensiveTypes.getOrPut(machineType.label) {
+            isTooExpensive(machineType, shardState.machineTypes, job.spec.cpus, job.spec.gpus, job.spec.memoryGb)
+        }
 
-    /** Stops work for requests that cannot fit otherwise, one machine at a time and never twice for the same request. */
+    /**
+     * Stops work for requests that cannot fit otherwise, one machine at a time and never twice for the same request.
+     */
     private fun preempt(ready: List<Job>, now: Long, wall: Long) {
-        val holding = shardState.machines.values.filter { m -> m.usable && m.noticeUntil == 0L && m.placements.values.any { isPreemptable(it) } }
+        val holding = shardState.machines.values.filter { m ->
+            m.usable && m.noticeUntil == 0L &&
+                m.placements.values.any { isPreemptable(it) }
+        }
         if (holding.isEmpty()) return
         val coming = demandEstimator.coming()
         var tries = 0
         for (job in ready) {
-            if (!job.spec.priority.isFunded || job.pendingCount <= job.preempting || shardState.remainingQuota(job) <= job.preempting) continue
+            if (!job.spec.priority.isFunded || job.pendingCount <= job.preempting ||
+                shardState.remainingQuota(job) <= job.preempting
+            ) {
+                continue
+            }
             if (now - job.waitsSince < preemptAfterMs(job)) continue
-            // What only has to be done some time fits on the machines that are on their way; what has to start soon does not.
+            // What only has to be done some time fits on the machines that are on their way; what has to start soon
+            // does not.
             if (!shardState.isLatencySensitive(job) && demandEstimator.comingHolds(job, coming)) continue
             if (++tries > MAX_PREEMPTING) break
-            val request = PlacementRequest(job.spec.priority, shardState.isWithinGuarantee(job.team, job.spec), shardState.ratio(job.team, wall))
+            val request =
+                PlacementRequest(
+                    job.spec.priority,
+                    shardState.isWithinGuarantee(job.team, job.spec),
+                    shardState.ratio(job.team, wall),
+                )
             if (job.spec.gang) {
                 preemptForGang(job, request, wall)
                 continue
@@ -270,8 +344,8 @@
     }
 
     /**
-     * What fits a little later without stopping anything does not need a victim: tasks end all the time, and each victim
-     * loses what it has done. A day of arrays that yielded at once to services stopped a fifth of all tasks.
+     * What fits a little later without stopping anything does not need a victim: tasks end all the time, and each
+     * victim loses what it has done. A day of arrays that yielded at once to services stopped a fifth of all tasks.
      */
     private fun preemptAfterMs(job: Job): Long = when {
         job.spec.gang -> GANG_WAITS_MS
@@ -280,14 +354,27 @@
     }
 
     /** Whether the work yields to anything at all: funded work that cannot resume never does. */
-    private fun isPreemptable(placement: Placement) =
-        shardState.clock.now() >= placement.keptFromAllUntil && (!placement.job.spec.priority.isFunded || placement.job.spec.resumable)
+    private fun isPreemptable(placement: Placement) = shardState.clock.now() >= placement.keptFromAllUntil &&
+        (!placement.job.spec.priority.isFunded || placement.job.spec.resumable)
 
-    /** Whether the work was preferred to [job], of the same team, for its long wait, and too lately to be stopped for it. */
-    private fun isKeptFrom(placement: Placement, job: Job) = shardState.clock.now() < placement.keptUntil && placement.job.team == job.team
+    /**
+     * Whether the work was preferred to [job], of the same team, for its long wait, and too lately to be stopped for
+     * it.
+     */
+    private fun isKeptFrom(placement: Placement, job: Job) =
+        shardState.clock.now() < placement.keptUntil && placement.job.team == job.team
 
-    /** What must be stopped so that [tasks] tasks of [job] fit on the machine; null if that is not allowed or not needed. */
-    private fun victims(job: Job, machine: Machine, request: PlacementRequest, wall: Long, tasks: Int = 1): List<Placement>? {
+    /**
+     * What must be stopped so that [tasks] tasks of [job] fit on the machine; null if that is not allowed or not
+     * needed.
+     */
+    private fun victims(
+        job: Job,
+        machine: Machine,
+        request: PlacementRequest,
+        wall: Long,
+        tasks: Int = 1,
+    ): List<Placement>? {
         var cpus = machine.freeCpus
         var gpus = machine.freeGpus
         var memoryGb = machine.freeMemoryGb
--- a/src/main/kotlin/io/reedmast/settings/Settings.kt
+++ b/src/main/kotlin/io/reedmast/settings/Settings.kt
@@ -35,8 +35,17 @@
 
 data class Member(val label: String, val address: InetSocketAddress)
 
-/** [gangWaitS]: how long a task waits for the rest of its gang. [gangPeerS]: how soon the tasks of a gang notice that one is gone. */
-data class WorkerRules(val reportS: Double, val leaseS: Double, val cancelS: Double, val gangWaitS: Double = 50.0, val gangPeerS: Double = 5.0)
+/**
+ * [gangWaitS]: how long a task waits for the rest of its gang. [gangPeerS]: how soon the tasks of a gang notice that
+ * one is gone.
+ */
+data class WorkerRules(
+    val reportS: Double,
+    val leaseS: Double,
+    val cancelS: Double,
+    val gangWaitS: Double = 50.0,
+    val gangPeerS: Double = 5.0,
+)
 
 data class StoreLimits(val requestsPerS: Double, val writesPerS: Double, val valueBytes: Int, val opsPerCommit: Int)
 
@@ -44,7 +53,10 @@
 
 data class Objective(val kind: String, val jobClass: String?, val withinS: Double?)
 
-/** What the platform hands over. [members] has every controller in name order, so all controllers agree on their indices. */
+/**
+ * What the platform hands over. [members] has every controller in name order, so all controllers agree on their
+ * indices.
+ */
 data class Settings(
     val label: String,
     val front: InetSocketAddress,
@@ -101,7 +113,11 @@
                     at("seeds[$i].") { Member(seed.text("label"), address("endpoint", seed.text("endpoint"))) }
                 }
             val members = (others + Member(label, clusterListen)).sortedBy { it.label }
-            if (members.map { it.label }.toSet().size != members.size) throw SettingsException("seeds name a label twice")
+            if (members.map { it.label }.toSet().size !=
+                members.size
+            ) {
+                throw SettingsException("seeds name a label twice")
+            }
             val outside = at("") { root.map("outside") }
             val facts = at("") { root.map("facts") }
             val nodes = at("facts.") { facts.count("nodes") }
@@ -130,11 +146,23 @@
                         positive(state, "txn_ops").toInt(),
                     )
                 }
-            val nextStoreLimits = if (state["next"] == null) null else at("facts.state.next: ") { state.map("next") }.let { nextLimits(it, storeLimits) }
+            val nextStoreLimits = if (state["next"] ==
+                null
+            ) {
+                null
+            } else {
+                at("facts.state.next: ") { state.map("next") }.let { nextLimits(it, storeLimits) }
+            }
             if (storeLimits.opsPerCommit < 4) throw SettingsException("facts.state.txn_ops must be at least 4")
             val cloud = at("facts.") { facts.map("cloud") }
             val cloudLimits = at("facts.cloud.") { CloudLimits(positive(cloud, "rps"), cloud.amount("list_lag_s")) }
-            val connections = (facts["resources"]?.let { at("facts.") { facts.map("resources") } })?.optionalAmountOr("max_connections", 1000.0) ?: 1000.0
+            val connections =
+                (
+                    facts["resources"]?.let {
+                        at("facts.") { facts.map("resources") }
+                    }
+                    )?.optionalAmountOr("max_connections", 1000.0)
+                    ?: 1000.0
             return Settings(
                 label = label,
                 front = front,
@@ -143,7 +171,12 @@
                 self = ControllerId(members.indexOfFirst { it.label == label }),
                 cloudAddress = at("outside.") { outside.text("cloud").also { address("cloud", it) } },
                 storeAddress = at("outside.") { outside.text("state").also { address("state", it) } },
-                zones = at("facts.") { facts.list("zones").map { it as? String ?: throw MalformedException("zones holds something that is not text") } },
+                zones = at("facts.") {
+                    facts.list("zones").map {
+                        it as? String
+                            ?: throw MalformedException("zones holds something that is not text")
+                    }
+                },
                 teams = teams(facts),
                 objectives = objectives(facts),
                 workers = rules,
@@ -165,9 +198,13 @@
             )
         }
 
-        private fun Fields.list(name: String): List<Any?> = this[name] as? List<*> ?: throw MalformedException("$name is missing or not a list")
+        private fun Fields.list(name: String): List<Any?> =
+            this[name] as? List<*> ?: throw MalformedException("$name is missing or not a list")
 
-        private fun Fields.optionalAmountOr(name: String, other: Double): Double = at("facts.resources.") { optionalAmount(name) ?: other }
+        private fun Fields.optionalAmountOr(name: String, other: Double): Double = at("facts.resources.") {
+            optionalAmount(name)
+                ?: other
+        }
 
         private fun teams(facts: Fields): List<TeamShare> {
             val list = at("facts.") { facts.maps("teams") }
@@ -184,7 +221,11 @@
                         )
                     }
                 }
-            if (teams.map { it.name }.toSet().size != teams.size) throw SettingsException("facts.teams names a team twice")
+            if (teams.map { it.name }.toSet().size !=
+                teams.size
+            ) {
+                throw SettingsException("facts.teams names a team twice")
+            }
             return teams
         }
 
--- a/src/main/kotlin/io/reedmast/shard/ShardMachines.kt
+++ b/src/main/kotlin/io/reedmast/shard/ShardMachines.kt
@@ -8,8 +8,15 @@
 import io.reedmast.model.ShardState
 
 /** Brings the machines of a shard, as its owner knows them, in line with those that the records name. */
-class ShardMachines(private val shardState: ShardState, private val lifecycle: MachineLifecycle, private val records: ShardRecords) {
-    /** The machine that a stored placement names. One that the shard does not have any more is kept until it is returned. */
+class ShardMachines(
+    private val shardState: ShardState,
+    private val lifecycle: MachineLifecycle,
+    private val records: ShardRecords,
+) {
+    /**
+     * The machine that a stored placement names. One that the shard does not have any more is kept until it is
+     * returned.
+     */
     fun named(machineName: String): Machine = shardState.machines.getOrPut(machineName) {
         Machine(MachineRecord(machineName, "", "", false), null, shardState.clock.now(), shardState.token).apply {
             decommissionReason =
@@ -35,16 +42,24 @@
             machine.decommissionReason = DecommissionReason.TRANSFER
             machine.movingSince = shardState.clock.now()
         }
-        if (destination == null && machine.decommissionReason == DecommissionReason.TRANSFER) machine.decommissionReason = null
+        if (destination == null &&
+            machine.decommissionReason == DecommissionReason.TRANSFER
+        ) {
+            machine.decommissionReason = null
+        }
     }
 
     private fun added(record: MachineRecord, known: Machine?): Machine {
         val type = shardState.machineTypeOf(record.typeName)
-        val machine = Machine(record, type, shardState.clock.now(), shardState.token, records.machineDirectory.of(record.name))
+        val machine =
+            Machine(record, type, shardState.clock.now(), shardState.token, records.machineDirectory.of(record.name))
         // An address known from another owner: the machine was up before.
         machine.everReported = machine.addr != null
         known?.placements?.values?.toList()?.forEach { old ->
-            val placement = Placement(old.job, old.task, old.attempt, machine, old.madeAt).apply { committed = old.committed }
+            val placement = Placement(old.job, old.task, old.attempt, machine, old.madeAt).apply {
+                committed =
+                    old.committed
+            }
             old.job.chunkOf(old.task).placements[old.task] = placement
             machine.add(placement)
         }
@@ -54,7 +69,12 @@
 
     /** The cloud's machine types are known anew. */
     fun typesChanged() {
-        for (machine in shardState.machines.values) shardState.machineTypeOf(machine.record.typeName)?.let { machine.machineType = it }
+        for (machine in shardState.machines.values) {
+            shardState.machineTypeOf(machine.record.typeName)?.let {
+                machine.machineType =
+                    it
+            }
+        }
         shardState.jobs.values.forEach { it.expensiveTypes.clear() }
         shardState.passRequested = true
     }
--- a/src/main/kotlin/io/reedmast/shard/ShardOwner.kt
+++ b/src/main/kotlin/io/reedmast/shard/ShardOwner.kt
@@ -4,8 +4,6 @@
 import io.reedmast.autoscaling.DemandEstimator
 import io.reedmast.autoscaling.ScaleInPolicy
 import io.reedmast.autoscaling.UsageSummaryWriter
-
-import io.reedmast.cluster.ShardRecord
 import io.reedmast.commands.CommandDispatcher
 import io.reedmast.gangs.GangCoordinator
 import io.reedmast.heartbeats.HeartbeatHandler
@@ -18,9 +16,8 @@
 import io.reedmast.kvstore.StoredItem
 import io.reedmast.machines.MachineLifecycle
 import io.reedmast.model.Job
-import io.reedmast.model.MachineDirectory
-import io.reedmast.model.MachineRecord
 import io.reedmast.model.Placement
+import io.reedmast.model.ShardRecord
 import io.reedmast.model.ShardState
 import io.reedmast.model.StopReason
 import io.reedmast.persistence.PageForm
@@ -42,8 +39,8 @@
 /**
  * The work of one shard's owner, joined from its duties: reports and commands, placing, storing, upkeep, demand.
  *
- * All of it runs on the deciding thread. A message only marks what it has changed; decisions, storing and commands follow
- * in [reconcile], at a bounded rate, so that the work for a report does not grow with the shard.
+ * All of it runs on the deciding thread. A message only marks what it has changed; decisions, storing and commands
+ * follow in [reconcile], at a bounded rate, so that the work for a report does not grow with the shard.
  */
 class ShardOwner(
     override val index: ShardId,
@@ -58,15 +55,22 @@
 ) : JobListener {
     private val log = LoggerFactory.getLogger("shard")
     private val shard = index.value
-    val shardState = ShardState(index, settings, tuning, clock, machineTypes, isCurrent, limits) { records.rollout.gates }
-    private val dispatcher = CommandDispatcher(shardState, gateway, gateway) { machine, status -> heartbeats.onStatusReport(machine, status) }
+    val shardState =
+        ShardState(index, settings, tuning, clock, machineTypes, isCurrent, limits) { records.rollout.gates }
+    private val dispatcher =
+        CommandDispatcher(shardState, gateway, gateway) { machine, status ->
+            heartbeats.onStatusReport(machine, status)
+        }
     private val gangs = GangCoordinator(shardState, dispatcher)
-    private val heartbeats: HeartbeatHandler = HeartbeatHandler(shardState, dispatcher, gangs) { records.renewToken(index) }
+    private val heartbeats: HeartbeatHandler =
+        HeartbeatHandler(shardState, dispatcher, gangs) { records.renewToken(index) }
     private val arrivals = ArrivalRates(shardState)
     private val demandEstimator = DemandEstimator(shardState, arrivals)
     private val scaleInPolicy = ScaleInPolicy(shardState, arrivals)
     private val usageSummaryWriter =
-        UsageSummaryWriter(shardState, gateway, demandEstimator, scaleInPolicy, { records.machinesVersion(index) }, { records.refresh(index) })
+        UsageSummaryWriter(shardState, gateway, demandEstimator, scaleInPolicy, {
+            records.machinesVersion(index)
+        }, { records.refresh(index) })
     val scheduler = Scheduler(shardState, dispatcher, demandEstimator, scaleInPolicy)
     private val progressStore = ProgressStore(shardState, gateway, Storing())
     private val lifecycle =
@@ -80,9 +84,12 @@
     val token: Long get() = shardState.token
 
     /** The token that answers to this machine's reports carry. */
-    fun tokenFor(machineName: String): Long = shardState.machines[machineName]?.let { shardState.tokenFor(it) } ?: shardState.token
+    fun tokenFor(machineName: String): Long =
+        shardState.machines[machineName]?.let { shardState.tokenFor(it) } ?: shardState.token
 
-    /** Whether it holds progress in parts that the reduced limits do not allow, read before these were known to hold. */
+    /**
+     * Whether it holds progress in parts that the reduced limits do not allow, read before these were known to hold.
+     */
     val needsReload: Boolean get() = active && !dropped && progressStore.needsReload
 
     val active: Boolean get() = shardState.active
@@ -96,7 +103,10 @@
 
     // ---- taking over ----------------------------------------------------------------------------------------------
 
-    /** Reads what is stored of the shard: [pages] were listed, and [live] is at least as new, after our token was stored. */
+    /**
+     * Reads what is stored of the shard: [pages] were listed, and [live] is at least as new, after our token was
+     * stored.
+     */
     fun load(live: List<LiveJob>, pages: List<StoredItem>, totals: StoredItem?) {
         if (pages.any { isSized(it) }) limits.reduce()
         syncMachines()
@@ -116,7 +126,13 @@
         shardState.activeAt = clock.now()
         shardState.passRequested = true
         dispatcher.begin()
-        log.info("shard {}: acquired, token {}, {} jobs, {} machines", shard, token, shardState.jobs.size, shardState.machines.size)
+        log.info(
+            "shard {}: acquired, token {}, {} jobs, {} machines",
+            shard,
+            token,
+            shardState.jobs.size,
+            shardState.machines.size,
+        )
     }
 
     /** Only what knows that every controller reads such pages stores them. */
@@ -127,7 +143,10 @@
         false
     }
 
-    /** A job that has got nothing so far has waited since its acceptance, whoever owned the shard: else each takeover prolongs its wait. */
+    /**
+     * A job that has got nothing so far has waited since its acceptance, whoever owned the shard: else each takeover
+     * prolongs its wait.
+     */
     private fun countWaitFromAcceptance(job: Job) {
         if (job.placedCount > 0 || job.doneCount > 0) return
         val since = clock.now() - maxOf(0L, clock.wall() - job.acceptedAtMs)
@@ -139,9 +158,13 @@
     /** Takes up the shard's record as it now stands: our token may have been raised for a machine that moves here. */
     fun sync(record: ShardRecord, term: Long) {
         if (term < shardState.term) return
-        // The token was raised for machines that move here. One that we know of already, from the same change, must show it:
-        // what its old owner has sent may arrive until then.
-        if (record.token > shardState.token) shardState.machines.values.forEach { if (it.sequence < 0) it.floor = record.token }
+        // The token was raised for machines that move here. One that we know of already, from the same change, must
+        // show it: what its old owner has sent may arrive until then.
+        if (record.token >
+            shardState.token
+        ) {
+            shardState.machines.values.forEach { if (it.sequence < 0) it.floor = record.token }
+        }
         shardState.token = record.token
         shardState.term = term
     }
@@ -173,7 +196,10 @@
             log.error("job {}: its team {} is not in the settings", spec.jobId, spec.teamName)
             return null
         }
-        val job = Job(spec, team, chunkSizeOf(live.record), live.record.acceptedAtMs, live.version).apply { isCancelled = live.record.isCancelled }
+        val job = Job(spec, team, chunkSizeOf(live.record), live.record.acceptedAtMs, live.version).apply {
+            isCancelled =
+                live.record.isCancelled
+        }
         shardState.jobs[spec.jobId] = job
         shardState.changed.add(job)
         job.waitsSince = clock.now()
@@ -193,8 +219,14 @@
     }
 
     /** An earlier version stored progress in chunks that the reduced limits do not allow. */
-    private fun chunkSizeOf(record: LiveRecord) =
-        if (limits.isReduced) minOf(record.chunkSize, PageForm.chunkSizeFor(limits.target.valueBytes)) else record.chunkSize
+    private fun chunkSizeOf(record: LiveRecord) = if (limits.isReduced) {
+        minOf(
+            record.chunkSize,
+            PageForm.chunkSizeFor(limits.target.valueBytes),
+        )
+    } else {
+        record.chunkSize
+    }
 
     /** The record of the job is gone. What still runs of it, if anything could, is stopped. */
     override fun onJobGone(jobId: String) {
@@ -250,7 +282,13 @@
         override fun gatesInDoubt() = records.rollout.refreshGates()
 
         override fun recordChanged(path: String, item: StoredItem?) {
-            if (item == null) onJobGone(path.substringAfterLast('/')) else records.jobs.applyRecord(path, item.value, item.version)
+            if (item ==
+                null
+            ) {
+                onJobGone(path.substringAfterLast('/'))
+            } else {
+                records.jobs.applyRecord(path, item.value, item.version)
+            }
         }
 
         override fun ended(job: Job, end: EndRecord, revision: Long) {
@@ -266,7 +304,10 @@
 
     fun onHeartbeat(status: WorkerStatus): List<WorkerCommand> = heartbeats.onHeartbeat(status)
 
-    /** Brings decisions, stored records and commands up to date after something has changed; called every few milliseconds. */
+    /**
+     * Brings decisions, stored records and commands up to date after something has changed; called every few
+     * milliseconds.
+     */
     fun reconcile() {
         if (!active || dropped) return
         val now = clock.now()
@@ -276,21 +317,30 @@
         dispatcher.send()
     }
 
-    /** Whether nothing of what was decided here is yet to be stored: the shard may then change hands without a trace. */
+    /**
+     * Whether nothing of what was decided here is yet to be stored: the shard may then change hands without a trace.
+     */
     val isSettled: Boolean get() = active && progressStore.isSettled && !migration.inDoubt
 
     /** Called about four times a second. */
     fun runOnce() {
         if (!active || dropped) return
         val now = clock.now()
-        if (shardState.isCurrent()) migration.runOnce(records.rollout.gates, shardState.termPrecondition, records.rollout.view)
+        if (shardState.isCurrent()) {
+            migration.runOnce(
+                records.rollout.gates,
+                shardState.termPrecondition,
+                records.rollout.view,
+            )
+        }
         compareWithIndex(now)
         chargeIfDue(now)
         dispatcher.announceToken(now)
         lifecycle.runOnce(now)
         // Waiting may itself let work start: after a failure's pause, or once it has waited long enough to preempt.
         if (shardState.jobs.values.any { it.pendingCount > 0 }) shardState.passRequested = true
-        // Also while this controller has not heard the store for a moment: what it wants goes out as soon as that answers again.
+        // Also while this controller has not heard the store for a moment: what it wants goes out as soon as that
+        // answers again.
         if (records.rollout.isAdmitted) usageSummaryWriter.runOnce(now)
         news.publishIfDue(now)
     }
--- a/src/main/kotlin/io/reedmast/shard/ShardRecords.kt
+++ b/src/main/kotlin/io/reedmast/shard/ShardRecords.kt
@@ -1,32 +1,9 @@
 package io.reedmast.shard
 
-import io.reedmast.autoscaling.ArrivalRates
-import io.reedmast.autoscaling.DemandEstimator
-import io.reedmast.autoscaling.ScaleInPolicy
-import io.reedmast.autoscaling.UsageSummaryWriter
-import io.reedmast.cluster.ShardRecord
-import io.reedmast.commands.CommandDispatcher
-import io.reedmast.gangs.GangCoordinator
-import io.reedmast.heartbeats.HeartbeatHandler
 import io.reedmast.jobs.JobIndex
-import io.reedmast.kvstore.EffectiveLimits
-import io.reedmast.kvstore.Keys
-import io.reedmast.kvstore.StoredItem
-import io.reedmast.machines.MachineLifecycle
 import io.reedmast.model.MachineDirectory
 import io.reedmast.model.MachineRecord
-import io.reedmast.ports.Clock
-import io.reedmast.ports.Gateway
-import io.reedmast.rollout.MigrationUnit
-import io.reedmast.scheduling.Scheduler
-import io.reedmast.settings.Settings
 import io.reedmast.settings.ShardId
-import io.reedmast.settings.Tuning
-import io.reedmast.wire.MachineType
-import io.reedmast.wire.MalformedException
-import io.reedmast.wire.WorkerCommand
-import io.reedmast.wire.WorkerStatus
-import org.slf4j.LoggerFactory
 
 /** The records of shards and their machines, which their owner asks to change and others may change too. */
 interface ShardRecords {
--- a/src/main/kotlin/io/reedmast/shard/ShardStatusPublisher.kt
+++ b/src/main/kotlin/io/reedmast/shard/ShardStatusPublisher.kt
@@ -5,8 +5,14 @@
 import io.reedmast.ports.PeerMessage
 import io.reedmast.ports.PeerTransport
 
-/** Tells the other controllers how far jobs are, for their users' display, and what helps whoever takes the shard over. */
-class ShardStatusPublisher(private val shardState: ShardState, private val peers: PeerTransport, private val records: ShardRecords) {
+/**
+ * Tells the other controllers how far jobs are, for their users' display, and what helps whoever takes the shard over.
+ */
+class ShardStatusPublisher(
+    private val shardState: ShardState,
+    private val peers: PeerTransport,
+    private val records: ShardRecords,
+) {
     private var due = 0L
     private var publications = 0
 
--- a/src/main/kotlin/io/reedmast/wire/Caller.kt
+++ b/src/main/kotlin/io/reedmast/wire/Caller.kt
@@ -20,7 +20,8 @@
 }
 
 /**
- * Calls other machines over HTTP with CBOR bodies; blocking, connections kept open and reused as long as [keepOpen] holds.
+ * Calls other machines over HTTP with CBOR bodies; blocking, connections kept open and reused as long as [keepOpen]
+ * holds.
  */
 class Caller(private val connectMs: Int, private val readMs: Int, private val keepOpen: () -> Boolean = { true }) {
     fun call(method: String, address: String, path: String, body: Fields? = null, scaleInDelayMs: Int = readMs): Reply {
--- a/src/main/kotlin/io/reedmast/wire/CloudMessages.kt
+++ b/src/main/kotlin/io/reedmast/wire/CloudMessages.kt
@@ -41,7 +41,15 @@
 }
 
 /** A line of the cloud's machine list. */
-data class ListedMachine(val name: String, val addr: String?, val typeName: String, val zone: String, val spot: Boolean, val stage: String, val ageS: Double) {
+data class ListedMachine(
+    val name: String,
+    val addr: String?,
+    val typeName: String,
+    val zone: String,
+    val spot: Boolean,
+    val stage: String,
+    val ageS: Double,
+) {
     companion object {
         fun parse(it: Fields): ListedMachine = ListedMachine(
             it.text("ref"),
--- a/src/main/kotlin/io/reedmast/wire/StoreMessages.kt
+++ b/src/main/kotlin/io/reedmast/wire/StoreMessages.kt
@@ -26,7 +26,10 @@
 
     fun delete(key: String): Fields = mapOf("delete" to key)
 
-    fun transaction(conditions: List<Fields>, writes: List<Fields>): Fields = mapOf("when" to conditions, "writes" to writes)
+    fun transaction(conditions: List<Fields>, writes: List<Fields>): Fields = mapOf(
+        "when" to conditions,
+        "writes" to writes,
+    )
 
     fun leaseRequest(lifeMs: Long): Fields = mapOf("lifeMs" to lifeMs)
 
--- a/src/main/kotlin/io/reedmast/wire/Submission.kt
+++ b/src/main/kotlin/io/reedmast/wire/Submission.kt
@@ -8,11 +8,15 @@
     BEST_EFFORT("best_effort"),
     ;
 
-    /** Work of the lowest rank declares no minimum run time: it is not charged, and any funded request may take its place. */
+    /**
+     * Work of the lowest rank declares no minimum run time: it is not charged, and any funded request may take its
+     * place.
+     */
     val isFunded: Boolean get() = this != BEST_EFFORT
 
     companion object {
-        fun of(text: String): Priority = entries.firstOrNull { it.wire == text } ?: throw MalformedException("rank is unknown: $text")
+        fun of(text: String): Priority =
+            entries.firstOrNull { it.wire == text } ?: throw MalformedException("rank is unknown: $text")
     }
 }
 
@@ -29,7 +33,8 @@
     ;
 
     companion object {
-        fun of(text: String): JobShape = entries.firstOrNull { it.wire == text } ?: throw MalformedException("shape is unknown: $text")
+        fun of(text: String): JobShape =
+            entries.firstOrNull { it.wire == text } ?: throw MalformedException("shape is unknown: $text")
     }
 }
 
@@ -99,7 +104,11 @@
             val cpus = fields.amount("cpus")
             val gpus = fields.amount("gpus")
             val memoryGb = fields.amount("memGb")
-            if (cpus == 0.0 && gpus == 0.0 && memoryGb == 0.0) throw MalformedException("a task must take something of its machine")
+            if (cpus == 0.0 && gpus == 0.0 &&
+                memoryGb == 0.0
+            ) {
+                throw MalformedException("a task must take something of its machine")
+            }
             return JobSpec(
                 jobId = jobId,
                 jobClass = fields.text("lot").limited("lot"),
@@ -124,6 +133,12 @@
             )
         }
 
-        private fun String.limited(name: String): String = if (length > MAX_NAME) throw MalformedException("$name is too long") else this
+        private fun String.limited(name: String): String = if (length >
+            MAX_NAME
+        ) {
+            throw MalformedException("$name is too long")
+        } else {
+            this
+        }
     }
 }
--- a/src/main/kotlin/io/reedmast/wire/Tree.kt
+++ b/src/main/kotlin/io/reedmast/wire/Tree.kt
@@ -155,12 +155,13 @@
 }
 
 /** Field access with the checks that every message needs. A null field counts as omitted. */
-fun Fields.text(name: String): String = this[name] as? String ?: throw MalformedException(if (this[name] == null) "$name is missing" else "$name is not text")
+fun Fields.text(name: String): String = this[name] as? String
+    ?: throw MalformedException(if (this[name] == null) "$name is missing" else "$name is not text")
 
 fun Fields.optionalText(name: String): String? = if (this[name] == null) null else text(name)
 
-fun Fields.flag(name: String): Boolean =
-    this[name] as? Boolean ?: throw MalformedException(if (this[name] == null) "$name is missing" else "$name is not a boolean")
+fun Fields.flag(name: String): Boolean = this[name] as? Boolean
+    ?: throw MalformedException(if (this[name] == null) "$name is missing" else "$name is not a boolean")
 
 fun Fields.optionalFlag(name: String): Boolean = this[name] != null && flag(name)
 
@@ -201,10 +202,18 @@
 
 fun Fields.map(name: String): Fields = asFields(this[name] ?: throw MalformedException("$name is missing"))
 
-fun Fields.list(name: String): List<Any?> =
-    this[name] as? List<*> ?: throw MalformedException(if (this[name] == null) "$name is missing" else "$name is not a list")
+fun Fields.list(name: String): List<Any?> = this[name] as? List<*>
+    ?: throw MalformedException(if (this[name] == null) "$name is missing" else "$name is not a list")
 
 fun Fields.maps(name: String): List<Fields> = list(name).map { asFields(it) }
 
-fun Fields.optionalTexts(name: String): List<String>? =
-    if (this[name] == null) null else list(name).map { it as? String ?: throw MalformedException("$name holds something that is not text") }
+fun Fields.optionalTexts(name: String): List<String>? = if (this[name] ==
+    null
+) {
+    null
+} else {
+    list(name).map {
+        it as? String
+            ?: throw MalformedException("$name holds something that is not text")
+    }
+}
--- a/src/main/kotlin/io/reedmast/wire/UserMessages.kt
+++ b/src/main/kotlin/io/reedmast/wire/UserMessages.kt
@@ -14,10 +14,19 @@
 
 /** A job as its users see it; the counts, of tasks, are for display. */
 data class JobStatus(val jobId: String, val state: JobState, val done: Int? = null, val running: Int? = null) {
-    fun toFields(): Fields = mapOf("ref" to jobId, "stage" to state.wire, "done" to done, "running" to running).filterValues { it != null }
+    fun toFields(): Fields =
+        mapOf("ref" to jobId, "stage" to state.wire, "done" to done, "running" to running).filterValues {
+            it !=
+                null
+        }
 }
 
 /** The answer to a user: a job's status, or why there is none. */
-data class UserAnswer(val status: Int, val job: JobStatus? = null, val error: String? = null, val retryAfterS: Int? = null) {
+data class UserAnswer(
+    val status: Int,
+    val job: JobStatus? = null,
+    val error: String? = null,
+    val retryAfterS: Int? = null,
+) {
     fun toFields(): Fields = job?.toFields() ?: mapOf("error" to error)
 }
--- a/src/main/kotlin/io/reedmast/wire/WorkerMessages.kt
+++ b/src/main/kotlin/io/reedmast/wire/WorkerMessages.kt
@@ -80,7 +80,13 @@
                 fields.count("try"),
                 state,
                 // A cause nobody told us of still means that the attempt is over without a result.
-                if (state == TaskState.ENDED) Cause.entries.firstOrNull { it.wire == causeName } ?: Cause.ERROR else null,
+                if (state ==
+                    TaskState.ENDED
+                ) {
+                    Cause.entries.firstOrNull { it.wire == causeName } ?: Cause.ERROR
+                } else {
+                    null
+                },
             )
         }
     }
@@ -89,13 +95,17 @@
 /** The bodies that workers are sent. */
 object WorkerReplies {
     /** The answer to a report: commands under a token. */
-    fun heartbeatReply(token: Long, commands: List<WorkerCommand>): Fields = mapOf("baton" to token, "orders" to commands.map { it.toFields() })
+    fun heartbeatReply(token: Long, commands: List<WorkerCommand>): Fields = mapOf(
+        "baton" to token,
+        "orders" to commands.map { it.toFields() },
+    )
 
     /** The answer to a report that another controller should get; null: nobody knows which. */
     fun redirect(owner: String?): Fields = mapOf("steward" to owner)
 
     /** A direct call. */
-    fun directCall(token: Long, epoch: Long, commands: List<WorkerCommand>): Fields = heartbeatReply(token, commands) + ("tenure" to epoch)
+    fun directCall(token: Long, epoch: Long, commands: List<WorkerCommand>): Fields =
+        heartbeatReply(token, commands) + ("tenure" to epoch)
 }
 
 /** A command to a worker. */
--- a/src/test/kotlin/io/reedmast/ArchitectureTest.kt
+++ b/src/test/kotlin/io/reedmast/ArchitectureTest.kt
@@ -12,12 +12,21 @@
     private val production: JavaClasses =
         ClassFileImporter().withImportOption(ImportOption.DoNotIncludeTests()).importPackages("io.reedmast")
 
-    private val decisions = arrayOf("placement", "fairshare", "jobs", "ownership", "fleet", "workers", "rollout").map { "io.reedmast.$it.." }.toTypedArray()
+    private val decisions = arrayOf("placement", "fairshare", "jobs", "ownership", "fleet", "workers", "rollout").map {
+        "io.reedmast.$it.."
+    }.toTypedArray()
 
     @Test
     fun `decisions do no I-O`() {
         noClasses().that().resideInAnyPackage(*decisions)
-            .should().dependOnClassesThat().resideInAnyPackage("java.net..", "java.nio..", "java.io..", "com.sun.net..", "okio..", "org.http4k..")
+            .should().dependOnClassesThat().resideInAnyPackage(
+                "java.net..",
+                "java.nio..",
+                "java.io..",
+                "com.sun.net..",
+                "okio..",
+                "org.http4k..",
+            )
             .check(production)
     }
 
--- a/src/test/kotlin/io/reedmast/CountedWorkTest.kt
+++ b/src/test/kotlin/io/reedmast/CountedWorkTest.kt
@@ -70,8 +70,22 @@
         }
         world.runUntil(70_000)
         assertEquals(emptyList<String>(), world.rules.broken)
-        assertEquals(60, world.rules.told.keys.size.let { world.jobs.values.count { job -> job.completed.size == job.spec.taskCount } }, "arrays that are over")
-        assertEquals(360, world.workers.values.sumOf { w -> w.onMachine().count { world.jobs.getValue(it.jobId).spec.service } })
+        assertEquals(
+            60,
+            world.rules.told.keys.size.let {
+                world.jobs.values.count { job ->
+                    job.completed.size ==
+                        job.spec.taskCount
+                }
+            },
+            "arrays that are over",
+        )
+        assertEquals(
+            360,
+            world.workers.values.sumOf { w ->
+                w.onMachine().count { world.jobs.getValue(it.jobId).spec.service }
+            },
+        )
         val seconds = 50
         val stored = world.state.changes - before
         // An acceptance for each job, two more for the end of each array; pages and totals at their own rate.
@@ -86,8 +100,8 @@
     }
 
     /**
-     * Half as many machines again as the largest fleet that was planned for: what is stored follows jobs and pages, not tasks,
-     * and what is sent follows tasks, not machines times tasks.
+     * Half as many machines again as the largest fleet that was planned for: what is stored follows jobs and pages, not
+     * tasks, and what is sent follows tasks, not machines times tasks.
      */
     @Test
     fun `sixteen hundred machines take ten thousand tasks`() {
@@ -102,7 +116,16 @@
         val messages = world.messages
         for (i in 0 until 100) {
             val jobId = "wk-%06d".format(i)
-            val spec = World.spec(jobId, mapOf("team" to "t${i % 6}", "tasks" to "100", "cpus" to "2", "run" to "5", "spot" to "true"))
+            val spec = World.spec(
+                jobId,
+                mapOf(
+                    "team" to "t${i % 6}",
+                    "tasks" to "100",
+                    "cpus" to "2",
+                    "run" to "5",
+                    "spot" to "true",
+                ),
+            )
             world.jobs[jobId] = World.SimJob(spec, 5_000, false)
             world.nodes[i % nodes].ask(jobId, { c, answer -> c.submit(spec, answer) })
         }
@@ -113,7 +136,8 @@
         // An acceptance and two for the end of each job; a page holds a few dozen tasks, and is stored a few times.
         val stored = world.state.changes - before
         assertTrue(stored < 3 * 100 + 10_000 / 8, "$stored changes")
-        // Idle machines report every three seconds; a busy one at three changes of each of its six tasks, and once to forget.
+        // Idle machines report every three seconds; a busy one at three changes of each of its six tasks, and once to
+        // forget.
         val sent = world.messages - messages
         assertTrue(sent < machines * 30 / 3 * 1.2 + 10_000 * 4, "$sent messages")
         for (node in world.nodes) {
@@ -146,9 +170,15 @@
     fun `a slice's machines are spread over records below the limit`() {
         val records = (0 until 200).map { MachineRecord("host-%06d".format(it), "m", "x", it % 2 == 0) }
         val first = MachineListPart.EMPTY.with(records, 1024)
-        assertTrue(Tree.jsonSize(first.toFields()) <= 1024 && first.records.size in 20..199, "${first.records.size} machines")
+        assertTrue(
+            Tree.jsonSize(first.toFields()) <= 1024 && first.records.size in 20..199,
+            "${first.records.size} machines",
+        )
         assertEquals(first, first.with(records.take(10), 1024))
-        assertEquals(first, MachineListPart.parse(Tree.readCbor(Tree.writeCbor(first.toFields()))).copy(records = first.records))
+        assertEquals(
+            first,
+            MachineListPart.parse(Tree.readCbor(Tree.writeCbor(first.toFields()))).copy(records = first.records),
+        )
     }
 
     @Test
--- a/src/test/kotlin/io/reedmast/LargeFaultTest.kt
+++ b/src/test/kotlin/io/reedmast/LargeFaultTest.kt
@@ -9,8 +9,8 @@
  * Days by chance at production size: hundreds of machines and jobs, the store's true limits, records that fill many
  * values and many pages of a listing, and troubles over each other.
  *
- * At size the changes of a moment share transactions, watches fall so far behind that everything is read anew, and listings are
- * read page by page while their keys change. No day of a few machines meets any of that.
+ * At size the changes of a moment share transactions, watches fall so far behind that everything is read anew, and
+ * listings are read page by page while their keys change. No day of a few machines meets any of that.
  */
 class LargeFaultTest {
     @TestFactory
@@ -18,11 +18,17 @@
 
     /** Controllers are upgraded among the other troubles, gangs come after that, and the store lowers its limits. */
     @TestFactory
-    fun `days of an upgrade`(): List<DynamicTest> = seeds(UPGRADE_DAYS).map { seed -> play("upgrade day $seed", LargeDay(seed, upgrade = true)) }
+    fun `days of an upgrade`(): List<DynamicTest> = seeds(UPGRADE_DAYS).map { seed ->
+        play("upgrade day $seed", LargeDay(seed, upgrade = true))
+    }
 
-    /** After the upgrade features are rolled out and taken back under the other troubles; in the end they are enabled. */
+    /**
+     * After the upgrade features are rolled out and taken back under the other troubles; in the end they are enabled.
+     */
     @TestFactory
-    fun `days of a rollout`(): List<DynamicTest> = seeds(ROLLOUT_DAYS).map { seed -> play("rollout day $seed", LargeDay(seed, upgrade = true, rollout = true)) }
+    fun `days of a rollout`(): List<DynamicTest> = seeds(ROLLOUT_DAYS).map { seed ->
+        play("rollout day $seed", LargeDay(seed, upgrade = true, rollout = true))
+    }
 
     /** As many machines as any deployment has: nothing may hold fewer. */
     @TestFactory
@@ -37,7 +43,9 @@
         }
     }
 
-    /** The days that are always played, or, to look for more, those that the variable LARGE_SEEDS names (as in 100-200). */
+    /**
+     * The days that are always played, or, to look for more, those that the variable LARGE_SEEDS names (as in 100-200).
+     */
     private fun seeds(days: Long = DAYS): LongRange {
         val (from, to) = (System.getenv("LARGE_SEEDS") ?: return 1L..days).split('-').map { it.toLong() }
         return from..to
--- a/src/test/kotlin/io/reedmast/ProductionFormatTest.kt
+++ b/src/test/kotlin/io/reedmast/ProductionFormatTest.kt
@@ -2,7 +2,6 @@
 
 import io.reedmast.autoscaling.ShardUsageSummary
 import io.reedmast.cluster.MachineListPart
-import io.reedmast.cluster.ShardRecord
 import io.reedmast.jobs.EndRecord
 import io.reedmast.jobs.LiveRecord
 import io.reedmast.model.ChargedUsage
@@ -10,6 +9,7 @@
 import io.reedmast.model.Machine
 import io.reedmast.model.MachineRecord
 import io.reedmast.model.Placement
+import io.reedmast.model.ShardRecord
 import io.reedmast.peers.PeerCodec
 import io.reedmast.persistence.PageForm
 import io.reedmast.persistence.ProgressPage
@@ -31,8 +31,8 @@
 import java.nio.file.Path
 
 /**
- * Records and frames that the version in production wrote (`writtenBy` in the file names its commit) are read as it meant them, and
- * written again form for form: while both versions serve, each reads what the other has stored.
+ * Records and frames that the version in production wrote (`writtenBy` in the file names its commit) are read as it
+ * meant them, and written again form for form: while both versions serve, each reads what the other has stored.
  */
 class ProductionFormatTest {
     private val records = Tree.readJson(Files.readAllBytes(Path.of("src/test/resources/production/records.json")))
@@ -48,7 +48,13 @@
     fun `records of slices, machines and jobs`() {
         assertSameForm("slice", ShardRecord.parse(record("slice")).toFields())
         assertSameForm("hosts", MachineListPart.parse(record("hosts")).toFields())
-        for (name in listOf("live-array", "live-service", "live-cancelled")) assertSameForm(name, LiveRecord.parse(record(name)).toFields())
+        for (name in listOf(
+            "live-array",
+            "live-service",
+            "live-cancelled",
+        )) {
+            assertSameForm(name, LiveRecord.parse(record(name)).toFields())
+        }
         for (name in listOf("end-done", "end-cancelled")) assertSameForm(name, EndRecord.parse(record(name)).toFields())
         assertEquals(JobShape.SERVICE, LiveRecord.parse(record("live-service")).spec.shape)
         assertEquals(JobShape.ARRAY, LiveRecord.parse(record("live-array")).spec.shape)
@@ -62,7 +68,10 @@
         assertSameForm("totals", totals.within(VALUE_BYTES).toFields() + ("term" to record("totals")["term"]))
     }
 
-    /** Without the field that tells of the format: production reads past it, and tells by the key alone that a controller is there. */
+    /**
+     * Without the field that tells of the format: production reads past it, and tells by the key alone that a
+     * controller is there.
+     */
     @Test
     fun `the key of a controller`() {
         assertEquals(setOf("label"), record("member").keys)
@@ -78,7 +87,15 @@
             val job = jobs.getOrPut(read.jobId) { Job(live.spec, TeamId(0), live.chunkSize, 0L, 1L) }
             read.done.stream().forEach { job.markDone(read.first + it) }
             read.placements.forEach { on ->
-                job.add(Placement(job, on.task, on.attempt, Machine(MachineRecord(on.machineName, "g8", "x", false), null, 0L, 0L), 0L))
+                job.add(
+                    Placement(
+                        job,
+                        on.task,
+                        on.attempt,
+                        Machine(MachineRecord(on.machineName, "g8", "x", false), null, 0L, 0L),
+                        0L,
+                    ),
+                )
             }
             page.add(job.chunkOf(read.first))
         }
--- a/src/test/kotlin/io/reedmast/RandomizedFaultTest.kt
+++ b/src/test/kotlin/io/reedmast/RandomizedFaultTest.kt
@@ -6,11 +6,11 @@
 import org.junit.jupiter.api.TestFactory
 
 /**
- * Days on which troubles meet as chance has it, in the stand-in world. A day is a scenario like those of the files, made from
- * its seed, so that one which fails can be printed, cut down and kept as a file.
+ * Days on which troubles meet as chance has it, in the stand-in world. A day is a scenario like those of the files,
+ * made from its seed, so that one which fails can be printed, cut down and kept as a file.
  *
- * All rules are checked throughout; once the troubles are over, every node answers about every job, no job is neglected, and
- * all that was accepted has run.
+ * All rules are checked throughout; once the troubles are over, every node answers about every job, no job is
+ * neglected, and all that was accepted has run.
  */
 class RandomizedFaultTest {
     @TestFactory
@@ -23,7 +23,10 @@
     @TestFactory
     fun `days of an upgrade`(): List<DynamicTest> = play("upgrade day") { RandomDay(it, gangs = true, upgrade = true) }
 
-    /** Features are rolled out and taken back by operators who oppose each other, while controllers are replaced by other versions. */
+    /**
+     * Features are rolled out and taken back by operators who oppose each other, while controllers are replaced by
+     * other versions.
+     */
     @TestFactory
     fun `days of a rollout`(): List<DynamicTest> = play("rollout day") { RandomDay(it, rollout = true) }
 
@@ -38,7 +41,10 @@
         }
     }
 
-    /** The days that are always played, or, to look for more, those that the variable FAULT_SEEDS names (as in 100-2000). */
+    /**
+     * The days that are always played, or, to look for more, those that the variable FAULT_SEEDS names (as in
+     * 100-2000).
+     */
     private fun seeds(): LongRange {
         val (from, to) = (System.getenv("FAULT_SEEDS") ?: return 1L..DAYS).split('-').map { it.toLong() }
         return from..to
--- a/src/test/kotlin/io/reedmast/ScenarioTest.kt
+++ b/src/test/kotlin/io/reedmast/ScenarioTest.kt
@@ -11,7 +11,8 @@
 /** Runs every file of src/test/resources/scenarios. */
 class ScenarioTest {
     @TestFactory
-    fun scenarios(): List<DynamicTest> = Path.of("src/test/resources/scenarios").listDirectoryEntries("*.txt").sorted().map { file ->
-        DynamicTest.dynamicTest(file.nameWithoutExtension) { Scenario(Files.readAllLines(file)).run() }
-    }
+    fun scenarios(): List<DynamicTest> =
+        Path.of("src/test/resources/scenarios").listDirectoryEntries("*.txt").sorted().map { file ->
+            DynamicTest.dynamicTest(file.nameWithoutExtension) { Scenario(Files.readAllLines(file)).run() }
+        }
 }
--- a/src/test/kotlin/io/reedmast/app/CommandLineTest.kt
+++ b/src/test/kotlin/io/reedmast/app/CommandLineTest.kt
@@ -11,7 +11,9 @@
     private fun run(vararg args: String): Pair<Int, String> {
         val java = Path.of(System.getProperty("java.home"), "bin", "java").toString()
         val errors = Files.createTempFile("errors", ".txt")
-        val process = ProcessBuilder(listOf(java, "-cp", System.getProperty("java.class.path"), "io.reedmast.app.MainKt") + args)
+        val process = ProcessBuilder(
+            listOf(java, "-cp", System.getProperty("java.class.path"), "io.reedmast.app.MainKt") + args,
+        )
             .redirectError(errors.toFile()).redirectOutput(ProcessBuilder.Redirect.DISCARD).start()
         val code = process.waitFor()
         return code to Files.readString(errors).also { Files.delete(errors) }
@@ -45,7 +47,12 @@
 
     @Test
     fun `an act whose cluster does not answer is refused with 1 and one line`() {
-        val refused = run("--config", "deploy/rehearsal.json", "rollout", "enable", "fenced-tokens", "--by", "somebody", "--why", "a test")
+        val refused = run(
+            *("--config deploy/rehearsal.json rollout enable fenced-tokens --by somebody --why").split(
+                ' ',
+            ).toTypedArray(),
+            "a test",
+        )
         assertEquals(1, refused.first)
         assertTrue("the store does not answer" in refused.second, refused.second)
     }
--- a/src/test/kotlin/io/reedmast/app/EventLoopTest.kt
+++ b/src/test/kotlin/io/reedmast/app/EventLoopTest.kt
@@ -88,7 +88,8 @@
             done.await()
         }
         assertTrue(ticks.get() >= 2, "${ticks.get()} ticks between messages")
-        // It came into a tick's waiting time and was over before the tick was due: nothing else wakes the deciding thread.
+        // It came into a tick's waiting time and was over before the tick was due: nothing else wakes the deciding
+        // thread.
         val before = ticks.get()
         Thread.sleep(500)
         assertTrue(ticks.get() >= before + 5, "${ticks.get() - before} ticks in a quiet half second")
--- a/src/test/kotlin/io/reedmast/app/SocketTest.kt
+++ b/src/test/kotlin/io/reedmast/app/SocketTest.kt
@@ -90,7 +90,8 @@
         val client = StoreClient(settings.storeAddress, limits, 1, Caller(500, 1000))
         val out = NetworkGateway(settings, eventLoop, client, limits, "test") {}
         val timings = Timings(SystemClock)
-        val node = ControllerHandle(eventLoop, Controller(settings, Tuning(), SystemClock, out, limits, "test"), timings)
+        val node =
+            ControllerHandle(eventLoop, Controller(settings, Tuning(), SystemClock, out, limits, "test"), timings)
         HttpApi(settings, node, timings).start()
         out.start()
         Watches(client, SystemClock, node).start()
@@ -108,11 +109,19 @@
     @Synchronized
     private fun commit(body: Fields): Pair<Int, Fields> {
         val preconditions = (body["when"] as List<*>).map { it as Map<*, *> }
-        val failed = preconditions.filter { (stored[it["path"]]?.second ?: 0L) != (it["stamp"] as Number).toLong() }.map { it["path"] }
+        val failed = preconditions.filter {
+            (stored[it["path"]]?.second ?: 0L) != (it["stamp"] as Number).toLong()
+        }.map { it["path"] }
         if (failed.isNotEmpty()) return 409 to mapOf("failed" to failed, "epoch" to revision)
         revision++
         for (write in (body["writes"] as List<*>).map { it as Map<*, *> }) {
-            if (write["put"] != null) stored[write["put"] as String] = write["v"] to revision else stored.remove(write["delete"] as String)
+            if (write["put"] !=
+                null
+            ) {
+                stored[write["put"] as String] = write["v"] to revision
+            } else {
+                stored.remove(write["delete"] as String)
+            }
             log.add(write + ("stamp" to revision))
         }
         return 200 to mapOf("epoch" to revision)
@@ -130,7 +139,10 @@
             synchronized(this) {
                 val after = query.substringAfter("after=").substringBefore('&').toLong()
                 val prefix = query.substringAfter("prefix=").substringBefore('&')
-                val news = log.filter { (it["stamp"] as Long) > after && ((it["put"] ?: it["delete"]) as String).startsWith(prefix) }
+                val news = log.filter {
+                    (it["stamp"] as Long) > after &&
+                        ((it["put"] ?: it["delete"]) as String).startsWith(prefix)
+                }
                 val gap = tooOld && prefix.startsWith("j")
                 if (gap) tooOld = false
                 if (gap) 410 to emptyMap() else 200 to mapOf("epoch" to revision, "log" to news)
@@ -139,19 +151,27 @@
 
         path == "/kv" -> synchronized(this) {
             val prefix = query.substringAfter("prefix=").substringBefore('&')
-            val pairs = stored.filterKeys { it.startsWith(prefix) }.map { mapOf("path" to it.key, "v" to it.value.first, "stamp" to it.value.second) }
+            val pairs = stored.filterKeys { it.startsWith(prefix) }.map {
+                mapOf(
+                    "path" to it.key,
+                    "v" to it.value.first,
+                    "stamp" to it.value.second,
+                )
+            }
             200 to mapOf("pairs" to pairs, "more" to false, "epoch" to revision)
         }
 
         path.startsWith("/kv/") -> synchronized(this) {
             val key = path.removePrefix("/kv/")
-            stored[key]?.let { 200 to mapOf("path" to key, "v" to it.first, "stamp" to it.second) } ?: (404 to mapOf("epoch" to revision))
+            stored[key]?.let { 200 to mapOf("path" to key, "v" to it.first, "stamp" to it.second) }
+                ?: (404 to mapOf("epoch" to revision))
         }
 
         path == "/flavors" -> 200 to mapOf(
             "builds" to listOf(
                 mapOf(
-                    "label" to "m", "cpus" to 4, "gpus" to 0, "memGb" to 8, "localGb" to 50, "pullGbPerS" to 1.0, "hourly" to 1.0, "startupS" to 9,
+                    "label" to "m", "cpus" to 4, "gpus" to 0, "memGb" to 8, "localGb" to 50, "pullGbPerS" to 1.0,
+                    "hourly" to 1.0, "startupS" to 9,
                     "yards" to listOf("here"),
                 ),
             ),
@@ -177,8 +197,10 @@
     }
 
     private val job = mapOf(
-        "ref" to "wk-000001", "lot" to "l", "crew" to "nobody", "shape" to "array", "rank" to "standard", "pieces" to 1, "cpus" to 1, "gpus" to 0,
-        "memGb" to 1, "bundle" to "i", "sizeGb" to 1, "oneZone" to false, "apart" to false, "driftwood" to false, "guessS" to 5, "markS" to 0, "stowS" to 0,
+        "ref" to "wk-000001", "lot" to "l", "crew" to "nobody", "shape" to "array", "rank" to "standard", "pieces" to 1,
+        "cpus" to 1, "gpus" to 0,
+        "memGb" to 1, "bundle" to "i", "sizeGb" to 1, "oneZone" to false, "apart" to false, "driftwood" to false,
+        "guessS" to 5, "markS" to 0, "stowS" to 0,
     )
 
     private fun submit(fields: Fields) = call("POST", "/submissions", Tree.writeCbor(fields))
@@ -206,12 +228,17 @@
         synchronized(this) {
             // Accepted by another node, and no longer among the changes that are kept.
             revision++
-            stored["j/live/0/wk-000009"] = mapOf("spec" to job + ("ref" to "wk-000009"), "chunk" to 10, "at" to 1) to revision
+            stored["j/live/0/wk-000009"] =
+                mapOf("spec" to job + ("ref" to "wk-000009"), "chunk" to 10, "at" to 1) to revision
         }
         assertEquals(404, call("GET", "/submissions/wk-000009", null).first)
         tooOld = true
         val patience = System.nanoTime() + 10_000_000_000L
-        while (call("GET", "/submissions/wk-000009", null).first != 200 && System.nanoTime() < patience) Thread.sleep(50)
+        while (call("GET", "/submissions/wk-000009", null).first != 200 &&
+            System.nanoTime() < patience
+        ) {
+            Thread.sleep(50)
+        }
         assertEquals(200, call("GET", "/submissions/wk-000009", null).first)
     }
 
@@ -237,7 +264,9 @@
     fun `a body that is too large is refused, and the next request is served`() {
         Socket("127.0.0.1", front).use { socket ->
             socket.soTimeout = 5000
-            socket.getOutputStream().write("POST /submissions HTTP/1.1\r\nHost: x\r\nContent-Length: 10000000\r\n\r\n".toByteArray())
+            socket.getOutputStream().write(
+                "POST /submissions HTTP/1.1\r\nHost: x\r\nContent-Length: 10000000\r\n\r\n".toByteArray(),
+            )
             socket.getOutputStream().write(ByteArray(1000))
             val line = socket.getInputStream().bufferedReader().readLine()
             assertTrue(line.contains("413"), line)
@@ -253,7 +282,16 @@
         val listening = server.open()
         backendThreads.execute { server.run(listening) }
         val jobs = (0 until 5_000).map { JobProgress("wk-%06d".format(it), it, 7) }
-        val machineNames = (0 until 500).map { MachineHint("host-%06d".format(it), "10.1.0.1:$it", listOf("img-1" to 1.5, "img-$it" to 2.0)) }
+        val machineNames = (0 until 500).map {
+            MachineHint(
+                "host-%06d".format(it),
+                "10.1.0.1:$it",
+                listOf(
+                    "img-1" to 1.5,
+                    "img-$it" to 2.0,
+                ),
+            )
+        }
         assertTrue(PeerClient(address).send(PeerMessage.ShardStatusUpdate(jobs, machineNames)))
         val gotJobs = ArrayList<JobProgress>()
         val receivedHints = ArrayList<MachineHint>()
@@ -267,6 +305,11 @@
         }
         assertEquals(jobs, gotJobs)
         assertEquals(machineNames, receivedHints)
-        assertEquals(false, PeerClient(InetSocketAddress("127.0.0.1", freePort())).send(PeerMessage.ShardStatusUpdate(jobs, machineNames)))
+        assertEquals(
+            false,
+            PeerClient(
+                InetSocketAddress("127.0.0.1", freePort()),
+            ).send(PeerMessage.ShardStatusUpdate(jobs, machineNames)),
+        )
     }
 }
--- a/src/test/kotlin/io/reedmast/cluster/ShardAcquisitionTest.kt
+++ b/src/test/kotlin/io/reedmast/cluster/ShardAcquisitionTest.kt
@@ -6,6 +6,7 @@
 import io.reedmast.kvstore.Keys
 import io.reedmast.kvstore.WatchEvent
 import io.reedmast.kvstore.Write
+import io.reedmast.model.ShardRecord
 import io.reedmast.ports.Clock
 import io.reedmast.rollout.RolloutOptions
 import io.reedmast.settings.ShardId
@@ -27,7 +28,9 @@
     private val settings = testSettings(nodes = listOf("n0", "n1"))
     private val out = RecordingGateway()
     private val cluster =
-        Cluster(settings, Tuning(), clock, out, EffectiveLimits(settings.storeLimits), { emptyList() }, "n0-1", RolloutOptions(ClusterFeatures.registry))
+        Cluster(settings, Tuning(), clock, out, EffectiveLimits(settings.storeLimits), {
+            emptyList()
+        }, "n0-1", RolloutOptions(ClusterFeatures.registry))
     private val key = Keys.shard(0)
 
     private fun take(): CasTransaction = out.commits.first { change -> change.writes.any { it.path == key } }
@@ -58,7 +61,11 @@
     /** The answer is made up for after an outage of this node alone, in which another has taken the shard. */
     @Test
     fun `a take that is settled after another controller's is not acted on`() {
-        cluster.clusterEvents(listOf(WatchEvent(key, ShardRecord("n1", 5L shl 20).toFields(), 30)), revision = 30, askedAt = now)
+        cluster.clusterEvents(
+            listOf(WatchEvent(key, ShardRecord("n1", 5L shl 20).toFields(), 30)),
+            revision = 30,
+            askedAt = now,
+        )
         take().done(CommitOutcome.Applied(20))
         assertEquals(emptyList<Int>(), cluster.owned().map { it.index.value })
         assertEquals("n1", cluster.ownerOf(ShardId(0)))
--- a/src/test/kotlin/io/reedmast/cluster/WatchStalenessTest.kt
+++ b/src/test/kotlin/io/reedmast/cluster/WatchStalenessTest.kt
@@ -58,7 +58,10 @@
         assertFalse(staleness.isCurrent)
     }
 
-    /** A cancelled task is gone 41 s after its user was told: a lease of 16 s, and 2 s to spare, come after the last answer. */
+    /**
+     * A cancelled task is gone 41 s after its user was told: a lease of 16 s, and 2 s to spare, come after the last
+     * answer.
+     */
     @Test
     fun `workers are answered for so long that cancelled work still goes in time`() {
         assertTrue(staleness.isWithinSelfFence(now - 22_900))
--- a/src/test/kotlin/io/reedmast/commands/CommandDispatcherTest.kt
+++ b/src/test/kotlin/io/reedmast/commands/CommandDispatcherTest.kt
@@ -52,8 +52,9 @@
     }
 
     /**
-     * Launches wait for the next tick, which at size comes late. Meanwhile the job is cancelled, and a report without the task
-     * ends its placement: sent after that, the launch started a cancelled task, or one that was already placed elsewhere.
+     * Launches wait for the next tick, which at size comes late. Meanwhile the job is cancelled, and a report without
+     * the task ends its placement: sent after that, the launch started a cancelled task, or one that was already placed
+     * elsewhere.
      */
     @Test
     fun `a launch whose placement has ended meanwhile is not sent`() {
--- a/src/test/kotlin/io/reedmast/deploy/RolloutFileTest.kt
+++ b/src/test/kotlin/io/reedmast/deploy/RolloutFileTest.kt
@@ -13,7 +13,9 @@
 /** The operators' file: what it says is taken over, and each kind of error has a message that names the place. */
 class RolloutFileTest {
     private fun refused(text: String, vararg words: String) {
-        val message = assertThrows<RolloutFileException> { RolloutFile.parse(text, ClusterFeatures.registry) }.message.orEmpty()
+        val message = assertThrows<RolloutFileException> {
+            RolloutFile.parse(text, ClusterFeatures.registry)
+        }.message.orEmpty()
         words.forEach { assertTrue(it in message, "$it is not in: $message") }
         assertEquals(1, message.lines().size, message)
     }
@@ -21,7 +23,10 @@
     @Test
     fun `the file that is shipped can be used`() {
         val options = RolloutFile.load(Path.of("deploy/rollout.json"), ClusterFeatures.registry)
-        assertEquals(mapOf(ClusterFeatures.FENCED_TOKENS to Target.ENABLED, DensePages.FEATURE to Target.ENABLED), options.desired)
+        assertEquals(
+            mapOf(ClusterFeatures.FENCED_TOKENS to Target.ENABLED, DensePages.FEATURE to Target.ENABLED),
+            options.desired,
+        )
         assertEquals(MigrationPace(100, 0.7), options.pace)
     }
 
@@ -45,13 +50,19 @@
     @Test
     fun `a feature that is unknown, or contradicts what it depends on`() {
         refused("{\"features\":{\"denser-pages\":\"enabled\"}}", "denser-pages", "fenced-tokens")
-        refused("{\"features\":{\"dense-pages\":\"enabled\",\"fenced-tokens\":\"dormant\"}}", "dense-pages", "fenced-tokens")
+        refused(
+            "{\"features\":{\"dense-pages\":\"enabled\",\"fenced-tokens\":\"dormant\"}}",
+            "dense-pages",
+            "fenced-tokens",
+        )
         refused("{\"features\":{\"dense-pages\":\"finalized\",\"fenced-tokens\":\"enabled\"}}", "finalized")
     }
 
     @Test
     fun `a file that is not there`() {
-        val message = assertThrows<RolloutFileException> { RolloutFile.load(Path.of("no/such/file"), ClusterFeatures.registry) }.message.orEmpty()
+        val message = assertThrows<RolloutFileException> {
+            RolloutFile.load(Path.of("no/such/file"), ClusterFeatures.registry)
+        }.message.orEmpty()
         assertTrue("no/such/file" in message, message)
     }
 }
--- a/src/test/kotlin/io/reedmast/gangs/GangReservationsTest.kt
+++ b/src/test/kotlin/io/reedmast/gangs/GangReservationsTest.kt
@@ -15,7 +15,25 @@
 class GangReservationsTest {
     private val machineType = MachineType("m", 4.0, 0.0, 64.0, 50.0, 0.5, 1.0, 0.3, 20.0, listOf("x", "y"))
     private val reservations = GangReservations()
-    private val machines = (0 until 8).map { Machine(MachineRecord("host-$it", "m", if (it < 4) "x" else "y", false), machineType, 0L, 0L) }
+    private val machines = (0 until 8).map {
+        Machine(
+            MachineRecord(
+                "host-$it",
+                "m",
+                if (it <
+                    4
+                ) {
+                    "x"
+                } else {
+                    "y"
+                },
+                false,
+            ),
+            machineType,
+            0L,
+            0L,
+        )
+    }
 
     private fun job(id: String, tasks: Int, kind: String) =
         Job(World.spec(id, mapOf("kind" to kind, "tasks" to "$tasks", "oneZone" to "true")), TeamId(0), 16, 0L, 1L)
--- a/src/test/kotlin/io/reedmast/jobs/JobIndexTest.kt
+++ b/src/test/kotlin/io/reedmast/jobs/JobIndexTest.kt
@@ -13,7 +13,10 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** Whatever order the watch, readings and late answers come in, the index holds a job exactly as long as it is unfinished. */
+/**
+ * Whatever order the watch, readings and late answers come in, the index holds a job exactly as long as it is
+ * unfinished.
+ */
 class JobIndexTest {
     private val settings = testSettings()
     private val index = JobIndex(settings) { emptyList() }
@@ -23,8 +26,8 @@
         Tree.readCbor(Tree.writeCbor(LiveRecord(World.spec("wk-1", emptyMap()), 10, 0, isCancelled).toFields()))
 
     /**
-     * An acceptance shared a transaction whose answer was lost. The job ended, everything was read anew, and only then another key
-     * of the transaction showed that it had been applied.
+     * An acceptance shared a transaction whose answer was lost. The job ended, everything was read anew, and only then
+     * another key of the transaction showed that it had been applied.
      */
     @Test
     fun `an acceptance that is settled after the job's end does not bring it back`() {
--- a/src/test/kotlin/io/reedmast/kvstore/CommitQueueTest.kt
+++ b/src/test/kotlin/io/reedmast/kvstore/CommitQueueTest.kt
@@ -11,8 +11,12 @@
     private val limits = StoreLimits(100.0, 10.0, 8192, 4)
     private val queue = CommitQueue(limits, WriteRateLimiter(10.0) { now }, maxQueued = 8) { now }
 
-    private fun change(path: String, writePriority: WritePriority = WritePriority.URGENT) =
-        CasTransaction(listOf(Precondition(path, 1), Precondition("term", 3)), listOf(Write.Put(path, emptyMap())), writePriority) {}
+    private fun change(path: String, writePriority: WritePriority = WritePriority.URGENT) = CasTransaction(
+        listOf(Precondition(path, 1), Precondition("term", 3)),
+        listOf(Write.Put(path, emptyMap())),
+        writePriority,
+    ) {
+    }
 
     private fun paths() = (queue.poll() as CommitQueue.Polled.Batch).changes.map { it.writes.single().path }
 
@@ -64,7 +68,9 @@
         assertTrue(queue.offer(change("c"), refusable = false))
     }
 
-    /** A page that waits here lazily takes up no placements: for as long as others kept coming, its jobs did not start. */
+    /**
+     * A page that waits here lazily takes up no placements: for as long as others kept coming, its jobs did not start.
+     */
     @Test
     fun `a lazy change is not kept waiting for ever by prompt ones`() {
         queue.offer(change("lazy", WritePriority.DEFERRED), refusable = false)
@@ -72,7 +78,9 @@
         repeat(60) {
             now += 100
             queue.offer(change("p$it"), refusable = false)
-            (queue.poll() as? CommitQueue.Polled.Batch)?.let { batch -> batch.changes.forEach { sent.add(it.writes.single().path) } }
+            (queue.poll() as? CommitQueue.Polled.Batch)?.let { batch ->
+                batch.changes.forEach { sent.add(it.writes.single().path) }
+            }
         }
         assertTrue("lazy" in sent, "$sent")
     }
--- a/src/test/kotlin/io/reedmast/kvstore/CommitterTest.kt
+++ b/src/test/kotlin/io/reedmast/kvstore/CommitterTest.kt
@@ -24,17 +24,20 @@
         }
 
     private fun commit(changes: List<CasTransaction>, done: CountDownLatch) {
-        val committer = Committer(service.client, EffectiveLimits(service.limits), 64, TransactionIds("test")) { change, outcome -> change.done(outcome) }
+        val committer =
+            Committer(service.client, EffectiveLimits(service.limits), 64, TransactionIds("test")) { change, outcome ->
+                change.done(outcome)
+            }
         changes.forEach { committer.offer(it, refusable = false) }
         Thread(committer::run).apply { isDaemon = true }.start()
         assertTrue(done.await(20, TimeUnit.SECONDS), "some changes are never settled")
     }
 
     /**
-     * Two controllers cancel the same job, which writes the same value twice. The transaction of one of them, shared with the
-     * acceptance of a second job and with a page of placements, is lost; its repeat conflicts, and the value of the cancelled
-     * job's record is what it would have written. The acceptance and the placements were reported as stored: an accepted job was
-     * forgotten, and tasks were launched that no later owner knew of.
+     * Two controllers cancel the same job, which writes the same value twice. The transaction of one of them, shared
+     * with the acceptance of a second job and with a page of placements, is lost; its repeat conflicts, and the value
+     * of the cancelled job's record is what it would have written. The acceptance and the placements were reported as
+     * stored: an accepted job was forgotten, and tasks were launched that no later owner knew of.
      */
     @Test
     fun `an equal value written by another controller does not pass for our own transaction`() {
@@ -43,9 +46,27 @@
         val done = CountDownLatch(3)
         service.plan(Fate.LOST)
         service.whenLost = { service.store("j/live/0/wk-1", cancelled) }
-        val cancel = change("cancel", listOf(Precondition("j/live/0/wk-1", before)), Write.Put("j/live/0/wk-1", cancelled), done = done)
-        val accept = change("accept", listOf(Precondition("j/live/0/wk-2", 0)), Write.Put("j/live/0/wk-2", mapOf("spec" to "wk-2")), done = done)
-        val page = change("page", listOf(Precondition("page/0/0", 0)), Write.Put("page/0/0", mapOf("chunks" to listOf("wk-3"))), done = done)
+        val cancel =
+            change(
+                "cancel",
+                listOf(Precondition("j/live/0/wk-1", before)),
+                Write.Put("j/live/0/wk-1", cancelled),
+                done = done,
+            )
+        val accept =
+            change(
+                "accept",
+                listOf(Precondition("j/live/0/wk-2", 0)),
+                Write.Put("j/live/0/wk-2", mapOf("spec" to "wk-2")),
+                done = done,
+            )
+        val page =
+            change(
+                "page",
+                listOf(Precondition("page/0/0", 0)),
+                Write.Put("page/0/0", mapOf("chunks" to listOf("wk-3"))),
+                done = done,
+            )
         commit(listOf(cancel, accept, page), done)
         assertEquals(CommitOutcome.Conflict(setOf("j/live/0/wk-1")), outcomes["cancel"])
         assertEquals(CommitOutcome.Applied(service.versionOf("j/live/0/wk-2")), outcomes["accept"])
--- a/src/test/kotlin/io/reedmast/kvstore/InDoubtResolutionTest.kt
+++ b/src/test/kotlin/io/reedmast/kvstore/InDoubtResolutionTest.kt
@@ -3,20 +3,32 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 
-/** For each way a transaction without an answer can have gone, and each kind of change: what is reported is what became of it. */
+/**
+ * For each way a transaction without an answer can have gone, and each kind of change: what is reported is what became
+ * of it.
+ */
 class InDoubtResolutionTest {
     private val outcomes = LinkedHashMap<String, CommitOutcome>()
     private val sent = ArrayList<StoreTransaction>()
 
-    private fun change(name: String, preconditions: List<Precondition>, vararg writes: Write) = CasTransaction(preconditions, writes.toList()) {
-        outcomes[name] =
-            it
-    }
+    private fun change(name: String, preconditions: List<Precondition>, vararg writes: Write) =
+        CasTransaction(preconditions, writes.toList()) {
+            outcomes[name] =
+                it
+        }
 
     private val cancel = change("cancel", listOf(Precondition("a", 5)), Write.Put("a", mapOf("aborted" to true)))
-    private val accept = change("accept", listOf(Precondition("b", 0), Precondition("end/b", 0)), Write.Put("b", mapOf("spec" to "b")))
-    private val end = change("end", listOf(Precondition("c", 7), Precondition("end/c", 4)), Write.Put("end/c", mapOf("state" to "done")), Write.Delete("c"))
-    private val lead = change("lead", listOf(Precondition("leader", 0)), Write.Put("leader", mapOf("label" to "n0"), lease = 3))
+    private val accept =
+        change("accept", listOf(Precondition("b", 0), Precondition("end/b", 0)), Write.Put("b", mapOf("spec" to "b")))
+    private val end =
+        change(
+            "end",
+            listOf(Precondition("c", 7), Precondition("end/c", 4)),
+            Write.Put("end/c", mapOf("state" to "done")),
+            Write.Delete("c"),
+        )
+    private val lead =
+        change("lead", listOf(Precondition("leader", 0)), Write.Put("leader", mapOf("label" to "n0"), lease = 3))
 
     private fun resolution(vararg changes: CasTransaction) = InDoubtResolution(changes.toList(), TransactionIds("me"), {
         0.5
@@ -35,7 +47,17 @@
         }
     }
 
-    private fun stored(path: String, version: Long, by: String?) = StoredItem(path, if (by == null) emptyMap() else mapOf("txn" to by), version)
+    private fun stored(path: String, version: Long, by: String?) = StoredItem(
+        path,
+        if (by ==
+            null
+        ) {
+            emptyMap()
+        } else {
+            mapOf("txn" to by)
+        },
+        version,
+    )
 
     @Test
     fun `a transaction that was applied although its answer was lost`() {
@@ -67,7 +89,10 @@
         assertEquals(mapOf("cancel" to CommitOutcome.Conflict(setOf("a"))), outcomes)
         resolution.reply(CommitReply.Applied(12))
         assertEquals(listOf("b", "end/c", "c"), sent.last().writes.map { it.path })
-        assertEquals(listOf(CommitOutcome.Conflict(setOf("a")), CommitOutcome.Applied(12), CommitOutcome.Applied(12)), outcomes.values.toList())
+        assertEquals(
+            listOf(CommitOutcome.Conflict(setOf("a")), CommitOutcome.Applied(12), CommitOutcome.Applied(12)),
+            outcomes.values.toList(),
+        )
     }
 
     @Test
@@ -89,7 +114,10 @@
         assertEquals(mapOf("accept" to CommitOutcome.Applied(9)), outcomes)
     }
 
-    /** With the lease over, the repeat is refused whatever its preconditions say; the lost copy had stored the other changes. */
+    /**
+     * With the lease over, the repeat is refused whatever its preconditions say; the lost copy had stored the other
+     * changes.
+     */
     @Test
     fun `changes that share a transaction with a lease that has ended are told one by one`() {
         val resolution = resolution(lead, accept, end)
@@ -102,10 +130,16 @@
         resolution.find("b" to stored("b", 9, sent[0].id))
         resolution.reply(CommitReply.PreconditionFailed(setOf("c", "end/c")))
         resolution.find("end/c" to stored("end/c", 9, sent[0].id))
-        assertEquals(listOf(CommitOutcome.Applied(9), CommitOutcome.Applied(9)), listOf(outcomes["accept"], outcomes["end"]))
+        assertEquals(
+            listOf(CommitOutcome.Applied(9), CommitOutcome.Applied(9)),
+            listOf(outcomes["accept"], outcomes["end"]),
+        )
     }
 
-    /** The leader's key was there, under its lease, until the lease ended: that it is missing says nothing of the others. */
+    /**
+     * The leader's key was there, under its lease, until the lease ended: that it is missing says nothing of the
+     * others.
+     */
     @Test
     fun `a key that is missing again does not hide that its transaction was applied`() {
         val resolution = resolution(lead, accept)
--- a/src/test/kotlin/io/reedmast/kvstore/StoreClientTest.kt
+++ b/src/test/kotlin/io/reedmast/kvstore/StoreClientTest.kt
@@ -18,8 +18,8 @@
     }
 
     /**
-     * After a long gap the changes of large values may be more than this side reads. Asked for again they are no fewer, and the node
-     * would have heard nothing any more until ten thousand others had followed.
+     * After a long gap the changes of large values may be more than this side reads. Asked for again they are no fewer,
+     * and the node would have heard nothing any more until ten thousand others had followed.
      */
     @Test
     fun `more changes than can be read are taken for a gap, and everything is read anew`() {
--- a/src/test/kotlin/io/reedmast/kvstore/StoreStub.kt
+++ b/src/test/kotlin/io/reedmast/kvstore/StoreStub.kt
@@ -39,7 +39,13 @@
         server.executor = threads
         server.createContext("/", ::serve)
         server.start()
-        client = StoreClient("127.0.0.1:${server.address.port}", EffectiveLimits(limits), 1, Caller(connectMs = 500, readMs = 300))
+        client =
+            StoreClient(
+                "127.0.0.1:${server.address.port}",
+                EffectiveLimits(limits),
+                1,
+                Caller(connectMs = 500, readMs = 300),
+            )
     }
 
     override fun close() {
@@ -64,7 +70,13 @@
     private fun serve(exchange: HttpExchange) {
         val body = exchange.requestBody.readAllBytes()
         val path = exchange.requestURI.path
-        val (status, answer) = if (path == "/commit") commit(Tree.readCbor(body)) ?: return exchange.close() else read(path, exchange.requestURI.query)
+        val (status, answer) = if (path ==
+            "/commit"
+        ) {
+            commit(Tree.readCbor(body)) ?: return exchange.close()
+        } else {
+            read(path, exchange.requestURI.query)
+        }
         val bytes = Tree.writeCbor(answer)
         exchange.sendResponseHeaders(status, bytes.size.toLong())
         exchange.responseBody.use { it.write(bytes) }
@@ -85,7 +97,9 @@
     /** Carries a transaction out; also for copies that arrive late. */
     @Synchronized
     fun execute(body: Fields): Pair<Int, Fields> {
-        val failed = maps(body["when"]).filter { versionOf(it["path"] as String) != (it["stamp"] as Number).toLong() }.map { it["path"] }
+        val failed = maps(body["when"]).filter {
+            versionOf(it["path"] as String) != (it["stamp"] as Number).toLong()
+        }.map { it["path"] }
         if (failed.isNotEmpty()) return 409 to mapOf("failed" to failed, "epoch" to revision)
         revision++
         for (write in maps(body["writes"])) {
--- a/src/test/kotlin/io/reedmast/loopback/LoopbackCluster.kt
+++ b/src/test/kotlin/io/reedmast/loopback/LoopbackCluster.kt
@@ -3,7 +3,6 @@
 import com.sun.net.httpserver.HttpExchange
 import com.sun.net.httpserver.HttpServer
 import io.reedmast.kvstore.CommitReply
-import io.reedmast.kvstore.Keys
 import io.reedmast.kvstore.Precondition
 import io.reedmast.kvstore.StoreTransaction
 import io.reedmast.kvstore.StoredItem
@@ -32,14 +31,18 @@
  *
  * The stand-in store is that of the simulated world, driven by real time.
  */
-class LoopbackCluster(controllers: Int, private val machines: Int, private val classPath: (controller: Int) -> String) : AutoCloseable {
+class LoopbackCluster(controllers: Int, private val machines: Int, private val classPath: (controller: Int) -> String) :
+    AutoCloseable {
     val labels = (0 until controllers).map { "n$it" }
     private val frontPorts = labels.map { freePort() }
     private val peerPorts = labels.map { freePort() }
     val fronts = frontPorts.map { "127.0.0.1:$it" }
     val history = TaskHistory()
 
-    /** A machine that is silent for three of these is replaced, which a busy machine that runs this test must not bring about. */
+    /**
+     * A machine that is silent for three of these is replaced, which a busy machine that runs this test must not bring
+     * about.
+     */
     val reportMs = 2_000L
     val leaseMs = 16_000L
     val runMs = 3_000L
@@ -68,7 +71,8 @@
 
     fun isService(piece: String): Boolean = synchronized(services) { piece.substringBefore('/') in services }
 
-    // ---- controllers --------------------------------------------------------------------------------------------------
+    // ---- controllers
+    // --------------------------------------------------------------------------------------------------
 
     private fun settingsFile(controller: Int): Path {
         val others = labels.indices.filter { it != controller }
@@ -77,7 +81,8 @@
             "area" to "x",
             "front" to fronts[controller],
             "cluster_listen" to "127.0.0.1:${peerPorts[controller]}",
-            "seeds" to others.map { mapOf("label" to labels[it], "area" to "x", "endpoint" to "127.0.0.1:${peerPorts[it]}") },
+            "seeds" to
+                others.map { mapOf("label" to labels[it], "area" to "x", "endpoint" to "127.0.0.1:${peerPorts[it]}") },
             "outside" to mapOf("cloud" to address(), "state" to address()),
             "facts" to mapOf(
                 "nodes" to labels.size,
@@ -96,13 +101,25 @@
     private fun command(controller: Int, programs: String, arguments: List<String>): List<String> {
         val java = Path.of(System.getProperty("java.home"), "bin", "java").toString()
         val settings = settingsFile(controller).toString()
-        return listOf(java, "-Xmx112m", "-XX:+UseSerialGC", "-cp", programs, "io.reedmast.app.MainKt", "--config", settings) + arguments
+        return listOf(
+            java,
+            "-Xmx112m",
+            "-XX:+UseSerialGC",
+            "-cp",
+            programs,
+            "io.reedmast.app.MainKt",
+            "--config",
+            settings,
+        ) +
+            arguments
     }
 
     fun start(controller: Int, vararg arguments: String) {
         val log = directory.resolve("${labels[controller]}.log").toFile()
         processes[controller] = ProcessBuilder(command(controller, classPath(controller), arguments.toList()))
-            .redirectError(ProcessBuilder.Redirect.appendTo(log)).redirectOutput(ProcessBuilder.Redirect.DISCARD).start()
+            .redirectError(
+                ProcessBuilder.Redirect.appendTo(log),
+            ).redirectOutput(ProcessBuilder.Redirect.DISCARD).start()
     }
 
     fun kill(controller: Int) {
@@ -123,7 +140,8 @@
         return process.waitFor() to output
     }
 
-    // ---- users --------------------------------------------------------------------------------------------------------
+    // ---- users
+    // --------------------------------------------------------------------------------------------------------
 
     /** Submits as users do: at the next controller, until one accepts. */
     fun submit(spec: JobSpec): Boolean {
@@ -138,7 +156,9 @@
 
     /** The stage that some controller tells; null if none does. */
     fun stageOf(jobId: String): String? = fronts.firstNotNullOfOrNull { front ->
-        (caller.call("GET", front, "/submissions/$jobId") as? Reply.Answer)?.takeIf { it.status == 200 }?.body?.get("stage") as? String
+        (caller.call("GET", front, "/submissions/$jobId") as? Reply.Answer)?.takeIf {
+            it.status == 200
+        }?.body?.get("stage") as? String
     }
 
     fun await(what: String, seconds: Int, condition: () -> Boolean) {
@@ -152,7 +172,8 @@
     /** What the store holds. */
     fun stored(prefix: String): List<StoredItem> = locked { state.all(prefix) }
 
-    // ---- the stand-in services ----------------------------------------------------------------------------------------
+    // ---- the stand-in services
+    // ----------------------------------------------------------------------------------------
 
     private fun <T> locked(work: () -> T): T = synchronized(world) {
         world.runUntil(now() + WORLD_BEGINS_MS)
@@ -161,7 +182,10 @@
 
     private fun serve(exchange: HttpExchange) {
         val body = exchange.requestBody.readAllBytes().let { if (it.isEmpty()) emptyMap() else Tree.readCbor(it) }
-        val query = exchange.requestURI.query.orEmpty().split('&').filter { '=' in it }.associate { it.substringBefore('=') to it.substringAfter('=') }
+        val query = exchange.requestURI.query.orEmpty().split('&').filter { '=' in it }.associate {
+            it.substringBefore('=') to
+                it.substringAfter('=')
+        }
         val (status, answer) = answer(exchange.requestMethod, exchange.requestURI.path, query, body)
         val bytes = Tree.writeCbor(answer)
         try {
@@ -173,21 +197,30 @@
         }
     }
 
-    private fun answer(method: String, path: String, query: Map<String, String>, body: Fields): Pair<Int, Fields> = when {
-        path == "/follow" -> follow(query)
-        path == "/kv" -> locked { state.page(query.getValue("prefix"), query["after"]) }.let { page ->
-            200 to mapOf("pairs" to page.items.map { item(it) }, "more" to page.more, "epoch" to locked { state.revision })
+    private fun answer(method: String, path: String, query: Map<String, String>, body: Fields): Pair<Int, Fields> =
+        when {
+            path == "/follow" -> follow(query)
+            path == "/kv" -> locked { state.page(query.getValue("prefix"), query["after"]) }.let { page ->
+                val pairs = page.items.map { item(it) }
+                200 to mapOf("pairs" to pairs, "more" to page.more, "epoch" to locked { state.revision })
+            }
+            path.startsWith("/kv/") -> locked { state.get(path.removePrefix("/kv/")) }?.let { 200 to item(it) }
+                ?: (404 to emptyMap())
+            path == "/commit" -> locked { commit(body) }
+            path == "/leases" -> 200 to mapOf("holding" to locked { state.lease((body["lifeMs"] as Number).toLong()) })
+            path.startsWith("/leases/") -> {
+                val extended = locked { state.extend(path.split('/')[2].toLong(), EXTENDED_MS) }
+                (if (extended) 200 else 404) to emptyMap()
+            }
+            path == "/flavors" -> 200 to mapOf("builds" to types.map { typeFields(it) })
+            path == "/machines/return" -> {
+                (body["hosts"] as List<*>).forEach { name -> remove(name as String) }
+                200 to emptyMap()
+            }
+            path == "/machines" && method == "POST" -> provision((body["count"] as Number).toInt())
+            path == "/machines" -> 200 to mapOf("hosts" to machineNames(query["after"]), "more" to false)
+            else -> 404 to emptyMap()
         }
-        path.startsWith("/kv/") -> locked { state.get(path.removePrefix("/kv/")) }?.let { 200 to item(it) } ?: (404 to emptyMap())
-        path == "/commit" -> locked { commit(body) }
-        path == "/leases" -> 200 to mapOf("holding" to locked { state.lease((body["lifeMs"] as Number).toLong()) })
-        path.startsWith("/leases/") -> (if (locked { state.extend(path.split('/')[2].toLong(), EXTENDED_MS) }) 200 else 404) to emptyMap()
-        path == "/flavors" -> 200 to mapOf("builds" to types.map { typeFields(it) })
-        path == "/machines/return" -> 200.also { (body["hosts"] as List<*>).forEach { name -> remove(name as String) } } to emptyMap()
-        path == "/machines" && method == "POST" -> provision((body["count"] as Number).toInt())
-        path == "/machines" -> 200 to mapOf("hosts" to machineNames(query["after"]), "more" to false)
-        else -> 404 to emptyMap()
-    }
 
     private fun item(of: StoredItem): Fields = mapOf("path" to of.path, "v" to of.value, "stamp" to of.version)
 
@@ -198,25 +231,38 @@
             val (revision, news) = locked { state.revision to state.since(query.getValue("after").toLong()) }
             if (news == null) return 410 to emptyMap()
             val log = news.filter { it.path.startsWith(prefix) }
-            if (log.isNotEmpty() || now() >= until) return 200 to mapOf("epoch" to revision, "log" to log.map { event(it) })
+            if (log.isNotEmpty() ||
+                now() >= until
+            ) {
+                return 200 to mapOf("epoch" to revision, "log" to log.map { event(it) })
+            }
             Thread.sleep(WATCH_MS)
         }
     }
 
-    private fun event(of: WatchEvent): Fields =
-        if (of.value == null) mapOf("delete" to of.path, "stamp" to of.version) else mapOf("put" to of.path, "v" to of.value, "stamp" to of.version)
+    private fun event(of: WatchEvent): Fields = if (of.value == null) {
+        mapOf("delete" to of.path, "stamp" to of.version)
+    } else {
+        mapOf("put" to of.path, "v" to of.value, "stamp" to of.version)
+    }
 
     private fun commit(body: Fields): Pair<Int, Fields> {
-        val preconditions = (body["when"] as List<*>).map { asFields(it) }.map { Precondition(it["path"] as String, (it["stamp"] as Number).toLong()) }
+        val preconditions = (body["when"] as List<*>).map {
+            asFields(it)
+        }.map { Precondition(it["path"] as String, (it["stamp"] as Number).toLong()) }
         val writes = (body["writes"] as List<*>).map { asFields(it) }.map { write ->
             val put = write["put"] as? String ?: return@map Write.Delete(write["delete"] as String)
             Write.Put(put, asFields(write["v"]), (write["holding"] as? Number)?.toLong())
         }
         // The values carry their transaction's id already.
-        val id = writes.filterIsInstance<Write.Put>().firstOrNull()?.value?.get("txn") as? String ?: "delete-${++transactions}"
+        val id =
+            writes.filterIsInstance<Write.Put>().firstOrNull()?.value?.get("txn") as? String
+                ?: "delete-${++transactions}"
         return when (val reply = state.commit(StoreTransaction(id, preconditions, writes))) {
             is CommitReply.Applied -> 200 to mapOf("epoch" to reply.revision)
-            is CommitReply.PreconditionFailed -> 409 to mapOf("failed" to reply.paths.toList(), "epoch" to state.revision)
+            is CommitReply.PreconditionFailed ->
+                409 to
+                    mapOf("failed" to reply.paths.toList(), "epoch" to state.revision)
             else -> 400 to mapOf("error" to "$reply")
         }
     }
@@ -236,7 +282,15 @@
 
     private fun machineNames(after: String?): List<Fields> = synchronized(workers) {
         workers.entries.filter { after == null || it.key > after }.map { (name, worker) ->
-            mapOf("ref" to name, "addr" to worker.addr, "build" to "m", "yard" to "x", "driftwood" to false, "stage" to "running", "ageS" to 10.0)
+            mapOf(
+                "ref" to name,
+                "addr" to worker.addr,
+                "build" to "m",
+                "yard" to "x",
+                "driftwood" to false,
+                "stage" to "running",
+                "ageS" to 10.0,
+            )
         }
     }
 
