--- a/src/test/kotlin/io/reedmast/loopback/LoopbackRolloutTest.kt
+++ b/src/test/kotlin/io/reedmast/loopback/LoopbackRolloutTest.kt
@@ -9,11 +9,13 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Three controllers as real processes are drained, killed, replaced and rolled back under load, directed by `reedmast rollout` as an operator
- * would. Services stay placed, no task runs in two places, and no stored form is one that a controller that counts cannot read.
+ * Three controllers as real processes are drained, killed, replaced and rolled back under load, directed by `reedmast
+ * rollout` as an operator would. Services stay placed, no task runs in two places, and no stored form is one that a
+ * controller that counts cannot read.
  *
- * The variable OLD_CLASS_PATH names an earlier version that knows the rollout and not dense pages, as a program built from our history. Without
- * it, as in CI, the same version stands for it, and only what depends on the difference is left out.
+ * The variable OLD_CLASS_PATH names an earlier version that knows the rollout and not dense pages, as a program built
+ * from our history. Without it, as in CI, the same version stands for it, and only what depends on the difference is
+ * left out.
  */
 class LoopbackRolloutTest {
     private val log = LoggerFactory.getLogger("loopback")
@@ -21,7 +23,15 @@
     private val earlier: String? = System.getenv("OLD_CLASS_PATH")
     private val upgraded = HashSet<Int>()
 
-    private fun cluster() = LoopbackCluster(controllers = 3, machines = 8) { if (it in upgraded || earlier == null) today else earlier }
+    private fun cluster() = LoopbackCluster(controllers = 3, machines = 8) {
+        if (it in upgraded ||
+            earlier == null
+        ) {
+            today
+        } else {
+            earlier
+        }
+    }
 
     private fun LoopbackCluster.act(vararg arguments: String) {
         val (code, output) = rollout(*arguments)
@@ -36,7 +46,10 @@
 
     private fun LoopbackCluster.status(): String = rollout("status").second
 
-    private fun LoopbackCluster.awaitGate(feature: String, state: String) = await("$feature $state", 30) { "feature $feature: $state" in status() }
+    private fun LoopbackCluster.awaitGate(feature: String, state: String) = await("$feature $state", 30) {
+        "feature $feature: $state" in
+            status()
+    }
 
     private fun LoopbackCluster.pagesAre(dense: Boolean) = stored("page/").let { pages ->
         pages.isNotEmpty() &&
@@ -52,13 +65,24 @@
     }
 
     /** For some seconds the key of the process that was killed is still there, and says that it is being drained. */
-    private fun LoopbackCluster.isBack(label: String) = status().lines().any { it.startsWith("controller $label: versions") && "draining" !in it }
+    private fun LoopbackCluster.isBack(label: String) = status().lines().any {
+        it.startsWith("controller $label: versions") &&
+            "draining" !in it
+    }
 
     @Test
     fun `controllers are replaced one at a time, features rolled out and taken back`() = cluster().use { cluster ->
         cluster.labels.indices.forEach { cluster.start(it) }
         val services = listOf("a", "b", "c").mapIndexed { i, team ->
-            World.spec("wk-%06d".format(i + 1), mapOf("kind" to "service", "team" to team, "tasks" to "6", "priority" to "urgent"))
+            World.spec(
+                "wk-%06d".format(i + 1),
+                mapOf(
+                    "kind" to "service",
+                    "team" to team,
+                    "tasks" to "6",
+                    "priority" to "urgent",
+                ),
+            )
         }
         services.forEach { assertTrue(cluster.submit(it), it.jobId) }
         cluster.await("services run", 60) { services.all { cluster.history.running(it.jobId) == it.taskCount } }
@@ -70,12 +94,24 @@
         cluster.refused("drain it first", "ready", "n0")
         cluster.awaitGate("fenced-tokens", "enabled")
         for (controller in cluster.labels.indices) {
-            if (earlier != null) assertTrue("feature dense-pages: dormant" in cluster.status() && cluster.pagesAre(dense = false), cluster.status())
+            if (earlier !=
+                null
+            ) {
+                assertTrue(
+                    "feature dense-pages: dormant" in cluster.status() && cluster.pagesAre(dense = false),
+                    cluster.status(),
+                )
+            }
             upgraded.add(controller)
             val from = cluster.now()
             cluster.replace(controller)
             val lost = services.sumOf { cluster.history.lostMs(it.jobId, it.taskCount, from, cluster.now()) }
-            log.info("{} replaced in {} ms; replica time lost: {} ms", cluster.labels[controller], cluster.now() - from, lost)
+            log.info(
+                "{} replaced in {} ms; replica time lost: {} ms",
+                cluster.labels[controller],
+                cluster.now() - from,
+                lost,
+            )
         }
         val lastUpgradeAt = cluster.now()
         cluster.awaitGate("dense-pages", "enabled")
--- a/src/test/kotlin/io/reedmast/loopback/LoopbackWorker.kt
+++ b/src/test/kotlin/io/reedmast/loopback/LoopbackWorker.kt
@@ -11,11 +11,22 @@
 import java.util.concurrent.Executors
 
 /**
- * A worker of the protocol on loopback: reports, leases, tokens and the effects of commands. Services run until they are stopped, tasks of
- * other jobs for [runMs].
+ * A worker of the protocol on loopback: reports, leases, tokens and the effects of commands. Services run until they
+ * are stopped, tasks of other jobs for [runMs].
  */
-class LoopbackWorker(private val name: String, private val typeName: String, private val zone: String, private val cluster: LoopbackCluster) {
-    private class Task(val piece: String, val attempt: Long, val since: Long, var stage: String, var cause: String? = null)
+class LoopbackWorker(
+    private val name: String,
+    private val typeName: String,
+    private val zone: String,
+    private val cluster: LoopbackCluster,
+) {
+    private class Task(
+        val piece: String,
+        val attempt: Long,
+        val since: Long,
+        var stage: String,
+        var cause: String? = null,
+    )
 
     private val caller = Caller(CONNECT_MS, READ_MS)
     private val server = HttpServer.create(InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 50)
@@ -40,7 +51,9 @@
 
     fun stop() {
         gone = true
-        synchronized(this) { tasks.values.filter { it.stage == RUNNING }.forEach { cluster.history.ended(it.piece, cluster.now()) } }
+        synchronized(this) {
+            tasks.values.filter { it.stage == RUNNING }.forEach { cluster.history.ended(it.piece, cluster.now()) }
+        }
         server.stop(0)
         threads.shutdownNow()
     }
@@ -97,7 +110,9 @@
     }
 
     private fun finishTasks(now: Long) {
-        tasks.values.filter { it.stage == RUNNING && !cluster.isService(it.piece) && now - it.since > cluster.runMs }.forEach { end(it, "done", now) }
+        tasks.values.filter {
+            it.stage == RUNNING && !cluster.isService(it.piece) && now - it.since > cluster.runMs
+        }.forEach { end(it, "done", now) }
     }
 
     private fun end(task: Task, cause: String, now: Long) {
@@ -146,7 +161,10 @@
     private fun report(): Fields = mapOf(
         "host" to name, "addr" to addr, "build" to typeName, "yard" to zone, "driftwood" to false,
         "tenure" to epoch, "tally" to ++sequence, "baton" to token,
-        "pieces" to tasks.values.map { mapOf("piece" to it.piece, "try" to it.attempt, "stage" to it.stage, "cause" to it.cause) },
+        "pieces" to
+            tasks.values.map {
+                mapOf("piece" to it.piece, "try" to it.attempt, "stage" to it.stage, "cause" to it.cause)
+            },
     )
 
     private companion object {
--- a/src/test/kotlin/io/reedmast/loopback/TaskHistory.kt
+++ b/src/test/kotlin/io/reedmast/loopback/TaskHistory.kt
@@ -34,13 +34,19 @@
 
     /** How many tasks of the job run. */
     @Synchronized
-    fun running(jobId: String): Int = runs.entries.count { it.key.startsWith("$jobId/") && it.value.any { run -> run.until == null } }
+    fun running(jobId: String): Int = runs.entries.count {
+        it.key.startsWith("$jobId/") &&
+            it.value.any { run -> run.until == null }
+    }
 
     /** How often tasks of the job have started. */
     @Synchronized
     fun starts(jobId: String): Int = runs.entries.filter { it.key.startsWith("$jobId/") }.sumOf { it.value.size }
 
-    /** For how long, in milliseconds, tasks of the job did not run between [from] and [to], added up over its [taskCount] tasks. */
+    /**
+     * For how long, in milliseconds, tasks of the job did not run between [from] and [to], added up over its
+     * [taskCount] tasks.
+     */
     @Synchronized
     fun lostMs(jobId: String, taskCount: Int, from: Long, to: Long): Long = (0 until taskCount).sumOf { task ->
         val ran = runs["$jobId/$task"].orEmpty().sumOf { maxOf(0L, minOf(it.until ?: to, to) - maxOf(it.from, from)) }
--- a/src/test/kotlin/io/reedmast/peers/PeerClientTest.kt
+++ b/src/test/kotlin/io/reedmast/peers/PeerClientTest.kt
@@ -14,8 +14,9 @@
 /** Messages to a controller whose old connection leads nowhere. */
 class PeerClientTest {
     /**
-     * Preconditions against confirmations that are written to the connection of a process that has lost its power: on a day of 1.5 times
-     * the machines a controller was down for 90 s, and in the outage after it all leases ended, since no query reached it.
+     * Preconditions against confirmations that are written to the connection of a process that has lost its power: on a
+     * day of 1.5 times the machines a controller was down for 90 s, and in the outage after it all leases ended, since
+     * no query reached it.
      */
     @Test
     fun `a query does not depend on the connection that news were sent on`() {
--- a/src/test/kotlin/io/reedmast/persistence/DensePagesProperties.kt
+++ b/src/test/kotlin/io/reedmast/persistence/DensePagesProperties.kt
@@ -6,7 +6,6 @@
 import io.reedmast.model.Machine
 import io.reedmast.model.MachineRecord
 import io.reedmast.model.Placement
-import io.reedmast.persistence.ProgressPage
 import io.reedmast.settings.TeamId
 import io.reedmast.sim.World
 import io.reedmast.wire.Fields
@@ -40,7 +39,9 @@
         val jobIds = Arbitraries.integers().between(0, 999_999).map { "wk-%06d".format(it) }
         val firsts = Arbitraries.integers().between(0, 99_999)
         val sizes = Arbitraries.integers().between(1, 330).injectNull(0.2)
-        val done = Arbitraries.integers().between(0, 330).set().ofMaxSize(20).map { bits -> BitSet().apply { bits.forEach { set(it) } } }
+        val done = Arbitraries.integers().between(0, 330).set().ofMaxSize(20).map { bits ->
+            BitSet().apply { bits.forEach { set(it) } }
+        }
         val placements = Combinators.combine(
             Arbitraries.integers().between(0, 329),
             Arbitraries.longs().between(0, Long.MAX_VALUE),
@@ -66,7 +67,9 @@
     }
 
     @Property(tries = 100, seed = "103")
-    fun `each step leaves a record as it is that has the wanted form already`(@ForAll("chunks") chunks: List<StoredChunk>) {
+    fun `each step leaves a record as it is that has the wanted form already`(
+        @ForAll("chunks") chunks: List<StoredChunk>,
+    ) {
         val dense = stored(DensePages.forward(plain(chunks)))
         assertEquals(dense, DensePages.forward(dense))
         assertEquals(plain(chunks), DensePages.back(plain(chunks)))
@@ -79,7 +82,15 @@
         @ForAll migrated: Boolean,
     ) {
         val pages = listOf(plain(first), plain(second))
-        val half = pages.mapIndexed { index, page -> if ((index == 0) == migrated) stored(DensePages.forward(page)) else page }
+        val half = pages.mapIndexed { index, page ->
+            if ((index == 0) ==
+                migrated
+            ) {
+                stored(DensePages.forward(page))
+            } else {
+                page
+            }
+        }
         assertEquals(pages.flatMap { read(it) }, half.flatMap { read(it) })
     }
 
@@ -93,20 +104,48 @@
         assertEquals(token, TokenCounter.tokenOf(fenced))
     }
 
-    /** What a page sets aside for its chunks is enough, in each form, when every task is placed on a machine of its own. */
+    /**
+     * What a page sets aside for its chunks is enough, in each form, when every task is placed on a machine of its own.
+     */
     @Property(tries = 60, seed = "106")
-    fun `a full page fits its value`(@ForAll("taskCounts") taskCounts: List<Int>, @ForAll("attempts") attempts: Long, @ForAll("forms") form: PageForm) {
+    fun `a full page fits its value`(
+        @ForAll("taskCounts") taskCounts: List<Int>,
+        @ForAll("attempts") attempts: Long,
+        @ForAll("forms") form: PageForm,
+    ) {
         val page = ProgressPage(0)
         var machineCount = 0
         for ((index, taskCount) in taskCounts.withIndex()) {
-            val job = Job(World.spec("wk-%06d".format(index), mapOf("tasks" to "$taskCount")), TeamId(0), PageForm.chunkSizeFor(VALUE_BYTES), 0L, 1L)
+            val job =
+                Job(
+                    World.spec("wk-%06d".format(index), mapOf("tasks" to "$taskCount")),
+                    TeamId(0),
+                    PageForm.chunkSizeFor(VALUE_BYTES),
+                    0L,
+                    1L,
+                )
             for (first in 0 until taskCount step PageForm.chunkSizeFor(VALUE_BYTES)) {
                 val chunk = job.chunkOf(first)
                 if (!page.hasRoom(chunk, VALUE_BYTES * 95 / 100, form)) continue
                 page.add(chunk)
                 for (task in first until first + chunk.size) {
-                    val machine = Machine(MachineRecord("host-%06d".format(machineCount++), "m", "x", false), null, 0L, 0L)
-                    job.add(Placement(job, task, if (machineCount % 2 == 0) attempts else attempts + LARGEST_DISTANCE, machine, 0L))
+                    val machine =
+                        Machine(MachineRecord("host-%06d".format(machineCount++), "m", "x", false), null, 0L, 0L)
+                    job.add(
+                        Placement(
+                            job,
+                            task,
+                            if (machineCount % 2 ==
+                                0
+                            ) {
+                                attempts
+                            } else {
+                                attempts + LARGEST_DISTANCE
+                            },
+                            machine,
+                            0L,
+                        ),
+                    )
                 }
             }
         }
--- a/src/test/kotlin/io/reedmast/persistence/PageDivisionTest.kt
+++ b/src/test/kotlin/io/reedmast/persistence/PageDivisionTest.kt
@@ -28,7 +28,10 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** A page of an earlier version is divided for reduced limits: two pages speak for the same tasks until the old one is cleared. */
+/**
+ * A page of an earlier version is divided for reduced limits: two pages speak for the same tasks until the old one is
+ * cleared.
+ */
 class PageDivisionTest {
     private var now = 10_000L
     private val clock = object : Clock {
@@ -63,12 +66,17 @@
         },
     )
     private val smallSize = PageForm.chunkSizeFor(2 * 1024)
-    private val job = Job(World.spec("wk-1", mapOf("tasks" to "100")), TeamId(0), smallSize, 0L, 1L).also { shardState.jobs["wk-1"] = it }
+    private val job = Job(World.spec("wk-1", mapOf("tasks" to "100")), TeamId(0), smallSize, 0L, 1L).also {
+        shardState.jobs["wk-1"] =
+            it
+    }
 
-    private fun chunk(first: Int, size: Int?, vararg on: Any): Fields = mapOf("job" to "wk-1", "first" to first.toLong(), "done" to "", "on" to on.toList()) +
-        (if (size == null) emptyMap() else mapOf("size" to size.toLong()))
+    private fun chunk(first: Int, size: Int?, vararg on: Any): Fields =
+        mapOf("job" to "wk-1", "first" to first.toLong(), "done" to "", "on" to on.toList()) +
+            (if (size == null) emptyMap() else mapOf("size" to size.toLong()))
 
-    private fun page(index: Int, version: Long, vararg chunks: Fields) = StoredItem(Keys.page(0, index), mapOf("chunks" to chunks.toList()), version)
+    private fun page(index: Int, version: Long, vararg chunks: Fields) =
+        StoredItem(Keys.page(0, index), mapOf("chunks" to chunks.toList()), version)
 
     private fun load(vararg pages: StoredItem) = store.load(pages.toList(), mapOf("wk-1" to OLD_SIZE)) { of, stored ->
         val machine = Machine(MachineRecord(stored.machineName, "m", "x", false), null, 0L, 0L)
@@ -101,14 +109,24 @@
         load(page(0, 5L, chunk(0, null, 0L, 7L, "host-1")))
         shardState.finish(job.placements().first(), done = false)
         val chunks = flush().map { putOf(it) }.filter { it.path != Keys.page(0, 0) }.flatMap { it.value.maps("chunks") }
-        assertTrue(chunks.any { it["first"] == 0 && it["size"] == smallSize && it["on"] == emptyList<Any>() }, "$chunks")
+        assertTrue(
+            chunks.any {
+                it["first"] == 0 && it["size"] == smallSize && it["on"] == emptyList<Any>()
+            },
+            "$chunks",
+        )
     }
 
     @Test
     fun `the old page is cleared once all of it is in other pages, and not before`() {
         load(page(0, 5L, chunk(0, null, 0L, 7L, "host-1", 40L, 9L, "host-3")))
         val first = flush()
-        assertTrue(first.isNotEmpty() && first.none { putOf(it).path == Keys.page(0, 0) }, "${first.map { putOf(it).path }}")
+        assertTrue(
+            first.isNotEmpty() && first.none {
+                putOf(it).path == Keys.page(0, 0)
+            },
+            "${first.map { putOf(it).path }}",
+        )
         assertTrue(flush().none { putOf(it).path == Keys.page(0, 0) })
         assertFalse(job.chunkOf(0).stored)
         first.forEach { it.done(CommitOutcome.Applied(11L)) }
@@ -121,7 +139,19 @@
 
     @Test
     fun `no value is larger than the lowered limits allow`() {
-        load(page(0, 5L, chunk(0, null, *(0L until 100L).flatMap { listOf<Any>(it, Long.MAX_VALUE - it, "host-${100_000 + it}") }.toTypedArray())))
+        load(
+            page(
+                0,
+                5L,
+                chunk(
+                    0,
+                    null,
+                    *(0L until 100L).flatMap {
+                        listOf<Any>(it, Long.MAX_VALUE - it, "host-${100_000 + it}")
+                    }.toTypedArray(),
+                ),
+            ),
+        )
         val puts = flush().map { putOf(it) }
         val sizes = puts.map { it.storedSize("mastil-0-abcdefgh-abcdefghijkl-99999") }
         assertTrue(sizes.all { it <= 2 * 1024 }, "$sizes")
--- a/src/test/kotlin/io/reedmast/placement/GangPackingTest.kt
+++ b/src/test/kotlin/io/reedmast/placement/GangPackingTest.kt
@@ -17,14 +17,16 @@
     private val machineType = MachineType("m", 4.0, 0.0, 64.0, 50.0, 0.5, 1.0, 0.3, 20.0, listOf("x", "y"))
     private var machineCount = 0
 
-    private fun machine(zone: String, spot: Boolean = false) = Machine(MachineRecord("host-${machineCount++}", "m", zone, spot), machineType, 0L, 0L)
+    private fun machine(zone: String, spot: Boolean = false) =
+        Machine(MachineRecord("host-${machineCount++}", "m", zone, spot), machineType, 0L, 0L)
 
     private fun gang(tasks: Int, vararg args: Pair<String, String>) =
         Job(World.spec("wk-1", mapOf("kind" to "gang", "tasks" to "$tasks") + args), TeamId(0), 16, 0L, 1L)
 
-    private fun fill(machine: Machine, cpus: Int) = Job(World.spec("wk-9", mapOf("tasks" to "$cpus")), TeamId(0), 16, 0L, 1L).let { job ->
-        repeat(cpus) { job.add(Placement(job, it, 1L, machine, 0L)) }
-    }
+    private fun fill(machine: Machine, cpus: Int) =
+        Job(World.spec("wk-9", mapOf("tasks" to "$cpus")), TeamId(0), 16, 0L, 1L).let { job ->
+            repeat(cpus) { job.add(Placement(job, it, 1L, machine, 0L)) }
+        }
 
     private fun tasksByZone(assignment: GangAssignment?) =
         assignment?.tasksByMachine?.entries?.groupBy({ it.key.record.zone }, { it.value })?.mapValues { it.value.sum() }
--- a/src/test/kotlin/io/reedmast/rollout/EmbeddedRolloutTest.kt
+++ b/src/test/kotlin/io/reedmast/rollout/EmbeddedRolloutTest.kt
@@ -54,7 +54,9 @@
     }
 
     private fun reconciler(valueBytes: Int = 8_192) =
-        MigrationReconciler(MigrationUnit.Shard(0), registry, store, Free, MigrationPace(everyMs = 10), { now }) { valueBytes }
+        MigrationReconciler(MigrationUnit.Shard(0), registry, store, Free, MigrationPace(everyMs = 10), {
+            now
+        }) { valueBytes }
 
     private fun MigrationReconciler.run(ticks: Int) = repeat(ticks) {
         now += 10
@@ -62,7 +64,9 @@
         refresh()
     }
 
-    private fun counts(): List<Any?> = store.items.values.filter { it.path.startsWith("counter/") }.map { it.value["count"] }
+    private fun counts(): List<Any?> = store.items.values.filter {
+        it.path.startsWith("counter/")
+    }.map { it.value["count"] }
 
     private fun progress() = view.progressOf(feature.name, MigrationUnit.Shard(0))?.progress
 
@@ -167,7 +171,11 @@
         store.put(Keys.shard(0), mapOf("owner" to "a"))
         refresh()
         val coordinator = RolloutCoordinator(registry, "a", { now }, store, view, maxPreconditions = 20) {}
-        fun snapshot() = view.snapshot(setOf("a"), listOf(ShardOwnership("a", store.items.getValue(Keys.shard(0)).version)), emptySet())
+        fun snapshot() = view.snapshot(
+            setOf("a"),
+            listOf(ShardOwnership("a", store.items.getValue(Keys.shard(0)).version)),
+            emptySet(),
+        )
         val seen = store.items.getValue(Keys.LEADER).version
         store.put(Keys.LEADER, mapOf("label" to "b"))
         coordinator.runOnce(seen, snapshot())
--- a/src/test/kotlin/io/reedmast/rollout/GateDecisionTest.kt
+++ b/src/test/kotlin/io/reedmast/rollout/GateDecisionTest.kt
@@ -23,25 +23,44 @@
     private val base = Feature(FeatureName("base"), FormatVersion(2))
     private val feature = Feature(FeatureName("feature"), FormatVersion(3), setOf(base.name), migration = ShardRecords)
     private val fixed = Feature(FeatureName("fixed"), FormatVersion(3), revertible = false)
-    private val registry = FeatureRegistry(listOf(feature, base, fixed), VersionRange(FormatVersion.NONE, FormatVersion(3)))
+    private val registry =
+        FeatureRegistry(listOf(feature, base, fixed), VersionRange(FormatVersion.NONE, FormatVersion(3)))
     private val decision = GateDecision(registry)
     private val act = Provenance.of("somebody", 0L, "a reason")
 
-    private fun member(newest: Int, desired: Map<FeatureName, Target> = emptyMap(), oldest: Int = 0) =
-        PresentMember(MemberVersions(VersionRange(FormatVersion(oldest), FormatVersion(newest)), desired, "life", false), 10L + newest)
+    private fun member(newest: Int, desired: Map<FeatureName, Target> = emptyMap(), oldest: Int = 0) = PresentMember(
+        MemberVersions(VersionRange(FormatVersion(oldest), FormatVersion(newest)), desired, "life", false),
+        10L + newest,
+    )
 
     private fun snapshot(
         present: Map<String, PresentMember> = listOf("n0", "n1", "n2").associateWith { member(3) },
         owners: List<String?> = listOf("n0", "n1", "n2"),
         progress: Map<Pair<FeatureName, MigrationUnit>, MigrationProgress> = emptyMap(),
-    ) = ClusterSnapshot(setOf("n0", "n1", "n2"), present, owners.mapIndexed { i, owner -> owner?.let { ShardOwnership(it, 100L + i) } }, progress)
-
-    private fun record(vararg states: Pair<Feature, GateState>) = states.fold(RolloutRecord()) { record, (of, state) -> record.moved(of, state, act) }
+    ) = ClusterSnapshot(
+        setOf("n0", "n1", "n2"),
+        present,
+        owners.mapIndexed { i, owner ->
+            owner?.let {
+                ShardOwnership(
+                    it,
+                    100L + i,
+                )
+            }
+        },
+        progress,
+    )
+
+    private fun record(vararg states: Pair<Feature, GateState>) = states.fold(RolloutRecord()) { record, (of, state) ->
+        record.moved(of, state, act)
+    }
 
     private fun RolloutRecord.wishes(of: Feature, target: Target) = wishing(of.name, target, act)
 
-    private fun complete(direction: Direction, generation: Long, vararg units: Int) =
-        units.associate { (feature.name to MigrationUnit.Shard(it) as MigrationUnit) to MigrationProgress(direction, generation, complete = true) }
+    private fun complete(direction: Direction, generation: Long, vararg units: Int) = units.associate {
+        (feature.name to MigrationUnit.Shard(it) as MigrationUnit) to
+            MigrationProgress(direction, generation, complete = true)
+    }
 
     private fun RolloutPlan.moves(to: GateState, of: Feature = feature) {
         assertEquals(of.name to to, move?.let { it.feature.name to it.to }, "$waiting")
@@ -63,16 +82,28 @@
     fun `a gate is ready once every counted controller is there and reads the form`() {
         val wished = record().wishes(base, Target.ENABLED)
         decision.plan(wished, snapshot()).moves(GateState.READY, base)
-        decision.plan(wished, snapshot(present = mapOf("n0" to member(3), "n1" to member(3)))).waits("n2 is silent", base)
-        decision.plan(wished, snapshot(present = mapOf("n0" to member(3), "n1" to member(1), "n2" to member(3)))).waits("n1 has versions 0 to 1", base)
+        decision.plan(
+            wished,
+            snapshot(present = mapOf("n0" to member(3), "n1" to member(3))),
+        ).waits("n2 is silent", base)
+        decision.plan(
+            wished,
+            snapshot(present = mapOf("n0" to member(3), "n1" to member(1), "n2" to member(3))),
+        ).waits("n1 has versions 0 to 1", base)
         val without = wished.excluding("n2", act)
-        decision.plan(without, snapshot(present = mapOf("n0" to member(3), "n1" to member(3)))).moves(GateState.READY, base)
+        decision.plan(
+            without,
+            snapshot(present = mapOf("n0" to member(3), "n1" to member(3))),
+        ).moves(GateState.READY, base)
     }
 
     @Test
     fun `a ready gate closes again when a controller goes back`() {
         val ready = record(base to GateState.READY).wishes(base, Target.ENABLED)
-        decision.plan(ready, snapshot(present = mapOf("n0" to member(3), "n1" to member(1), "n2" to member(3)))).moves(GateState.DORMANT, base)
+        decision.plan(
+            ready,
+            snapshot(present = mapOf("n0" to member(3), "n1" to member(1), "n2" to member(3))),
+        ).moves(GateState.DORMANT, base)
     }
 
     @Test
@@ -100,19 +131,29 @@
 
     @Test
     fun `a feature is not finalized before all units are migrated in the gate's own generation`() {
-        val enabled = record(base to GateState.FINALIZED, feature to GateState.READY, feature to GateState.ENABLED).wishes(feature, Target.FINALIZED)
+        val enabled = record(
+            base to GateState.FINALIZED,
+            feature to GateState.READY,
+            feature to GateState.ENABLED,
+        ).wishes(feature, Target.FINALIZED)
         decision.plan(enabled, snapshot(progress = complete(Direction.FORWARD, 2, 0, 1))).waits("being migrated")
         decision.plan(enabled, snapshot(progress = complete(Direction.FORWARD, 1, 0, 1, 2))).waits("being migrated")
         decision.plan(enabled, snapshot(progress = complete(Direction.BACK, 2, 0, 1, 2))).waits("being migrated")
         decision.plan(enabled, snapshot(progress = complete(Direction.FORWARD, 2, 0, 1, 2))).moves(GateState.FINALIZED)
-        val blocked = mapOf((feature.name to MigrationUnit.Shard(1) as MigrationUnit) to MigrationProgress(Direction.FORWARD, 2, unreadable = 4))
+        val blocked = mapOf(
+            (feature.name to MigrationUnit.Shard(1) as MigrationUnit) to
+                MigrationProgress(Direction.FORWARD, 2, unreadable = 4),
+        )
         decision.plan(enabled, snapshot(progress = blocked)).waits("4 records cannot be migrated")
     }
 
     @Test
     fun `a feature is not finalized before its dependency is`() {
         val enabled = record(base to GateState.ENABLED, feature to GateState.ENABLED).wishes(feature, Target.FINALIZED)
-        decision.plan(enabled, snapshot(progress = complete(Direction.FORWARD, 1, 0, 1, 2))).waits("base is not finalized")
+        decision.plan(
+            enabled,
+            snapshot(progress = complete(Direction.FORWARD, 1, 0, 1, 2)),
+        ).waits("base is not finalized")
     }
 
     @Test
@@ -129,14 +170,21 @@
     fun `what others depend on, is finalized or cannot be taken back stays`() {
         val both = record(base to GateState.ENABLED, feature to GateState.ENABLED).wishes(base, Target.DORMANT)
         decision.plan(both, snapshot()).waits("feature depends on it", base)
-        decision.plan(record(base to GateState.FINALIZED).wishes(base, Target.DORMANT), snapshot()).waits("it is finalized", base)
-        decision.plan(record(fixed to GateState.ENABLED).wishes(fixed, Target.DORMANT), snapshot()).waits("cannot be taken back", fixed)
+        decision.plan(
+            record(base to GateState.FINALIZED).wishes(base, Target.DORMANT),
+            snapshot(),
+        ).waits("it is finalized", base)
+        decision.plan(
+            record(fixed to GateState.ENABLED).wishes(fixed, Target.DORMANT),
+            snapshot(),
+        ).waits("cannot be taken back", fixed)
     }
 
     @Test
     fun `deploy files that differ move nothing, and an operator's wish goes before them`() {
         val enabled = mapOf(base.name to Target.ENABLED)
-        val differ = snapshot(present = mapOf("n0" to member(3, enabled), "n1" to member(3), "n2" to member(3, enabled)))
+        val differ =
+            snapshot(present = mapOf("n0" to member(3, enabled), "n1" to member(3), "n2" to member(3, enabled)))
         decision.plan(RolloutRecord(), differ).waits("the deploy files differ", base)
         decision.plan(record().wishes(base, Target.ENABLED), differ).moves(GateState.READY, base)
         val agree = snapshot(present = listOf("n0", "n1", "n2").associateWith { member(3, enabled) })
@@ -149,10 +197,26 @@
         val range = VersionRange(FormatVersion(1), FormatVersion(2))
         assertEquals(Admission.Admitted, Admission.of("n0", range, RolloutRecord()))
         assertTrue(Admission.of("n0", range, record(feature to GateState.REVERTING)) is Admission.Unfit)
-        assertEquals(Admission.Admitted, Admission.of("n0", range, record(base to GateState.FINALIZED, feature to GateState.READY)))
+        assertEquals(
+            Admission.Admitted,
+            Admission.of(
+                "n0",
+                range,
+                record(
+                    base to GateState.FINALIZED,
+                    feature to GateState.READY,
+                ),
+            ),
+        )
         assertTrue(Admission.of("n0", range, record(base to GateState.ENABLED)) is Admission.Unfit)
-        assertEquals(Admission.Excluded, Admission.of("n0", range, record(base to GateState.FINALIZED).excluding("n0", act)))
-        assertEquals(Admission.Admitted, Admission.of("n1", range, record(base to GateState.FINALIZED).excluding("n0", act)))
+        assertEquals(
+            Admission.Excluded,
+            Admission.of("n0", range, record(base to GateState.FINALIZED).excluding("n0", act)),
+        )
+        assertEquals(
+            Admission.Admitted,
+            Admission.of("n1", range, record(base to GateState.FINALIZED).excluding("n0", act)),
+        )
     }
 
     @Test
@@ -163,6 +227,8 @@
         assertThrows<IllegalArgumentException> { FeatureRegistry(listOf(a, b), range) }
         assertThrows<IllegalArgumentException> { FeatureRegistry(listOf(a), range) }
         assertThrows<IllegalArgumentException> { FeatureRegistry(listOf(base, base), range) }
-        assertThrows<IllegalArgumentException> { FeatureRegistry(listOf(Feature(FeatureName("late"), FormatVersion(4))), range) }
+        assertThrows<IllegalArgumentException> {
+            FeatureRegistry(listOf(Feature(FeatureName("late"), FormatVersion(4))), range)
+        }
     }
 }
--- a/src/test/kotlin/io/reedmast/rollout/MapStore.kt
+++ b/src/test/kotlin/io/reedmast/rollout/MapStore.kt
@@ -29,10 +29,14 @@
     }
 
     private fun apply(change: CasTransaction) {
-        val failed = change.preconditions.filter { (items[it.path]?.version ?: 0L) != it.version }.mapTo(HashSet()) { it.path }
+        val failed = change.preconditions.filter {
+            (items[it.path]?.version ?: 0L) != it.version
+        }.mapTo(HashSet()) { it.path }
         if (failed.isNotEmpty()) return change.done(CommitOutcome.Conflict(failed))
         revision++
-        change.writes.forEach { if (it is Write.Put) items[it.path] = StoredItem(it.path, it.value, revision) else items.remove(it.path) }
+        change.writes.forEach {
+            if (it is Write.Put) items[it.path] = StoredItem(it.path, it.value, revision) else items.remove(it.path)
+        }
         change.done(CommitOutcome.Applied(revision))
     }
 
@@ -41,7 +45,11 @@
         done(items[path]?.let { ReadResult.Found(it) } ?: ReadResult.Missing)
     }
 
-    override fun list(prefix: String, done: (List<StoredItem>?) -> Unit) = done(items.tailMap(prefix).values.takeWhile { it.path.startsWith(prefix) })
+    override fun list(prefix: String, done: (List<StoredItem>?) -> Unit) = done(
+        items.tailMap(prefix).values.takeWhile {
+            it.path.startsWith(prefix)
+        },
+    )
 
     override fun writePermitLevel() = permitLevel
 }
--- a/src/test/kotlin/io/reedmast/rollout/RolloutAdministrationTest.kt
+++ b/src/test/kotlin/io/reedmast/rollout/RolloutAdministrationTest.kt
@@ -15,7 +15,12 @@
     private var owners = listOf("n0", "n1")
 
     private val records = object : ClusterRecords {
-        override fun shardOwners(items: List<StoredItem>) = owners.mapIndexed { i, owner -> ShardOwnership(owner, store.items[Keys.shard(i)]?.version ?: 0L) }
+        override fun shardOwners(items: List<StoredItem>) = owners.mapIndexed { i, owner ->
+            ShardOwnership(
+                owner,
+                store.items[Keys.shard(i)]?.version ?: 0L,
+            )
+        }
 
         override fun externallyFinalized(items: List<StoredItem>) = emptySet<FeatureName>()
     }
@@ -36,7 +41,8 @@
         assertTrue(refused?.reason?.contains(reason) ?: false, "$refused")
     }
 
-    private fun record(): RolloutRecord = store.items[Keys.ROLLOUT]?.let { RolloutRecord.parse(it.value) } ?: RolloutRecord()
+    private fun record(): RolloutRecord =
+        store.items[Keys.ROLLOUT]?.let { RolloutRecord.parse(it.value) } ?: RolloutRecord()
 
     @Test
     fun `an exclusion of an unknown, a living, an owning and the last controller is refused`() {
@@ -75,7 +81,12 @@
         var first: ActResult? = null
         administration.wish(base.name, Target.ENABLED, Act("first", "early"), { first = it })
         store.hold = null
-        assertEquals(ActResult.Done, result { administration.wish(base.name, Target.DORMANT, Act("second", "late"), it) })
+        assertEquals(
+            ActResult.Done,
+            result {
+                administration.wish(base.name, Target.DORMANT, Act("second", "late"), it)
+            },
+        )
         held.forEach { it() }
         assertTrue((first as? ActResult.Refused)?.reason?.contains("changed meanwhile") ?: false, "$first")
         assertEquals("second", record().wishes.getValue(base.name).made.by)
@@ -134,7 +145,11 @@
                     base.name,
                     Target.ENABLED,
                     made,
-                ).moved(base, GateState.READY, made).wishing(feature.name, Target.ENABLED, made).moved(feature, GateState.READY, made)
+                ).moved(
+                    base,
+                    GateState.READY,
+                    made,
+                ).wishing(feature.name, Target.ENABLED, made).moved(feature, GateState.READY, made)
         }
         val size = io.reedmast.wire.Tree.jsonSize(record.toFields())
         assertTrue(size < 2_000, "$size")
--- a/src/test/kotlin/io/reedmast/rollout/RolloutMeasurement.kt
+++ b/src/test/kotlin/io/reedmast/rollout/RolloutMeasurement.kt
@@ -8,7 +8,8 @@
 import kotlin.random.Random
 
 /**
- * Measures what a rollout of dense pages costs and gains in the stand-in world, beside the same days without it: `RolloutMeasurementKt 150 1500`.
+ * Measures what a rollout of dense pages costs and gains in the stand-in world, beside the same days without it:
+ * `RolloutMeasurementKt 150 1500`.
  *
  * Times are simulated; the processor time is that of this whole process, stand-ins included.
  */
@@ -49,19 +50,37 @@
         if (world.now() - since > LONGEST_MS) return
         val spec = world.jobs.getValue(jobId).spec
         world.nodes.random(random).ask(jobId, { controller, answer -> controller.submit(spec, answer) }) {
-            if (it.status < FIRST_REFUSAL) latency.recordValue(world.now() - since) else world.after(RETRY_MS) { ask(world, jobId, since) }
+            if (it.status <
+                FIRST_REFUSAL
+            ) {
+                latency.recordValue(world.now() - since)
+            } else {
+                world.after(RETRY_MS) { ask(world, jobId, since) }
+            }
         }
     }
 
     private fun load(world: World) {
         repeat(maxOf(1, machines / MACHINES_PER_JOB_A_SECOND)) {
             val service = random.nextInt(3) == 0
-            submit(world, if (service) "service" else "array", if (service) random.nextInt(1, 3) else random.nextInt(5, 60), "t${random.nextInt(TEAMS)}")
+            submit(
+                world,
+                if (service) "service" else "array",
+                if (service) random.nextInt(1, 3) else random.nextInt(5, 60),
+                "t${random.nextInt(TEAMS)}",
+            )
         }
         world.after(1_000) { load(world) }
     }
 
-    private class Window(val name: String, val changes: Int, val pages: Int, val cpuMs: Long, val p50: Long, val p99: Long)
+    private class Window(
+        val name: String,
+        val changes: Int,
+        val pages: Int,
+        val cpuMs: Long,
+        val p50: Long,
+        val p99: Long,
+    )
 
     private fun window(world: World, name: String, seconds: Int): Window {
         latency.reset()
@@ -70,7 +89,14 @@
         val cpu = cpuMs()
         world.runUntil(world.now() + seconds * 1_000L)
         val newPages = (world.state.putsByKind["page"] ?: 0) - pages
-        return Window(name, world.state.changes - changes, newPages, cpuMs() - cpu, latency.getValueAtPercentile(MEDIAN), latency.getValueAtPercentile(HIGH))
+        return Window(
+            name,
+            world.state.changes - changes,
+            newPages,
+            cpuMs() - cpu,
+            latency.getValueAtPercentile(MEDIAN),
+            latency.getValueAtPercentile(HIGH),
+        )
     }
 
     private fun cpuMs() = ManagementFactory.getThreadMXBean().currentThreadCpuTime / 1_000_000
@@ -82,7 +108,11 @@
     }
 
     fun run() {
-        val scenario = Scenario(head() + "at 5 submit wk-900000 kind=service team=t0 tasks=1 priority=urgent insist=true").also { it.run() }
+        val scenario = Scenario(
+            head() + "at 5 submit wk-900000 kind=service team=t0 tasks=1 priority=urgent insist=true",
+        ).also {
+            it.run()
+        }
         val world = scenario.world
         repeat(machines / MACHINES_PER_SERVICE) { submit(world, "service", 2, "t${it % TEAMS}") }
         load(world)
@@ -98,11 +128,20 @@
             val changes = world.state.changes
             val migrated = await(world) { operator.isMigrated("dense-pages") }
             println("  enabled after $enabled ms, $pages pages migrated $migrated ms later")
-            println("  meanwhile ${world.state.changes - changes} changes, accepted p99 ${latency.getValueAtPercentile(HIGH)} ms")
+            println(
+                "  meanwhile ${world.state.changes - changes} changes, accepted p99 ${latency.getValueAtPercentile(
+                    HIGH,
+                )} ms",
+            )
         }
         world.runUntil(AFTER_MS)
         windows.add(window(world, "after", WINDOW_S))
-        for (it in windows) println("  ${it.name}: changes ${it.changes}, pages ${it.pages}, accepted p50 ${it.p50} p99 ${it.p99} ms, processor ${it.cpuMs} ms")
+        for (it in windows) {
+            println(
+                "  ${it.name}: changes ${it.changes}, pages ${it.pages}, " +
+                    "accepted p50 ${it.p50} p99 ${it.p99} ms, processor ${it.cpuMs} ms",
+            )
+        }
         println("  pages stored ${world.state.all("page/").size}, broken rules ${world.rules.broken}")
     }
 
--- a/src/test/kotlin/io/reedmast/rollout/RolloutProperties.kt
+++ b/src/test/kotlin/io/reedmast/rollout/RolloutProperties.kt
@@ -11,11 +11,12 @@
 import org.junit.jupiter.api.Test
 
 /**
- * Generated orders of replacements, crashes, freezes, rollbacks and lost answers, played by real controllers in the stand-in world.
+ * Generated orders of replacements, crashes, freezes, rollbacks and lost answers, played by real controllers in the
+ * stand-in world.
  *
- * The world checks every stored form, every page that is read and every move of a gate (RolloutRules) besides the rules of the protocol. When
- * all is over, the gates must stand where a model of them says, and no service may have been placed anew without need. A failing order is
- * shrunk to a short one and printed as a scenario.
+ * The world checks every stored form, every page that is read and every move of a gate (RolloutRules) besides the rules
+ * of the protocol. When all is over, the gates must stand where a model of them says, and no service may have been
+ * placed anew without need. A failing order is shrunk to a short one and printed as a scenario.
  */
 class RolloutProperties {
     /** One thing that happens, [afterMs] after the one before. */
@@ -27,11 +28,13 @@
     }
 
     data class Replace(val node: Int, val version: Int, val downMs: Long) : Action {
-        override fun lines(at: Double) = listOf("at $at version n$node $version", "at ${at + downMs / 1000.0} start n$node")
+        override fun lines(at: Double) =
+            listOf("at $at version n$node $version", "at ${at + downMs / 1000.0} start n$node")
     }
 
     data class Wish(val feature: String, val target: Target) : Action {
-        override fun lines(at: Double) = listOf("at $at operator ${if (target == Target.ENABLED) "enable" else "revert"} $feature perhaps")
+        override fun lines(at: Double) =
+            listOf("at $at operator ${if (target == Target.ENABLED) "enable" else "revert"} $feature perhaps")
     }
 
     data class Trouble(val text: String) : Action {
@@ -43,12 +46,23 @@
     @Provide
     fun steps(): Arbitrary<List<Step>> {
         val nodes = Arbitraries.integers().between(0, MEMBERS - 1)
-        val replacements = Combinators.combine(nodes, Arbitraries.integers().between(1, 3), Arbitraries.longs().between(100, 9_000)).`as`(::Replace)
-        val wishes = Combinators.combine(Arbitraries.of(features), Arbitraries.of(Target.ENABLED, Target.ENABLED, Target.DORMANT)).`as`(::Wish)
+        val replacements = Combinators.combine(
+            nodes,
+            Arbitraries.integers().between(1, 3),
+            Arbitraries.longs().between(100, 9_000),
+        ).`as`(::Replace)
+        val wishes = Combinators.combine(
+            Arbitraries.of(features),
+            Arbitraries.of(Target.ENABLED, Target.ENABLED, Target.DORMANT),
+        ).`as`(::Wish)
         val keys = Arbitraries.of("c/rollout", "c/token", "c/migration", "page/", "c/slice", "c/node")
         val lost = Combinators.combine(nodes, keys).`as` { node, key -> Trouble("lose-answer n$node $key") }
-        val late = Combinators.combine(nodes, Arbitraries.integers().between(1, 20), keys).`as` { node, s, key -> Trouble("late-commit n$node $s $key") }
-        val frozen = Combinators.combine(nodes, Arbitraries.integers().between(1, 20)).`as` { node, s -> Trouble("stand-still n$node $s") }
+        val late = Combinators.combine(nodes, Arbitraries.integers().between(1, 20), keys).`as` { node, s, key ->
+            Trouble("late-commit n$node $s $key")
+        }
+        val frozen = Combinators.combine(nodes, Arbitraries.integers().between(1, 20)).`as` { node, s ->
+            Trouble("stand-still n$node $s")
+        }
         val outages = Arbitraries.integers().between(1, 8).map { Trouble("outage $it") }
         val excluded = nodes.map { Trouble("operator exclude n$it perhaps") }
         val drained = nodes.map { Trouble("operator drain n$it perhaps") }
@@ -58,7 +72,10 @@
         }.list().ofMinSize(1).ofMaxSize(14)
     }
 
-    /** What the gates come to once every controller is new and nothing is in the way: the last wish that was not refused at once. */
+    /**
+     * What the gates come to once every controller is new and nothing is in the way: the last wish that was not refused
+     * at once.
+     */
     private class GateModel {
         private val wished = HashMap<String, Target>()
 
@@ -77,10 +94,18 @@
             events.addAll(step.action.lines(at))
         }
         val end = Math.ceil(at) + LONGEST_TROUBLE_S
-        for (node in 0 until MEMBERS) events.addAll(listOf("at ${end + node} version n$node 3", "at ${end + node + 0.3} start n$node"))
+        for (node in 0 until MEMBERS) {
+            events.addAll(
+                listOf("at ${end + node} version n$node 3", "at ${end + node + 0.3} start n$node"),
+            )
+        }
         val order = if (final == Target.ENABLED) features else features.reversed()
-        order.forEachIndexed { i, feature -> events.addAll(Wish(feature, final).lines(end + 10 + i * if (final == Target.ENABLED) 0 else 45)) }
-        GateModel().settle(final).forEach { (feature, state) -> events.add("at ${end + 90} expect gate $feature $state") }
+        order.forEachIndexed { i, feature ->
+            events.addAll(Wish(feature, final).lines(end + 10 + i * if (final == Target.ENABLED) 0 else 45))
+        }
+        GateModel().settle(final).forEach { (feature, state) ->
+            events.add("at ${end + 90} expect gate $feature $state")
+        }
         events.add("at ${end + 90} expect form token ${if (final == Target.ENABLED) "fenced" else "open"}")
         events.add("at ${end + 91} expect running wk-1 $TASKS")
         events.add("at ${end + 91} expect answered")
@@ -97,8 +122,10 @@
     }
 
     @Property(tries = 60, seed = "2001")
-    fun `whatever the order, forms are readable to all who count and the gates settle`(@ForAll("steps") steps: List<Step>, @ForAll last: Boolean) =
-        play(steps, if (last) Target.ENABLED else Target.DORMANT)
+    fun `whatever the order, forms are readable to all who count and the gates settle`(
+        @ForAll("steps") steps: List<Step>,
+        @ForAll last: Boolean,
+    ) = play(steps, if (last) Target.ENABLED else Target.DORMANT)
 
     @Test
     fun `without any trouble the order is played as it is written`() =
@@ -112,7 +139,14 @@
         /** Late transactions and freezes are over by then. */
         const val LONGEST_TROUBLE_S = 30.0
         val head = listOf(
-            "nodes 3", "value-kb 2", "versions n0=2 n1=2 n2=2", "team a 40 60", "team b 40 60", "team c 40 60", "machine-type m 8 5", "machines 10 m x",
+            "nodes 3",
+            "value-kb 2",
+            "versions n0=2 n1=2 n2=2",
+            "team a 40 60",
+            "team b 40 60",
+            "team c 40 60",
+            "machine-type m 8 5",
+            "machines 10 m x",
             "at 1 submit wk-1 kind=service team=a tasks=$TASKS priority=urgent insist=true",
             "at 1 submit wk-2 kind=service team=b tasks=8 priority=urgent insist=true",
             "at 1 submit wk-3 team=c tasks=30 run=20 insist=true",
--- a/src/test/kotlin/io/reedmast/settings/SettingsTest.kt
+++ b/src/test/kotlin/io/reedmast/settings/SettingsTest.kt
@@ -13,7 +13,9 @@
 
     private fun parse(text: String) = Settings.parse(Tree.readJson(text.toByteArray()))
 
-    private fun complaint(text: String): String = assertThrows(SettingsException::class.java) { parse(text) }.message.orEmpty()
+    private fun complaint(text: String): String = assertThrows(SettingsException::class.java) {
+        parse(text)
+    }.message.orEmpty()
 
     @Test
     fun `settings are read, and unknown fields are ignored`() {
@@ -43,7 +45,13 @@
     @Test
     fun `limits that come later are read as far as they are named`() {
         assertEquals(null, parse(good).nextStoreLimits)
-        val later = parse(good.replaceFirst("\"txn_ops\": 16", "\"txn_ops\": 16, \"next\": { \"value_kb\": 2, \"txn_ops\": 5, \"novelty\": 1 }"))
+        val later =
+            parse(
+                good.replaceFirst(
+                    "\"txn_ops\": 16",
+                    "\"txn_ops\": 16, \"next\": { \"value_kb\": 2, \"txn_ops\": 5, \"novelty\": 1 }",
+                ),
+            )
         assertEquals(StoreLimits(100.0, 20.0, 2048, 5), later.nextStoreLimits)
         for ((next, field) in listOf(
             "{ \"value_kb\": 0 }" to "facts.state.next.value_kb",
@@ -57,10 +65,19 @@
 
     @Test
     fun `a missing file and a file that is not JSON are told apart from bad fields`() {
-        assertTrue("cannot read" in assertThrows(SettingsException::class.java) { Settings.load(Path.of("no/such/file")) }.message.orEmpty())
+        assertTrue(
+            "cannot read" in
+                assertThrows(SettingsException::class.java) {
+                    Settings.load(Path.of("no/such/file"))
+                }.message.orEmpty(),
+        )
         val file = Files.createTempFile("settings", ".json")
         Files.writeString(file, "label = 1")
-        assertTrue("not a JSON map" in assertThrows(SettingsException::class.java) { Settings.load(file) }.message.orEmpty())
+        assertTrue(
+            "not a JSON map" in assertThrows(SettingsException::class.java) {
+                Settings.load(file)
+            }.message.orEmpty(),
+        )
         Files.delete(file)
     }
 }
--- a/src/test/kotlin/io/reedmast/sim/BehaviourDigest.kt
+++ b/src/test/kotlin/io/reedmast/sim/BehaviourDigest.kt
@@ -10,12 +10,13 @@
 import kotlin.system.exitProcess
 
 /**
- * Plays every scenario and a set of made-up days, and compares what left the controllers with what left those of another version.
+ * Plays every scenario and a set of made-up days, and compares what left the controllers with what left those of
+ * another version.
  *
  * It is meant for changes that must not alter behaviour. Run it from the project's root with the tests' class path:
  *
  *     BehaviourDigestKt write FILE        plays all days and writes a line for each: name, digest, number of messages
- *     BehaviourDigestKt compare FILE      plays all days and lists those that differ from FILE; exit code 1 if there are any
+ *     BehaviourDigestKt compare FILE      plays all days and lists those that differ; exit code 1 if there are any
  *     BehaviourDigestKt transcript DAY FILE   writes every message of one day, to find where two versions part
  *
  * The variable DIGEST_THREADS says how many days are played at once (default 4).
@@ -25,7 +26,9 @@
     when (args.firstOrNull()) {
         "write" -> File(args[1]).writeText(playAll(digestDays()).joinToString("") { "$it\n" })
         "compare" -> exitProcess(if (compare(File(args[1]).readLines()) == 0) 0 else 1)
-        "transcript" -> File(args[2]).bufferedWriter().use { out -> digestDays().first { it.name == args[1] }.play(out) }
+        "transcript" -> File(args[2]).bufferedWriter().use { out ->
+            digestDays().first { it.name == args[1] }.play(out)
+        }
         else -> error("usage: write FILE, compare FILE, or transcript DAY FILE")
     }
 }
@@ -59,9 +62,10 @@
 
 private fun digestDays(): List<DigestDay> = scenarioDays() + randomDays() + largeDays()
 
-private fun scenarioDays() = Path.of("src/test/resources/scenarios").listDirectoryEntries("*.txt").sorted().map { file ->
-    DigestDay("scenario/${file.nameWithoutExtension}") { Files.readAllLines(file) }
-}
+private fun scenarioDays() =
+    Path.of("src/test/resources/scenarios").listDirectoryEntries("*.txt").sorted().map { file ->
+        DigestDay("scenario/${file.nameWithoutExtension}") { Files.readAllLines(file) }
+    }
 
 private fun randomDays() = (1L..RANDOM_SEEDS).flatMap { seed ->
     listOf(
@@ -73,8 +77,12 @@
 }
 
 private fun largeDays() = (1L..LARGE_SEEDS).map { seed -> DigestDay("large-day/$seed") { LargeDay(seed).lines() } } +
-    (1L..LARGE_UPGRADE_SEEDS).map { seed -> DigestDay("large-upgrade-day/$seed") { LargeDay(seed, upgrade = true).lines() } } +
-    (1L..LARGE_ROLLOUT_SEEDS).map { seed -> DigestDay("large-rollout-day/$seed") { LargeDay(seed, upgrade = true, rollout = true).lines() } }
+    (1L..LARGE_UPGRADE_SEEDS).map { seed ->
+        DigestDay("large-upgrade-day/$seed") { LargeDay(seed, upgrade = true).lines() }
+    } +
+    (1L..LARGE_ROLLOUT_SEEDS).map { seed ->
+        DigestDay("large-rollout-day/$seed") { LargeDay(seed, upgrade = true, rollout = true).lines() }
+    }
 
 /** Plays the days on several threads; each has a world of its own. */
 private fun playAll(days: List<DigestDay>): List<DayDigest> {
@@ -90,7 +98,9 @@
 private fun compare(expected: List<String>): Int {
     val played = playAll(digestDays()).map { it.toString() }
     val differing = played.filter { it !in expected }.map { "differs: $it" } +
-        expected.filter { line -> played.none { it.substringBefore(' ') == line.substringBefore(' ') } }.map { "not played: $it" }
+        expected.filter { line ->
+            played.none { it.substringBefore(' ') == line.substringBefore(' ') }
+        }.map { "not played: $it" }
     differing.forEach { println(it) }
     println("${played.size - differing.count { it.startsWith("differs") }} of ${played.size} days are as in the file")
     return differing.size
--- a/src/test/kotlin/io/reedmast/sim/LargeDay.kt
+++ b/src/test/kotlin/io/reedmast/sim/LargeDay.kt
@@ -8,7 +8,13 @@
  * @property upgrade whether controllers are upgraded one after the other
  * @property rollout whether features are rolled out and taken back
  */
-class LargeDay(private val seed: Long, private val upgrade: Boolean = false, private val rollout: Boolean = false, machines: Int? = null, jobs: Int? = null) {
+class LargeDay(
+    private val seed: Long,
+    private val upgrade: Boolean = false,
+    private val rollout: Boolean = false,
+    machines: Int? = null,
+    jobs: Int? = null,
+) {
     private val random = Random(seed)
     private val machines = machines ?: if (seed % LARGEST_EACH == 0L) LARGEST else random.nextInt(150, 500)
     private val jobs = jobs ?: if (seed % LARGEST_EACH == 0L) 900 else random.nextInt(200, 400)
@@ -46,14 +52,29 @@
             "machines $zone m x",
             "machines ${machines - zone - zone / 2} m y",
             "machines ${zone / 2} m y spot",
-        ) + (if (upgrade) listOf("next-limits 2 5", "old n0 n1 n2") else emptyList()) + (0 until TEAMS).map { "team t$it ${machines / 2} ${machines * 2}" }
+        ) + (if (upgrade) listOf("next-limits 2 5", "old n0 n1 n2") else emptyList()) +
+            (0 until TEAMS).map { "team t$it ${machines / 2} ${machines * 2}" }
         return head + (events + troubles + ends).sortedBy { it.first }.map { "at ${it.first} ${it.second}" }
     }
 
     private fun job(index: Int) {
         val service = random.nextInt(3) == 0
-        val taskCount = if (service) random.nextInt(1, 5) else listOf(1, 1, 1, random.nextInt(2, 40), random.nextInt(40, 150)).random(random)
-        val shape = if (service) "kind=service priority=urgent" else "run=${random.nextInt(2, 25)} spot=${random.nextBoolean()}"
+        val taskCount = if (service) {
+            random.nextInt(
+                1,
+                5,
+            )
+        } else {
+            listOf(1, 1, 1, random.nextInt(2, 40), random.nextInt(40, 150)).random(random)
+        }
+        val shape = if (service) {
+            "kind=service priority=urgent"
+        } else {
+            "run=${random.nextInt(
+                2,
+                25,
+            )} spot=${random.nextBoolean()}"
+        }
         val zones = listOf("", "", "", "", " zone=x", " oneZone=true").random(random)
         // Half of all jobs come in bursts, as users do once a trouble is over.
         val from = if (random.nextBoolean()) time(3.0, LAST - 15.0) else random.nextInt(1, 6) * 15.0 + time(0.0, 0.3)
@@ -79,14 +100,23 @@
             val zones = if (chance.nextBoolean()) " oneZone=true" else ""
             val team = "t${chance.nextInt(TEAMS)}"
             events.add(
-                from to "submit wk-${1_000_000 + i} kind=gang team=$team tasks=${chance.nextInt(2, 40)} run=${chance.nextInt(2, 25)}$zones insist=true",
+                from to
+                    "submit wk-${1_000_000 + i} kind=gang team=$team tasks=${chance.nextInt(
+                        2,
+                        40,
+                    )} run=${chance.nextInt(2, 25)}$zones insist=true",
             )
         }
     }
 
     private fun addRollout(chance: Random) {
         val features = listOf("fenced-tokens", "dense-pages")
-        for (feature in features) at(Math.round(chance.nextDouble(20.0, 45.0) * 10) / 10.0, "operator enable $feature perhaps")
+        for (feature in features) {
+            at(
+                Math.round(chance.nextDouble(20.0, 45.0) * 10) / 10.0,
+                "operator enable $feature perhaps",
+            )
+        }
         at(Math.round(chance.nextDouble(50.0, LAST) * 10) / 10.0, "operator revert dense-pages perhaps")
         for (feature in features) {
             at(LAST + 5, "operator enable $feature")
--- a/src/test/kotlin/io/reedmast/sim/OutputRecorder.kt
+++ b/src/test/kotlin/io/reedmast/sim/OutputRecorder.kt
@@ -8,8 +8,9 @@
 import java.security.MessageDigest
 
 /**
- * A digest over everything that leaves the controllers of a [World], in order and with simulated times: answers to users and workers,
- * commands, store transactions and reads, cloud calls and messages to peers. Log lines are no part of it.
+ * A digest over everything that leaves the controllers of a [World], in order and with simulated times: answers to
+ * users and workers, commands, store transactions and reads, cloud calls and messages to peers. Log lines are no part
+ * of it.
  *
  * Everything is recorded in its encoded form, so that renamed classes and fields leave the digest as it is.
  */
--- a/src/test/kotlin/io/reedmast/sim/OutputRecorderTest.kt
+++ b/src/test/kotlin/io/reedmast/sim/OutputRecorderTest.kt
@@ -33,7 +33,10 @@
         )
     }
 
-    /** Two plays of one day send the same messages: without that, no difference between two versions would mean anything. */
+    /**
+     * Two plays of one day send the same messages: without that, no difference between two versions would mean
+     * anything.
+     */
     @Test
     fun `a day that is played twice has one digest`() {
         fun play(): String {
--- a/src/test/kotlin/io/reedmast/sim/RandomDay.kt
+++ b/src/test/kotlin/io/reedmast/sim/RandomDay.kt
@@ -9,7 +9,12 @@
  * @property upgrade whether controllers are upgraded one after the other
  * @property rollout whether features are rolled out and taken back
  */
-class RandomDay(private val seed: Long, private val gangs: Boolean = false, private val upgrade: Boolean = false, private val rollout: Boolean = false) {
+class RandomDay(
+    private val seed: Long,
+    private val gangs: Boolean = false,
+    private val upgrade: Boolean = false,
+    private val rollout: Boolean = false,
+) {
     private val random = Random(seed)
     private val events = ArrayList<Pair<Double, String>>()
 
@@ -41,7 +46,9 @@
                 "team c 0 0",
                 "machine-type m 4 5",
             ) +
-                (0 until MACHINES).map { "machine m ${if (it % 2 == 0) "x" else "y"}${if (it % 4 == 3) " spot" else ""}" }
+                (0 until MACHINES).map {
+                    "machine m ${if (it % 2 == 0) "x" else "y"}${if (it % 4 == 3) " spot" else ""}"
+                }
         return head + (if (upgrade) listOf("value-kb 8", "next-limits 1 5", "old n0 n1 n2") else emptyList()) +
             (if (rollout) listOf("versions n0=${seed % 4} n1=${seed / 4 % 4} n2=${seed / 16 % 4}") else emptyList()) +
             events.sortedBy { it.first }.map { "at ${it.first} ${it.second}" }
@@ -56,7 +63,14 @@
             val shape = if (service) "kind=service" else "run=${random.nextInt(2, 40)}"
             val spot = if (!service && random.nextBoolean()) " spot=true" else ""
             val from = time(2.0, LAST - 20.0)
-            at(from, "submit wk-$i team=${listOf("a", "b", "c").random(random)} tasks=$taskCount $shape priority=$priority$zones$spot insist=true")
+            at(
+                from,
+                "submit wk-$i team=${listOf(
+                    "a",
+                    "b",
+                    "c",
+                ).random(random)} tasks=$taskCount $shape priority=$priority$zones$spot insist=true",
+            )
             when (random.nextInt(6)) {
                 0 -> at(time(from + 1.0, LAST), "abort wk-$i insist=true")
                 1 -> if (!service) at(from, "meet-end wk-$i")
@@ -71,7 +85,13 @@
             val from = Math.round(chance.nextDouble(2.0, LAST - 40.0) * 10) / 10.0
             val jobId = "wk-${200 + i}"
             val team = listOf("a", "b", "c").random(chance)
-            at(from, "submit $jobId team=$team tasks=${chance.nextInt(15, 40)} run=${chance.nextInt(1, 5)} spot=${chance.nextBoolean()} insist=true")
+            at(
+                from,
+                "submit $jobId team=$team tasks=${chance.nextInt(
+                    15,
+                    40,
+                )} run=${chance.nextInt(1, 5)} spot=${chance.nextBoolean()} insist=true",
+            )
             if (chance.nextInt(5) == 0) at(from + chance.nextInt(1, 30), "abort $jobId insist=true")
         }
         var turn = chance.nextDouble(8.0, 30.0)
@@ -85,8 +105,8 @@
     }
 
     /**
-     * Controllers change their versions in any order, also back at the wrong moment; a process that does not fit ends by itself. In the
-     * end all are new, and the gates come to what was wished last.
+     * Controllers change their versions in any order, also back at the wrong moment; a process that does not fit ends
+     * by itself. In the end all are new, and the gates come to what was wished last.
      */
     private fun addRollout(chance: Random) {
         fun moment(from: Double, to: Double) = Math.round(chance.nextDouble(from, to) * 10) / 10.0
@@ -128,7 +148,13 @@
             val from = Math.round(chance.nextDouble(maxOf(2.0, notBefore), LAST - 20.0) * 10) / 10.0
             val team = listOf("a", "b", "c").random(chance)
             val image = if (chance.nextBoolean()) " imageGb=${chance.nextInt(1, 6)}" else ""
-            at(from, "submit $jobId kind=gang team=$team tasks=$taskCount run=${chance.nextInt(2, 40)} priority=$priority$zones$saves$image insist=true")
+            at(
+                from,
+                "submit $jobId kind=gang team=$team tasks=$taskCount run=${chance.nextInt(
+                    2,
+                    40,
+                )} priority=$priority$zones$saves$image insist=true",
+            )
             when (chance.nextInt(6)) {
                 0 -> at(from + chance.nextInt(1, 30), "abort $jobId insist=true")
                 1 -> at(from, "meet-end $jobId")
--- a/src/test/kotlin/io/reedmast/sim/RolloutRules.kt
+++ b/src/test/kotlin/io/reedmast/sim/RolloutRules.kt
@@ -12,8 +12,8 @@
 import io.reedmast.wire.StoreMessages
 
 /**
- * The rules of the rollout, checked on every value that is stored and every page that is read, by what the store holds: gates move
- * only as they may, and nothing is written or read by a process in a form that the gates do not allow to it.
+ * The rules of the rollout, checked on every value that is stored and every page that is read, by what the store holds:
+ * gates move only as they may, and nothing is written or read by a process in a form that the gates do not allow to it.
  */
 class RolloutRules(private val world: World) {
     private var record = RolloutRecord()
@@ -35,19 +35,28 @@
         if (isNew !=
             newAllowed
         ) {
-            world.rules.breach("wrong_form $path is stored ${if (isNew) "in the new" else "in the old"} form while $feature is ${now.storedName}")
+            world.rules.breach(
+                "wrong_form $path is stored ${if (isNew) "in the new" else "in the old"} form " +
+                    "while $feature is ${now.storedName}",
+            )
         }
     }
 
     private var counterIsOpen = true
 
-    /** A version from before the rollout may take shards until the counter has been migrated; what depends on the fence waits for that. */
+    /**
+     * A version from before the rollout may take shards until the counter has been migrated; what depends on the fence
+     * waits for that.
+     */
     private fun takesOpenCounter(value: Fields): Boolean {
         val sender = StoreMessages.transactionId(value) ?: return false
         return counterIsOpen && world.nodes.any { it.wasOld(sender) }
     }
 
-    /** Whatever lets a process take part, or has a form that depends on the gates, is on condition that they are as the process has read them. */
+    /**
+     * Whatever lets a process take part, or has a form that depends on the gates, is on condition that they are as the
+     * process has read them.
+     */
     fun sent(transaction: StoreTransaction) {
         val sender = world.nodes.firstOrNull { transaction.id.startsWith("${it.label}-") } ?: return
         // What is carried out late was sent by the process of then, whatever runs there now.
@@ -67,9 +76,17 @@
             if (gate.state != before && gate.state !in allowed.getValue(before)) {
                 world.rules.breach("gate_jumped $name from ${before.storedName} to ${gate.state.storedName}")
             }
-            if (gate.state == GateState.ENABLED && before != GateState.ENABLED) checkAllRead(gate.requires.value, next, "$name is enabled")
+            if (gate.state == GateState.ENABLED &&
+                before != GateState.ENABLED
+            ) {
+                checkAllRead(gate.requires.value, next, "$name is enabled")
+            }
+        }
+        if (next.finalizedVersion <
+            record.finalizedVersion
+        ) {
+            world.rules.breach("version_fell to ${next.finalizedVersion}")
         }
-        if (next.finalizedVersion < record.finalizedVersion) world.rules.breach("version_fell to ${next.finalizedVersion}")
         record = next
     }
 
@@ -84,8 +101,13 @@
 
     /** A process reads the pages of a shard that it has taken. */
     fun read(node: SimNode, items: List<Pair<String, Fields>>) {
-        val dense = items.firstOrNull { (path, value) -> path.startsWith("page/") && DensePages.isDense(value) } ?: return
-        if (node.readsUpTo < ClusterFeatures.densePages.requires.value) world.rules.breach("read_too_new ${node.label} reads ${dense.first}")
+        val dense =
+            items.firstOrNull { (path, value) -> path.startsWith("page/") && DensePages.isDense(value) } ?: return
+        if (node.readsUpTo <
+            ClusterFeatures.densePages.requires.value
+        ) {
+            world.rules.breach("read_too_new ${node.label} reads ${dense.first}")
+        }
     }
 
     private companion object {
--- a/src/test/kotlin/io/reedmast/sim/RuleChecker.kt
+++ b/src/test/kotlin/io/reedmast/sim/RuleChecker.kt
@@ -9,8 +9,8 @@
  * The rules of the protocol, checked by what users were told, what runs on each worker and what the store holds. The
  * controllers' own books are not asked.
  *
- * Besides the rules, two conditions on which they rest are checked, since they fail long before a user sees it: a job that a
- * user was told of stands in the store, and a task is launched only where a stored page places it.
+ * Besides the rules, two conditions on which they rest are checked, since they fail long before a user sees it: a job
+ * that a user was told of stands in the store, and a task is launched only where a stored page places it.
  */
 class RuleChecker(private val world: World) {
     private class RunningTasks {
@@ -30,19 +30,29 @@
     private val heldCount = HashMap<String, Int>()
     private val cancelled = HashSet<String>()
 
-    /** Since when a job has had room somewhere, its team was below its limit, and none of its tasks was on a machine. */
+    /**
+     * Since when a job has had room somewhere, its team was below its limit, and none of its tasks was on a machine.
+     */
     private val neglectedSince = HashMap<String, Long>()
 
     fun breach(what: String) {
         broken.add("${world.now() / 1000.0} s: $what")
     }
 
-    // ---- what workers do ----------------------------------------------------------------------------------------------
+    // ---- what workers do
+    // ----------------------------------------------------------------------------------------------
 
     /** A worker has taken up a launch: the task takes room there from now on. */
     fun launched(worker: SimWorker, id: TaskId, attempt: Long) {
         heldCount.merge(id.jobId, 1, Int::plus)
-        if (!world.state.places(id, attempt, worker.name)) breach("launched_unstored $id try $attempt on ${worker.name}")
+        if (!world.state.places(
+                id,
+                attempt,
+                worker.name,
+            )
+        ) {
+            breach("launched_unstored $id try $attempt on ${worker.name}")
+        }
     }
 
     /** A task has its image and runs. */
@@ -64,7 +74,11 @@
     private fun checkOneAttempt(id: TaskId, attempt: Long) {
         if (!world.jobs.getValue(id.jobId).spec.gang) return
         val before = gangAttempts.put(id.jobId, attempt)
-        if (before != null && before != attempt && runningCount(id.jobId) > 1) breach("two_attempts $id: $before and $attempt")
+        if (before != null && before != attempt &&
+            runningCount(id.jobId) > 1
+        ) {
+            breach("two_attempts $id: $before and $attempt")
+        }
     }
 
     /** A task is over, killed, or gone with its machine. */
@@ -108,10 +122,13 @@
     private fun checkCancelled(jobId: String) {
         val cancelledAt = world.jobs[jobId]?.abortedAt ?: return
         if (cancelledAt == 0L || world.now() - cancelledAt <= world.settings.workers.cancelS * 1000) return
-        running[jobId]?.machines?.forEach { (id, machines) -> breach("ran_cancelled $id on ${machines.map { it.name }}") }
+        running[jobId]?.machines?.forEach { (id, machines) ->
+            breach("ran_cancelled $id on ${machines.map { it.name }}")
+        }
     }
 
-    // ---- what users are told ------------------------------------------------------------------------------------------
+    // ---- what users are told
+    // ------------------------------------------------------------------------------------------
 
     /** [known]: whether the job had been accepted before the question was asked. */
     fun answered(jobId: String, answer: UserAnswer, known: Boolean) {
@@ -130,12 +147,15 @@
         }
     }
 
-    private fun isStored(jobId: String): Boolean =
-        world.state.get(Keys.end(jobId)) != null || (0 until world.settings.shardCount).any { world.state.get(Keys.live(it, jobId)) != null }
+    private fun isStored(jobId: String): Boolean = world.state.get(Keys.end(jobId)) != null ||
+        (0 until world.settings.shardCount).any { world.state.get(Keys.live(it, jobId)) != null }
 
-    // ---- what becomes of accepted jobs --------------------------------------------------------------------------------
+    // ---- what becomes of accepted jobs
+    // --------------------------------------------------------------------------------
 
-    /** Once the troubles are over, no job waits 90 s while a machine that fits has room and its team is under its limit. */
+    /**
+     * Once the troubles are over, no job waits 90 s while a machine that fits has room and its team is under its limit.
+     */
     fun checkNeglected() {
         if (world.now() < world.calmSince) return
         val room = world.workers.values.filter { it.alive }.map { it to it.freeCpus() }
@@ -156,7 +176,15 @@
     private fun hasRoom(job: World.SimJob, room: List<Pair<SimWorker, Double>>): Boolean {
         val fitting = room.filter { (worker, cpus) -> fits(job, worker, cpus) }
         if (!job.spec.gang) return fitting.isNotEmpty()
-        val places = fitting.groupBy({ (worker, _) -> if (job.spec.oneZone) worker.zone else "" }, { (_, cpus) -> ((cpus + SLACK) / job.spec.cpus).toInt() })
+        val places = fitting.groupBy({ (worker, _) -> if (job.spec.oneZone) worker.zone else "" }, { (_, cpus) ->
+            (
+                (
+                    cpus +
+                        SLACK
+                    ) /
+                    job.spec.cpus
+                ).toInt()
+        })
         return places.values.any { it.sum() >= job.spec.taskCount }
     }
 
@@ -182,7 +210,14 @@
             told[jobId] == "aborted" -> if (count > 0) "$jobId is cancelled and runs" else null
             job.fails || !underLimit(job) -> null
             job.spec.service -> if (count != job.spec.taskCount) "$jobId: $count of ${job.spec.taskCount} run" else null
-            else -> if (job.completed.size < job.spec.taskCount) "$jobId: ${job.completed.size} of ${job.spec.taskCount} done" else null
+            else ->
+                if (job.completed.size <
+                    job.spec.taskCount
+                ) {
+                    "$jobId: ${job.completed.size} of ${job.spec.taskCount} done"
+                } else {
+                    null
+                }
         }
     }
 
--- a/src/test/kotlin/io/reedmast/sim/RuleCheckerTest.kt
+++ b/src/test/kotlin/io/reedmast/sim/RuleCheckerTest.kt
@@ -27,7 +27,13 @@
     }
 
     private fun stored() {
-        world.state.commit(StoreTransaction("t", listOf(Precondition(Keys.live(0, "wk-1"), 0)), listOf(Write.Put(Keys.live(0, "wk-1"), emptyMap()))))
+        world.state.commit(
+            StoreTransaction(
+                "t",
+                listOf(Precondition(Keys.live(0, "wk-1"), 0)),
+                listOf(Write.Put(Keys.live(0, "wk-1"), emptyMap())),
+            ),
+        )
     }
 
     private fun answer(state: JobState) = UserAnswer(200, JobStatus("wk-1", state))
--- a/src/test/kotlin/io/reedmast/sim/Scenario.kt
+++ b/src/test/kotlin/io/reedmast/sim/Scenario.kt
@@ -22,17 +22,22 @@
 import kotlin.random.Random
 
 /**
- * Plays a day in the stand-in world. A line is `at SECONDS VERB ARGUMENTS`, in order of time; before them
- * `nodes N`, `value-kb N`, `next-limits VALUE_KB TXN_OPS`, `old NODES`, `versions NODE=VERSION`, `team NAME CPUS MAX`, `machine-type NAME CPUS BOOT_S`, `machine TYPE ZONE [spot]`,
- * `machines N TYPE ZONE [spot]`, `capacity N`, `seed N`, `limits WRITES_PER_S PAGE_ITEMS KEPT_CHANGES`. The rules of the protocol, with those that its users added, are checked throughout; `expect` lines say what else
- * must hold.
+ * Plays a day in the stand-in world. A line is `at SECONDS VERB ARGUMENTS`, in order of time; before them `nodes N`,
+ * `value-kb N`, `next-limits VALUE_KB TXN_OPS`, `old NODES`, `versions NODE=VERSION`, `team NAME CPUS MAX`,
+ * `machine-type NAME CPUS BOOT_S`, `machine TYPE ZONE [spot]`, `machines N TYPE ZONE [spot]`, `capacity N`, `seed N`,
+ * `limits WRITES_PER_S PAGE_ITEMS KEPT_CHANGES`. The rules of the protocol, with those that its users added, are
+ * checked throughout; `expect` lines say what else must hold.
  */
 class Scenario(lines: List<String>) {
-    private val lines = lines.map { it.substringBefore('#').trim() }.filter { it.isNotEmpty() }.map { it.split(Regex("\\s+")) }
+    private val lines = lines.map {
+        it.substringBefore('#').trim()
+    }.filter { it.isNotEmpty() }.map { it.split(Regex("\\s+")) }
     private val teams = given("team").map { TeamShare(it[1], it[2].toDouble(), it[3].toDouble(), 0.0, 0.0) }
     private val nodes = given("nodes").firstOrNull()?.get(1)?.toInt() ?: 3
     private val valueBytes = ((given("value-kb").firstOrNull()?.get(1)?.toDouble() ?: 8.0) * 1024).toInt()
-    private val nextLimits = given("next-limits").firstOrNull()?.let { StoreLimits(100.0, 50.0, (it[1].toDouble() * 1024).toInt(), it[2].toInt()) }
+    private val nextLimits = given("next-limits").firstOrNull()?.let {
+        StoreLimits(100.0, 50.0, (it[1].toDouble() * 1024).toInt(), it[2].toInt())
+    }
     private val machineTypes = given("machine-type").map {
         MachineType(it[1], it[2].toDouble(), 0.0, 64.0, 50.0, 0.5, 1.0, 0.3, it[3].toDouble(), listOf("x", "y"))
     }
@@ -67,10 +72,21 @@
     fun run() {
         given("capacity").forEach { world.capacity = it[1].toInt() }
         given("machine").forEach { world.addWorker(it[1], it[2], "spot" in it, 0) }
-        given("machines").forEach { words -> repeat(words[1].toInt()) { world.addWorker(words[2], words[3], "spot" in words, 0) } }
+        given("machines").forEach { words ->
+            repeat(words[1].toInt()) {
+                world.addWorker(
+                    words[2],
+                    words[3],
+                    "spot" in words,
+                    0,
+                )
+            }
+        }
         given("limits").forEach { limit(it[1].toDouble(), it[2].toInt(), it[3].toInt()) }
         given("old").flatMap { it.drop(1) }.forEach { label -> world.nodes.first { it.label == label }.old = true }
-        given("versions").flatMap { it.drop(1) }.forEach { setVersion(it.substringBefore('='), it.substringAfter('=').toInt()) }
+        given("versions").flatMap {
+            it.drop(1)
+        }.forEach { setVersion(it.substringBefore('='), it.substringAfter('=').toInt()) }
         world.nodes.forEach { it.start() }
         given("seed").forEach { world.random = Random(it[1].toLong()) }
         checkRules()
@@ -81,7 +97,9 @@
         assertEquals(emptyList<String>(), world.rules.broken)
     }
 
-    /** The store as it is at size: so many changes a second, so many items in a page of a listing, so many changes kept. */
+    /**
+     * The store as it is at size: so many changes a second, so many items in a page of a listing, so many changes kept.
+     */
     private fun limit(writesPerS: Double, pageItems: Int, keptChanges: Int) {
         world.writesPerS = writesPerS
         world.state.pageItems = pageItems
@@ -103,14 +121,19 @@
     private fun pollAll(everyMs: Long) {
         for (jobId in world.rules.told.keys.toList()) {
             world.after(world.random.nextLong(everyMs)) {
-                world.nodes.filter { it.up }.randomOrNull(world.random)?.ask(jobId, { c, answer -> c.poll(jobId, answer) })
+                world.nodes.filter {
+                    it.up
+                }.randomOrNull(world.random)?.ask(jobId, { c, answer -> c.poll(jobId, answer) })
             }
         }
         world.after(everyMs) { pollAll(everyMs) }
     }
 
     private fun plantLostJob(jobId: String) {
-        val lost = world.nodes.mapNotNull { it.controller }.flatMap { it.cluster.owned() }.any { it.shardState.jobs.remove(jobId) != null }
+        val lost = world.nodes.mapNotNull { it.controller }.flatMap { it.cluster.owned() }.any {
+            it.shardState.jobs.remove(jobId) !=
+                null
+        }
         if (!lost) world.after(1) { plantLostJob(jobId) }
     }
 
@@ -118,17 +141,32 @@
     private fun insist(jobId: String, question: (Controller, (UserAnswer) -> Unit) -> Unit, since: Long = world.now()) {
         if (world.now() - since > 60_000) return
         var answered = false
-        world.nodes.filter { it.up }.randomOrNull(world.random)?.ask(jobId, question) { if (it.status < 429) answered = true }
+        world.nodes.filter { it.up }.randomOrNull(world.random)?.ask(jobId, question) {
+            if (it.status <
+                429
+            ) {
+                answered = true
+            }
+        }
         world.after(1_500) { if (!answered) insist(jobId, question, since) }
     }
 
     private fun act(words: List<String>) {
         val args = words.filter { '=' in it }.associate { it.substringBefore('=') to it.substringAfter('=') }
-        val node = world.nodes.filter { it.up }.let { up -> up.firstOrNull { it.label == args["via"] } ?: up.firstOrNull() }
+        val node = world.nodes.filter { it.up }.let { up ->
+            up.firstOrNull { it.label == args["via"] }
+                ?: up.firstOrNull()
+        }
         when (words[0]) {
             "submit" -> {
                 val spec = World.spec(words[1], args)
-                world.jobs.getOrPut(words[1]) { World.SimJob(spec, (spec.estimateS * 1000).toLong(), args["fails"] == "true") }
+                world.jobs.getOrPut(words[1]) {
+                    World.SimJob(
+                        spec,
+                        (spec.estimateS * 1000).toLong(),
+                        args["fails"] == "true",
+                    )
+                }
                 if (args["insist"] == "true") {
                     insist(words[1], { c, answer -> c.submit(spec, answer) })
                     return
@@ -141,7 +179,9 @@
             // That many jobs, numbered from the first, one after the other.
             "submit-stream" -> repeat(words[2].toInt()) { index ->
                 val jobId = "wk-${words[1].substringAfter('-').toInt() + index}"
-                world.after((index * words[3].toDouble() * 1000).toLong()) { act(listOf("submit", jobId) + words.drop(4)) }
+                world.after((index * words[3].toDouble() * 1000).toLong()) {
+                    act(listOf("submit", jobId) + words.drop(4))
+                }
             }
 
             "abort" -> if (args["insist"] == "true") {
@@ -152,7 +192,11 @@
 
             // At all nodes, and once more at each, within milliseconds.
             "abort-everywhere" -> if (words[1] in world.rules.told) {
-                repeat(2) { world.nodes.filter { it.up }.forEach { asked -> asked.ask(words[1], { c, answer -> c.cancel(words[1], answer) }) } }
+                repeat(2) {
+                    world.nodes.filter {
+                        it.up
+                    }.forEach { asked -> asked.ask(words[1], { c, answer -> c.cancel(words[1], answer) }) }
+                }
                 insist(words[1], { c, answer -> c.cancel(words[1], answer) })
             }
 
@@ -182,7 +226,8 @@
                 setVersion(words[1], words[2].toInt())
             }
             // What the node's deploy file wishes, from its next start on.
-            "desire" -> world.nodes.first { it.label == words[1] }.desired = args.entries.associate { FeatureName(it.key) to Target.of(it.value) }
+            "desire" -> world.nodes.first { it.label == words[1] }.desired =
+                args.entries.associate { FeatureName(it.key) to Target.of(it.value) }
             "clock-error" -> world.nodes.first { it.label == words[1] }.clockErrorMs = words[2].toLong()
             "note-writes" -> notedWrites = world.state.changes
             "operator" -> rolloutOperator.act(words.drop(1))
@@ -213,7 +258,9 @@
             // The first part of a page cannot be read any more.
             "spoil-chunk" -> world.state.spoilChunk(words[1])
             // From now on the cloud says that machines of this type have only so many CPUs.
-            "shrink-type" -> world.machineTypes = world.machineTypes.map { if (it.label == words[1]) it.copy(cpus = words[2].toDouble()) else it }
+            "shrink-type" ->
+                world.machineTypes =
+                    world.machineTypes.map { if (it.label == words[1]) it.copy(cpus = words[2].toDouble()) else it }
             // That share of transactions is carried out at once, and only the answer is lost.
             "lost-answers" -> world.lostAnswers = words[1].toDouble()
             "note-attempts" -> noted[words[1]] = world.attempts(words[1])
@@ -221,7 +268,9 @@
             "calm" -> world.calmSince = world.now()
             "lose-answers" -> world.workers[words[1]]?.answersLost = words[2] == "on"
             "hang" -> world.workers[words[1]]?.hang((words[2].toDouble() * 1000).toLong())
-            "stand-still" -> world.nodes.first { it.label == words[1] }.standStill((words[2].toDouble() * 1000).toLong())
+            "stand-still" -> world.nodes.first {
+                it.label == words[1]
+            }.standStill((words[2].toDouble() * 1000).toLong())
             "repeat-direct" -> world.repeatDirectMs = (words[1].toDouble() * 1000).toLong()
             "late-direct" -> world.nodes.forEach { it.lateDirectMs = (words[1].toDouble() * 1000).toLong() }
             "late-commit" -> world.nodes.first { it.label == words[1] }.run {
@@ -242,7 +291,14 @@
                 val asked = world.nodes.filter { it.up && (args["via"] == null || it.label == args["via"]) }
                 val said = ArrayList<String>()
                 asked.forEach { node ->
-                    node.ask(words[1], { c, answer -> c.poll(words[1], answer) }) { said.add((it.job?.state?.wire ?: it.status).toString()) }
+                    node.ask(words[1], { c, answer -> c.poll(words[1], answer) }) {
+                        said.add(
+                            (
+                                it.job?.state?.wire
+                                    ?: it.status
+                                ).toString(),
+                        )
+                    }
                 }
                 // Users wait two seconds for an answer.
                 val patience = world.now() + 2_000
@@ -256,7 +312,12 @@
             }
 
             "running-in" -> {
-                val running = world.workers.values.filter { it.zone == words[1] }.sumOf { w -> w.onMachine().count { it.jobId == words[2] } }
+                val running = world.workers.values.filter { it.zone == words[1] }.sumOf { w ->
+                    w.onMachine().count {
+                        it.jobId ==
+                            words[2]
+                    }
+                }
                 assertEquals(words[3].toInt(), running, at)
             }
 
@@ -286,7 +347,13 @@
             // No node counts the machine to any shard.
             "unknown" -> assertTrue(world.nodes.none { it.controller?.cluster?.shardOfMachine(words[1]) != null }, at)
 
-            "healthy" -> assertEquals(words[2].toBoolean(), world.nodes.first { it.label == words[1] }.controller?.healthy(), at)
+            "healthy" -> assertEquals(
+                words[2].toBoolean(),
+                world.nodes.first {
+                    it.label == words[1]
+                }.controller?.healthy(),
+                at,
+            )
 
             // Every node answers about every job that was accepted.
             "answered" -> {
@@ -294,7 +361,13 @@
                 for (jobId in world.rules.told.keys) {
                     for (asked in world.nodes.filter { it.up }) {
                         open.add("$jobId by ${asked.label}")
-                        asked.ask(jobId, { c, answer -> c.poll(jobId, answer) }) { if (it.status == 200) open.remove("$jobId by ${asked.label}") }
+                        asked.ask(jobId, { c, answer -> c.poll(jobId, answer) }) {
+                            if (it.status ==
+                                200
+                            ) {
+                                open.remove("$jobId by ${asked.label}")
+                            }
+                        }
                     }
                 }
                 world.runUntil(world.now() + 2_000)
@@ -308,7 +381,11 @@
             "same-attempts" -> assertEquals(noted[words[1]], world.attempts(words[1]), at)
 
             // How often a shard was taken, since the first start.
-            "takings" -> assertEquals(words[1].toLong(), FencingToken.acquisitions(TokenCounter.tokenOf(world.state.get("c/token")?.value.orEmpty())), at)
+            "takings" -> assertEquals(
+                words[1].toLong(),
+                FencingToken.acquisitions(TokenCounter.tokenOf(world.state.get("c/token")?.value.orEmpty())),
+                at,
+            )
 
             // `taken-back`: dormant, or ready to be enabled again.
             "gate" -> {
@@ -323,7 +400,11 @@
             // Its process has ended by itself, since it does not fit what is rolled out.
             "unfit" -> assertTrue(world.nodes.first { it.label == words[1] }.unfit != null, at)
 
-            "owns" -> assertEquals(words[2].toInt(), world.nodes.first { it.label == words[1] }.controller?.cluster?.owned()?.size ?: 0, at)
+            "owns" -> assertEquals(
+                words[2].toInt(),
+                world.nodes.first { it.label == words[1] }.controller?.cluster?.owned()?.size ?: 0,
+                at,
+            )
 
             // Nothing has been stored since it was noted.
             "no-writes" -> assertEquals(notedWrites, world.state.changes, at)
--- a/src/test/kotlin/io/reedmast/sim/SimGang.kt
+++ b/src/test/kotlin/io/reedmast/sim/SimGang.kt
@@ -97,7 +97,12 @@
             val progress = progressMs()
             val patience = world.settings.workers.gangPeerS
             world.after(maxOf((job.spec.saveS * 1000).toLong(), (patience * 1000).toLong() / 2)) { save(progress) }
-            members.values.toList().forEach { exitLater(it, patience + job.spec.saveS, Cause.PEERS) { phase == Phase.STOPPING } }
+            members.values.toList().forEach {
+                exitLater(it, patience + job.spec.saveS, Cause.PEERS) {
+                    phase ==
+                        Phase.STOPPING
+                }
+            }
         }
         told.add(task)
         members[task]?.show(TaskState.SAVING)
--- a/src/test/kotlin/io/reedmast/sim/SimGateway.kt
+++ b/src/test/kotlin/io/reedmast/sim/SimGateway.kt
@@ -30,8 +30,13 @@
 import kotlin.random.Random
 
 /** All I/O of one process of a [SimNode], its life number [life]: what it gets back depends on the world's troubles. */
-class SimGateway(private val world: World, private val node: SimNode, private val life: Int, private val limits: EffectiveLimits, incarnation: String) :
-    Gateway {
+class SimGateway(
+    private val world: World,
+    private val node: SimNode,
+    private val life: Int,
+    private val limits: EffectiveLimits,
+    incarnation: String,
+) : Gateway {
     private val state get() = world.state
     private val slow get() = world.stateSlow
     private val writeLimiter = WriteRateLimiter(world.writesPerS, world::now)
@@ -76,7 +81,11 @@
             when (val polled = queue.poll()) {
                 is CommitQueue.Polled.Batch -> {
                     idleCommitters--
-                    resolve(InDoubtResolution(polled.changes, ids, jitter::nextDouble) { change, outcome -> change.done(outcome) })
+                    resolve(
+                        InDoubtResolution(polled.changes, ids, jitter::nextDouble) { change, outcome ->
+                            change.done(outcome)
+                        },
+                    )
                 }
 
                 is CommitQueue.Polled.Wait -> {
@@ -181,7 +190,12 @@
     override fun get(path: String, done: (ReadResult) -> Unit) {
         record("get $path", emptyMap())
         reply(GET_MS * slow, done) {
-            if (!reachable) ReadResult.Failed else state.get(path)?.let { ReadResult.Found(node.visible(it)) } ?: ReadResult.Missing
+            if (!reachable) {
+                ReadResult.Failed
+            } else {
+                state.get(path)?.let { ReadResult.Found(node.visible(it)) }
+                    ?: ReadResult.Missing
+            }
         }
     }
 
@@ -204,9 +218,11 @@
         }
     }
 
-    override fun shareLimits(aliveControllers: Int, leading: Boolean) = writeLimiter.setRate(world.writesPerS * SAFETY / aliveControllers)
+    override fun shareLimits(aliveControllers: Int, leading: Boolean) =
+        writeLimiter.setRate(world.writesPerS * SAFETY / aliveControllers)
 
-    // ---- other controllers and workers --------------------------------------------------------------------------------
+    // ---- other controllers and workers
+    // --------------------------------------------------------------------------------
 
     override fun broadcast(message: PeerMessage) {
         world.nodes.filter { it.index != node.index }.forEach { send(ControllerId(it.index), message) }
@@ -242,7 +258,11 @@
             else -> node.later(DIRECT_MS) {
                 if (node.life != life) return@later
                 val answer = worker.direct(token, epoch, commands)
-                if (world.repeatDirectMs > 0L) world.after(world.repeatDirectMs) { worker.direct(token, epoch, commands) }
+                if (world.repeatDirectMs >
+                    0L
+                ) {
+                    world.after(world.repeatDirectMs) { worker.direct(token, epoch, commands) }
+                }
                 reply(DIRECT_MS, done) { answer }
             }
         }
@@ -255,10 +275,14 @@
 
     override fun expectMachines(count: Int) = Unit
 
-    // ---- the cloud ----------------------------------------------------------------------------------------------------
+    // ---- the cloud
+    // ----------------------------------------------------------------------------------------------------
 
     override fun provision(request: ProvisioningRequest, done: (ProvisioningResult) -> Unit) {
-        record("rent", CloudMessages.rental(request.requestName, request.typeName, request.zone, request.spot, request.count))
+        record(
+            "rent",
+            CloudMessages.rental(request.requestName, request.typeName, request.zone, request.spot, request.count),
+        )
         reply(CLOUD_MS, done) { world.provision(request) }
     }
 
@@ -273,7 +297,9 @@
     override fun listMachines(done: (List<ListedMachine>?) -> Unit) {
         record("machines", emptyMap())
         reply(CLOUD_MS, done) {
-            world.workers.values.map { ListedMachine(it.name, it.addr, it.machineType.label, it.zone, it.spot, "running", 0.0) }
+            world.workers.values.map {
+                ListedMachine(it.name, it.addr, it.machineType.label, it.zone, it.spot, "running", 0.0)
+            }
         }
     }
 
--- a/src/test/kotlin/io/reedmast/sim/SimNode.kt
+++ b/src/test/kotlin/io/reedmast/sim/SimNode.kt
@@ -38,8 +38,8 @@
     var life = 0
 
     /**
-     * The process has the version before reduced limits and formats: it knows only the limits of today, names no format of its own
-     * and does not see what others name.
+     * The process has the version before reduced limits and formats: it knows only the limits of today, names no format
+     * of its own and does not see what others name.
      */
     var old = false
 
@@ -101,7 +101,8 @@
         val settings = world.settingsOf(index).let { if (old) it.copy(nextStoreLimits = null) else it }
         val limits = EffectiveLimits(settings.storeLimits, settings.nextStoreLimits)
         val gateway = SimGateway(world, this, life, limits, incarnation)
-        controller = Controller(settings, world.tuning, clock, gateway, limits, incarnation, RolloutOptions(registry(), desired))
+        controller =
+            Controller(settings, world.tuning, clock, gateway, limits, incarnation, RolloutOptions(registry(), desired))
         runOnce(life)
         watch(life)
     }
@@ -186,7 +187,13 @@
         }
         watchedTo = state.revision
         val clusterNews = news.filter { it.path.startsWith(Keys.CLUSTER) && isVisible(it.path) }
-        c.cluster.clusterEvents(clusterNews.map { it.copy(value = it.value?.let { value -> visible(it.path, value) }) }, watchedTo, world.now())
+        c.cluster.clusterEvents(
+            clusterNews.map {
+                it.copy(value = it.value?.let { value -> visible(it.path, value) })
+            },
+            watchedTo,
+            world.now(),
+        )
         if (world.now() < jobsDue) return
         val jobNews = state.since(jobsWatchedTo)
         if (jobNews == null) {
--- a/src/test/kotlin/io/reedmast/sim/SimOperator.kt
+++ b/src/test/kotlin/io/reedmast/sim/SimOperator.kt
@@ -28,7 +28,15 @@
     private val store = object : RolloutStore {
         override fun commit(change: CasTransaction) {
             val transaction = StoreTransaction("operator-${++transactions}", change.preconditions, change.writes)
-            val outcome = when (val reply = if (world.state.up) world.state.commit(transaction) else CommitReply.NotExecuted) {
+            val outcome = when (
+                val reply = if (world.state.up) {
+                    world.state.commit(
+                        transaction,
+                    )
+                } else {
+                    CommitReply.NotExecuted
+                }
+            ) {
                 is CommitReply.Applied -> CommitOutcome.Applied(reply.revision)
                 is CommitReply.PreconditionFailed -> CommitOutcome.Conflict(reply.paths)
                 else -> CommitOutcome.Refused("$reply")
@@ -36,19 +44,33 @@
             change.done(outcome)
         }
 
-        override fun get(path: String, done: (ReadResult) -> Unit) = done(world.state.get(path)?.let { ReadResult.Found(it) } ?: ReadResult.Missing)
+        override fun get(path: String, done: (ReadResult) -> Unit) = done(
+            world.state.get(path)?.let {
+                ReadResult.Found(it)
+            } ?: ReadResult.Missing,
+        )
 
-        override fun list(prefix: String, done: (List<StoredItem>?) -> Unit) = done(if (world.state.up) world.state.all(prefix) else null)
+        override fun list(prefix: String, done: (List<StoredItem>?) -> Unit) =
+            done(if (world.state.up) world.state.all(prefix) else null)
 
         override fun writePermitLevel(): Double = 1.0
     }
 
     private fun administration(): RolloutAdministration {
         val configured = world.nodes.mapTo(HashSet()) { it.label }
-        return RolloutAdministration(ClusterFeatures.registry, configured, StoredClusterRecords(world.nodes.size), world::wall, store)
+        return RolloutAdministration(
+            ClusterFeatures.registry,
+            configured,
+            StoredClusterRecords(world.nodes.size),
+            world::wall,
+            store,
+        )
     }
 
-    /** `WISH FEATURE`, or `exclude`, `include`, `drain`, `undrain`, `ready` with a node; `refused=WORD` if it must be, for a reason with that word. */
+    /**
+     * `WISH FEATURE`, or `exclude`, `include`, `drain`, `undrain`, `ready` with a node; `refused=WORD` if it must be,
+     * for a reason with that word.
+     */
     fun act(words: List<String>) {
         val refusal = words.firstOrNull { it.startsWith("refused=") }?.substringAfter('=')?.replace('_', ' ')
         val by = Act(words.firstOrNull { it.startsWith("by=") }?.substringAfter('=') ?: "operator", "a test")
@@ -69,7 +91,13 @@
         // As chance has it, an act may be impossible just then.
         if ("perhaps" in words) return
         val at = "at ${world.now() / 1000.0} s: operator ${words.joinToString(" ")}: $result"
-        if (refusal == null) assertEquals(ActResult.Done, result, at) else assertTrue((result as? ActResult.Refused)?.reason?.contains(refusal) ?: false, at)
+        if (refusal ==
+            null
+        ) {
+            assertEquals(ActResult.Done, result, at)
+        } else {
+            assertTrue((result as? ActResult.Refused)?.reason?.contains(refusal) ?: false, at)
+        }
     }
 
     private fun asResult(readiness: Readiness): ActResult = when (readiness) {
@@ -83,11 +111,14 @@
         return status ?: error("no status")
     }
 
-    fun stateOf(feature: String): String = status().let { it.snapshot.stateOf(FeatureName(feature), it.view.gates.record).storedName }
+    fun stateOf(feature: String): String = status().let {
+        it.snapshot.stateOf(FeatureName(feature), it.view.gates.record).storedName
+    }
 
     /** Whether all records of the feature have the form that its gate wants. */
     fun isMigrated(feature: String): Boolean = status().let { status ->
-        ClusterFeatures.registry[FeatureName(feature)]?.let { status.snapshot.isMigrated(it, status.view.gates.record) } ?: false
+        ClusterFeatures.registry[FeatureName(feature)]?.let { status.snapshot.isMigrated(it, status.view.gates.record) }
+            ?: false
     }
 
     fun waiting(): String = status().waiting.toString()
--- a/src/test/kotlin/io/reedmast/sim/SimStore.kt
+++ b/src/test/kotlin/io/reedmast/sim/SimStore.kt
@@ -51,7 +51,9 @@
     /** All keys with a prefix, at once. */
     fun all(prefix: String): List<StoredItem> {
         expire()
-        return entries.tailMap(prefix).entries.takeWhile { it.key.startsWith(prefix) }.map { StoredItem(it.key, it.value.value, it.value.version) }
+        return entries.tailMap(prefix).entries.takeWhile {
+            it.key.startsWith(prefix)
+        }.map { StoredItem(it.key, it.value.value, it.value.version) }
     }
 
     /** Some of the keys with a prefix, and whether there are more. */
@@ -112,8 +114,16 @@
     /** What the service never took is a mistake of ours, whatever becomes of it. */
     private fun checkLimits(transaction: StoreTransaction) {
         val limits = world.settings.storeLimits
-        if (transaction.writes.size > limits.opsPerCommit) world.rules.breach("${transaction.writes.size} changes in a transaction")
-        if (transaction.preconditions.size > limits.opsPerCommit * 4) world.rules.breach("${transaction.preconditions.size} conditions in a transaction")
+        if (transaction.writes.size >
+            limits.opsPerCommit
+        ) {
+            world.rules.breach("${transaction.writes.size} changes in a transaction")
+        }
+        if (transaction.preconditions.size >
+            limits.opsPerCommit * 4
+        ) {
+            world.rules.breach("${transaction.preconditions.size} conditions in a transaction")
+        }
         transaction.writes.filterIsInstance<Write.Put>().forEach {
             val size = Tree.jsonSize(StoreMessages.stored(it.value, transaction.id))
             if (size > limits.valueBytes) world.rules.breach("${it.path} holds $size bytes")
@@ -129,8 +139,15 @@
         checkLimits(transaction)
         world.rolloutRules.sent(transaction)
         if (isTooLarge(transaction)) return CommitReply.Malformed("the value is too large")
-        val failed = transaction.preconditions.filter { (entries[it.path]?.version ?: 0L) != it.version }.mapTo(HashSet()) { it.path }
-        if (transaction.writes.any { it is Write.Put && it.lease != null && it.lease !in leases }) return CommitReply.Malformed("no such lease")
+        val failed = transaction.preconditions.filter {
+            (entries[it.path]?.version ?: 0L) != it.version
+        }.mapTo(HashSet()) { it.path }
+        if (transaction.writes.any {
+                it is Write.Put && it.lease != null && it.lease !in leases
+            }
+        ) {
+            return CommitReply.Malformed("no such lease")
+        }
         if (failed.isNotEmpty()) return CommitReply.PreconditionFailed(failed)
         revision++
         changes += transaction.writes.size
@@ -148,12 +165,17 @@
     private val placed = HashMap<String, Set<Triple<TaskId, Long, String>>>()
 
     /** Whether a stored page places the attempt on the machine. */
-    fun places(id: TaskId, attempt: Long, machineName: String): Boolean = placed.values.any { Triple(id, attempt, machineName) in it }
+    fun places(id: TaskId, attempt: Long, machineName: String): Boolean = placed.values.any {
+        Triple(id, attempt, machineName) in
+            it
+    }
 
     private fun recordPage(path: String, value: Fields) {
         if (!path.startsWith("page/")) return
         placed[path] = PageForm.chunksOf(value) { throw it }
-            .flatMapTo(HashSet()) { chunk -> chunk.placements.map { Triple(TaskId(chunk.jobId, it.task), it.attempt, it.machineName) } }
+            .flatMapTo(HashSet()) { chunk ->
+                chunk.placements.map { Triple(TaskId(chunk.jobId, it.task), it.attempt, it.machineName) }
+            }
     }
 
     /** A machine that comes to a shard must not be named by a page of another one, whose next owner would return it. */
@@ -170,7 +192,9 @@
             if (page.startsWith("page/$shard/")) continue
             val of = page.removePrefix("page/").substringBefore('/').toInt()
             attempts.filter { it.third in machineNames && Keys.live(of, it.first.jobId) in entries }
-                .forEach { world.rules.breach("moved_while_placed ${it.third} to slice $shard, ${it.first} of slice $of") }
+                .forEach {
+                    world.rules.breach("moved_while_placed ${it.third} to slice $shard, ${it.first} of slice $of")
+                }
         }
     }
 
--- a/src/test/kotlin/io/reedmast/sim/SimWorker.kt
+++ b/src/test/kotlin/io/reedmast/sim/SimWorker.kt
@@ -11,7 +11,14 @@
 import io.reedmast.wire.WorkerStatus
 
 /** A worker of PROTOCOL: tokens, sessions, leases, images, and the commands' effects. */
-class SimWorker(private val world: World, val name: String, val machineType: MachineType, val zone: String, val spot: Boolean, private val rentedAt: Long) {
+class SimWorker(
+    private val world: World,
+    val name: String,
+    val machineType: MachineType,
+    val zone: String,
+    val spot: Boolean,
+    private val rentedAt: Long,
+) {
     private class Task(val id: TaskId, val attempt: Long) {
         var state = TaskState.FETCHING
         var cause: Cause? = null
@@ -60,10 +67,23 @@
     val alive: Boolean get() = started && !gone && !hung && !cut && !deaf && !mute && !sick
 
     /** Tasks that take room here, whether they have begun to run or not. */
-    fun held(): List<TaskId> = if (gone) emptyList() else tasks.values.filter { it.state != TaskState.ENDED }.map { it.id }
+    fun held(): List<TaskId> = if (gone) {
+        emptyList()
+    } else {
+        tasks.values.filter {
+            it.state != TaskState.ENDED
+        }.map { it.id }
+    }
 
     /** The attempts that are on the machine. */
-    fun attempts(): Map<TaskId, Long> = if (gone) emptyMap() else tasks.values.filter { it.state != TaskState.ENDED }.associate { it.id to it.attempt }
+    fun attempts(): Map<TaskId, Long> = if (gone) {
+        emptyMap()
+    } else {
+        tasks.values.filter { it.state != TaskState.ENDED }.associate {
+            it.id to
+                it.attempt
+        }
+    }
 
     fun freeCpus(): Double = machineType.cpus - held().sumOf { world.jobs[it.jobId]?.spec?.cpus ?: 0.0 }
 
@@ -143,7 +163,11 @@
         reportDue = world.now() + 3_000
         val status = status()
         val target = world.nodes[node]
-        if (copiesAfterMs > 0L) world.after(copiesAfterMs) { world.nodes.filter { it.up }.forEach { world.workerAnswer(it, status) } }
+        if (copiesAfterMs >
+            0L
+        ) {
+            world.after(copiesAfterMs) { world.nodes.filter { it.up }.forEach { world.workerAnswer(it, status) } }
+        }
         world.after(2) {
             val reaches = target.up && !target.workersCut && !cut && !mute
             val answer = if (reaches) world.workerAnswer(target, status) else null
@@ -257,7 +281,9 @@
             refuse(task, if (busy) Cause.BUSY else Cause.UNKNOWN)
             return
         }
-        val used = tasks.values.filter { it.state != TaskState.ENDED }.sumOf { world.jobs.getValue(it.id.jobId).spec.cpus }
+        val used = tasks.values.filter {
+            it.state != TaskState.ENDED
+        }.sumOf { world.jobs.getValue(it.id.jobId).spec.cpus }
         if (used > machineType.cpus + 1e-6) {
             refuse(task, Cause.NO_ROOM)
             return
@@ -317,6 +343,14 @@
         "tenure" to status.epoch,
         "tally" to status.sequence,
         "baton" to status.token,
-        "pieces" to status.tasks.map { mapOf("piece" to it.id.toString(), "try" to it.attempt, "stage" to it.state.wire, "cause" to it.cause?.wire) },
+        "pieces" to
+            status.tasks.map {
+                mapOf(
+                    "piece" to it.id.toString(),
+                    "try" to it.attempt,
+                    "stage" to it.state.wire,
+                    "cause" to it.cause?.wire,
+                )
+            },
     )
 }
--- a/src/test/kotlin/io/reedmast/sim/World.kt
+++ b/src/test/kotlin/io/reedmast/sim/World.kt
@@ -1,30 +1,16 @@
 package io.reedmast.sim
 
-import io.reedmast.app.Controller
 import io.reedmast.app.WorkerAnswer
-import io.reedmast.kvstore.CasTransaction
-import io.reedmast.kvstore.CommitOutcome
-import io.reedmast.kvstore.ReadResult
-import io.reedmast.kvstore.StoredItem
-import io.reedmast.placement.isEligible
 import io.reedmast.ports.Clock
-import io.reedmast.ports.Gateway
-import io.reedmast.ports.LeaseState
-import io.reedmast.ports.PeerMessage
 import io.reedmast.ports.ProvisioningRequest
 import io.reedmast.ports.ProvisioningResult
-import io.reedmast.settings.ControllerId
 import io.reedmast.settings.Settings
 import io.reedmast.settings.Tuning
 import io.reedmast.wire.JobShape
 import io.reedmast.wire.JobSpec
-import io.reedmast.wire.ListedMachine
 import io.reedmast.wire.MachineType
 import io.reedmast.wire.Priority
-import io.reedmast.wire.Reply
 import io.reedmast.wire.TaskId
-import io.reedmast.wire.UserAnswer
-import io.reedmast.wire.WorkerCommand
 import io.reedmast.wire.WorkerReplies
 import io.reedmast.wire.WorkerStatus
 import java.net.InetSocketAddress
@@ -32,7 +18,12 @@
 import kotlin.random.Random
 
 /** A deterministic world: simulated time, a store, a cloud, workers and users, around real controllers. */
-class World(val settingsOf: (Int) -> Settings, nodes: Int, var machineTypes: List<MachineType>, val tuning: Tuning = Tuning()) : Clock {
+class World(
+    val settingsOf: (Int) -> Settings,
+    nodes: Int,
+    var machineTypes: List<MachineType>,
+    val tuning: Tuning = Tuning(),
+) : Clock {
     private class Event(val at: Long, val sequence: Long, val work: () -> Unit)
 
     private var time = 1_000L
@@ -138,8 +129,12 @@
     }
 
     /** Where each task of the job is, and under which attempt. */
-    fun attempts(jobId: String): Map<TaskId, Pair<String, Long>> =
-        workers.values.flatMap { w -> w.attempts().filterKeys { it.jobId == jobId }.map { (id, attempt) -> id to (w.name to attempt) } }.toMap()
+    fun attempts(jobId: String): Map<TaskId, Pair<String, Long>> = workers.values.flatMap { w ->
+        w.attempts().filterKeys { it.jobId == jobId }.map { (id, attempt) ->
+            id to
+                (w.name to attempt)
+        }
+    }.toMap()
 
     fun atEndOf(jobId: String, work: () -> Unit) {
         jobs.getValue(jobId).atEnd = work
--- a/src/test/kotlin/io/reedmast/wire/WireTest.kt
+++ b/src/test/kotlin/io/reedmast/wire/WireTest.kt
@@ -8,9 +8,12 @@
 class WireTest {
     private val job =
         mapOf(
-            "ref" to "wk-000001", "lot" to "train", "crew" to "vision", "shape" to "array", "rank" to "urgent", "pieces" to 3,
-            "cpus" to 1, "gpus" to 0.0, "memGb" to 2.0, "bundle" to "img-1", "sizeGb" to 1.5, "builds" to null, "yard" to null,
-            "oneZone" to false, "apart" to false, "driftwood" to true, "guessS" to 20.0, "markS" to 0.0, "stowS" to 0.0, "dueS" to null,
+            "ref" to "wk-000001", "lot" to "train", "crew" to "vision", "shape" to "array", "rank" to "urgent",
+            "pieces" to 3,
+            "cpus" to 1, "gpus" to 0.0, "memGb" to 2.0, "bundle" to "img-1", "sizeGb" to 1.5, "builds" to null,
+            "yard" to null,
+            "oneZone" to false, "apart" to false, "driftwood" to true, "guessS" to 20.0, "markS" to 0.0, "stowS" to 0.0,
+            "dueS" to null,
         )
 
     private fun parse(fields: Map<String, Any?>) = JobSpec.parse(Tree.readCbor(Tree.writeCbor(fields)))
@@ -40,9 +43,12 @@
     fun `malformed submissions are told from good ones`() {
         val bad =
             listOf(
-                job - "ref", job + ("ref" to 7), job + ("ref" to "a/b"), job + ("pieces" to 0), job + ("pieces" to 100_001), job + ("pieces" to 1.5),
-                job + ("cpus" to Double.NaN), job + ("cpus" to Double.POSITIVE_INFINITY), job + ("memGb" to -1.0), job + ("rank" to "soon"),
-                job + ("shape" to "squad"), job + ("oneZone" to "yes"), job + ("builds" to listOf(1)), job + ("dueS" to "late"),
+                job - "ref", job + ("ref" to 7), job + ("ref" to "a/b"), job + ("pieces" to 0),
+                job + ("pieces" to 100_001), job + ("pieces" to 1.5),
+                job + ("cpus" to Double.NaN), job + ("cpus" to Double.POSITIVE_INFINITY), job + ("memGb" to -1.0),
+                job + ("rank" to "soon"),
+                job + ("shape" to "squad"), job + ("oneZone" to "yes"), job + ("builds" to listOf(1)),
+                job + ("dueS" to "late"),
             )
         for (fields in bad) assertThrows(MalformedException::class.java, { parse(fields) }, fields.toString())
     }
@@ -65,7 +71,16 @@
                 assertThrows(MalformedException::class.java, { parse(job + (name to value)) }, "$name is $value")
             }
         }
-        for (jobId in listOf("", "wk-", "wk-12x", "job-000001", "wk 000001", "WK-000001", "wk-000001/0", "wk-" + "1".repeat(19))) {
+        for (jobId in listOf(
+            "",
+            "wk-",
+            "wk-12x",
+            "job-000001",
+            "wk 000001",
+            "WK-000001",
+            "wk-000001/0",
+            "wk-" + "1".repeat(19),
+        )) {
             assertThrows(MalformedException::class.java, { parse(job + ("ref" to jobId)) }, "ref is $jobId")
         }
     }
