--- a/src/main/kotlin/io/reedmast/persistence/PageForm.kt
+++ b/src/main/kotlin/io/reedmast/persistence/PageForm.kt
@@ -4,14 +4,14 @@
 import io.reedmast.rollout.GateSnapshot
 import io.reedmast.wire.Fields
 import io.reedmast.wire.MalformedException
-import io.reedmast.wire.maps
 
 /**
- * The forms in which pages of progress are stored. All are read at any time; which one is written depends on the
- * rollout.
+ * The record formats of [ProgressPage]. All are read at any time; which one is written depends on the rollout.
+ *
+ * Sizes are in bytes, as the store counts them: see [io.reedmast.wire.Tree.jsonSize].
  */
 enum class PageForm(private val bytesPerChunk: Int, private val bytesPerPlacement: Int) {
-    /** Chunks do not say how many tasks they speak for. */
+    /** Chunks do not say how many tasks they cover: it is the chunk size in the job's record. */
     UNSIZED(bytesPerChunk = 64, bytesPerPlacement = 48),
 
     /** As [UNSIZED], and each chunk has its size. */
@@ -21,55 +21,57 @@
     DENSE(bytesPerChunk = 28, bytesPerPlacement = 38),
     ;
 
-    /** The most that [chunk] may come to take once all its tasks are placed. */
-    fun reserveFor(chunk: Chunk): Int =
-        bytesPerChunk + chunk.job.spec.jobId.length + chunk.size * bytesPerPlacement + chunk.size / 4 + 1
+    /** The most bytes that [chunk] may come to take once all its tasks are placed. */
+    fun reserveFor(chunk: Chunk): Int {
+        val resultBytes = chunk.size / TASKS_PER_HEX_DIGIT + 1
+        return bytesPerChunk + chunk.job.spec.jobId.length + chunk.size * bytesPerPlacement + resultBytes
+    }
 
-    fun toFields(chunks: List<StoredChunk>): Fields = if (this ==
-        DENSE
-    ) {
-        DensePages.toFields(chunks)
-    } else {
-        mapOf(CHUNKS to chunks.map { it.toFields() })
+    /** A page with [chunks] as it is stored in this form. */
+    fun toFields(chunks: List<StoredChunk>): Fields = when (this) {
+        UNSIZED, SIZED -> PlainPages.toFields(chunks)
+        DENSE -> DensePages.toFields(chunks)
     }
 
     companion object {
-        private const val CHUNKS = "chunks"
-        private const val SIZE = "size"
+        /** Results are stored as a bit set in hexadecimal. */
+        private const val TASKS_PER_HEX_DIGIT = 4
+        private const val CHUNKS_PER_VALUE = 2
 
-        /**
-         * The form that is to be written; [sized]: every controller reads chunks that say how many tasks they speak
-         * for.
-         */
-        fun toWrite(gates: GateSnapshot, sized: Boolean): PageForm = when {
+        /** A multiple of a chunk's overhead is set aside, since the name of its job takes room too. */
+        private const val OVERHEADS_PER_CHUNK = 3
+
+        /** The room of one result, which is more than its bit takes. */
+        private const val BYTES_PER_RESULT = 1
+
+        /** The form to write; [isSizeKnown]: every controller reads chunks that say how many tasks they cover. */
+        fun toWrite(gates: GateSnapshot, isSizeKnown: Boolean): PageForm = when {
             gates.writes(DensePages.FEATURE) -> DENSE
-            sized -> SIZED
+            isSizeKnown -> SIZED
             else -> UNSIZED
         }
 
         /**
-         * The chunks of a stored page, whatever its form. One that cannot be read is handed to [unreadable]; the others
-         * are read all the same.
+         * The chunks of a stored page, whatever its form. A malformed chunk is reported to [onMalformed] and left out,
+         * and the others are read all the same. Throws [MalformedException] if the page itself is malformed.
          */
-        fun chunksOf(page: Fields, unreadable: (MalformedException) -> Unit): List<StoredChunk> {
-            if (DensePages.isDense(page)) return DensePages.chunksOf(page, unreadable)
-            return page.maps(CHUNKS).mapNotNull { chunk ->
-                try {
-                    StoredChunk.parse(chunk)
-                } catch (e: MalformedException) {
-                    unreadable(e)
-                    null
-                }
+        fun chunksOf(page: Fields, onMalformed: (MalformedException) -> Unit): List<StoredChunk> =
+            if (DensePages.isDense(page)) {
+                DensePages.chunksOf(page, onMalformed)
+            } else {
+                PlainPages.chunksOf(page, onMalformed)
             }
-        }
 
-        /** Whether a version that divides pages for reduced limits has stored the page. */
-        fun isSized(page: Fields): Boolean = DensePages.isDense(page) || page.maps(CHUNKS).any { it[SIZE] != null }
+        /**
+         * Whether a version that divides pages for reduced limits has stored the page. Throws [MalformedException] if
+         * the page is malformed.
+         */
+        fun isSized(page: Fields): Boolean = DensePages.isDense(page) || PlainPages.isSized(page)
 
-        /** Tasks that a chunk has at most, so that two of them fit one value in any form. */
-        fun chunkSizeFor(valueBytes: Int): Int = maxOf(
-            1,
-            (valueBytes / 2 - 3 * SIZED.bytesPerChunk) / (SIZED.bytesPerPlacement + 1),
-        )
+        /** The most tasks that a chunk may have so that two of them fit a value of [valueBytes] in any form. */
+        fun chunkSizeFor(valueBytes: Int): Int {
+            val bytesForTasks = valueBytes / CHUNKS_PER_VALUE - OVERHEADS_PER_CHUNK * SIZED.bytesPerChunk
+            return maxOf(1, bytesForTasks / (SIZED.bytesPerPlacement + BYTES_PER_RESULT))
+        }
     }
 }
--- a/src/main/kotlin/io/reedmast/persistence/StoredChunk.kt
+++ b/src/main/kotlin/io/reedmast/persistence/StoredChunk.kt
@@ -8,13 +8,12 @@
 import java.util.BitSet
 import java.util.HexFormat
 
-/** One placement as it is stored. */
-data class StoredPlacement(val task: Int, val attempt: Long, val machineName: String)
-
 /**
- * One chunk as it is stored: the results and placements of some tasks of a job.
+ * One chunk as a page holds it: the results and placements of consecutive tasks of a job.
  *
- * @property size how many tasks it speaks for; null in records of a version that knew only the size in the job's record
+ * @property first the number of the chunk's first task
+ * @property size how many tasks it covers; null in records of a version that knew only the size in the job's record
+ * @property done the tasks that have completed, counted from [first]
  */
 data class StoredChunk(
     val jobId: String,
@@ -23,52 +22,58 @@
     val done: BitSet,
     val placements: List<StoredPlacement>,
 ) {
-    /** The plain form. */
+    /** The chunk as a plain page holds it. */
     fun toFields(): Fields {
         val fields = mapOf(
-            "job" to jobId,
-            "first" to first,
-            "done" to hex(done),
-            "on" to placements.flatMap { listOf(it.task, it.attempt, it.machineName) },
+            JOB to jobId,
+            FIRST to first,
+            DONE to encodeDone(done),
+            PLACEMENTS to placements.flatMap { listOf(it.task, it.attempt, it.machineName) },
         )
         return if (size == null) fields else fields + (SIZE to size)
     }
 
     companion object {
+        private const val JOB = "job"
+        private const val FIRST = "first"
         private const val SIZE = "size"
+        private const val DONE = "done"
+        private const val PLACEMENTS = "on"
 
-        /** Task, attempt and machine. */
-        const val PARTS_OF_A_PLACEMENT = 3
-
-        fun hex(done: BitSet): String = HexFormat.of().formatHex(done.toByteArray())
-
-        fun bits(done: String): BitSet = try {
-            BitSet.valueOf(HexFormat.of().parseHex(done))
-        } catch (e: IllegalArgumentException) {
-            throw MalformedException("done is no bit set: ${e.message}")
-        }
+        /** A stored placement takes three values of a flat list: task, attempt and machine. */
+        internal const val VALUES_PER_PLACEMENT = 3
 
+        /** Reads a chunk of a plain page. Throws [MalformedException] if it has not the form of one. */
         fun parse(fields: Fields): StoredChunk {
-            val flat = fields.list("on")
-            if (flat.size % PARTS_OF_A_PLACEMENT != 0) throw MalformedException("on is cut short")
-            val size = if (fields[SIZE] == null) null else fields.count(SIZE).toInt()
+            val placements = fields.list(PLACEMENTS)
+            if (placements.size % VALUES_PER_PLACEMENT != 0) throw MalformedException("on is cut short")
+            val size = if (hasSize(fields)) fields.count(SIZE).toInt() else null
             return StoredChunk(
-                fields.text("job"),
-                fields.count("first").toInt(),
+                fields.text(JOB),
+                fields.count(FIRST).toInt(),
                 size,
-                bits(fields.text("done")),
-                flat.chunked(PARTS_OF_A_PLACEMENT) {
-                    placement(it)
-                },
+                decodeDone(fields.text(DONE)),
+                placements.chunked(VALUES_PER_PLACEMENT) { parsePlacement(it) },
             )
         }
 
-        private fun placement(parts: List<Any?>): StoredPlacement {
-            val (task, attempt, machineName) = parts
+        /** Whether a chunk of a plain page says how many tasks it covers. */
+        internal fun hasSize(fields: Fields): Boolean = fields[SIZE] != null
+
+        internal fun encodeDone(done: BitSet): String = HexFormat.of().formatHex(done.toByteArray())
+
+        internal fun decodeDone(hex: String): BitSet = try {
+            BitSet.valueOf(HexFormat.of().parseHex(hex))
+        } catch (e: IllegalArgumentException) {
+            throw MalformedException("done is no bit set: ${e.message}").apply { initCause(e) }
+        }
+
+        private fun parsePlacement(values: List<Any?>): StoredPlacement {
+            val (task, attempt, machineName) = values
             return StoredPlacement(
-                (task as? Long)?.toInt() ?: throw MalformedException("task is no integer"),
-                attempt as? Long ?: throw MalformedException("attempt is no integer"),
-                machineName as? String ?: throw MalformedException("host is no text"),
+                (task as? Long).orMalformed("task is no integer").toInt(),
+                (attempt as? Long).orMalformed("attempt is no integer"),
+                (machineName as? String).orMalformed("host is no text"),
             )
         }
     }
