--- /dev/null
+++ b/src/main/kotlin/io/reedmast/persistence/FinalRecordWriter.kt
@@ -0,0 +1,122 @@
+package io.reedmast.persistence
+
+import io.reedmast.jobs.EndRecord
+import io.reedmast.kvstore.CasTransaction
+import io.reedmast.kvstore.CommitOutcome
+import io.reedmast.kvstore.Keys
+import io.reedmast.kvstore.Precondition
+import io.reedmast.kvstore.Write
+import io.reedmast.kvstore.WritePriority
+import io.reedmast.model.Job
+import io.reedmast.model.ShardState
+import io.reedmast.ports.KeyValueStore
+import io.reedmast.wire.JobState
+import org.slf4j.LoggerFactory
+
+/**
+ * Stores the final states of jobs: one transaction puts the record of a job's end and deletes that of the unfinished
+ * job.
+ *
+ * Those of jobs that are done are stored at once, since their users wait; those of cancelled ones, whose users know,
+ * when there is room.
+ */
+internal class FinalRecordWriter(
+    private val shardState: ShardState,
+    private val store: KeyValueStore,
+    private val conflicts: ConflictHandler,
+    private val listener: ProgressListener,
+) {
+    private val log = LoggerFactory.getLogger("shard")
+    private val shard = shardState.index.value
+    private val waitingJobs = LinkedHashSet<Job>()
+    private var writesInFlight = 0
+
+    /** Whether no final record waits to be stored or is on its way to the store. */
+    val isSettled: Boolean get() = writesInFlight == 0 && waitingJobs.isEmpty()
+
+    /** The job is finished, and its final record is to be stored. */
+    fun enqueue(job: Job) {
+        waitingJobs.add(job)
+    }
+
+    /** The job needs no final record any more. */
+    fun forget(job: Job) {
+        waitingJobs.remove(job)
+    }
+
+    /** Writes the final records that are due, as many at once as are allowed. */
+    fun writeDue() {
+        val iterator = waitingJobs.iterator()
+        while (iterator.hasNext() && writesInFlight < MAX_WRITES_IN_FLIGHT) {
+            val job = iterator.next()
+            if (!needsFinalRecord(job)) {
+                iterator.remove()
+            } else if (isDue(job)) {
+                iterator.remove()
+                write(job)
+            }
+        }
+    }
+
+    private fun needsFinalRecord(job: Job): Boolean =
+        job.isFinished && !job.ending && shardState.jobs[job.spec.jobId] === job
+
+    private fun isDue(job: Job): Boolean = shardState.clock.now() >= job.endNotBefore &&
+        (!job.isCancelled || store.writePermitLevel() >= MIN_LEVEL_FOR_CANCELLED)
+
+    private fun write(job: Job) {
+        job.ending = true
+        writesInFlight++
+        val record = EndRecord(if (job.isCancelled) JobState.CANCELLED else JobState.DONE, job.spec.taskCount)
+        val priority = if (job.isCancelled) WritePriority.DEFERRED else WritePriority.URGENT
+        val transaction = CasTransaction(preconditionsOf(job), writesOf(job, record), priority) { outcome ->
+            writesInFlight--
+            if (!shardState.dropped) onOutcome(outcome, job, record)
+        }
+        store.commit(transaction)
+    }
+
+    private fun preconditionsOf(job: Job) = listOf(
+        shardState.termPrecondition,
+        Precondition(Keys.live(shard, job.spec.jobId), job.version),
+        Precondition(Keys.end(job.spec.jobId), NOT_STORED),
+    )
+
+    private fun writesOf(job: Job, record: EndRecord) = listOf(
+        Write.Put(Keys.end(job.spec.jobId), record.toFields()),
+        Write.Delete(Keys.live(shard, job.spec.jobId)),
+    )
+
+    private fun onOutcome(outcome: CommitOutcome, job: Job, record: EndRecord) {
+        job.ending = false
+        when (outcome) {
+            is CommitOutcome.Applied -> listener.ended(job, record, outcome.revision)
+
+            is CommitOutcome.Conflict -> {
+                retryLater(job, CONFLICT_DELAY_MS)
+                conflicts.onFinalRecordConflict(outcome.failed)
+            }
+
+            is CommitOutcome.Refused -> {
+                log.error("job {}: the store refuses its final record: {}", job.spec.jobId, outcome.reason)
+                retryLater(job, REFUSED_DELAY_MS)
+            }
+        }
+    }
+
+    private fun retryLater(job: Job, delayMs: Long) {
+        job.endNotBefore = shardState.clock.now() + delayMs
+        waitingJobs.add(job)
+    }
+
+    private companion object {
+        /** The version of a key that does not exist. */
+        const val NOT_STORED = 0L
+        const val MAX_WRITES_IN_FLIGHT = 64
+
+        /** Cancelled jobs wait for this part of a second's worth of write permits: their users know of the end. */
+        const val MIN_LEVEL_FOR_CANCELLED = 0.5
+        const val CONFLICT_DELAY_MS = 500L
+        const val REFUSED_DELAY_MS = 30_000L
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/io/reedmast/persistence/PageVersionRefresh.kt
@@ -0,0 +1,16 @@
+package io.reedmast.persistence
+
+import io.reedmast.kvstore.ReadResult
+import io.reedmast.ports.KeyValueStore
+
+/**
+ * Reads the version of a page whose precondition on it did not hold. Nobody else writes the page under this term: an
+ * answer to this controller may have been lost. Until the store has answered, the page counts as being written.
+ */
+internal fun KeyValueStore.refreshVersion(page: ProgressPage, path: String) {
+    page.writing = true
+    get(path) { result ->
+        page.writing = false
+        if (result is ReadResult.Found) page.version = maxOf(page.version, result.item.version)
+    }
+}
--- a/src/main/kotlin/io/reedmast/persistence/ProgressPage.kt
+++ b/src/main/kotlin/io/reedmast/persistence/ProgressPage.kt
@@ -10,34 +10,47 @@
 /**
  * One stored value with the progress of several jobs of a shard.
  *
- * Each put counts against the store's limit, whatever its size: a record for each job cost several puts a second
- * where one does. A chunk stays in its page; room for all its tasks is set aside when it comes.
+ * Progress is what a shard's next owner has to know of its jobs' tasks: which have completed (results) and which are
+ * placed where (placements). It is stored in two units. A *chunk* is the progress of consecutive tasks of one job; a
+ * *page* is one value of the store, under the key `page/SHARD/INDEX`, with chunks of several jobs. Each put counts
+ * against the store's limit, whatever its size: a record for each job cost several puts a second where one does.
+ *
+ * A chunk is assigned to a page with its first change and stays in it; room for all its tasks is set aside then. What a
+ * page still holds of a job that is over is ignored, and left out of its next write.
+ *
+ * @property index the number of the page in its shard
  */
 class ProgressPage(val index: Int) : ChunkPage {
+    /** The version of the stored value, 0 if there is none. */
     var version = 0L
     override var writing = false
+
+    /** What is written to the page. */
     val chunks = LinkedHashSet<Chunk>()
-    private val reserved = EnumMap<PageForm, Int>(PageForm::class.java)
+    private val reservedBytes = EnumMap<PageForm, Int>(PageForm::class.java)
 
     /** Whether the store holds it in the dense form. */
-    var storedDense = false
+    var isStoredDense = false
 
-    /** Since when something in it is not stored, 0 if all is. */
+    /** Since when something in it is not stored, in milliseconds of the shard's clock; 0 if all is. */
     var dirtySince = 0L
 
     /**
      * What is stored under its key in another division than today's: it is cleared once all of this is in other pages.
      */
-    val superseded = LinkedHashSet<Chunk>()
+    val supersededChunks = LinkedHashSet<Chunk>()
 
-    /** The store has refused it: until then it is not tried again. */
-    var refusedUntil = 0L
+    /** The store has refused it, or the rollout's gates have to be read first: until then it is not tried again. */
+    var retryNotBefore = 0L
 
-    /** Whether the put that is on its way holds something that is waited for. */
-    var waitedFor = false
+    /**
+     * Whether the last write of its chunks stored something that is waited for. It remains after that write, so it says
+     * something of a write in flight only while [writing] holds.
+     */
+    var isLastWriteAwaited = false
 
-    /** What waits for it to be stored. */
-    var pending = PendingWrite.RESULTS
+    /** The most pressing of what waits for the page to be stored. */
+    var pendingWrite = PendingWrite.RESULTS
 
     override fun markDirty(now: Long) {
         if (dirtySince == 0L) dirtySince = now
@@ -45,39 +58,44 @@
 
     override fun requestWrite(now: Long, pendingWrite: PendingWrite) {
         markDirty(now)
-        pending = maxOf(pending, pendingWrite)
+        this.pendingWrite = maxOf(this.pendingWrite, pendingWrite)
     }
 
-    /** The room that its chunks may come to take in [form]. */
-    fun reservedIn(form: PageForm): Int = reserved[form] ?: 0
+    /** The bytes that its chunks may come to take in [form]. */
+    fun reservedIn(form: PageForm): Int = reservedBytes[form] ?: 0
 
-    fun hasRoom(chunk: Chunk, bytes: Int, form: PageForm) =
-        superseded.isEmpty() && reservedIn(form) + form.reserveFor(chunk) <= bytes
+    /** Whether [chunk] may be added to a page that is to stay within [capacityBytes] in [form]. */
+    fun hasRoom(chunk: Chunk, capacityBytes: Int, form: PageForm) =
+        supersededChunks.isEmpty() && reservedIn(form) + form.reserveFor(chunk) <= capacityBytes
 
+    /** Assigns [chunk] to this page and sets aside room for all its tasks. */
     fun add(chunk: Chunk) {
         chunk.page = this
-        if (chunks.add(chunk)) PageForm.entries.forEach { reserved[it] = reservedIn(it) + it.reserveFor(chunk) }
+        if (!chunks.add(chunk)) return
+        for (form in PageForm.entries) reservedBytes[form] = reservedIn(form) + form.reserveFor(chunk)
     }
 
     override fun remove(chunk: Chunk) {
-        if (chunks.remove(chunk)) PageForm.entries.forEach { reserved[it] = reservedIn(it) - it.reserveFor(chunk) }
+        if (!chunks.remove(chunk)) return
+        for (form in PageForm.entries) reservedBytes[form] = reservedIn(form) - form.reserveFor(chunk)
     }
 
     /**
-     * Its value in [form], without the placements [left]. A chunk that supersedes an older copy is stored even if it is
-     * empty, or the older one would seem to hold.
+     * Its value in [form], without the [excluded] placements. A chunk that supersedes an older copy is stored even if
+     * it is empty, or the older copy would seem to hold.
      */
-    fun toFields(left: Set<Placement>, form: PageForm): Fields = form.toFields(
-        chunks.filter {
-            it.placements.isNotEmpty() || !it.done.isEmpty || it.olderCopies > 0
-        }.map { storedOf(it, left, form) },
-    )
+    fun toFields(excluded: Set<Placement>, form: PageForm): Fields =
+        form.toFields(chunks.filter { hasContent(it) }.map { toStored(it, excluded, form) })
+
+    private fun hasContent(chunk: Chunk) = chunk.placements.isNotEmpty() || !chunk.done.isEmpty || chunk.olderCopies > 0
 
-    private fun storedOf(chunk: Chunk, left: Set<Placement>, form: PageForm) = StoredChunk(
+    private fun toStored(chunk: Chunk, excluded: Set<Placement>, form: PageForm) = StoredChunk(
         chunk.job.spec.jobId,
         chunk.first,
         chunk.size.takeIf { form != PageForm.UNSIZED },
         chunk.done,
-        chunk.placements.values.filter { it !in left }.map { StoredPlacement(it.task, it.attempt, it.machine.name) },
+        chunk.placements.values.filter {
+            it !in excluded
+        }.map { StoredPlacement(it.task, it.attempt, it.machine.name) },
     )
 }
--- a/src/main/kotlin/io/reedmast/persistence/SupersededPages.kt
+++ b/src/main/kotlin/io/reedmast/persistence/SupersededPages.kt
@@ -2,9 +2,7 @@
 
 import io.reedmast.kvstore.CasTransaction
 import io.reedmast.kvstore.CommitOutcome
-import io.reedmast.kvstore.Keys
 import io.reedmast.kvstore.Precondition
-import io.reedmast.kvstore.ReadResult
 import io.reedmast.kvstore.Write
 import io.reedmast.kvstore.WritePriority
 import io.reedmast.model.Chunk
@@ -18,59 +16,57 @@
  * value only. So each of its parts is first stored in another page. Until all are, the old page stays as it is, and
  * whoever reads both takes the newer copy of a task. Any step may be the last that is carried out.
  */
-class SupersededPages(private val shardState: ShardState, private val store: KeyValueStore) {
-    /** [chunk] speaks for tasks of which [page] holds an older copy. */
+internal class SupersededPages(
+    private val shardState: ShardState,
+    private val store: KeyValueStore,
+    private val pages: ProgressPages,
+) {
+    /** [chunk] covers tasks of which the stored value of [page] holds an older copy. */
     fun supersede(page: ProgressPage, chunk: Chunk) {
-        if (!page.superseded.add(chunk)) return
+        if (!page.supersededChunks.add(chunk)) return
         chunk.olderCopies++
         if (chunk.page == null) chunk.dirty = true
         shardState.changed.add(chunk.job)
     }
 
-    /** Clears the pages all of whose content stands in other ones. */
-    fun clear(pages: List<ProgressPage>, shard: Int) {
-        for (page in pages) {
-            if (page.superseded.isEmpty() || page.writing) continue
-            if (page.superseded.all { isElsewhere(it) }) clear(page, Keys.page(shard, page.index))
+    /** Clears the pages all of whose content is stored in other ones. */
+    fun clearReplaced() {
+        for (page in pages.all) {
+            if (page.supersededChunks.isEmpty() || page.writing) continue
+            if (page.supersededChunks.all { isReplaced(it) }) clear(page)
         }
     }
 
-    private fun isElsewhere(chunk: Chunk): Boolean {
-        val over = shardState.jobs[chunk.job.spec.jobId] !== chunk.job
-        return over || (chunk.page != null && chunk.isInItsPage)
+    private fun isReplaced(chunk: Chunk): Boolean {
+        val isJobOver = shardState.jobs[chunk.job.spec.jobId] !== chunk.job
+        return isJobOver || (chunk.page != null && chunk.isInItsPage)
     }
 
-    private fun clear(page: ProgressPage, path: String) {
+    private fun clear(page: ProgressPage) {
         page.writing = true
+        val path = pages.pathOf(page)
         val gates = shardState.gates()
         val form = PageForm.toWrite(gates, shardState.limits.isReduced)
         val preconditions = listOf(shardState.termPrecondition, gates.precondition, Precondition(path, page.version))
-        store.commit(
-            CasTransaction(
-                preconditions,
-                listOf(Write.Put(path, form.toFields(emptyList()))),
-                WritePriority.DEFERRED,
-            ) { outcome ->
-                page.writing = false
-                if (shardState.dropped) return@CasTransaction
-                if (outcome is CommitOutcome.Applied) cleared(page, outcome.revision, form) else reread(page, path)
-            },
-        )
+        val put = Write.Put(path, form.toFields(emptyList()))
+        val transaction = CasTransaction(preconditions, listOf(put), WritePriority.DEFERRED) { outcome ->
+            page.writing = false
+            if (!shardState.dropped) onOutcome(outcome, page, form)
+        }
+        store.commit(transaction)
     }
 
-    private fun cleared(page: ProgressPage, revision: Long, form: PageForm) {
-        page.version = revision
-        page.storedDense = form == PageForm.DENSE
-        page.superseded.forEach { it.olderCopies-- }
-        page.superseded.clear()
+    private fun onOutcome(outcome: CommitOutcome, page: ProgressPage, form: PageForm) {
+        when (outcome) {
+            is CommitOutcome.Applied -> onCleared(page, outcome.revision, form)
+            is CommitOutcome.Conflict, is CommitOutcome.Refused -> store.refreshVersion(page, pages.pathOf(page))
+        }
     }
 
-    /** Nobody else writes the page under this term: an answer of our own may have been lost. */
-    private fun reread(page: ProgressPage, path: String) {
-        page.writing = true
-        store.get(path) {
-            page.writing = false
-            if (it is ReadResult.Found) page.version = maxOf(page.version, it.item.version)
-        }
+    private fun onCleared(page: ProgressPage, revision: Long, form: PageForm) {
+        page.version = revision
+        page.isStoredDense = form == PageForm.DENSE
+        page.supersededChunks.forEach { it.olderCopies-- }
+        page.supersededChunks.clear()
     }
 }
