--- a/src/main/kotlin/io/reedmast/persistence/ConflictHandler.kt
+++ b/src/main/kotlin/io/reedmast/persistence/ConflictHandler.kt
@@ -34,8 +34,8 @@
     }
 
     private fun reportTermAndGates(failedPaths: Set<String>) {
-        if (Keys.shard(shard) in failedPaths) listener.termInDoubt()
-        if (Keys.ROLLOUT in failedPaths) listener.gatesInDoubt()
+        if (Keys.shard(shard) in failedPaths) listener.onTermInDoubt()
+        if (Keys.ROLLOUT in failedPaths) listener.onGatesInDoubt()
     }
 
     private fun withdrawAndReadJobs(failedPaths: Set<String>, written: List<Placement>) {
@@ -63,8 +63,8 @@
         store.get(path) { result ->
             if (shardState.dropped) return@get
             when (result) {
-                is ReadResult.Found -> listener.recordChanged(path, result.item)
-                ReadResult.Missing -> listener.recordChanged(path, null)
+                is ReadResult.Found -> listener.onJobRecordChanged(path, result.item)
+                ReadResult.Missing -> listener.onJobRecordChanged(path, null)
                 ReadResult.Failed -> Unit
             }
         }
--- a/src/main/kotlin/io/reedmast/persistence/FinalRecordWriter.kt
+++ b/src/main/kotlin/io/reedmast/persistence/FinalRecordWriter.kt
@@ -90,7 +90,7 @@
     private fun onOutcome(outcome: CommitOutcome, job: Job, record: EndRecord) {
         job.ending = false
         when (outcome) {
-            is CommitOutcome.Applied -> listener.ended(job, record, outcome.revision)
+            is CommitOutcome.Applied -> listener.onJobEnded(job, record, outcome.revision)
 
             is CommitOutcome.Conflict -> {
                 retryLater(job, CONFLICT_DELAY_MS)
--- a/src/main/kotlin/io/reedmast/persistence/PageWriter.kt
+++ b/src/main/kotlin/io/reedmast/persistence/PageWriter.kt
@@ -102,7 +102,7 @@
     ) {
         page.version = outcome.revision
         page.isStoredDense = form == PageForm.DENSE
-        written.forEach { listener.placed(it) }
+        written.forEach { listener.onPlacementStored(it) }
     }
 
     /** The page is tried again soon; the placements that were new in it are withdrawn, and their jobs wait. */
--- a/src/main/kotlin/io/reedmast/persistence/ProgressListener.kt
+++ b/src/main/kotlin/io/reedmast/persistence/ProgressListener.kt
@@ -5,20 +5,25 @@
 import io.reedmast.model.Job
 import io.reedmast.model.Placement
 
-/** What an owner's storing tells the rest of it. */
+/** What [ProgressStore] reports to the shard's owner, on the deciding thread. */
 interface ProgressListener {
-    /** The placement is in the store now, and may be launched. */
-    fun placed(placement: Placement)
+    /** The store holds the placement now, so it may be launched. */
+    fun onPlacementStored(placement: Placement)
 
-    /** The term may have moved on. */
-    fun termInDoubt()
+    /** The precondition on the shard's record did not hold: another controller may own the shard under a newer term. */
+    fun onTermInDoubt()
 
-    /** A gate of the rollout has moved. */
-    fun gatesInDoubt()
+    /** The precondition on the rollout's record did not hold: a gate has moved. */
+    fun onGatesInDoubt()
 
-    /** A job's record has moved on, or was found anew. */
-    fun recordChanged(path: String, item: StoredItem?)
+    /**
+     * The record of an unfinished job was read again, since a precondition on it did not hold.
+     *
+     * @param path the record's key
+     * @param item the record as it now stands; null if it is gone
+     */
+    fun onJobRecordChanged(path: String, item: StoredItem?)
 
-    /** The job's final state is stored. */
-    fun ended(job: Job, end: EndRecord, revision: Long)
+    /** The job's final record [end] is stored, as [revision], and the record of the unfinished job is deleted. */
+    fun onJobEnded(job: Job, end: EndRecord, revision: Long)
 }
--- a/src/main/kotlin/io/reedmast/persistence/ProgressStore.kt
+++ b/src/main/kotlin/io/reedmast/persistence/ProgressStore.kt
@@ -19,7 +19,7 @@
     private val finalRecords = FinalRecordWriter(shardState, store, conflicts, listener)
 
     /** How a migration of records gets at the pages. */
-    val access: RecordAccess = PageMigrationAccess(pages)
+    val migrationAccess: RecordAccess = PageMigrationAccess(pages)
 
     /**
      * Whether what it holds is to be read again, since the limits were lowered after it was, and some of it is too
--- a/src/main/kotlin/io/reedmast/shard/ShardOwner.kt
+++ b/src/main/kotlin/io/reedmast/shard/ShardOwner.kt
@@ -77,7 +77,7 @@
         MachineLifecycle(shardState, gateway, dispatcher, scaleInPolicy, {
             records.removeMachines(index, it)
         }, { records.transferMachines(index, it) }, { records.requestFailover(index) })
-    private val migration = records.rollout.reconciler(MigrationUnit.Shard(shard), progressStore.access)
+    private val migration = records.rollout.reconciler(MigrationUnit.Shard(shard), progressStore.migrationAccess)
     private val machines = ShardMachines(shardState, lifecycle, records)
     private val news = ShardStatusPublisher(shardState, gateway, records)
 
@@ -257,7 +257,7 @@
     }
 
     private inner class Storing : ProgressListener {
-        override fun placed(placement: Placement) {
+        override fun onPlacementStored(placement: Placement) {
             if (placement.committed) return
             placement.committed = true
             if (placement.job.chunkOf(placement.task).placements[placement.task] !== placement) return
@@ -277,11 +277,11 @@
             }
         }
 
-        override fun termInDoubt() = records.refresh(index)
+        override fun onTermInDoubt() = records.refresh(index)
 
-        override fun gatesInDoubt() = records.rollout.refreshGates()
+        override fun onGatesInDoubt() = records.rollout.refreshGates()
 
-        override fun recordChanged(path: String, item: StoredItem?) {
+        override fun onJobRecordChanged(path: String, item: StoredItem?) {
             if (item ==
                 null
             ) {
@@ -291,7 +291,7 @@
             }
         }
 
-        override fun ended(job: Job, end: EndRecord, revision: Long) {
+        override fun onJobEnded(job: Job, end: EndRecord, revision: Long) {
             val jobId = job.spec.jobId
             log.info("job {}: {}", jobId, if (job.isCancelled) "cancellation complete" else "done")
             forget(job)
--- a/src/test/kotlin/io/reedmast/persistence/PageDivisionTest.kt
+++ b/src/test/kotlin/io/reedmast/persistence/PageDivisionTest.kt
@@ -52,17 +52,17 @@
         shardState,
         out,
         object : ProgressListener {
-            override fun placed(placement: Placement) {
+            override fun onPlacementStored(placement: Placement) {
                 launchable.add(placement)
             }
 
-            override fun termInDoubt() = Unit
+            override fun onTermInDoubt() = Unit
 
-            override fun gatesInDoubt() = Unit
+            override fun onGatesInDoubt() = Unit
 
-            override fun recordChanged(path: String, item: StoredItem?) = Unit
+            override fun onJobRecordChanged(path: String, item: StoredItem?) = Unit
 
-            override fun ended(job: Job, end: EndRecord, revision: Long) = Unit
+            override fun onJobEnded(job: Job, end: EndRecord, revision: Long) = Unit
         },
     )
     private val smallSize = PageForm.chunkSizeFor(2 * 1024)
