--- /dev/null
+++ b/src/main/kotlin/io/reedmast/persistence/PageCommitter.kt
@@ -0,0 +1,51 @@
+package io.reedmast.persistence
+
+import io.reedmast.kvstore.CasTransaction
+import io.reedmast.kvstore.CommitOutcome
+import io.reedmast.kvstore.Precondition
+import io.reedmast.kvstore.Write
+import io.reedmast.kvstore.WritePriority
+import io.reedmast.model.ShardState
+import io.reedmast.ports.KeyValueStore
+import io.reedmast.wire.Fields
+
+/**
+ * Puts values of pages under the preconditions that all such writes have: the shard's term, the rollout's gates and the
+ * page's version.
+ */
+internal class PageCommitter(
+    private val shardState: ShardState,
+    private val store: KeyValueStore,
+    private val pages: ProgressPages,
+) {
+    /**
+     * Puts a new value of [page], which counts as being written until the store has answered.
+     *
+     * @param jobPreconditions further preconditions, on records of jobs
+     * @param valueIn the value in the form that is written now
+     * @param onOutcome is called with the store's answer, unless another owner has taken the shard by then
+     */
+    fun put(
+        page: ProgressPage,
+        priority: WritePriority,
+        jobPreconditions: List<Precondition>,
+        valueIn: (PageForm) -> Fields,
+        onOutcome: (CommitOutcome) -> Unit,
+    ) {
+        page.writing = true
+        val path = pages.pathOf(page)
+        // The form and the precondition that it is the right one come from one snapshot of the gates.
+        val gates = shardState.gates()
+        val form = pages.formToWrite(gates)
+        val preconditions =
+            listOf(shardState.termPrecondition, gates.precondition, Precondition(path, page.version)) + jobPreconditions
+        val put = Write.Put(path, valueIn(form))
+        val transaction = CasTransaction(preconditions, listOf(put), priority) { outcome ->
+            page.writing = false
+            if (shardState.dropped) return@CasTransaction
+            if (outcome is CommitOutcome.Applied) page.recordStored(outcome.revision, form)
+            onOutcome(outcome)
+        }
+        store.commit(transaction)
+    }
+}
--- a/src/main/kotlin/io/reedmast/persistence/PageWriter.kt
+++ b/src/main/kotlin/io/reedmast/persistence/PageWriter.kt
@@ -1,17 +1,13 @@
 package io.reedmast.persistence
 
-import io.reedmast.kvstore.CasTransaction
 import io.reedmast.kvstore.CommitOutcome
 import io.reedmast.kvstore.Keys
 import io.reedmast.kvstore.Precondition
-import io.reedmast.kvstore.Write
 import io.reedmast.kvstore.WritePriority
 import io.reedmast.model.Job
 import io.reedmast.model.PendingWrite
 import io.reedmast.model.Placement
 import io.reedmast.model.ShardState
-import io.reedmast.ports.KeyValueStore
-import io.reedmast.rollout.GateSnapshot
 import org.slf4j.LoggerFactory
 
 /**
@@ -21,7 +17,7 @@
  */
 internal class PageWriter(
     private val shardState: ShardState,
-    private val store: KeyValueStore,
+    private val committer: PageCommitter,
     private val pages: ProgressPages,
     private val conflicts: ConflictHandler,
     private val listener: ProgressListener,
@@ -40,16 +36,13 @@
     fun write(page: ProgressPage, priority: WritePriority) {
         val selection = selectPlacements(page)
         recordHandedOver(page, selection)
-        // The form and the precondition that it is the right one come from one snapshot of the gates.
-        val gates = shardState.gates()
-        val form = PageForm.toWrite(gates, shardState.limits.isReduced)
-        val preconditions = preconditionsOf(page, selection.jobs, gates)
-        val put = Write.Put(pages.pathOf(page), page.toFields(selection.excluded, form))
-        val transaction = CasTransaction(preconditions, listOf(put), priority) { outcome ->
-            page.writing = false
-            if (!shardState.dropped) onOutcome(outcome, page, form, selection.included)
-        }
-        store.commit(transaction)
+        committer.put(
+            page,
+            priority,
+            preconditionsOn(selection.jobs),
+            valueIn = { form -> page.toFields(selection.excluded, form) },
+            onOutcome = { outcome -> onOutcome(outcome, page, selection.included) },
+        )
     }
 
     /** Each job that is placed anew is a precondition, and a transaction takes only so many. */
@@ -68,22 +61,14 @@
             page.dirtySince = 0L
             page.pendingWrite = PendingWrite.RESULTS
         }
-        page.writing = true
     }
 
-    private fun preconditionsOf(page: ProgressPage, jobs: List<Job>, gates: GateSnapshot): List<Precondition> {
-        val ofShard = listOf(
-            shardState.termPrecondition,
-            gates.precondition,
-            Precondition(pages.pathOf(page), page.version),
-        )
-        val ofJobs = jobs.map { Precondition(Keys.live(shardState.index.value, it.spec.jobId), it.version) }
-        return ofShard + ofJobs
-    }
+    private fun preconditionsOn(jobs: List<Job>) =
+        jobs.map { Precondition(Keys.live(shardState.index.value, it.spec.jobId), it.version) }
 
-    private fun onOutcome(outcome: CommitOutcome, page: ProgressPage, form: PageForm, written: List<Placement>) {
+    private fun onOutcome(outcome: CommitOutcome, page: ProgressPage, written: List<Placement>) {
         when (outcome) {
-            is CommitOutcome.Applied -> onApplied(outcome, page, form, written)
+            is CommitOutcome.Applied -> written.forEach { listener.onPlacementStored(it) }
 
             is CommitOutcome.Conflict -> {
                 scheduleRewrite(page)
@@ -94,17 +79,6 @@
         }
     }
 
-    private fun onApplied(
-        outcome: CommitOutcome.Applied,
-        page: ProgressPage,
-        form: PageForm,
-        written: List<Placement>,
-    ) {
-        page.version = outcome.revision
-        page.isStoredDense = form == PageForm.DENSE
-        written.forEach { listener.onPlacementStored(it) }
-    }
-
     /** The page is tried again soon; the placements that were new in it are withdrawn, and their jobs wait. */
     private fun onRefused(outcome: CommitOutcome.Refused, page: ProgressPage, written: List<Placement>) {
         log.error("record {}: refused by the store: {}", pages.pathOf(page), outcome.reason)
--- a/src/main/kotlin/io/reedmast/persistence/ProgressPage.kt
+++ b/src/main/kotlin/io/reedmast/persistence/ProgressPage.kt
@@ -20,7 +20,7 @@
  *
  * @property index the number of the page in its shard
  */
-class ProgressPage(val index: Int) : ChunkPage {
+internal class ProgressPage(val index: Int) : ChunkPage {
     /** The version of the stored value, 0 if there is none. */
     var version = 0L
     override var writing = false
@@ -61,6 +61,12 @@
         this.pendingWrite = maxOf(this.pendingWrite, pendingWrite)
     }
 
+    /** The store holds the page in [form], as version [revision]. */
+    fun recordStored(revision: Long, form: PageForm) {
+        version = revision
+        isStoredDense = form == PageForm.DENSE
+    }
+
     /** The bytes that its chunks may come to take in [form]. */
     fun reservedIn(form: PageForm): Int = reservedBytes[form] ?: 0
 
--- a/src/main/kotlin/io/reedmast/persistence/ProgressPages.kt
+++ b/src/main/kotlin/io/reedmast/persistence/ProgressPages.kt
@@ -4,6 +4,7 @@
 import io.reedmast.model.Chunk
 import io.reedmast.model.PendingWrite
 import io.reedmast.model.ShardState
+import io.reedmast.rollout.GateSnapshot
 
 /** The pages of one shard, and which of them a chunk is assigned to. */
 internal class ProgressPages(private val shardState: ShardState) {
@@ -42,6 +43,9 @@
     fun isOverfull(page: ProgressPage): Boolean =
         page.isStoredDense && page.reservedIn(PageForm.SIZED) > capacityBytes && !isWrittenDense()
 
+    /** The form in which pages are written while the gates stand like this. */
+    fun formToWrite(gates: GateSnapshot): PageForm = PageForm.toWrite(gates, shardState.limits.isReduced)
+
     /** Whether the rollout has pages written in the dense form now. */
     fun isWrittenDense(): Boolean = shardState.gates().writes(DensePages.FEATURE)
 
@@ -67,7 +71,7 @@
      * of a moment share a put.
      */
     fun assignPage(chunk: Chunk): ProgressPage {
-        val form = PageForm.toWrite(shardState.gates(), shardState.limits.isReduced)
+        val form = formToWrite(shardState.gates())
         val open = pages.filter { !it.writing && it.hasRoom(chunk, capacityBytes, form) }
         val page = open.firstOrNull { it.pendingWrite != PendingWrite.RESULTS }
             ?: open.firstOrNull { it.dirtySince != 0L }
--- a/src/main/kotlin/io/reedmast/persistence/ProgressStore.kt
+++ b/src/main/kotlin/io/reedmast/persistence/ProgressStore.kt
@@ -13,9 +13,10 @@
  */
 class ProgressStore(private val shardState: ShardState, private val store: KeyValueStore, listener: ProgressListener) {
     private val pages = ProgressPages(shardState)
-    private val supersededPages = SupersededPages(shardState, store, pages)
+    private val committer = PageCommitter(shardState, store, pages)
+    private val supersededPages = SupersededPages(shardState, store, pages, committer)
     private val conflicts = ConflictHandler(shardState, store, pages, listener)
-    private val pageWriter = PageWriter(shardState, store, pages, conflicts, listener)
+    private val pageWriter = PageWriter(shardState, committer, pages, conflicts, listener)
     private val finalRecords = FinalRecordWriter(shardState, store, conflicts, listener)
 
     /** How a migration of records gets at the pages. */
--- a/src/main/kotlin/io/reedmast/persistence/SupersededPages.kt
+++ b/src/main/kotlin/io/reedmast/persistence/SupersededPages.kt
@@ -1,9 +1,6 @@
 package io.reedmast.persistence
 
-import io.reedmast.kvstore.CasTransaction
 import io.reedmast.kvstore.CommitOutcome
-import io.reedmast.kvstore.Precondition
-import io.reedmast.kvstore.Write
 import io.reedmast.kvstore.WritePriority
 import io.reedmast.model.Chunk
 import io.reedmast.model.ShardState
@@ -20,6 +17,7 @@
     private val shardState: ShardState,
     private val store: KeyValueStore,
     private val pages: ProgressPages,
+    private val committer: PageCommitter,
 ) {
     /** [chunk] covers tasks of which the stored value of [page] holds an older copy. */
     fun supersede(page: ProgressPage, chunk: Chunk) {
@@ -43,29 +41,23 @@
     }
 
     private fun clear(page: ProgressPage) {
-        page.writing = true
-        val path = pages.pathOf(page)
-        val gates = shardState.gates()
-        val form = PageForm.toWrite(gates, shardState.limits.isReduced)
-        val preconditions = listOf(shardState.termPrecondition, gates.precondition, Precondition(path, page.version))
-        val put = Write.Put(path, form.toFields(emptyList()))
-        val transaction = CasTransaction(preconditions, listOf(put), WritePriority.DEFERRED) { outcome ->
-            page.writing = false
-            if (!shardState.dropped) onOutcome(outcome, page, form)
-        }
-        store.commit(transaction)
+        committer.put(
+            page,
+            WritePriority.DEFERRED,
+            jobPreconditions = emptyList(),
+            valueIn = { form -> form.toFields(emptyList()) },
+            onOutcome = { outcome -> onOutcome(outcome, page) },
+        )
     }
 
-    private fun onOutcome(outcome: CommitOutcome, page: ProgressPage, form: PageForm) {
+    private fun onOutcome(outcome: CommitOutcome, page: ProgressPage) {
         when (outcome) {
-            is CommitOutcome.Applied -> onCleared(page, outcome.revision, form)
+            is CommitOutcome.Applied -> onCleared(page)
             is CommitOutcome.Conflict, is CommitOutcome.Refused -> store.refreshVersion(page, pages.pathOf(page))
         }
     }
 
-    private fun onCleared(page: ProgressPage, revision: Long, form: PageForm) {
-        page.version = revision
-        page.isStoredDense = form == PageForm.DENSE
+    private fun onCleared(page: ProgressPage) {
         page.supersededChunks.forEach { it.olderCopies-- }
         page.supersededChunks.clear()
     }
