--- a/src/main/kotlin/io/reedmast/autoscaling/Demand.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/Demand.kt
@@ -10,11 +10,24 @@
 import io.reedmast.wire.optionalTexts
 
 /**
- * Tasks for which a shard has no room, neither now nor on machines that are on their way: all that may run on the same
- * machines, taken together. A shape for each job would not fit a record, nor the calls that the cloud takes.
+ * Tasks for which a shard has no capacity, neither now nor on machines that are still booting: all tasks that may run
+ * on the same machines, added up.
+ *
+ * One entry for each job would exceed the size of a stored record, and the number of calls that the cloud accepts.
+ *
+ * @property cpus CPUs that a task takes on average.
+ * @property gpus GPUs that a task takes on average.
+ * @property memoryGb Memory in GB that a task takes on average.
+ * @property maxCpus CPUs of the largest task.
+ * @property maxGpus GPUs of the largest task.
+ * @property maxMemoryGb Memory in GB of the largest task.
+ * @property spot Whether the tasks may run on spot machines.
+ * @property allowedTypes Labels of the machine types that the tasks may run on, sorted; null if any.
+ * @property zone The only zone in which new capacity is of use; null if any.
+ * @property pastDeadline Whether the jobs are past their deadlines: then an expensive machine is better than none.
+ * @property taskCount How many tasks there are.
  */
 data class Demand(
-    /** What a task takes on average, and at most. */
     val cpus: Double,
     val gpus: Double,
     val memoryGb: Double,
@@ -24,10 +37,13 @@
     val spot: Boolean,
     val allowedTypes: List<String>?,
     val zone: String?,
-    /** The jobs are past their due time: then a dear machine is better than none. */
-    val late: Boolean,
-    val count: Int,
+    val pastDeadline: Boolean,
+    val taskCount: Int,
 ) {
+    /** What may be added up with this demand: tasks that may run on the same machines. */
+    val kind: DemandKind get() = DemandKind(spot, allowedTypes, zone, pastDeadline)
+
+    /** The form in which the demand is stored. */
     fun toFields(): Fields = mapOf(
         "cpus" to cpus,
         "gpus" to gpus,
@@ -38,27 +54,30 @@
         "spot" to spot,
         "allowedTypes" to allowedTypes,
         "zone" to zone,
-        "late" to late,
-        "count" to count,
+        "late" to pastDeadline,
+        "count" to taskCount,
     )
 
-    /** How many of the tasks an empty machine holds, 0 if not each of them. */
-    fun heldBy(machineType: MachineType): Int = if (machineType.holds(maxCpus, maxGpus, maxMemoryGb) <
-        1
-    ) {
-        0
-    } else {
-        maxOf(1, machineType.holds(cpus, gpus, memoryGb))
+    /** How many of the tasks an empty machine of this type holds; 0 if it cannot hold the largest of them. */
+    fun tasksPerMachine(machineType: MachineType): Int {
+        if (machineType.holds(maxCpus, maxGpus, maxMemoryGb) < 1) return 0
+        return maxOf(1, machineType.holds(cpus, gpus, memoryGb))
     }
 
-    fun runsOn(typeName: String, zone: String, onSpot: Boolean): Boolean =
-        (!onSpot || spot) && (allowedTypes == null || typeName in allowedTypes) &&
-            (this.zone == null || this.zone == zone)
+    /** Whether the tasks may run on machines of this type. */
+    fun allowsType(typeName: String): Boolean = allowedTypes == null || typeName in allowedTypes
+
+    /** Whether the tasks may run on machines in this zone. */
+    fun allowsZone(zoneName: String): Boolean = zone == null || zone == zoneName
 
-    /** Both together; their averages weigh by their counts. */
-    fun plus(other: Demand): Demand {
-        val all = count + other.count
-        fun mean(a: Double, b: Double) = (a * count + b * other.count) / all
+    /** Whether the tasks may run on machines of this type and zone, spot machines if [onSpot]. */
+    fun mayRunOn(typeName: String, zoneName: String, onSpot: Boolean): Boolean =
+        (!onSpot || spot) && allowsType(typeName) && allowsZone(zoneName)
+
+    /** Both demands together, which must be of the same [kind]; averages are weighted by the task counts. */
+    operator fun plus(other: Demand): Demand {
+        val totalCount = taskCount + other.taskCount
+        fun mean(own: Double, others: Double) = (own * taskCount + others * other.taskCount) / totalCount
         return copy(
             cpus = mean(cpus, other.cpus),
             gpus = mean(gpus, other.gpus),
@@ -66,16 +85,16 @@
             maxCpus = maxOf(maxCpus, other.maxCpus),
             maxGpus = maxOf(maxGpus, other.maxGpus),
             maxMemoryGb = maxOf(maxMemoryGb, other.maxMemoryGb),
-            count = all,
+            taskCount = totalCount,
         )
     }
 
-    /** What may be added up: tasks that may run on the same machines. */
-    fun kind(): Any = listOf(spot, allowedTypes, zone, late)
-
     companion object {
-        /** [zone]: the only zone in which room is of use, by the job itself or by where its other tasks are. */
-        fun of(spec: JobSpec, late: Boolean, count: Int, zone: String? = spec.zone) = Demand(
+        /**
+         * The demand of [taskCount] tasks of one job. [zone] is the only zone in which new capacity is of use, by the
+         * job itself or by where its other tasks are.
+         */
+        fun of(spec: JobSpec, pastDeadline: Boolean, taskCount: Int, zone: String? = spec.zone) = Demand(
             cpus = spec.cpus,
             gpus = spec.gpus,
             memoryGb = spec.memoryGb,
@@ -85,22 +104,27 @@
             spot = spec.spot,
             allowedTypes = spec.allowedTypes?.sorted(),
             zone = zone,
-            late = late,
-            count = count,
+            pastDeadline = pastDeadline,
+            taskCount = taskCount,
         )
 
+        /**
+         * Reads what [toFields] wrote.
+         *
+         * @throws io.reedmast.wire.MalformedException if a field is missing or of another type.
+         */
         fun parse(fields: Fields) = Demand(
-            fields.amount("cpus"),
-            fields.amount("gpus"),
-            fields.amount("memoryGb"),
-            fields.amount("maxCpus"),
-            fields.amount("maxGpus"),
-            fields.amount("maxMemoryGb"),
-            fields.flag("spot"),
-            fields.optionalTexts("allowedTypes"),
-            fields.optionalText("zone"),
-            fields.flag("late"),
-            fields.count("count").toInt(),
+            cpus = fields.amount("cpus"),
+            gpus = fields.amount("gpus"),
+            memoryGb = fields.amount("memoryGb"),
+            maxCpus = fields.amount("maxCpus"),
+            maxGpus = fields.amount("maxGpus"),
+            maxMemoryGb = fields.amount("maxMemoryGb"),
+            spot = fields.flag("spot"),
+            allowedTypes = fields.optionalTexts("allowedTypes"),
+            zone = fields.optionalText("zone"),
+            pastDeadline = fields.flag("late"),
+            taskCount = fields.count("count").toInt(),
         )
     }
 }
--- a/src/main/kotlin/io/reedmast/autoscaling/FreeCapacity.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/FreeCapacity.kt
@@ -5,7 +5,7 @@
 import io.reedmast.placement.isEligible
 import io.reedmast.wire.JobSpec
 
-/** Free room of a machine, which is filled up in thought. */
+/** Free capacity of a machine, to which tasks are allocated on trial: nothing is placed by it. */
 class FreeCapacity(
     val record: MachineRecord,
     private var cpus: Double,
@@ -14,27 +14,31 @@
 ) {
     val freeCpus: Double get() = cpus
 
-    /** Takes as many of [most] tasks as fit, and returns how many. */
-    fun allocate(spec: JobSpec, most: Int): Int {
+    /** Allocates as many of [taskCount] tasks as fit, and returns how many. */
+    fun allocate(spec: JobSpec, taskCount: Int): Int {
         if (!isEligible(spec, record.typeName, record.zone, record.spot)) return 0
-        var fit = most
-        if (spec.cpus > 0) fit = minOf(fit, ((cpus + Machine.EPSILON) / spec.cpus).toInt())
-        if (spec.gpus > 0) fit = minOf(fit, ((gpus + Machine.EPSILON) / spec.gpus).toInt())
-        if (spec.memoryGb > 0) fit = minOf(fit, ((memoryGb + Machine.EPSILON) / spec.memoryGb).toInt())
-        if (fit <= 0) return 0
-        cpus -= spec.cpus * fit
-        gpus -= spec.gpus * fit
-        memoryGb -= spec.memoryGb * fit
-        return fit
+        val fitting = minOf(
+            minOf(taskCount, tasksWithin(cpus, spec.cpus)),
+            tasksWithin(gpus, spec.gpus),
+            tasksWithin(memoryGb, spec.memoryGb),
+        )
+        if (fitting <= 0) return 0
+        cpus -= spec.cpus * fitting
+        gpus -= spec.gpus * fitting
+        memoryGb -= spec.memoryGb * fitting
+        return fitting
     }
+
+    private fun tasksWithin(free: Double, perTask: Double): Int =
+        if (perTask > 0) ((free + Machine.EPSILON) / perTask).toInt() else Int.MAX_VALUE
 }
 
-/** How many of [count] tasks find no room in [rooms]. */
-fun countWithoutRoom(spec: JobSpec, count: Int, rooms: List<FreeCapacity>): Int {
-    var left = count
-    for (room in rooms) {
-        if (left <= 0) break
-        left -= room.allocate(spec, left)
+/** Allocates up to [taskCount] tasks to [capacities] in their order, and returns how many find no capacity. */
+fun allocateAndCountRemaining(spec: JobSpec, taskCount: Int, capacities: List<FreeCapacity>): Int {
+    var remaining = taskCount
+    for (capacity in capacities) {
+        if (remaining <= 0) break
+        remaining -= capacity.allocate(spec, remaining)
     }
-    return left
+    return remaining
 }
--- a/src/main/kotlin/io/reedmast/autoscaling/InstanceOffering.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/InstanceOffering.kt
@@ -21,14 +21,14 @@
     var bestCost = Double.MAX_VALUE
     for (machineType in machineTypes) {
         if (demand.allowedTypes != null && machineType.label !in demand.allowedTypes) continue
-        val holds = demand.heldBy(machineType)
+        val holds = demand.tasksPerMachine(machineType)
         if (holds < 1) continue
-        val count = ceil(demand.count.toDouble() / holds).toInt()
+        val count = ceil(demand.taskCount.toDouble() / holds).toInt()
         val zones = machineType.zones.filter { demand.zone == null || it == demand.zone }.sortedBy { held(it) }
         for (spot in listOf(true, false)) {
             val price = if (spot) machineType.spotPrice?.times(SPOT_RISK) else machineType.hourlyPrice
             if (price == null || (spot && !demand.spot)) continue
-            if (!spot && demand.spot && !demand.late &&
+            if (!spot && demand.spot && !demand.pastDeadline &&
                 isTooExpensive(machineType, machineTypes, demand.cpus, demand.gpus, demand.memoryGb)
             ) {
                 continue
--- a/src/main/kotlin/io/reedmast/autoscaling/MachineProvisioner.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/MachineProvisioner.kt
@@ -48,7 +48,7 @@
             for (demand in needy.demand) {
                 var left = demand
                 // Spread over zones: a zone that is cut off takes only its part with it.
-                while (left.count > 0) {
+                while (left.taskCount > 0) {
                     val (offer, count) = selectOffering(left, machineTypes().values, {
                         (unavailableUntil[it] ?: 0L) >
                             now ||
@@ -68,7 +68,11 @@
                     }
                     held.merge(offer.zone, some, Int::plus)
                     parts.getOrPut(offer) { ArrayList() }.add(Part(needy.shard, some))
-                    left = left.copy(count = left.count - some * left.heldBy(machineTypes().getValue(offer.typeName)))
+                    left =
+                        left.copy(
+                            taskCount =
+                            left.taskCount - some * left.tasksPerMachine(machineTypes().getValue(offer.typeName)),
+                        )
                 }
             }
         }
--- a/src/main/kotlin/io/reedmast/autoscaling/ShardRebalancer.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/ShardRebalancer.kt
@@ -34,7 +34,7 @@
     fun resize(wanting: List<ShardUsageSummary>, totals: List<ShardUsageSummary>) {
         val givers = totals.filter { it.demand.isEmpty() && it.idle.isNotEmpty() }
         for (needy in wanting) {
-            val left = needy.demand.associateWithTo(LinkedHashMap()) { it.count }
+            val left = needy.demand.associateWithTo(LinkedHashMap()) { it.taskCount }
             for (giver in givers) {
                 val idle = giver.idle.toHashSet()
                 val given = ArrayList<String>()
@@ -44,11 +44,11 @@
                     val demand =
                         left.entries.firstOrNull {
                             it.value > 0 &&
-                                it.key.runsOn(record.typeName, record.zone, record.spot) &&
-                                it.key.heldBy(machineType) > 0
+                                it.key.mayRunOn(record.typeName, record.zone, record.spot) &&
+                                it.key.tasksPerMachine(machineType) > 0
                         }
                             ?: continue
-                    demand.setValue(demand.value - demand.key.heldBy(machineType))
+                    demand.setValue(demand.value - demand.key.tasksPerMachine(machineType))
                     given.add(record.name)
                 }
                 if (given.isEmpty()) continue
@@ -98,7 +98,7 @@
      */
     private fun machinesFor(demand: Demand, giver: ShardUsageSummary): List<String> {
         val machineNames = ArrayList<String>()
-        var left = demand.count
+        var left = demand.taskCount
         for (machineName in giver.idle + giver.lendable) {
             if (left <= 0 || machineNames.size >= MAX_EMPTIED) break
             if (machineName in machineNames || !suits(giver.shard, machineName, demand)) continue
@@ -110,14 +110,14 @@
 
     private fun heldBy(shard: ShardId, name: String, demand: Demand): Int = fleet.machinesOf(shard).firstOrNull {
         it.name == name
-    }?.let { machineTypes()[it.typeName] }?.let { demand.heldBy(it) }
+    }?.let { machineTypes()[it.typeName] }?.let { demand.tasksPerMachine(it) }
         ?: 0
 
     private fun suits(shard: ShardId, name: String, demand: Demand): Boolean {
         val record = fleet.machinesOf(shard).firstOrNull { it.name == name } ?: return false
         val machineType = machineTypes()[record.typeName] ?: return false
-        return !fleet.isMarkedForTransfer(shard, name) && demand.runsOn(record.typeName, record.zone, record.spot) &&
-            demand.heldBy(machineType) > 0
+        return !fleet.isMarkedForTransfer(shard, name) && demand.mayRunOn(record.typeName, record.zone, record.spot) &&
+            demand.tasksPerMachine(machineType) > 0
     }
 
     private companion object {
--- a/src/main/kotlin/io/reedmast/autoscaling/Starving.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/Starving.kt
@@ -4,11 +4,20 @@
 import io.reedmast.wire.amount
 import io.reedmast.wire.map
 
-/** A task of a job of which nothing has run for [waitedS] although its team's limit would let it. */
+/**
+ * A job of which nothing has run for [waitedS] seconds although its team's quota limit would let it: [demand] is what
+ * it takes to start it, one task or a whole gang.
+ */
 data class Starving(val demand: Demand, val waitedS: Double) {
+    /** The form in which it is stored. */
     fun toFields(): Fields = mapOf("demand" to demand.toFields(), "waitedS" to waitedS)
 
     companion object {
+        /**
+         * Reads what [toFields] wrote.
+         *
+         * @throws io.reedmast.wire.MalformedException if a field is missing or of another type.
+         */
         fun parse(fields: Fields) = Starving(Demand.parse(fields.map("demand")), fields.amount("waitedS"))
     }
 }
--- a/src/main/kotlin/io/reedmast/autoscaling/UsageSummaryWriter.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/UsageSummaryWriter.kt
@@ -112,7 +112,7 @@
             up.sumOf { it.machineType?.cpus ?: 0.0 }.toInt(),
             shardState.jobs.size,
             shardState.jobs.values.sumOf { it.pendingCount },
-            demand.map { "${it.count} of ${"%.1f".format(it.cpus)} CPUs" },
+            demand.map { "${it.taskCount} of ${"%.1f".format(it.cpus)} CPUs" },
         )
     }
 
--- a/src/main/kotlin/io/reedmast/scheduling/Scheduler.kt
+++ b/src/main/kotlin/io/reedmast/scheduling/Scheduler.kt
@@ -283,7 +283,7 @@
                 m.placements.values.any { isPreemptable(it) }
         }
         if (holding.isEmpty()) return
-        val coming = demandEstimator.coming()
+        val coming = demandEstimator.bootingCapacity()
         var tries = 0
         for (job in ready) {
             if (!job.spec.priority.isFunded || job.pendingCount <= job.preempting ||
@@ -294,7 +294,7 @@
             if (now - job.waitsSince < preemptAfterMs(job)) continue
             // What only has to be done some time fits on the machines that are on their way; what has to start soon
             // does not.
-            if (!shardState.isLatencySensitive(job) && demandEstimator.comingHolds(job, coming)) continue
+            if (!shardState.isLatencySensitive(job) && demandEstimator.fitsOnBootingMachines(job, coming)) continue
             if (++tries > MAX_PREEMPTING) break
             val request =
                 PlacementRequest(
