--- a/src/main/kotlin/io/reedmast/autoscaling/ScaleInPolicy.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/ScaleInPolicy.kt
@@ -1,150 +1,100 @@
 package io.reedmast.autoscaling
 
 import io.reedmast.model.Machine
-import io.reedmast.model.Placement
 import io.reedmast.model.ShardState
 
-/** Which machines a shard can spare: those to be returned, to be moved to another shard, or to be emptied for it. */
+/** Which empty machines a shard can do without: how long it keeps them, and which may move to another shard. */
 class ScaleInPolicy(private val shardState: ShardState, private val arrivals: ArrivalRates) {
-    /** Whether the shard would have too little free room for the services that arrive while a machine boots. */
-    inner class Headroom(private var free: Double, private val wanted: Double) {
-        fun needs(machine: Machine) = wanted > 0.0 && !machine.record.spot && free - machine.freeCpus < wanted
+    /**
+     * Free on-demand capacity that is kept for the services that arrive while a machine boots: [freeCpus] of which
+     * [neededCpus] must stay.
+     */
+    class Headroom(private var freeCpus: Double, private val neededCpus: Double) {
+        /** Whether too little would be left without the machine. */
+        fun needs(machine: Machine): Boolean =
+            neededCpus > 0.0 && !machine.record.spot && freeCpus - machine.freeCpus < neededCpus
 
+        /** The machine is being removed. */
         fun without(machine: Machine) {
-            if (!machine.record.spot) free -= machine.freeCpus
+            if (!machine.record.spot) freeCpus -= machine.freeCpus
         }
     }
 
-    fun spareCpus(now: Long) = Headroom(
-        shardState.machines.values.filter {
-            it.usable && !it.record.spot
-        }.sumOf { it.freeCpus },
-        serviceHeadroom(now),
-    )
+    private var meanImageGb = 0.0
+
+    /** The shard's headroom as it is at [now], in milliseconds. */
+    fun headroom(now: Long): Headroom {
+        val onDemandMachines = shardState.machines.values.filter { it.usable && !it.record.spot }
+        return Headroom(onDemandMachines.sumOf { it.freeCpus }, cpusOfServicesWithinBoot(now))
+    }
 
-    /** CPUs of the services that arrive within a boot. */
-    private fun serviceHeadroom(now: Long): Double =
+    private fun cpusOfServicesWithinBoot(now: Long): Double =
         shardState.shortestBootS()?.let { arrivals.serviceCpus(now, it) } ?: 0.0
 
     /**
-     * FreeCapacity that other work leaves free on machines with services, for the services that arrive within a few
-     * seconds.
+     * CPUs that other work leaves free on machines with services, for the services that arrive within a few seconds.
      */
-    fun serviceReserve(now: Long): Double = arrivals.serviceCpus(now, RESERVE_S)
+    fun serviceReserve(now: Long): Double = arrivals.serviceCpus(now, SERVICE_RESERVE_S)
 
-    private var meanImageGb = 0.0
-
-    /** Takes up the size of the images that the shard's jobs need. */
+    /** Records the size of the images that the shard's jobs need, by which [scaleInDelayMs] goes. */
     fun recordImages() {
-        meanImageGb =
-            if (shardState.jobs.isEmpty()) {
-                0.0
-            } else {
-                shardState.jobs.values.sumOf { it.spec.imageGb } /
-                    shardState.jobs.size
-            }
+        val jobs = shardState.jobs.values
+        meanImageGb = if (jobs.isEmpty()) 0.0 else jobs.sumOf { it.spec.imageGb } / jobs.size
     }
 
     /**
-     * How long an empty machine is kept.
+     * How long an empty machine is kept, in milliseconds.
      *
      * What is lost with it is its boot and its images; a boot is partly hidden, since machines are rented as work
      * comes. Spot machines cost a fraction, and are kept longer by the same measure.
      */
     fun scaleInDelayMs(machine: Machine): Double {
         val machineType = machine.machineType ?: return 0.0
-        val ordinary =
-            shardState.tuning.idleS
-                ?: maxOf(
-                    machineType.bootS * BOOT_WORTH + meanImageGb / machineType.fetchGbPerS,
-                    shardState.settings.workers.reportS * KEPT_REPORTS,
-                )
-        return ordinary * 1000 * if (machine.record.spot) SPOT_DELAY_FACTOR else 1.0
-    }
-
-    /**
-     * Empty for a while and not kept for services, or still booting and not asked for just now: a machine that has just
-     * come covers what was wanted, so that nothing is, and went on to the next shard before it could be used.
-     */
-    fun movable(now: Long): List<String> {
-        val headroom = spareCpus(now)
-        return shardState.machines.values.filter { machine ->
-            machine.placements.isEmpty() && machine.decommissionReason == null && !machine.returning &&
-                machine.machineType != null &&
-                (
-                    (!machine.everReported && now - machine.firstSeenAt > JUST_COME_MS) ||
-                        (machine.trusted && now - machine.emptySince > IDLE_TO_MOVE_MS && !headroom.needs(machine))
-                    )
-        }.take(MAX_IDLE).map { it.name }
+        val onDemandDelayS = shardState.tuning.idleS ?: maxOf(
+            machineType.bootS * BOOT_WORTH + meanImageGb / machineType.fetchGbPerS,
+            shardState.settings.workers.reportS * MIN_HEARTBEATS_KEPT,
+        )
+        return onDemandDelayS * MS_PER_S * if (machine.record.spot) SPOT_DELAY_FACTOR else 1.0
     }
 
-    /**
-     * Machines that could be emptied for another shard, those that lose least by it first, some of each kind. Empty
-     * ones that are kept for services to come are among them.
-     *
-     * Services are placed again at once, and what ends within seconds is waited for; other work that cannot resume is
-     * lost.
-     */
-    fun lendable(now: Long): List<String> {
-        val usable = shardState.machines.values.filter {
-            it.usable && it.noticeUntil == 0L &&
-                it.placements.values.none { p -> now - p.madeAt < JUST_PLACED_MS || p.job.spec.gang }
-        }
-        val free = usable.sumOf { it.freeCpus }
-        return usable
-            // With less room on the others, the work of this one would starve next, and the machine come back.
-            .filter { machine ->
-                machine.placements.values.sumOf { it.job.spec.cpus } <=
-                    free - machine.freeCpus + Machine.EPSILON
-            }
-            .sortedBy { machine -> machine.placements.values.sumOf { emptyingCost(it, now) } }
-            .groupBy { Triple(it.record.typeName, it.record.zone, it.record.spot) }.values
-            .flatMap { it.take(LENDABLE_OF_A_KIND) }.take(MAX_LENDABLE).map { it.name }
+    /** Names of the machines that may move to another shard at once: empty ones, idle or still booting. */
+    fun transferable(now: Long): List<String> {
+        val headroom = headroom(now)
+        return shardState.machines.values
+            .filter { isEmptyAndStays(it) }
+            .filter { isUnneededBoot(it, now) || (isIdle(it, now) && !headroom.needs(it)) }
+            .take(MAX_TRANSFERABLE)
+            .map { it.name }
     }
 
-    private fun emptyingCost(placement: Placement, now: Long): Double {
-        val spec = placement.job.spec
-        val ranS = if (placement.running) (now - placement.runningSince) / 1000.0 else 0.0
-        return spec.cpus * when {
-            spec.service -> SERVICE_COST_S
-            spec.estimateS - ranS < ENDS_SOON_S -> 0.0
-            spec.resumable -> spec.saveS
-            else -> ranS
-        }
-    }
+    private fun isEmptyAndStays(machine: Machine): Boolean =
+        machine.placements.isEmpty() && machine.decommissionReason == null && !machine.returning &&
+            machine.machineType != null
 
     /**
-     * Zones most of whose machines fell silent lately: a zone that is cut off. What is rented there cannot be reached
-     * either, and with its machines returned it would look like the zone with the most room.
+     * Whether the machine is still booting and was not asked for just now: one that has just come covers the demand
+     * for it, so that there is none any more, and went on to the next shard before it could be used.
      */
-    fun unavailableZones(now: Long): List<String> = shardState.silentMachinesByZone.filter { (zone, times) ->
-        while (times.isNotEmpty() && now - times.first() > UNAVAILABLE_ZONE_MS) times.removeFirst()
-        times.size >= MIN_SILENT_IN_ZONE &&
-            times.size >
-            shardState.machines.values.count {
-                it.record.zone == zone && it.trusted &&
-                    now - it.lastHeartbeatAt <= shardState.heartbeatLateMs
-            }
-    }.keys.toList()
+    private fun isUnneededBoot(machine: Machine, now: Long): Boolean =
+        !machine.everReported && now - machine.firstSeenAt > JUST_PROVISIONED_MS
+
+    private fun isIdle(machine: Machine, now: Long): Boolean =
+        machine.trusted && now - machine.emptySince > MIN_IDLE_TO_MOVE_MS
 
     companion object {
         /** Work that has this long to go, by its owner's estimate, is let end on a machine that is to move. */
         const val ENDS_SOON_S = 15.0
 
         private const val SPOT_DELAY_FACTOR = 2.0
-        private const val KEPT_REPORTS = 4
+
+        /** A machine is kept for this many heartbeats at least. */
+        private const val MIN_HEARTBEATS_KEPT = 4
+
+        /** The part of its boot that an empty machine is kept for. */
         private const val BOOT_WORTH = 0.25
-        private const val RESERVE_S = 10.0
-        private const val UNAVAILABLE_ZONE_MS = 45_000L
-        private const val MIN_SILENT_IN_ZONE = 4
-        private const val IDLE_TO_MOVE_MS = 2_000L
-        private const val JUST_COME_MS = 8_000L
-        private const val JUST_PLACED_MS = 15_000L
-        private const val MAX_IDLE = 100
-        private const val MAX_LENDABLE = 24
-        private const val LENDABLE_OF_A_KIND = 3
-
-        /** What stopping a replica and starting it elsewhere is worth, in seconds of its run. */
-        private const val SERVICE_COST_S = 5.0
+        private const val SERVICE_RESERVE_S = 10.0
+        private const val MIN_IDLE_TO_MOVE_MS = 2_000L
+        private const val JUST_PROVISIONED_MS = 8_000L
+        private const val MAX_TRANSFERABLE = 100
     }
 }
--- a/src/main/kotlin/io/reedmast/autoscaling/ShardRebalancer.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/ShardRebalancer.kt
@@ -99,7 +99,7 @@
     private fun machinesFor(demand: Demand, giver: ShardUsageSummary): List<String> {
         val machineNames = ArrayList<String>()
         var left = demand.taskCount
-        for (machineName in giver.idle + giver.lendable) {
+        for (machineName in giver.idle + giver.drainable) {
             if (left <= 0 || machineNames.size >= MAX_EMPTIED) break
             if (machineName in machineNames || !suits(giver.shard, machineName, demand)) continue
             machineNames.add(machineName)
--- a/src/main/kotlin/io/reedmast/autoscaling/ShardUsageSummary.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/ShardUsageSummary.kt
@@ -11,73 +11,84 @@
 import io.reedmast.wire.optionalTexts
 
 /**
- * What an owner stores of its shard every few seconds: its teams' charged use, and what the leader needs to resize
- * shards.
+ * What the owner of a shard stores of it every few seconds: its teams' charged usage, and what the leader needs to
+ * provision machines and to move them between shards.
+ *
+ * @property machinesVersion The version of the newest change to the shard's machines that the owner knew.
+ * @property usage Charged usage of the shard's teams within the window, in CPU seconds, as
+ *   [io.reedmast.model.ChargedUsage] stores it.
+ * @property ratio The fair-share ratio, charged usage divided by allocation, of the team that is furthest below its
+ *   share among those with pending tasks; 0 if there is none.
+ * @property demand What the shard lacks capacity for, the most urgent first.
+ * @property idle Names of the machines that may move to another shard at once.
+ * @property drainable Names of the machines that could be drained for another shard, the cheapest to drain first.
+ * @property starving Jobs of which nothing has run for long, those that have waited longest first.
+ * @property unavailableZones Zones that seem to be cut off.
  */
-class ShardUsageSummary(
+data class ShardUsageSummary(
     val shard: ShardId,
-    /** The version of the newest change to the shard's machines that the owner knew. */
     val machinesVersion: Long,
-    /** Charged use of the shard's teams within the window. */
     val usage: Fields,
-    /** Charged use against allocation of the waiting team that is furthest below its share. */
     val ratio: Double,
     val demand: List<Demand>,
-    /** Machines that may move to another shard at once. */
     val idle: List<String>,
-    /** Machines that could be emptied for another shard. */
-    val lendable: List<String>,
+    val drainable: List<String>,
     val starving: List<Starving>,
-    /** Zones that seem to be cut off. */
     val unavailableZones: List<String>,
 ) {
+    /** The form in which the summary is stored. The shard is part of the key. */
     fun toFields(): Fields = mapOf(
         "hosts" to machinesVersion,
         "usage" to usage,
         "ratio" to ratio,
         "demand" to demand.map { it.toFields() },
         "idle" to idle,
-        "lendable" to lendable,
+        "lendable" to drainable,
         "starving" to starving.map { it.toFields() },
         "dark" to unavailableZones,
     )
 
-    /** With fewer machines, and then fewer wishes, named, as far as needed for a stored value of so many bytes. */
-    fun within(bytes: Int): ShardUsageSummary {
-        var totals = this
-        while (Tree.jsonSize(totals.toFields()) > bytes) totals = totals.shortened() ?: return totals
-        return totals
+    /** The summary with as much left out, machines before demand, as it takes to fit into [maxBytes] once stored. */
+    fun within(maxBytes: Int): ShardUsageSummary {
+        var summary = this
+        while (Tree.jsonSize(summary.toFields()) > maxBytes) summary = summary.shortened() ?: return summary
+        return summary
     }
 
+    /** With the next part left out; null if there is nothing more to leave out. */
     private fun shortened(): ShardUsageSummary? = when {
         idle.size > FEW_MACHINES -> copy(idle = idle.take(idle.size / 2))
-        lendable.size > FEW_MACHINES -> copy(lendable = lendable.take(lendable.size / 2))
+        drainable.size > FEW_MACHINES -> copy(drainable = drainable.take(drainable.size / 2))
         demand.size > 1 -> copy(demand = demand.dropLast(1))
         starving.size > 1 -> copy(starving = starving.dropLast(1))
-        idle.isNotEmpty() || lendable.isNotEmpty() -> copy(idle = emptyList(), lendable = emptyList())
+        idle.isNotEmpty() || drainable.isNotEmpty() -> copy(idle = emptyList(), drainable = emptyList())
         else -> null
     }
 
-    private fun copy(
-        idle: List<String> = this.idle,
-        lendable: List<String> = this.lendable,
-        demand: List<Demand> = this.demand,
-        starving: List<Starving> = this.starving,
-    ) = ShardUsageSummary(shard, machinesVersion, usage, ratio, demand, idle, lendable, starving, unavailableZones)
-
     companion object {
         private const val FEW_MACHINES = 6
 
+        /**
+         * Reads what [toFields] wrote.
+         *
+         * @throws io.reedmast.wire.MalformedException if a field is missing or of another type.
+         */
         fun parse(shard: ShardId, fields: Fields) = ShardUsageSummary(
-            shard,
-            fields.count("hosts"),
-            fields.map("usage"),
-            fields.amount("ratio"),
-            fields.maps("demand").map { Demand.parse(it) },
-            fields.list("idle").filterIsInstance<String>(),
-            fields.optionalTexts("lendable").orEmpty(),
-            if (fields["starving"] == null) emptyList() else fields.maps("starving").map { Starving.parse(it) },
-            fields.optionalTexts("dark").orEmpty(),
+            shard = shard,
+            machinesVersion = fields.count("hosts"),
+            usage = fields.map("usage"),
+            ratio = fields.amount("ratio"),
+            demand = fields.maps("demand").map { Demand.parse(it) },
+            idle = fields.list("idle").filterIsInstance<String>(),
+            drainable = fields.optionalTexts("lendable").orEmpty(),
+            starving = if (fields["starving"] ==
+                null
+            ) {
+                emptyList()
+            } else {
+                fields.maps("starving").map { Starving.parse(it) }
+            },
+            unavailableZones = fields.optionalTexts("dark").orEmpty(),
         )
     }
 }
--- a/src/main/kotlin/io/reedmast/autoscaling/UsageSummaryWriter.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/UsageSummaryWriter.kt
@@ -20,6 +20,7 @@
     private val store: KeyValueStore,
     private val demandEstimator: DemandEstimator,
     private val scaleInPolicy: ScaleInPolicy,
+    /** The version of the newest change to the shard's machines that this controller knows. */
     private val machinesVersion: () -> Long,
     /** The shard may have another owner: its record is to be read again. */
     private val termInDoubt: () -> Unit,
@@ -27,89 +28,95 @@
     private val log = LoggerFactory.getLogger("shard")
     private val shard = shardState.index
     private val path = Keys.totals(shard.value)
-    private var version = 0L
+    private val drainCandidates = DrainCandidates(shardState)
+    private val zoneAvailability = ZoneAvailability(shardState)
+    private var storedVersion = 0L
     private var writing = false
-    private var due = 0L
+    private var dueAt = 0L
     private var lastDemand: List<Demand> = emptyList()
-    private var lastWritten = 0L
-    private var logDue = 0L
+    private var lastWrittenAt = 0L
+    private var logDueAt = 0L
 
-    /** Takes up what an owner before stored. */
-    fun load(totals: StoredItem) {
-        version = totals.version
+    /** Takes the charged usage and the version from what the previous owner stored. An unreadable one is logged. */
+    fun load(stored: StoredItem) {
+        storedVersion = stored.version
         try {
-            shardState.usage.load(totals.value.map("usage"))
+            shardState.usage.load(stored.value.map("usage"))
         } catch (e: MalformedException) {
             log.error("shard {}: usage summary cannot be read: {}", shard.value, e.message)
         }
     }
 
+    /** Stores the summary if it is due at [now], in milliseconds. */
     fun runOnce(now: Long) {
-        if (writing || now - lastWritten < MIN_TOTALS_MS) return
+        if (writing || now - lastWrittenAt < MIN_INTERVAL_MS) return
         scaleInPolicy.recordImages()
         val demand = demandEstimator.demand()
         val starving = demandEstimator.starving(now)
-        val wanted = demand.isNotEmpty() || lastDemand.isNotEmpty() || starving.isNotEmpty()
-        if (now < due && !(wanted && demand != lastDemand)) return
+        val isUrgent = demand.isNotEmpty() || lastDemand.isNotEmpty() || starving.isNotEmpty()
+        if (now < dueAt && !(isUrgent && demand != lastDemand)) return
         lastDemand = demand
-        lastWritten = now
+        lastWrittenAt = now
         logState(now, demand)
-        due = now + (shardState.tuning.totalsS * 1000).toLong()
-        store(totals(demand, starving, now), if (wanted) WritePriority.URGENT else WritePriority.DEFERRED)
+        dueAt = now + (shardState.tuning.totalsS * MS_PER_S).toLong()
+        store(summary(demand, starving, now), if (isUrgent) WritePriority.URGENT else WritePriority.DEFERRED)
     }
 
-    private fun totals(demand: List<Demand>, starving: List<Starving>, now: Long): ShardUsageSummary {
-        val wall = shardState.clock.wall()
-        val waiting = shardState.jobs.values.filter { it.pendingCount > 0 }.mapTo(HashSet()) { it.team }
-        return ShardUsageSummary(
-            shard,
-            machinesVersion(),
-            shardState.usage.toFields(shardState.teams, maxBuckets()),
-            ratio = waiting.minOfOrNull { shardState.ratio(it, wall) } ?: 0.0,
-            demand = demand.take(MAX_KINDS),
-            idle = scaleInPolicy.movable(now),
-            lendable = scaleInPolicy.lendable(now),
-            starving = starving,
-            unavailableZones = scaleInPolicy.unavailableZones(now),
-        ).within(shardState.limits.target.valueBytes * FILLED_PERCENT / 100 - ENVELOPE_BYTES)
+    private fun summary(demand: List<Demand>, starving: List<Starving>, now: Long) = ShardUsageSummary(
+        shard,
+        machinesVersion(),
+        shardState.usage.toFields(shardState.teams, maxBuckets()),
+        ratio = lowestRatio(),
+        demand = demand.take(MAX_KINDS),
+        idle = scaleInPolicy.transferable(now),
+        drainable = drainCandidates.select(now),
+        starving = starving,
+        unavailableZones = zoneAvailability.unavailableZones(now),
+    ).within(shardState.limits.target.valueBytes * MAX_FILLED_PERCENT / PERCENT - ENVELOPE_BYTES)
+
+    /** The fair-share ratio of the team with pending tasks that is furthest below its share; 0 if there is none. */
+    private fun lowestRatio(): Double {
+        val wallMs = shardState.clock.wall()
+        val waitingTeams = shardState.jobs.values.filter { it.pendingCount > 0 }.mapTo(HashSet()) { it.team }
+        return waitingTeams.minOfOrNull { shardState.ratio(it, wallMs) } ?: 0.0
     }
 
-    /** Charged use may take a third of the value, whatever it is made of. */
-    private fun maxBuckets(): Int = maxOf(
-        2,
-        shardState.limits.target.valueBytes / 3 / maxOf(1, shardState.teams.size) / BYTES_PER_BUCKET,
-    )
+    /** Into how many buckets each team's charged usage may be split: all of it may take a third of the value. */
+    private fun maxBuckets(): Int {
+        val bytesPerTeam = shardState.limits.target.valueBytes / USAGE_DIVISOR / maxOf(1, shardState.teams.size)
+        return maxOf(MIN_BUCKETS, bytesPerTeam / BYTES_PER_BUCKET)
+    }
 
-    private fun store(totals: ShardUsageSummary, writePriority: WritePriority) {
+    private fun store(summary: ShardUsageSummary, writePriority: WritePriority) {
         writing = true
-        val value = totals.toFields() + ("term" to shardState.term)
-        val preconditions = listOf(shardState.termPrecondition, Precondition(path, version))
+        val value = summary.toFields() + ("term" to shardState.term)
+        val preconditions = listOf(shardState.termPrecondition, Precondition(path, storedVersion))
         store.commit(
             CasTransaction(preconditions, listOf(Write.Put(path, value)), writePriority) { outcome ->
                 writing = false
                 if (shardState.dropped) return@CasTransaction
-                if (outcome is CommitOutcome.Applied) version = outcome.revision
-                if (outcome is CommitOutcome.Conflict) conflict(outcome.failed)
+                if (outcome is CommitOutcome.Applied) storedVersion = outcome.revision
+                if (outcome is CommitOutcome.Conflict) onConflict(outcome.failed)
             },
         )
     }
 
-    private fun conflict(failed: Set<String>) {
-        if (Keys.shard(shard.value) in failed) termInDoubt()
-        if (path in failed) store.get(path) { if (it is ReadResult.Found) version = it.item.version }
+    private fun onConflict(failedPaths: Set<String>) {
+        if (Keys.shard(shard.value) in failedPaths) termInDoubt()
+        if (path in failedPaths) store.get(path) { if (it is ReadResult.Found) storedVersion = it.item.version }
     }
 
     private fun logState(now: Long, demand: List<Demand>) {
-        if (now < logDue) return
-        logDue = now + LOG_EVERY_MS
-        val (up, coming) = shardState.machines.values.partition { it.usable }
+        if (now < logDueAt) return
+        logDueAt = now + LOG_INTERVAL_MS
+        val (usable, unusable) = shardState.machines.values.partition { it.usable }
         log.info(
             "shard {}: {} machines, {} not in use, {} CPUs free of {}, {} jobs with {} tasks pending, demand: {}",
             shard.value,
-            up.size,
-            coming.size,
-            up.sumOf { it.freeCpus }.toInt(),
-            up.sumOf { it.machineType?.cpus ?: 0.0 }.toInt(),
+            usable.size,
+            unusable.size,
+            usable.sumOf { it.freeCpus }.toInt(),
+            usable.sumOf { it.machineType?.cpus ?: 0.0 }.toInt(),
             shardState.jobs.size,
             shardState.jobs.values.sumOf { it.pendingCount },
             demand.map { "${it.taskCount} of ${"%.1f".format(it.cpus)} CPUs" },
@@ -117,13 +124,22 @@
     }
 
     private companion object {
-        const val LOG_EVERY_MS = 15_000L
-        const val MIN_TOTALS_MS = 1_000L
+        const val LOG_INTERVAL_MS = 15_000L
+        const val MIN_INTERVAL_MS = 1_000L
+
+        /** How many kinds of demand a summary names. */
         const val MAX_KINDS = 12
-        const val FILLED_PERCENT = 95
 
-        /** The term and the transaction's id, which are stored beside the totals. */
+        /** How much of a stored value's allowed size the summary may fill. */
+        const val MAX_FILLED_PERCENT = 95
+        const val PERCENT = 100
+
+        /** The term and the transaction's id, which are stored beside the summary. */
         const val ENVELOPE_BYTES = 80
+
+        /** Charged usage may take the value's allowed size divided by this, whatever it is made of. */
+        const val USAGE_DIVISOR = 3
+        const val MIN_BUCKETS = 2
         const val BYTES_PER_BUCKET = 20
     }
 }
--- a/src/main/kotlin/io/reedmast/machines/MachineLifecycle.kt
+++ b/src/main/kotlin/io/reedmast/machines/MachineLifecycle.kt
@@ -57,7 +57,7 @@
         detectLossOfWorkers(now)
         decommissionSilent(now, silentAfterMs)
         decommissionUnreachable()
-        val headroom = scaleInPolicy.spareCpus(now)
+        val headroom = scaleInPolicy.headroom(now)
         val empty = ArrayList<String>()
         for (machine in shardState.machines.values.toList()) {
             val machineType = machine.machineType
