--- a/src/main/kotlin/io/reedmast/autoscaling/MachineProvisioner.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/MachineProvisioner.kt
@@ -9,8 +9,8 @@
 import io.reedmast.wire.MachineType
 import org.slf4j.LoggerFactory
 
-/** Rents machines for what shards want. */
-class MachineProvisioner(
+/** Rents machines for the demand of the shards, and hands those that the cloud provides to [intake]. */
+internal class MachineProvisioner(
     private val clock: Clock,
     private val cloud: Cloud,
     private val fleet: FleetView,
@@ -20,135 +20,103 @@
     private val requestPrefix: String,
 ) {
     private val log = LoggerFactory.getLogger("autoscaler")
-    private var requests = 0L
+    private var requestCount = 0L
     private val unavailableUntil = HashMap<InstanceOffering, Long>()
 
-    /** Requests to the cloud on their way, by the shards they are for. */
-    private val provisioning = HashMap<ShardId, Int>()
+    /** How many requests to the cloud are on their way for each shard; a shard without any has no entry. */
+    private val requestsInFlight = HashMap<ShardId, Int>()
 
     /** Whether a request for the shard is on its way. */
-    fun isProvisioningFor(shard: ShardId): Boolean = shard in provisioning
-
-    /** What one shard gets of a request to the cloud. */
-    private class Part(val shard: ShardId, val count: Int)
+    fun isProvisioningFor(shard: ShardId): Boolean = shard in requestsInFlight
 
     /**
-     * Rents for all shards and all that they want together: the cloud takes few calls, and up to
-     * [MAX_MACHINES_PER_REQUEST] machines with each.
+     * Requests machines for all that the shards of [summaries] demand together: the cloud takes few calls, and up to
+     * [MAX_MACHINES_PER_REQUEST] machines with each. Shards that come first are served first; [now] is in milliseconds.
      */
-    fun provision(wanting: List<ShardUsageSummary>, unavailableZones: Set<String>, now: Long) {
-        val parts = LinkedHashMap<InstanceOffering, ArrayList<Part>>()
-        val held = HashMap<String, Int>()
-        for (shard in 0 until fleet.shardCount) {
-            fleet.machinesOf(ShardId(shard)).forEach {
-                held.merge(it.zone, 1, Int::plus)
-            }
+    fun provision(summaries: List<ShardUsageSummary>, unavailableZones: Set<String>, now: Long) {
+        val planner = ProvisioningPlanner(machineTypes(), machineCountByZone()) { offering ->
+            (unavailableUntil[offering] ?: 0L) > now || offering.zone in unavailableZones
         }
-        for (needy in wanting) {
-            for (demand in needy.demand) {
-                var left = demand
-                // Spread over zones: a zone that is cut off takes only its part with it.
-                while (left.taskCount > 0) {
-                    val (offer, count) = selectOffering(left, machineTypes().values, {
-                        (unavailableUntil[it] ?: 0L) >
-                            now ||
-                            it.zone in unavailableZones
-                    }, {
-                        held[it]
-                            ?: 0
-                    })
-                        ?: break
-                    val zones = machineTypes().getValue(offer.typeName).zones.size
-                    val some = if (demand.zone != null ||
-                        zones < 2
-                    ) {
-                        minOf(count, MAX_MACHINES_PER_REQUEST)
-                    } else {
-                        minOf(count, maxOf(MIN_IN_A_ZONE, count / zones))
-                    }
-                    held.merge(offer.zone, some, Int::plus)
-                    parts.getOrPut(offer) { ArrayList() }.add(Part(needy.shard, some))
-                    left =
-                        left.copy(
-                            taskCount =
-                            left.taskCount - some * left.tasksPerMachine(machineTypes().getValue(offer.typeName)),
-                        )
-                }
+        planner.plan(summaries).take(MAX_REQUESTS).forEach { request(it.limitedTo(MAX_MACHINES_PER_REQUEST)) }
+    }
+
+    private fun machineCountByZone(): Map<String, Int> = (0 until fleet.shardCount)
+        .flatMap { fleet.machinesOf(ShardId(it)) }
+        .groupingBy { it.zone }
+        .eachCount()
+
+    private fun request(planned: PlannedOffering) {
+        shardsOf(planned).forEach { requestsInFlight.merge(it, 1, Int::plus) }
+        val request = ProvisioningRequest(
+            "$requestPrefix-${++requestCount}",
+            planned.offering.typeName,
+            planned.offering.zone,
+            planned.offering.spot,
+            planned.machineCount,
+        )
+        send(planned, request, PROVISIONING_TRIES)
+    }
+
+    private fun send(planned: PlannedOffering, request: ProvisioningRequest, tries: Int) {
+        cloud.provision(request) { result ->
+            if (result is ProvisioningResult.Failed && tries > 1 && fleet.leading) {
+                // The same name again: if the first copy was carried out after all, nothing more is rented.
+                send(planned, request, tries - 1)
+            } else {
+                onAnswered(planned, request, result)
             }
         }
-        for ((offer, shares) in parts.entries.take(MAX_OFFERINGS)) {
-            var room = MAX_MACHINES_PER_REQUEST
-            val mine = ArrayList<Part>()
-            for (share in shares) {
-                val some = minOf(share.count, room)
-                if (some <= 0) break
-                room -= some
-                mine.add(Part(share.shard, some))
-            }
-            mine.mapTo(HashSet()) { it.shard }.forEach { provisioning.merge(it, 1, Int::plus) }
-            val rental = ProvisioningRequest(
-                "$requestPrefix-${++requests}",
-                offer.typeName,
-                offer.zone,
-                offer.spot,
-                MAX_MACHINES_PER_REQUEST - room,
-            )
-            send(mine, offer, rental, PROVISIONING_TRIES)
+    }
+
+    private fun onAnswered(planned: PlannedOffering, request: ProvisioningRequest, result: ProvisioningResult) {
+        shardsOf(planned).forEach { recordAnswered(it) }
+        when (result) {
+            is ProvisioningResult.Machines -> onProvisioned(planned, request, result.names)
+            ProvisioningResult.NoCapacity -> recordUnavailable(planned.offering)
+            ProvisioningResult.Failed -> Unit
         }
     }
 
-    private fun send(shares: List<Part>, offer: InstanceOffering, rental: ProvisioningRequest, tries: Int) {
-        cloud.provision(rental) { provisioned ->
-            val now = clock.now()
-            if (provisioned is ProvisioningResult.Failed && tries > 1 && fleet.leading) {
-                // The same name again: if the first copy was carried out after all, nothing more is rented.
-                send(shares, offer, rental, tries - 1)
-                return@provision
-            }
-            shares.mapTo(HashSet()) { it.shard }.forEach {
-                provisioning.computeIfPresent(it) { _, n ->
-                    if (n >
-                        1
-                    ) {
-                        n - 1
-                    } else {
-                        null
-                    }
-                }
-            }
-            if (provisioned is ProvisioningResult.NoCapacity) unavailableUntil[offer] = now + UNAVAILABLE_MS
-            if (provisioned is ProvisioningResult.Machines) {
-                log.info(
-                    "machines: {} of {} {} provisioned in {}{}",
-                    provisioned.names.size,
-                    rental.count,
-                    rental.typeName,
-                    rental.zone,
-                    if (rental.spot) ", spot" else "",
-                )
-                if (provisioned.names.size < rental.count) unavailableUntil[offer] = now + UNAVAILABLE_MS
-                val names = ArrayDeque(provisioned.names)
-                for (share in shares) {
-                    repeat(share.count) {
-                        names.removeFirstOrNull()?.let {
-                            intake.add(
-                                MachineRecord(it, rental.typeName, rental.zone, rental.spot),
-                                share.shard,
-                                seenToken = 0L,
-                            )
-                        }
-                    }
-                }
-                intake.assign()
-            }
+    private fun onProvisioned(planned: PlannedOffering, request: ProvisioningRequest, machineNames: List<String>) {
+        log.info(
+            "machines: {} of {} {} provisioned in {}{}",
+            machineNames.size,
+            request.count,
+            request.typeName,
+            request.zone,
+            if (request.spot) ", spot" else "",
+        )
+        if (machineNames.size < request.count) recordUnavailable(planned.offering)
+        val shardOfEach = planned.allocations.flatMap { allocation ->
+            List(allocation.machineCount) { allocation.shard }
         }
+        for ((machineName, shard) in machineNames.zip(shardOfEach)) {
+            intake.add(
+                MachineRecord(machineName, request.typeName, request.zone, request.spot),
+                shard,
+                seenToken = 0L,
+            )
+        }
+        intake.assign()
+    }
+
+    private fun recordAnswered(shard: ShardId) {
+        requestsInFlight.computeIfPresent(shard) { _, count -> if (count > 1) count - 1 else null }
+    }
+
+    private fun recordUnavailable(offering: InstanceOffering) {
+        unavailableUntil[offering] = clock.now() + UNAVAILABLE_MS
     }
 
+    private fun shardsOf(planned: PlannedOffering): Set<ShardId> = planned.allocations.mapTo(HashSet()) { it.shard }
+
     private companion object {
         const val UNAVAILABLE_MS = 20_000L
+
+        /** How often a request is sent whose outcome is not known. */
         const val PROVISIONING_TRIES = 3
-        const val MAX_MACHINES_PER_REQUEST = 50
-        const val MIN_IN_A_ZONE = 4
-        const val MAX_OFFERINGS = 8
+
+        /** How many requests are made at once; each is for one offering. */
+        const val MAX_REQUESTS = 8
     }
 }
--- /dev/null
+++ b/src/main/kotlin/io/reedmast/autoscaling/OfferingSelector.kt
@@ -0,0 +1,63 @@
+package io.reedmast.autoscaling
+
+import io.reedmast.wire.MachineType
+import kotlin.math.ceil
+
+/** An offering that covers a demand with [machineCount] machines, at [hourlyCost] for all of them together. */
+internal data class OfferingCandidate(val offering: InstanceOffering, val machineCount: Int, val hourlyCost: Double)
+
+/**
+ * Selects what to rent for a demand, from the prices of [machineTypes] and without what [isUnavailable]: offerings that
+ * the cloud has refused lately, and zones that are cut off.
+ */
+internal class OfferingSelector(
+    private val machineTypes: Collection<MachineType>,
+    private val isUnavailable: (InstanceOffering) -> Boolean,
+) {
+    /**
+     * The offering that covers the whole [demand] at the least cost per hour; null if none does. It is in the zone in
+     * which the cluster has the fewest machines, by [machineCountByZone].
+     */
+    fun select(demand: Demand, machineCountByZone: Map<String, Int>): OfferingCandidate? =
+        machineTypes.flatMap { candidates(it, demand, machineCountByZone) }.minByOrNull { it.hourlyCost }
+
+    /** What to consider of one machine type: its spot machines first, then its on-demand ones. */
+    private fun candidates(
+        machineType: MachineType,
+        demand: Demand,
+        machineCountByZone: Map<String, Int>,
+    ): List<OfferingCandidate> {
+        val tasksPerMachine = demand.tasksPerMachine(machineType)
+        if (!demand.allowsType(machineType.label) || tasksPerMachine < 1) return emptyList()
+        val machineCount = ceil(demand.taskCount.toDouble() / tasksPerMachine).toInt()
+        val zones = machineType.zones.filter { demand.allowsZone(it) }.sortedBy { machineCountByZone[it] ?: 0 }
+        fun candidate(spot: Boolean, hourlyPrice: Double?): OfferingCandidate? {
+            if (hourlyPrice == null) return null
+            val offerings = zones.map { InstanceOffering(machineType.label, it, spot) }
+            val offering = offerings.firstOrNull { !isUnavailable(it) } ?: return null
+            // A machine that is only partly filled still costs as a whole.
+            return OfferingCandidate(offering, machineCount, hourlyPrice * machineCount)
+        }
+        return listOfNotNull(
+            candidate(spot = true, spotPrice(machineType, demand)),
+            candidate(spot = false, onDemandPrice(machineType, demand)),
+        )
+    }
+
+    /** What an hour of a spot machine counts for; null if there is none, or the demand does not allow it. */
+    private fun spotPrice(machineType: MachineType, demand: Demand): Double? =
+        if (demand.spot) machineType.spotPrice?.times(SPOT_RISK) else null
+
+    /** What an hour of an on-demand machine costs; null if that is too expensive for the demand. */
+    private fun onDemandPrice(machineType: MachineType, demand: Demand): Double? {
+        val mayWaitForSpot = demand.spot && !demand.pastDeadline
+        val isExcluded = mayWaitForSpot &&
+            isTooExpensive(machineType, machineTypes, demand.cpus, demand.gpus, demand.memoryGb)
+        return if (isExcluded) null else machineType.hourlyPrice
+    }
+
+    private companion object {
+        /** A spot machine is worth a little less than its price says: its work may be lost. */
+        const val SPOT_RISK = 1.2
+    }
+}
--- a/src/main/kotlin/io/reedmast/autoscaling/Pricing.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/Pricing.kt
@@ -2,7 +2,10 @@
 
 import io.reedmast.wire.MachineType
 
-/** Whether an ordinary machine of this type is too dear for tasks of this shape that may use spot machines. */
+/**
+ * Whether an on-demand machine of type [machineType] is too expensive for tasks that may use spot machines, compared
+ * with the cheapest spot machine of [machineTypes]. A task takes [cpus], [gpus] and [memoryGb].
+ */
 fun isTooExpensive(
     machineType: MachineType,
     machineTypes: Collection<MachineType>,
@@ -10,16 +13,16 @@
     gpus: Double,
     memoryGb: Double,
 ): Boolean {
-    fun perTask(of: MachineType, price: Double?): Double {
-        val holds = of.holds(cpus, gpus, memoryGb)
-        return if (price == null || holds < 1) Double.MAX_VALUE else price / holds
+    fun pricePerTask(type: MachineType, hourlyPrice: Double?): Double {
+        val tasksPerMachine = type.holds(cpus, gpus, memoryGb)
+        return if (hourlyPrice == null || tasksPerMachine < 1) Double.MAX_VALUE else hourlyPrice / tasksPerMachine
     }
-    val cheapest = machineTypes.minOfOrNull { perTask(it, it.spotPrice) } ?: return false
-    return perTask(machineType, machineType.hourlyPrice) > cheapest * MAX_PREMIUM
+    val cheapestSpot = machineTypes.minOfOrNull { pricePerTask(it, it.spotPrice) } ?: return false
+    return pricePerTask(machineType, machineType.hourlyPrice) > cheapestSpot * MAX_PREMIUM
 }
 
 /**
- * Work that may use spot machines gets an ordinary one only up to this many times the cheapest spot price: dearer ones
- * cost more than the deadlines they save are worth.
+ * Work that may use spot machines gets an on-demand one only up to this many times the cheapest spot price: more
+ * expensive ones cost more than the deadlines they save are worth.
  */
 private const val MAX_PREMIUM = 5.0
