--- a/src/main/kotlin/io/reedmast/autoscaling/Autoscaler.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/Autoscaler.kt
@@ -31,7 +31,7 @@
     private val unreadable = UnreadableRecordLog()
     private val intake = MachineIntake(settings, clock, gateway, gateway, fleet, machineTypes)
     private val provisioner = MachineProvisioner(clock, gateway, fleet, machineTypes, intake, incarnation)
-    private val resizer = ShardRebalancer(clock, fleet, machineTypes)
+    private val rebalancer = ShardRebalancer(clock, fleet, machineTypes)
     private var wasLeading = false
     private var totalsAsked = false
     private var totalsDue = 0L
@@ -92,21 +92,22 @@
     /** Shards further below their share come first, for idle machines of other shards and for rented ones. */
     private fun serve(totals: List<ShardUsageSummary>) {
         val now = clock.now()
-        resizer.runOnce(now)
+        rebalancer.runOnce(now)
         val wanting = totals.filter { it.demand.isNotEmpty() && isSettled(it) }.sortedBy { it.ratio }
         if (now >= resizeDue) {
             resizeDue = now + (tuning.resizeS * 1000).toLong()
-            resizer.resize(wanting, totals)
+            rebalancer.resize(wanting, totals)
         }
         val unavailableZones = totals.flatMapTo(HashSet()) { it.unavailableZones }
-        resizer.relieve(totals, now)
-        provisioner.provision(wanting.filter { !resizer.isMovingTo(it.shard) }, unavailableZones, now)
+        rebalancer.drainForStarving(totals, now)
+        provisioner.provision(wanting.filter { !rebalancer.isMovingTo(it.shard) }, unavailableZones, now)
     }
 
     /** Whether the totals show all machines that are on their way to the shard: else more would come than it wants. */
-    private fun isSettled(totals: ShardUsageSummary): Boolean =
-        intake.isCurrent(totals) && !provisioner.isProvisioningFor(totals.shard) && !resizer.isMovingTo(totals.shard) &&
-            !intake.awaits(totals.shard)
+    private fun isSettled(totals: ShardUsageSummary): Boolean = intake.isCurrent(
+        totals,
+    ) && !provisioner.isProvisioningFor(totals.shard) && !rebalancer.isMovingTo(totals.shard) &&
+        !intake.awaits(totals.shard)
 
     /** A worker of no shard reports. */
     fun onUnassignedWorker(status: WorkerStatus) = intake.onUnassignedWorker(status)
--- a/src/main/kotlin/io/reedmast/autoscaling/ShardRebalancer.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/ShardRebalancer.kt
@@ -1,131 +1,149 @@
 package io.reedmast.autoscaling
 
+import io.reedmast.model.MachineRecord
 import io.reedmast.ports.Clock
 import io.reedmast.settings.ShardId
 import io.reedmast.wire.MachineType
 import org.slf4j.LoggerFactory
 
 /**
- * Which machines move between shards: idle ones to where they are wanted, and now and then one that is emptied for a
+ * Which machines move between shards: idle ones to where there is demand, and now and then some that are drained for a
  * starving job.
  */
-class ShardRebalancer(
+internal class ShardRebalancer(
     private val clock: Clock,
     private val fleet: FleetView,
     private val machineTypes: () -> Map<String, MachineType>,
 ) {
     private val log = LoggerFactory.getLogger("autoscaler")
 
-    /** Shards that machines are on their way to, and until when that keeps the leader from renting for them. */
-    private val moving = HashMap<ShardId, Long>()
+    /** Shards that machines are moving to, and until when (ms) that keeps the leader from renting for them. */
+    private val movingUntil = HashMap<ShardId, Long>()
 
-    /** Shards that a machine is being emptied for, and until when that is waited for. */
-    private val relieving = HashMap<ShardId, Long>()
+    /** Shards that a machine is being drained for, and until when (ms) that is waited for. */
+    private val drainingUntil = HashMap<ShardId, Long>()
 
-    /** Whether machines are on their way to [shard], whose room it does not know yet. */
-    fun isMovingTo(shard: ShardId): Boolean = shard in moving
+    /** Whether machines are moving to [shard], whose capacity it does not know yet. */
+    fun isMovingTo(shard: ShardId): Boolean = shard in movingUntil
 
+    /** Forgets the moves and drains that are no longer waited for; [now] is in milliseconds. */
     fun runOnce(now: Long) {
-        moving.values.removeIf { it < now }
-        relieving.values.removeIf { it < now }
+        movingUntil.values.removeIf { it < now }
+        drainingUntil.values.removeIf { it < now }
     }
 
-    /** Idle and booting machines of shards that want nothing go to shards that do, until their demand is met. */
-    fun resize(wanting: List<ShardUsageSummary>, totals: List<ShardUsageSummary>) {
-        val givers = totals.filter { it.demand.isEmpty() && it.idle.isNotEmpty() }
-        for (needy in wanting) {
-            val left = needy.demand.associateWithTo(LinkedHashMap()) { it.taskCount }
-            for (giver in givers) {
-                val idle = giver.idle.toHashSet()
-                val given = ArrayList<String>()
-                for (record in fleet.machinesOf(giver.shard)) {
-                    if (record.name !in idle || fleet.isMarkedForTransfer(giver.shard, record.name)) continue
-                    val machineType = machineTypes()[record.typeName] ?: continue
-                    val demand =
-                        left.entries.firstOrNull {
-                            it.value > 0 &&
-                                it.key.mayRunOn(record.typeName, record.zone, record.spot) &&
-                                it.key.tasksPerMachine(machineType) > 0
-                        }
-                            ?: continue
-                    demand.setValue(demand.value - demand.key.tasksPerMachine(machineType))
-                    given.add(record.name)
-                }
-                if (given.isEmpty()) continue
-                log.info(
-                    "shard {}: {} machines are to move to shard {}",
-                    giver.shard.value,
-                    given.size,
-                    needy.shard.value,
-                )
-                fleet.markForTransfer(giver.shard, given, needy.shard)
-                // Their room is not known to the needy shard before they have moved.
-                moving[needy.shard] = clock.now() + MOVE_MS
-            }
+    /**
+     * Moves idle and booting machines from shards without demand to the shards of [demanding], in their order, until
+     * the demand of each is met. [summaries] are those of all shards.
+     */
+    fun resize(demanding: List<ShardUsageSummary>, summaries: List<ShardUsageSummary>) {
+        val donors = summaries.filter { it.demand.isEmpty() && it.idle.isNotEmpty() }
+        for (recipient in demanding) {
+            val unmetDemand = UnmetDemand(recipient.demand)
+            for (donor in donors) moveIdleMachines(donor, recipient.shard, unmetDemand)
         }
     }
 
+    private fun moveIdleMachines(donor: ShardUsageSummary, recipient: ShardId, unmetDemand: UnmetDemand) {
+        val idle = donor.idle.toHashSet()
+        val machineNames = fleet.machinesOf(donor.shard)
+            .filter { it.name in idle && !fleet.isMarkedForTransfer(donor.shard, it.name) }
+            .filter { record -> machineTypes()[record.typeName]?.let { unmetDemand.cover(record, it) } ?: false }
+            .map { it.name }
+            .toList()
+        if (machineNames.isEmpty()) return
+        log.info(
+            "shard {}: {} machines are to move to shard {}",
+            donor.shard.value,
+            machineNames.size,
+            recipient.value,
+        )
+        fleet.markForTransfer(donor.shard, machineNames, recipient)
+        // The recipient does not know their capacity before they have moved.
+        movingUntil[recipient] = clock.now() + MOVE_MS
+    }
+
     /**
-     * Has a machine of another shard emptied for a job that starves, once what could be rented for it has not come in
-     * time.
+     * Has machines of another shard drained for a job that is starving, once what could be rented for it has not come
+     * in time.
      *
-     * Shards lend each other only whole machines, and with some work on every one of them a job could wait for ever
-     * beside room that would hold it.
+     * Shards transfer only whole machines to each other, and with some work on every one of them a job could wait for
+     * ever beside capacity that would hold it.
      */
-    fun relieve(totals: List<ShardUsageSummary>, now: Long) {
-        for (needy in totals.filter { it.shard !in relieving }) {
-            for (starving in needy.starving) {
-                val demand = starving.demand
-                if (starving.waitedS < PROVISIONED_BY_NOW_S) continue
-                val (giver, machineNames) = totals.filter { it.shard != needy.shard }.firstNotNullOfOrNull { giver ->
-                    machinesFor(demand, giver).takeIf { it.isNotEmpty() }?.let { giver to it }
-                } ?: continue
-                log.info(
-                    "shard {}: {} are drained for shard {}, where a job is starving",
-                    giver.shard.value,
-                    machineNames,
-                    needy.shard.value,
-                )
-                fleet.markForTransfer(giver.shard, machineNames, needy.shard)
-                relieving[needy.shard] = now + RELIEVED_MS
-                break
-            }
+    fun drainForStarving(summaries: List<ShardUsageSummary>, now: Long) {
+        for (recipient in summaries.filter { it.shard !in drainingUntil }) {
+            val drain = recipient.starving
+                .filter { it.waitedS >= PROVISIONED_BY_NOW_S }
+                .firstNotNullOfOrNull { findDrain(it.demand, recipient.shard, summaries) }
+            if (drain != null) start(drain, recipient.shard, now)
         }
     }
 
+    private fun start(drain: Drain, recipient: ShardId, now: Long) {
+        log.info(
+            "shard {}: {} are drained for shard {}, where a job is starving",
+            drain.donor.value,
+            drain.machineNames,
+            recipient.value,
+        )
+        fleet.markForTransfer(drain.donor, drain.machineNames, recipient)
+        drainingUntil[recipient] = now + DRAIN_MS
+    }
+
+    /** Machines of one shard that are to be drained. */
+    private class Drain(val donor: ShardId, val machineNames: List<String>)
+
+    /** The first other shard with machines that hold what starves, and these machines; null if there is none. */
+    private fun findDrain(demand: Demand, recipient: ShardId, summaries: List<ShardUsageSummary>): Drain? = summaries
+        .filter { it.shard != recipient }
+        .map { Drain(it.shard, machinesToDrain(demand, it)) }
+        .firstOrNull { it.machineNames.isNotEmpty() }
+
     /**
-     * Machines of a shard that hold what starves: a single task, or a whole gang, as far as [MAX_EMPTIED] machines do.
+     * Machines of a shard that hold what starves: a single task, or a whole gang, as far as [MAX_DRAINED] machines do.
      */
-    private fun machinesFor(demand: Demand, giver: ShardUsageSummary): List<String> {
+    private fun machinesToDrain(demand: Demand, donor: ShardUsageSummary): List<String> {
         val machineNames = ArrayList<String>()
-        var left = demand.taskCount
-        for (machineName in giver.idle + giver.drainable) {
-            if (left <= 0 || machineNames.size >= MAX_EMPTIED) break
-            if (machineName in machineNames || !suits(giver.shard, machineName, demand)) continue
-            machineNames.add(machineName)
-            left -= heldBy(giver.shard, machineName, demand)
+        var missingTasks = demand.taskCount
+        for (machineName in (donor.idle + donor.drainable).distinct()) {
+            if (missingTasks <= 0 || machineNames.size >= MAX_DRAINED) break
+            val heldTasks = tasksHeldBy(machineName, donor.shard, demand)
+            if (heldTasks > 0) machineNames.add(machineName)
+            missingTasks -= heldTasks
         }
         return machineNames
     }
 
-    private fun heldBy(shard: ShardId, name: String, demand: Demand): Int = fleet.machinesOf(shard).firstOrNull {
-        it.name == name
-    }?.let { machineTypes()[it.typeName] }?.let { demand.tasksPerMachine(it) }
-        ?: 0
-
-    private fun suits(shard: ShardId, name: String, demand: Demand): Boolean {
-        val record = fleet.machinesOf(shard).firstOrNull { it.name == name } ?: return false
-        val machineType = machineTypes()[record.typeName] ?: return false
-        return !fleet.isMarkedForTransfer(shard, name) && demand.mayRunOn(record.typeName, record.zone, record.spot) &&
-            demand.tasksPerMachine(machineType) > 0
+    /** How many tasks of the demand the machine holds once it is empty; 0 if it may not be drained for it. */
+    private fun tasksHeldBy(machineName: String, shard: ShardId, demand: Demand): Int {
+        val record = fleet.machinesOf(shard).firstOrNull { it.name == machineName } ?: return 0
+        val machineType = machineTypes()[record.typeName] ?: return 0
+        val isAvailable = !fleet.isMarkedForTransfer(shard, machineName)
+        return if (isAvailable && record.mayRun(demand)) demand.tasksPerMachine(machineType) else 0
     }
 
     private companion object {
         const val MOVE_MS = 2_000L
-        const val MAX_EMPTIED = 4
-        const val RELIEVED_MS = 25_000L
+        const val MAX_DRAINED = 4
+        const val DRAIN_MS = 25_000L
 
         /** A machine that was rented when the job began to starve is mostly up by then. */
         const val PROVISIONED_BY_NOW_S = 55.0
     }
 }
+
+/** The demand of one shard, less what machines that are to move there will hold. */
+private class UnmetDemand(demands: List<Demand>) {
+    private val unmetTasks = demands.associateWithTo(LinkedHashMap()) { it.taskCount }
+
+    /** Counts the machine against the first demand that it can run; returns whether there is one. */
+    fun cover(record: MachineRecord, machineType: MachineType): Boolean {
+        val covered = unmetTasks.entries.firstOrNull { (demand, taskCount) ->
+            taskCount > 0 && record.mayRun(demand) && demand.tasksPerMachine(machineType) > 0
+        } ?: return false
+        covered.setValue(covered.value - covered.key.tasksPerMachine(machineType))
+        return true
+    }
+}
+
+private fun MachineRecord.mayRun(demand: Demand): Boolean = demand.mayRunOn(typeName, zone, spot)
