--- /dev/null
+++ b/src/main/kotlin/io/reedmast/autoscaling/AbandonedMachines.kt
@@ -0,0 +1,80 @@
+package io.reedmast.autoscaling
+
+import io.reedmast.ports.Clock
+import io.reedmast.ports.Cloud
+import io.reedmast.settings.Settings
+import io.reedmast.wire.ListedMachine
+import io.reedmast.wire.MachineType
+import org.slf4j.LoggerFactory
+
+/**
+ * Returns rented machines that only cost: those that belong to no shard and whose workers send no heartbeats.
+ *
+ * Workers that do send heartbeats are brought into a shard by [UnassignedWorkers].
+ */
+internal class AbandonedMachines(
+    private val settings: Settings,
+    private val clock: Clock,
+    private val cloud: Cloud,
+    private val fleet: FleetView,
+    private val machineTypes: () -> Map<String, MachineType>,
+    private val intake: MachineIntake,
+) {
+    private val log = LoggerFactory.getLogger("autoscaler")
+
+    /** Since when the cloud has listed a machine that belongs to no shard, in milliseconds. */
+    private val unassignedSince = HashMap<String, Long>()
+
+    /** Names of the machines whose return the cloud has not answered yet. */
+    private val returning = HashSet<String>()
+
+    /** Another controller has led before: what it knew of machines of no shard is not known here. */
+    fun startLeading() = unassignedSince.clear()
+
+    /** Whether the machine's return has been requested and not answered yet. */
+    fun isReturning(machineName: String): Boolean = machineName in returning
+
+    /** Returns those of the [machines] listed by the cloud that nobody uses and nobody has come to use in time. */
+    fun onMachineList(machines: List<ListedMachine>) {
+        val now = clock.now()
+        unassignedSince.keys.retainAll(machines.mapTo(HashSet()) { it.name })
+        val expectedNames = intake.unassignedNames
+        val (unassigned, accountedFor) = machines.partition { isUnassigned(it.name, expectedNames) }
+        accountedFor.forEach { unassignedSince.remove(it.name) }
+        val abandoned = unassigned.filter { isAbandoned(it, now) && it.name !in returning }
+        if (abandoned.isNotEmpty()) returnMachines(abandoned.take(MAX_MACHINES_PER_RETURN).map { it.name })
+    }
+
+    private fun isUnassigned(machineName: String, expectedNames: Set<String>): Boolean =
+        fleet.shardOfMachine(machineName) == null && !fleet.departedLately(machineName) &&
+            machineName !in expectedNames
+
+    private fun isAbandoned(machine: ListedMachine, now: Long): Boolean {
+        val since = unassignedSince.getOrPut(machine.name) { now }
+        return machine.stage == FAILED_STAGE || now - since > maxSilenceMs(machine)
+    }
+
+    /** How long a machine may take to come up and show in the list before it counts as abandoned. */
+    private fun maxSilenceMs(machine: ListedMachine): Double {
+        val bootS = machineTypes()[machine.typeName]?.bootS ?: BOOT_OF_UNKNOWN_TYPE_S
+        return (bootS * BOOT_SLACK + settings.cloudLimits.listLagS * LIST_LAG_SLACK) * MS_PER_S
+    }
+
+    private fun returnMachines(machineNames: List<String>) {
+        log.info("machines {}: belong to no shard and send no heartbeats, returned", machineNames)
+        returning.addAll(machineNames)
+        cloud.returnMachines(machineNames) { confirmed ->
+            returning.removeAll(machineNames.toSet())
+            if (confirmed) machineNames.forEach { unassignedSince.remove(it) }
+        }
+    }
+
+    private companion object {
+        /** The cloud's word for a machine that did not come up. */
+        const val FAILED_STAGE = "failed"
+        const val BOOT_OF_UNKNOWN_TYPE_S = 60.0
+        const val BOOT_SLACK = 2
+        const val LIST_LAG_SLACK = 2
+        const val MAX_MACHINES_PER_RETURN = 100
+    }
+}
--- a/src/main/kotlin/io/reedmast/autoscaling/Autoscaler.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/Autoscaler.kt
@@ -14,8 +14,8 @@
 import org.slf4j.LoggerFactory
 
 /**
- * The leader's duties and when each is due: renting for what shards ask, resizing shards, taking in machines of no
- * shard.
+ * The leader's duties and when each is due: renting machines for the demand of the shards, moving machines between
+ * shards, and assigning or returning machines that belong to no shard.
  */
 class Autoscaler(
     private val settings: Settings,
@@ -29,16 +29,19 @@
 ) {
     private val log = LoggerFactory.getLogger("autoscaler")
     private val unreadable = UnreadableRecordLog()
-    private val intake = MachineIntake(settings, clock, gateway, gateway, fleet, machineTypes)
+    private val intake = MachineIntake(fleet, machineTypes)
+    private val abandonedMachines = AbandonedMachines(settings, clock, gateway, fleet, machineTypes, intake)
+    private val unassignedWorkers = UnassignedWorkers(gateway, fleet, intake, abandonedMachines)
     private val provisioner = MachineProvisioner(clock, gateway, fleet, machineTypes, intake, incarnation)
     private val rebalancer = ShardRebalancer(clock, fleet, machineTypes)
     private var wasLeading = false
-    private var totalsAsked = false
-    private var totalsDue = 0L
-    private var listAsked = false
-    private var listDue = 0L
-    private var resizeDue = 0L
+    private var readingSummaries = false
+    private var summariesDueAt = 0L
+    private var listingMachines = false
+    private var listDueAt = 0L
+    private var resizeDueAt = 0L
 
+    /** Does what is due, if this controller leads. To be called often. */
     fun runOnce() {
         if (!fleet.leading || !fleet.isCurrent()) {
             wasLeading = false
@@ -48,34 +51,34 @@
         if (!wasLeading) startLeading(now)
         listMachines(now)
         intake.assign()
-        readTotals(now)
+        readSummaries(now)
     }
 
     private fun startLeading(now: Long) {
         wasLeading = true
-        intake.startLeading()
-        listDue = now + LIST_MIN_MS
-        resizeDue = now + (tuning.resizeS * 1000).toLong()
+        abandonedMachines.startLeading()
+        listDueAt = now + MIN_LIST_INTERVAL_MS
+        resizeDueAt = now + (tuning.resizeS * MS_PER_S).toLong()
         log.info("leader: this controller leads")
     }
 
     private fun listMachines(now: Long) {
-        if (now < listDue || listAsked) return
-        listAsked = true
-        listDue = now + maxOf(LIST_MIN_MS, (settings.cloudLimits.listLagS * 1000).toLong())
-        gateway.listMachines {
-            listAsked = false
-            if (it != null && fleet.leading) intake.onMachineList(it)
+        if (now < listDueAt || listingMachines) return
+        listingMachines = true
+        listDueAt = now + maxOf(MIN_LIST_INTERVAL_MS, (settings.cloudLimits.listLagS * MS_PER_S).toLong())
+        gateway.listMachines { machines ->
+            listingMachines = false
+            if (machines != null && fleet.leading) abandonedMachines.onMachineList(machines)
         }
     }
 
-    private fun readTotals(now: Long) {
-        if (totalsAsked || now < totalsDue || machineTypes().isEmpty()) return
-        totalsAsked = true
-        totalsDue = now + READ_TOTALS_MS
+    private fun readSummaries(now: Long) {
+        if (readingSummaries || now < summariesDueAt || machineTypes().isEmpty()) return
+        readingSummaries = true
+        summariesDueAt = now + READ_SUMMARIES_MS
         gateway.list(Keys.TOTALS) { items ->
-            totalsAsked = false
-            if (items != null && fleet.leading && fleet.isCurrent()) serve(items.mapNotNull { parse(it) })
+            readingSummaries = false
+            if (items != null && fleet.leading && fleet.isCurrent()) scale(items.mapNotNull { parse(it) })
         }
     }
 
@@ -89,31 +92,34 @@
         null
     }
 
-    /** Shards further below their share come first, for idle machines of other shards and for rented ones. */
-    private fun serve(totals: List<ShardUsageSummary>) {
+    /** Shards further below their fair share come first, for idle machines of other shards and for rented ones. */
+    private fun scale(summaries: List<ShardUsageSummary>) {
         val now = clock.now()
         rebalancer.runOnce(now)
-        val wanting = totals.filter { it.demand.isNotEmpty() && isSettled(it) }.sortedBy { it.ratio }
-        if (now >= resizeDue) {
-            resizeDue = now + (tuning.resizeS * 1000).toLong()
-            rebalancer.resize(wanting, totals)
+        val demanding = summaries.filter { it.demand.isNotEmpty() && isSettled(it) }.sortedBy { it.ratio }
+        if (now >= resizeDueAt) {
+            resizeDueAt = now + (tuning.resizeS * MS_PER_S).toLong()
+            rebalancer.resize(demanding, summaries)
         }
-        val unavailableZones = totals.flatMapTo(HashSet()) { it.unavailableZones }
-        rebalancer.drainForStarving(totals, now)
-        provisioner.provision(wanting.filter { !rebalancer.isMovingTo(it.shard) }, unavailableZones, now)
+        val unavailableZones = summaries.flatMapTo(HashSet()) { it.unavailableZones }
+        rebalancer.drainForStarving(summaries, now)
+        provisioner.provision(demanding.filter { !rebalancer.isMovingTo(it.shard) }, unavailableZones, now)
     }
 
-    /** Whether the totals show all machines that are on their way to the shard: else more would come than it wants. */
-    private fun isSettled(totals: ShardUsageSummary): Boolean = intake.isCurrent(
-        totals,
-    ) && !provisioner.isProvisioningFor(totals.shard) && !rebalancer.isMovingTo(totals.shard) &&
-        !intake.awaits(totals.shard)
+    /**
+     * Whether the summary shows all machines that are on their way to the shard: else more would come than it needs.
+     */
+    private fun isSettled(summary: ShardUsageSummary): Boolean {
+        val shard = summary.shard
+        return intake.isCurrent(summary) && !provisioner.isProvisioningFor(shard) && !rebalancer.isMovingTo(shard) &&
+            !intake.awaits(shard)
+    }
 
-    /** A worker of no shard reports. */
-    fun onUnassignedWorker(status: WorkerStatus) = intake.onUnassignedWorker(status)
+    /** A worker that belongs to no shard has sent a heartbeat. */
+    fun onUnassignedWorker(status: WorkerStatus) = unassignedWorkers.onHeartbeat(status)
 
     private companion object {
-        const val READ_TOTALS_MS = 1_000L
-        const val LIST_MIN_MS = 5_000L
+        const val READ_SUMMARIES_MS = 1_000L
+        const val MIN_LIST_INTERVAL_MS = 5_000L
     }
 }
--- a/src/main/kotlin/io/reedmast/autoscaling/FleetView.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/FleetView.kt
@@ -14,14 +14,16 @@
     /** Whether this controller has lately heard enough from the store to decide anything, and may. */
     fun isCurrent(): Boolean
 
+    /** How many shards there are; they are numbered from 0. */
     val shardCount: Int
 
     /** Whether some shard has never had an owner. */
     val hasUnownedShards: Boolean
 
-    /** The shard that the machine belongs to, if any. */
+    /** The shard that the machine belongs to; null if it belongs to none. */
     fun shardOfMachine(machineName: String): ShardId?
 
+    /** The machines that belong to the shard. */
     fun machinesOf(shard: ShardId): Sequence<MachineRecord>
 
     /** Version of the newest change to the shard's machines. */
@@ -30,9 +32,13 @@
     /** Whether the machine has left all shards lately: lists and late copies of heartbeats may still show it. */
     fun departedLately(machineName: String): Boolean
 
+    /** Whether the machine is to leave the shard for another one as soon as it is empty. */
     fun isMarkedForTransfer(shard: ShardId, machineName: String): Boolean
 
-    /** Gives machines to a shard; [seen] is the highest token that any of them has seen. [done] tells which were. */
+    /**
+     * Adds machines to a shard; [seen] is the highest token that any of their workers has seen. [done] gets the names
+     * of those that were added, none if the change could not be stored.
+     */
     fun addMachines(shard: ShardId, records: List<MachineRecord>, seen: Long, done: (Set<String>) -> Unit)
 
     /** Marks machines that are to leave for another shard as soon as they are empty. */
--- /dev/null
+++ b/src/main/kotlin/io/reedmast/autoscaling/UnassignedWorkers.kt
@@ -0,0 +1,78 @@
+package io.reedmast.autoscaling
+
+import io.reedmast.model.MachineRecord
+import io.reedmast.ports.WorkerTransport
+import io.reedmast.wire.MalformedException
+import io.reedmast.wire.Reply
+import io.reedmast.wire.WorkerStatus
+import org.slf4j.LoggerFactory
+
+/** Brings workers that send heartbeats and belong to no shard into one. */
+internal class UnassignedWorkers(
+    private val workers: WorkerTransport,
+    private val fleet: FleetView,
+    private val intake: MachineIntake,
+    private val abandonedMachines: AbandonedMachines,
+) {
+    private val log = LoggerFactory.getLogger("autoscaler")
+
+    /** Names of the machines whose workers have been called and have not answered yet. */
+    private val calling = HashSet<String>()
+
+    /**
+     * A worker that belongs to no shard has sent a heartbeat: once it has answered a call, it is used.
+     *
+     * The heartbeat alone proves nothing: it may be a late copy from a machine that was returned, and such a machine
+     * must not come back into a shard; and a machine whose worker hears nothing is of no use.
+     */
+    fun onHeartbeat(status: WorkerStatus) {
+        if (!fleet.leading || !fleet.isCurrent() || isLeaving(status.machineName)) return
+        // At a first start the shards appear one by one; waiting for all of them spreads the machines evenly.
+        if (fleet.hasUnownedShards) return
+        if (status.machineName in intake.unassignedNames || calling.size >= MAX_CALLS) return
+        if (calling.add(status.machineName)) call(status)
+    }
+
+    private fun call(status: WorkerStatus) {
+        // Neither token nor epoch are the worker's: nothing is executed, and the refusal is its newest status.
+        workers.call(status.addr, 0L, 0L, emptyList()) { reply ->
+            calling.remove(status.machineName)
+            if (reply is Reply.Answer && reply.status in ANSWERS_WITH_STATUS) onAnswer(status.machineName, reply)
+        }
+    }
+
+    private fun onAnswer(machineName: String, answer: Reply.Answer) {
+        try {
+            val newest = WorkerStatus.parse(answer.body)
+            if (newest.machineName == machineName && fleet.leading) accept(newest)
+        } catch (e: MalformedException) {
+            log.error("machine {}: malformed answer: {}", machineName, e.message)
+        }
+    }
+
+    private fun accept(status: WorkerStatus) {
+        if (fleet.shardOfMachine(status.machineName) != null || isLeaving(status.machineName)) return
+        val shard = intake.shardWithFewestCpus()
+        log.info(
+            "machine {}: sends heartbeats and belongs to no shard, assigned to shard {}",
+            status.machineName,
+            shard.value,
+        )
+        val record = MachineRecord(status.machineName, status.typeName, status.zone, status.spot)
+        intake.add(record, shard, status.token)
+        intake.assign()
+    }
+
+    /** Whether the machine is being returned, or has left all shards lately. */
+    private fun isLeaving(machineName: String): Boolean =
+        abandonedMachines.isReturning(machineName) || fleet.departedLately(machineName)
+
+    private companion object {
+        const val MAX_CALLS = 64
+        const val HTTP_OK = 200
+        const val HTTP_CONFLICT = 409
+
+        /** A worker that accepts a call and one that refuses it both answer with their status. */
+        val ANSWERS_WITH_STATUS = setOf(HTTP_OK, HTTP_CONFLICT)
+    }
+}
