--- a/src/main/kotlin/io/reedmast/autoscaling/ArrayThroughput.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/ArrayThroughput.kt
@@ -7,7 +7,7 @@
 
 /**
  * How fast a shard works off its array tasks, and how many CPUs it lacks to meet their deadlines. One instance serves
- * one calculation of the demand, to which jobs are added in the order of their deadlines.
+ * one calculation of the demand, to which jobs are added with the most urgent first.
  *
  * Run times are the job owners' estimates. Work that the present machines finish by its deadline needs no more of them,
  * and no new machine is up in time for what is due before it has booted.
--- a/src/main/kotlin/io/reedmast/autoscaling/RemainingCpuQuota.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/RemainingCpuQuota.kt
@@ -17,13 +17,15 @@
      * taken, if that is less than the job needs to start.
      */
     fun allocate(job: Job, tasks: Int): Int {
-        val spec = job.spec
-        val limitCpus = shardState.settings.teams[job.team.value].maxCpus
-        if (limitCpus <= 0 || spec.cpus <= 0) return tasks
-        val remaining = remainingCpus.getOrPut(job.team) { limitCpus - shardState.usedCpus(job.team) }
-        val allowed = minOf(tasks, (remaining / spec.cpus + Machine.EPSILON).toInt())
-        if (allowed < tasksStartedTogether(spec)) return 0
-        remainingCpus[job.team] = remaining - allowed * spec.cpus
+        if (!isLimited(job)) return tasks
+        val remaining = remainingCpus.getOrPut(job.team) { limitCpus(job) - shardState.usedCpus(job.team) }
+        val allowed = minOf(tasks, (remaining / job.spec.cpus + Machine.EPSILON).toInt())
+        if (allowed < tasksStartedTogether(job.spec)) return 0
+        remainingCpus[job.team] = remaining - allowed * job.spec.cpus
         return allowed
     }
+
+    private fun isLimited(job: Job): Boolean = limitCpus(job) > 0 && job.spec.cpus > 0
+
+    private fun limitCpus(job: Job): Double = shardState.settings.teams[job.team.value].maxCpus
 }
