--- a/src/main/kotlin/io/reedmast/fairshare/Preemption.kt
+++ b/src/main/kotlin/io/reedmast/fairshare/Preemption.kt
@@ -6,31 +6,44 @@
 data class PreemptionCandidate(
     val priority: Priority,
     val resumable: Boolean,
+    /** Whether the request comes from the same team. */
     val sameTeam: Boolean,
     val ranForS: Double,
+    /** The protected minimum run time. */
     val minimumS: Double,
     /** Whether the team runs more than its guarantee. */
     val teamBeyondGuarantee: Boolean,
+    /** Charged use of the candidate's team over the window, divided by its allocation. */
     val teamRatio: Double,
 )
 
 /** What [mayPreempt] needs to know of a waiting request. */
-data class PlacementRequest(val priority: Priority, val withinGuarantee: Boolean, val teamRatio: Double)
+data class PreemptionRequest(
+    val priority: Priority,
+    /** Whether one more task is within the guarantee of the requesting team. */
+    val withinGuarantee: Boolean,
+    /** Charged use of the requesting team over the window, divided by its allocation. */
+    val teamRatio: Double,
+)
+
+/** Whether [candidate] may be stopped for [request]: where both the design and the protocol permit it. */
+fun mayPreempt(candidate: PreemptionCandidate, request: PreemptionRequest): Boolean =
+    request.priority.isFunded && protocolPermits(candidate, request) && designPermits(candidate, request)
+
+/**
+ * The protocol asks that the request have a higher priority, or that it be within its team's guarantee and the
+ * candidate's team beyond its own.
+ */
+private fun protocolPermits(candidate: PreemptionCandidate, request: PreemptionRequest): Boolean =
+    request.priority < candidate.priority ||
+        (!candidate.sameTeam && request.withinGuarantee && candidate.teamBeyondGuarantee)
 
 /**
- * Whether [runner] may be stopped to make room for [request], where both the design and the protocol permit it.
- *
- * The design lets uncharged work yield to any funded request, and resumable work past its minimum to a team further
- * below its share. The protocol asks that the request have a higher rank, or that it be within its team's guarantee and
- * the runner beyond its own.
+ * The design lets uncharged work be stopped for any funded request, and resumable work past its protected minimum for a
+ * team further below its share.
  */
-fun mayPreempt(runner: PreemptionCandidate, request: PlacementRequest): Boolean {
-    if (!request.priority.isFunded) return false
-    val protocol =
-        request.priority < runner.priority ||
-            (!runner.sameTeam && request.withinGuarantee && runner.teamBeyondGuarantee)
-    if (!protocol) return false
-    if (!runner.priority.isFunded) return true
-    return runner.resumable && !runner.sameTeam && runner.ranForS >= runner.minimumS &&
-        request.teamRatio < runner.teamRatio
+private fun designPermits(candidate: PreemptionCandidate, request: PreemptionRequest): Boolean {
+    if (!candidate.priority.isFunded) return true
+    return candidate.resumable && !candidate.sameTeam && candidate.ranForS >= candidate.minimumS &&
+        request.teamRatio < candidate.teamRatio
 }
--- a/src/main/kotlin/io/reedmast/gangs/GangReservations.kt
+++ b/src/main/kotlin/io/reedmast/gangs/GangReservations.kt
@@ -2,6 +2,7 @@
 
 import io.reedmast.model.Job
 import io.reedmast.model.Machine
+import io.reedmast.placement.FreeResources
 import io.reedmast.placement.isEligible
 import io.reedmast.placement.tasksThatFit
 import io.reedmast.wire.JobSpec
@@ -123,12 +124,12 @@
     /** How many tasks fit once arrays on the machine have ended. */
     private fun tasksOnceFree(spec: JobSpec, machine: Machine): Int {
         val ending = machine.placements.values.filter { !it.job.spec.service && !it.job.spec.gang }
-        return tasksThatFit(
-            spec,
+        val freeOnceEnded = FreeResources(
             machine.freeCpus + ending.sumOf { it.job.spec.cpus },
             machine.freeGpus + ending.sumOf { it.job.spec.gpus },
             machine.freeMemoryGb + ending.sumOf { it.job.spec.memoryGb },
         )
+        return freeOnceEnded.tasksThatFit(spec)
     }
 
     private companion object {
--- /dev/null
+++ b/src/main/kotlin/io/reedmast/scheduling/JobPlacer.kt
@@ -0,0 +1,74 @@
+package io.reedmast.scheduling
+
+import io.reedmast.gangs.GangReservations
+import io.reedmast.model.Job
+import io.reedmast.model.Machine
+import io.reedmast.model.ShardState
+import io.reedmast.placement.TaskRequest
+import io.reedmast.placement.Urgency
+import io.reedmast.placement.packGang
+import io.reedmast.placement.selectMachine
+
+/** Places the next task of a job, or all tasks of a gang, where there is a machine for it. */
+internal class JobPlacer(
+    private val shardState: ShardState,
+    private val reservations: GangReservations,
+    private val binder: TaskBinder,
+) {
+    private val prices = OnDemandPricePolicy(shardState)
+
+    /** True if something was placed and the job may have another task to place. */
+    fun placeNext(job: Job, pass: SchedulingPass): Boolean {
+        if (job.pendingCount <= 0 || shardState.remainingQuota(job) < 1) return false
+        val isPlaced = if (job.spec.gang) placeGang(job, pass) else placeTask(job, pass)
+        if (isPlaced) pass.recordPlaced(job)
+        return isPlaced
+    }
+
+    private fun placeTask(job: Job, pass: SchedulingPass): Boolean {
+        val task = job.nextPending()
+        val machine = if (task < 0) null else findMachine(job, pass)
+        if (machine != null) binder.bind(job, task, machine, pass)
+        return machine != null
+    }
+
+    private fun findMachine(job: Job, pass: SchedulingPass): Machine? {
+        val urgency = urgencyOf(job)
+        val shape = TaskShape.of(job, urgency)
+        if (shape in pass.shapesWithoutMachine) return null
+        val request = TaskRequest(job, urgency, pass.serviceHeadroom) { prices.isOverpriced(job, it) }
+        val machine = selectMachine(request, machinesOpenTo(job, urgency, pass.machines))
+        if (machine == null && shape != null) pass.shapesWithoutMachine.add(shape)
+        return machine
+    }
+
+    /** Reservations for gangs hold off neither services nor jobs that have got nothing for long. */
+    private fun machinesOpenTo(job: Job, urgency: Urgency, machines: List<Machine>): List<Machine> {
+        val ignoresReservations = job.spec.service || urgency.ignoresFailuresAndReservations || reservations.isEmpty
+        return if (ignoresReservations) machines else machines.filter { !reservations.isKeptFrom(job, it) }
+    }
+
+    /** Places all tasks of a gang, under one attempt number, or none. */
+    private fun placeGang(job: Job, pass: SchedulingPass): Boolean {
+        if (job.placedCount > 0 || !shardState.allowsWholeGang(job)) return false
+        val urgency = urgencyOf(job)
+        val assignment = packGang(job, pass.machines) { mayUseForGang(job, it, urgency) } ?: return false
+        binder.bindGang(job, assignment, pass)
+        return true
+    }
+
+    private fun mayUseForGang(job: Job, machine: Machine, urgency: Urgency): Boolean {
+        val isOpen = urgency.ignoresFailuresAndReservations ||
+            (machine !in job.failedOn && !reservations.isKeptFrom(job, machine))
+        return isOpen && (urgency.ignoresCost || !prices.isOverpriced(job, machine))
+    }
+
+    private fun urgencyOf(job: Job): Urgency = when {
+        shardState.isStarving(job) -> Urgency.STARVING
+        shardState.isPastDeadline(job) -> Urgency.LATE
+        else -> Urgency.NORMAL
+    }
+}
+
+/** Whether the limit of the gang's team allows all of its tasks. */
+internal fun ShardState.allowsWholeGang(job: Job): Boolean = remainingQuota(job) >= job.spec.taskCount
--- /dev/null
+++ b/src/main/kotlin/io/reedmast/scheduling/QueueOrder.kt
@@ -0,0 +1,15 @@
+package io.reedmast.scheduling
+
+import io.reedmast.model.Job
+import io.reedmast.model.ShardState
+
+/**
+ * The order of a team's jobs: by priority, then underserved jobs, of which one task is placed at a time, then gangs,
+ * then by deadline.
+ */
+internal fun queueOrder(shardState: ShardState): Comparator<Job> = compareBy(
+    { it.spec.priority },
+    { !shardState.isUnderserved(it) },
+    { !it.spec.gang },
+    { shardState.deadlineMs(it) },
+)
