--- a/src/main/kotlin/io/reedmast/gangs/GangCoordinator.kt
+++ b/src/main/kotlin/io/reedmast/gangs/GangCoordinator.kt
@@ -11,35 +11,41 @@
 /**
  * Keeps the tasks of a gang together: all of an attempt start, or all of it ends, before there is another attempt.
  *
- * A gang that has lost a task cannot go on. Its other tasks are stopped, and only when the evidence for the end of each
- * of them is there is the gang placed again, under a new attempt number. Until then a task of it may still run
- * somewhere.
+ * A gang that has lost a task cannot go on. Its other tasks are stopped, and only when there is evidence for the end of
+ * each of them is the gang placed again, under a new attempt number. Until then a task of it may still run somewhere.
  */
 class GangCoordinator(private val shardState: ShardState, private val dispatcher: CommandDispatcher) {
     private val log = LoggerFactory.getLogger("gangs")
 
-    /** Stops what is left of gangs that have lost a task. */
+    /** Stops what remains of gangs that have lost a task. */
     fun reconcile() {
         while (shardState.incompleteGangs.isNotEmpty()) {
             val job = shardState.incompleteGangs.first()
             shardState.incompleteGangs.remove(job)
-            stopRest(job, StopReason.GANG_INCOMPLETE)
+            stopRemainingTasks(job, StopReason.GANG_INCOMPLETE)
         }
     }
 
-    private fun stopRest(job: Job, reason: StopReason) {
+    private fun stopRemainingTasks(job: Job, reason: StopReason) {
         for (placement in job.placements().toList()) {
-            if (placement.stopReason != null) continue
-            if (!placement.committed && job.chunkOf(placement.task).page?.writing != true) {
-                shardState.finish(placement, done = false)
-            } else {
-                dispatcher.stop(placement, reason)
-            }
+            if (placement.stopReason == null) stopOrFinish(placement, reason)
+        }
+    }
+
+    private fun stopOrFinish(placement: Placement, reason: StopReason) {
+        if (isLaunchRuledOut(placement)) {
+            shardState.finish(placement, done = false)
+        } else {
+            dispatcher.stop(placement, reason)
         }
     }
 
-    /** A task of a gang has ended on its machine. */
-    fun ended(placement: Placement, cause: Cause) {
+    /** Nothing is launched before its placement is stored: neither stored nor being written, it runs nowhere. */
+    private fun isLaunchRuledOut(placement: Placement): Boolean =
+        !placement.committed && placement.job.chunkOf(placement.task).page?.writing != true
+
+    /** A task of a gang has ended on its machine, for the reason that its worker reported. */
+    fun onTaskEnded(placement: Placement, cause: Cause) {
         val job = placement.job
         when (cause) {
             Cause.DONE -> complete(job)
@@ -47,7 +53,7 @@
             // An orderly stop that began before this owner knew of it: the others must be told in time, with grace to
             // save.
             Cause.HALTED -> {
-                stopRest(job, StopReason.DRAINED)
+                stopRemainingTasks(job, StopReason.DRAINED)
                 shardState.finish(placement, done = false)
             }
 
@@ -78,45 +84,48 @@
     }
 
     /**
-     * The gang did not become whole in time: its machines were too slow, or not reached. Tried at once, it might happen
-     * for ever.
+     * The attempt timed out before all its tasks had started: its machines were too slow, or not reached. Retried at
+     * once, that might happen for ever.
      */
     private fun backOff(job: Job, attempt: Long) {
         if (job.lastAloneAttempt == attempt) return
         job.lastAloneAttempt = attempt
-        val pauseMs = minOf(MAX_BACKOFF_MS, FIRST_BACKOFF_MS shl minOf(MAX_DOUBLINGS, job.attemptsAlone))
+        val retryDelayMs = gangRetryDelayMs(job.attemptsAlone)
         job.attemptsAlone++
-        job.notBefore = maxOf(job.notBefore, shardState.clock.now() + pauseMs)
+        job.notBefore = maxOf(job.notBefore, shardState.clock.now() + retryDelayMs)
     }
 
-    /** The shard has just been read. What is stored of a gang may be a part of it. */
+    /** The shard has just been read from the store. What is stored of a gang may be a part of it. */
     fun onRestored(job: Job) {
-        if (!job.spec.gang || job.placedCount + job.doneCount == 0) return
-        if (job.doneCount > 0) {
-            complete(job)
-        } else if (job.placedCount < job.spec.taskCount || job.placements().map { it.attempt }.distinct().count() > 1) {
-            shardState.incompleteGangs.add(job)
+        if (!job.spec.gang) return
+        when {
+            job.doneCount > 0 -> complete(job)
+            job.placedCount > 0 && !isPlacedAsOneAttempt(job) -> shardState.incompleteGangs.add(job)
         }
     }
 
+    private fun isPlacedAsOneAttempt(job: Job): Boolean =
+        job.placedCount >= job.spec.taskCount && job.placements().map { it.attempt }.distinct().count() == 1
+
     /**
      * Whether a placement that its worker does not list may be launched, now or again.
      *
-     * Nothing of a gang is launched before all its placements are stored. One that has started does not take a task
-     * back: the others are about to leave.
+     * Nothing of a gang is launched before all its placements are stored. A gang that has started does not take a task
+     * back: its other tasks are about to stop.
      */
     fun mayLaunch(placement: Placement): Boolean {
-        val job = placement.job
-        if (!job.spec.gang) return true
-        if (!job.isWholeGangStored) return false
-        if (job.placements().none { it.running }) return true
-        shardState.incompleteGangs.add(job)
-        return false
-    }
-
-    private companion object {
-        const val FIRST_BACKOFF_MS = 500L
-        const val MAX_BACKOFF_MS = 16_000L
-        const val MAX_DOUBLINGS = 5
+        if (!placement.job.spec.gang) return true
+        if (!placement.job.isWholeGangStored) return false
+        val hasStarted = placement.job.placements().any { it.running }
+        if (hasStarted) shardState.incompleteGangs.add(placement.job)
+        return !hasStarted
     }
 }
+
+/** How long to wait before the next attempt of a gang of which [earlierTimeouts] attempts timed out before this one. */
+internal fun gangRetryDelayMs(earlierTimeouts: Int): Long =
+    minOf(MAX_RETRY_DELAY_MS, FIRST_RETRY_DELAY_MS shl minOf(MAX_DOUBLINGS, earlierTimeouts))
+
+private const val FIRST_RETRY_DELAY_MS = 500L
+private const val MAX_RETRY_DELAY_MS = 16_000L
+private const val MAX_DOUBLINGS = 5
--- a/src/main/kotlin/io/reedmast/heartbeats/HeartbeatHandler.kt
+++ b/src/main/kotlin/io/reedmast/heartbeats/HeartbeatHandler.kt
@@ -204,7 +204,7 @@
 
             Cause.HALTED, Cause.PEERS, Cause.ALONE -> {}
         }
-        if (job.spec.gang) gangs.ended(placement, cause) else shardState.finish(placement, done)
+        if (job.spec.gang) gangs.onTaskEnded(placement, cause) else shardState.finish(placement, done)
     }
 
     /** Several tasks of a gang fail together where the gang has a mistake: that says no more than one failure does. */
--- a/src/main/kotlin/io/reedmast/placement/ZoneRules.kt
+++ b/src/main/kotlin/io/reedmast/placement/ZoneRules.kt
@@ -10,8 +10,8 @@
  * `spread` are broken by what is there, not by what was reported.
  */
 fun satisfiesZoneRules(job: Job, zone: String): Boolean {
+    if (!hasZoneRules(job.spec)) return true
     val spec = job.spec
-    if (!spec.oneZone && !spec.spread) return true
     val zonesInUse = job.placements().map { it.machine.record.zone }
     if (spec.oneZone && zonesInUse.any { it != zone }) return false
     // The zone of a machine that is known by name alone is not known: it may be this one or another.
@@ -26,8 +26,7 @@
  * A machine that is provisioned in another zone stays empty, and hides that the job still waits.
  */
 fun openZones(job: Job, zones: Collection<String>): Set<String>? {
-    val spec = job.spec
-    if ((!spec.oneZone && !spec.spread) || job.placedCount == 0) return null
+    if (!hasZoneRules(job.spec) || job.placedCount == 0) return null
     return zones.filterTo(LinkedHashSet()) { satisfiesZoneRules(job, it) }
 }
 
@@ -38,6 +37,8 @@
     return usableZones > 0 && maxGangTasksInOneZone(spec).toLong() * usableZones < spec.taskCount
 }
 
+private fun hasZoneRules(spec: JobSpec): Boolean = spec.oneZone || spec.spread
+
 /** How many tasks of the gang one zone may hold. */
 internal fun maxGangTasksInOneZone(spec: JobSpec): Int =
     if (spec.spread) largestHalf(spec.taskCount) else spec.taskCount
--- a/src/main/kotlin/io/reedmast/scheduling/JobPlacer.kt
+++ b/src/main/kotlin/io/reedmast/scheduling/JobPlacer.kt
@@ -45,7 +45,7 @@
     /** Reservations for gangs hold off neither services nor jobs that have got nothing for long. */
     private fun machinesOpenTo(job: Job, urgency: Urgency, machines: List<Machine>): List<Machine> {
         val ignoresReservations = job.spec.service || urgency.ignoresFailuresAndReservations || reservations.isEmpty
-        return if (ignoresReservations) machines else machines.filter { !reservations.isKeptFrom(job, it) }
+        return if (ignoresReservations) machines else machines.filter { !reservations.isReservedForOther(job, it) }
     }
 
     /** Places all tasks of a gang, under one attempt number, or none. */
@@ -59,7 +59,7 @@
 
     private fun mayUseForGang(job: Job, machine: Machine, urgency: Urgency): Boolean {
         val isOpen = urgency.ignoresFailuresAndReservations ||
-            (machine !in job.failedOn && !reservations.isKeptFrom(job, machine))
+            (machine !in job.failedOn && !reservations.isReservedForOther(job, machine))
         return isOpen && (urgency.ignoresCost || !prices.isOverpriced(job, machine))
     }
 
--- a/src/main/kotlin/io/reedmast/scheduling/Preemptor.kt
+++ b/src/main/kotlin/io/reedmast/scheduling/Preemptor.kt
@@ -106,7 +106,7 @@
         if (job.preempting > 0 || !shardState.allowsWholeGang(job)) return
         val toStop = ArrayList<Placement>()
         var remainingTasks = job.spec.taskCount
-        for (machine in reservations.transferTargetsOf(job).filter { it.usable && !isStoppingWork(it) }) {
+        for (machine in reservations.machinesReservedFor(job).filter { it.usable && !isStoppingWork(it) }) {
             if (remainingTasks <= 0) break
             val largest = largestGangPreemption(preemption, machine, remainingTasks)
             toStop.addAll(largest.toStop)
--- a/src/main/kotlin/io/reedmast/scheduling/Scheduler.kt
+++ b/src/main/kotlin/io/reedmast/scheduling/Scheduler.kt
@@ -63,7 +63,7 @@
 
     private fun startPass(nowMs: Long): SchedulingPass {
         val machines = candidateMachines(shardState.machines.values, shardState.heartbeatLateMs, nowMs)
-        reservations.prune(nowMs)
+        reservations.removeExpired(nowMs)
         reserveForExpectedGangs(machines, nowMs)
         return SchedulingPass(nowMs, shardState.clock.wall(), machines, serviceHeadroom(machines, nowMs))
     }
@@ -73,7 +73,7 @@
         val arrivals = shardState.gangArrivals
         while (arrivals.isNotEmpty() && nowMs - arrivals.first().at > GANG_ARRIVALS_WINDOW_MS) arrivals.removeFirst()
         val expectedGangs = arrivals.size.toDouble() * GANG_CAPACITY_DELAY_MS / GANG_ARRIVALS_WINDOW_MS
-        reservations.keepForNext(arrivals.map { it.spec }, expectedGangs, machines)
+        reservations.reserveForExpectedGangs(arrivals.map { it.spec }, expectedGangs, machines)
     }
 
     private fun serviceHeadroom(machines: List<Machine>, nowMs: Long): ServiceHeadroom {
--- a/src/test/kotlin/io/reedmast/gangs/GangReservationsTest.kt
+++ b/src/test/kotlin/io/reedmast/gangs/GangReservationsTest.kt
@@ -16,23 +16,7 @@
     private val machineType = MachineType("m", 4.0, 0.0, 64.0, 50.0, 0.5, 1.0, 0.3, 20.0, listOf("x", "y"))
     private val reservations = GangReservations()
     private val machines = (0 until 8).map {
-        Machine(
-            MachineRecord(
-                "host-$it",
-                "m",
-                if (it <
-                    4
-                ) {
-                    "x"
-                } else {
-                    "y"
-                },
-                false,
-            ),
-            machineType,
-            0L,
-            0L,
-        )
+        Machine(MachineRecord("host-$it", "m", if (it < 4) "x" else "y", false), machineType, 0L, 0L)
     }
 
     private fun job(id: String, tasks: Int, kind: String) =
@@ -47,20 +31,20 @@
         machines.forEach { fill(it, if (it.record.zone == "x") "service" else "array") }
         val gang = job("wk-1", 8, "gang")
         reservations.reserve(gang, machines, 0L)
-        val kept = reservations.transferTargetsOf(gang)
+        val kept = reservations.machinesReservedFor(gang)
         assertEquals(listOf("y", "y"), kept.map { it.record.zone })
-        assertTrue(kept.all { reservations.isKeptFrom(job("wk-2", 1, "array"), it) })
-        assertFalse(kept.any { reservations.isKeptFrom(gang, it) })
+        assertTrue(kept.all { reservations.isReservedForOther(job("wk-2", 1, "array"), it) })
+        assertFalse(kept.any { reservations.isReservedForOther(gang, it) })
     }
 
     @Test
     fun `room for the next gang is kept from arrays, on machines that have its image`() {
         machines[5].recordImage("img", 0.1)
-        reservations.keepForNext(listOf(job("wk-1", 4, "gang").spec), expected = 0.0, machines)
-        assertTrue(reservations.isKeptFrom(job("wk-2", 1, "array"), machines[5]))
-        assertFalse(reservations.isKeptFrom(job("wk-3", 2, "gang"), machines[5]))
-        assertEquals(1, machines.count { reservations.isKeptFrom(job("wk-2", 1, "array"), it) })
-        reservations.keepForNext(emptyList(), expected = 0.0, machines)
+        reservations.reserveForExpectedGangs(listOf(job("wk-1", 4, "gang").spec), expectedGangs = 0.0, machines)
+        assertTrue(reservations.isReservedForOther(job("wk-2", 1, "array"), machines[5]))
+        assertFalse(reservations.isReservedForOther(job("wk-3", 2, "gang"), machines[5]))
+        assertEquals(1, machines.count { reservations.isReservedForOther(job("wk-2", 1, "array"), it) })
+        reservations.reserveForExpectedGangs(emptyList(), expectedGangs = 0.0, machines)
         assertTrue(reservations.isEmpty)
     }
 
@@ -69,11 +53,11 @@
         val gang = job("wk-1", 8, "gang")
         reservations.reserve(gang, machines, 0L)
         assertFalse(reservations.isEmpty)
-        reservations.prune(26_000L)
+        reservations.removeExpired(26_000L)
         assertTrue(reservations.isEmpty)
         reservations.reserve(gang, machines, 26_000L)
         assertTrue(reservations.isEmpty)
-        reservations.prune(51_000L)
+        reservations.removeExpired(51_000L)
         reservations.reserve(gang, machines, 51_000L)
         assertFalse(reservations.isEmpty)
     }
@@ -82,7 +66,7 @@
     fun `all reservations together hold a part of the machines`() {
         val gangs = (1..4).map { job("wk-$it", 8, "gang") }
         gangs.forEach { reservations.reserve(it, machines, 0L) }
-        assertEquals(listOf(2, 2, 0, 0), gangs.map { reservations.transferTargetsOf(it).size })
+        assertEquals(listOf(2, 2, 0, 0), gangs.map { reservations.machinesReservedFor(it).size })
     }
 
     @Test
@@ -90,7 +74,7 @@
         val gang = job("wk-1", 4, "gang")
         reservations.reserve(gang, machines, 0L)
         repeat(4) { gang.add(Placement(gang, it, 1L, machines[0], 0L)) }
-        reservations.prune(100L)
+        reservations.removeExpired(100L)
         assertTrue(reservations.isEmpty)
     }
 }
