--- /dev/null
+++ b/src/test/kotlin/io/reedmast/fairshare/PreemptionTest.kt
@@ -0,0 +1,48 @@
+package io.reedmast.fairshare
+
+import io.reedmast.wire.Priority
+import org.junit.jupiter.api.Assertions.assertFalse
+import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.api.Test
+
+class PreemptionTest {
+    private val request = PreemptionRequest(Priority.STANDARD, withinGuarantee = true, teamRatio = 0.5)
+    private val candidate = PreemptionCandidate(
+        priority = Priority.STANDARD,
+        resumable = true,
+        sameTeam = false,
+        ranForS = 60.0,
+        minimumS = 60.0,
+        teamBeyondGuarantee = true,
+        teamRatio = 0.6,
+    )
+
+    @Test
+    fun `resumable work past its minimum is stopped for a team within its guarantee and further below its share`() {
+        assertTrue(mayPreempt(candidate, request))
+        assertFalse(mayPreempt(candidate.copy(resumable = false), request))
+        assertFalse(mayPreempt(candidate.copy(ranForS = 59.0), request))
+        assertFalse(mayPreempt(candidate.copy(teamRatio = 0.5), request))
+        assertFalse(mayPreempt(candidate.copy(teamBeyondGuarantee = false), request))
+        assertFalse(mayPreempt(candidate, request.copy(withinGuarantee = false)))
+    }
+
+    @Test
+    fun `a higher priority does not need the guarantee`() {
+        val urgent = request.copy(priority = Priority.URGENT, withinGuarantee = false)
+        assertTrue(mayPreempt(candidate, urgent))
+        assertFalse(mayPreempt(candidate.copy(sameTeam = true), urgent))
+    }
+
+    @Test
+    fun `uncharged work is stopped for any funded request, and for no other`() {
+        val uncharged = candidate.copy(
+            priority = Priority.BEST_EFFORT,
+            resumable = false,
+            sameTeam = true,
+            ranForS = 0.0,
+        )
+        assertTrue(mayPreempt(uncharged, request.copy(withinGuarantee = false)))
+        assertFalse(mayPreempt(uncharged, request.copy(priority = Priority.BEST_EFFORT)))
+    }
+}
