--- a/src/main/kotlin/io/reedmast/gangs/GangCoordinator.kt
+++ b/src/main/kotlin/io/reedmast/gangs/GangCoordinator.kt
@@ -50,8 +50,8 @@
         when (cause) {
             Cause.DONE -> complete(job)
 
-            // An orderly stop that began before this owner knew of it: the others must be told in time, with grace to
-            // save.
+            // An orderly stop that began before this owner knew of it: the others must be stopped in time, with grace
+            // to save.
             Cause.HALTED -> {
                 stopRemainingTasks(job, StopReason.DRAINED)
                 shardState.finish(placement, done = false)
--- a/src/main/kotlin/io/reedmast/gangs/GangReservations.kt
+++ b/src/main/kotlin/io/reedmast/gangs/GangReservations.kt
@@ -7,7 +7,7 @@
 /**
  * Machines that other work leaves to gangs, so that enough capacity for one becomes free.
  *
- * Other work ends at scattered times, and whatever becomes free each time is too small for a gang: arrays take it
+ * Other work ends at scattered times, and whatever becomes free each time is too small for a gang: arrays use it
  * first, for ever. So arrays are kept off a few machines of one zone until the gang fits there. Services are not, nor
  * is a job that has waited for long. A reservation ends after [RESERVATION_MS] and is not renewed for as long, so that
  * it holds up no other job for more than that, and all of them together hold at most a part of the machines, first come
@@ -16,7 +16,7 @@
 class GangReservations {
     private class Reservation(val machines: Set<Machine>, val untilMs: Long)
 
-    /** By waiting gang; expired ones are kept for a while, so that they are not renewed at once. */
+    /** By waiting gang; expired ones stay for a while, so that they are not renewed at once. */
     private val reservations = LinkedHashMap<Job, Reservation>()
     private val gangsByMachine = HashMap<Machine, Job>()
     private var reservedForExpectedGangs: Set<Machine> = emptySet()
--- a/src/main/kotlin/io/reedmast/scheduling/FairShareQueues.kt
+++ b/src/main/kotlin/io/reedmast/scheduling/FairShareQueues.kt
@@ -1,29 +1,27 @@
 package io.reedmast.scheduling
 
 import io.reedmast.model.Job
-import io.reedmast.model.ShardState
 import io.reedmast.settings.TeamId
 
 /**
- * The jobs that wait for machines, a queue for each team.
+ * The jobs that wait for machines, a queue for each team in [jobOrder].
  *
- * The next job is the first one of the team that fair share puts first: teams within their guarantee before others,
- * then by charged use against allocation. Both change with every placement, so the team is chosen anew each time.
+ * The next job is the first one of the team that [teamOrder] puts first, where each team is represented by the first
+ * job of its queue. That order changes with every placement, so the team is chosen anew each time.
  */
-internal class FairShareQueues(jobs: List<Job>, private val shardState: ShardState, private val wallMs: Long) {
+internal class FairShareQueues(jobs: List<Job>, jobOrder: Comparator<Job>, private val teamOrder: Comparator<Job>) {
     private val queues: MutableMap<TeamId, ArrayDeque<Job>> = jobs
         .groupBy { it.team }
-        .mapValuesTo(LinkedHashMap()) { (_, teamJobs) -> ArrayDeque(teamJobs.sortedWith(queueOrder(shardState))) }
-
-    private val teamOrder = compareBy<TeamId>(
-        { team -> !shardState.isWithinGuarantee(team, queues.getValue(team).first().spec) },
-        { team -> shardState.ratio(team, wallMs) },
-    )
+        .mapValuesTo(LinkedHashMap()) { (_, teamJobs) -> ArrayDeque(teamJobs.sortedWith(jobOrder)) }
 
+    /** Whether a job is left in any queue. */
     fun isNotEmpty(): Boolean = queues.isNotEmpty()
 
     /** The job whose turn it is; it stays in its queue. Fails if there is none. */
-    fun next(): Job = queues.getValue(nextTeam()).first()
+    fun next(): Job {
+        val firstJobs = queues.values.map { it.first() }
+        return if (firstJobs.size == 1) firstJobs.single() else firstJobs.minWith(teamOrder)
+    }
 
     /** Takes the job out of its team's queue, of which it is the first. */
     fun remove(job: Job) {
@@ -32,6 +30,4 @@
         queue.removeFirst()
         if (queue.isEmpty()) queues.remove(job.team)
     }
-
-    private fun nextTeam(): TeamId = if (queues.size == 1) queues.keys.first() else queues.keys.minWith(teamOrder)
 }
--- a/src/main/kotlin/io/reedmast/scheduling/PassTimer.kt
+++ b/src/main/kotlin/io/reedmast/scheduling/PassTimer.kt
@@ -15,6 +15,7 @@
      */
     fun allowsArrayPass(nowMs: Long): Boolean = nowMs >= lastPassAtMs + ARRAY_PASS_INTERVAL_MS
 
+    /** Records that a pass begins. */
     fun recordPass(nowMs: Long) {
         lastPassAtMs = nowMs
         nextPassAtMs = nowMs + PASS_INTERVAL_MS
--- /dev/null
+++ b/src/main/kotlin/io/reedmast/scheduling/PreemptionCandidates.kt
@@ -0,0 +1,50 @@
+package io.reedmast.scheduling
+
+import io.reedmast.fairshare.PreemptionCandidate
+import io.reedmast.fairshare.mayPreempt
+import io.reedmast.model.Machine
+import io.reedmast.model.Placement
+import io.reedmast.model.ShardState
+
+/** Finds the tasks that may be stopped for other work. */
+internal class PreemptionCandidates(private val shardState: ShardState, private val protection: PreemptionProtection) {
+    /** The machines on which some task may be stopped, for whatever work. */
+    fun machines(): List<Machine> = shardState.machines.values.filter { machine ->
+        machine.isInService && machine.placements.values.any { protection.isPreemptable(it) }
+    }
+
+    /** The tasks on [machine] that may be stopped for [preempting]. */
+    fun on(machine: Machine, preempting: PreemptingJob): List<Placement> = machine.placements.values
+        .filter { it.stopReason == null && protection.isPreemptable(it) }
+        .filter { !protection.isProtectedFrom(it, preempting.job) }
+        .filter { mayPreempt(candidateOf(it, preempting), preempting.request) }
+
+    private fun candidateOf(placement: Placement, preempting: PreemptingJob): PreemptionCandidate {
+        val job = placement.job
+        return PreemptionCandidate(
+            priority = job.spec.priority,
+            resumable = job.spec.resumable,
+            sameTeam = job.team == preempting.job.team,
+            ranForS = (shardState.clock.now() - protectedSince(placement)) / MS_PER_SECOND,
+            minimumS = protectedMinimumS(job.spec.estimateS),
+            teamBeyondGuarantee = shardState.isBeyondGuarantee(job.team),
+            teamRatio = shardState.ratio(job.team, preempting.wallMs),
+        )
+    }
+
+    /** The estimated run time, but at most the configured cap, which also holds for work without an estimate. */
+    private fun protectedMinimumS(estimateS: Double): Double {
+        val capS = shardState.tuning.protectCapS
+        return if (estimateS > 0) minOf(capS, estimateS) else capS
+    }
+
+    /** When the protected minimum began. A gang does not work before all of it runs. */
+    private fun protectedSince(placement: Placement): Long {
+        if (!placement.job.spec.gang) return placement.madeAt
+        return placement.job.placements().maxOf { if (it.running) it.runningSince else shardState.clock.now() }
+    }
+
+    private companion object {
+        const val MS_PER_SECOND = 1000.0
+    }
+}
--- a/src/main/kotlin/io/reedmast/scheduling/Preemptor.kt
+++ b/src/main/kotlin/io/reedmast/scheduling/Preemptor.kt
@@ -3,9 +3,7 @@
 import io.reedmast.autoscaling.DemandEstimator
 import io.reedmast.autoscaling.FreeCapacity
 import io.reedmast.commands.CommandDispatcher
-import io.reedmast.fairshare.PreemptionCandidate
 import io.reedmast.fairshare.PreemptionRequest
-import io.reedmast.fairshare.mayPreempt
 import io.reedmast.gangs.GangReservations
 import io.reedmast.model.Job
 import io.reedmast.model.Machine
@@ -25,20 +23,16 @@
     private val dispatcher: CommandDispatcher,
     private val demandEstimator: DemandEstimator,
     private val reservations: GangReservations,
-    private val protection: PreemptionProtection,
+    private val candidates: PreemptionCandidates,
 ) {
     private val log = LoggerFactory.getLogger("shard")
 
-    /** A job for which work may be stopped, as fair share sees it. */
-    private class Preemption(val job: Job, val request: PreemptionRequest, val wallMs: Long)
-
     /** How many tasks of a gang a machine has capacity for once [toStop] has ended. */
     private class GangPreemption(val taskCount: Int, val toStop: List<Placement>)
 
+    /** Stops work for those of [readyJobs] that have waited for long enough and may preempt, in their order. */
     fun preempt(readyJobs: List<Job>, pass: SchedulingPass) {
-        val machines = shardState.machines.values.filter { machine ->
-            machine.isInService && machine.placements.values.any { protection.isPreemptable(it) }
-        }
+        val machines = candidates.machines()
         if (machines.isEmpty()) return
         val comingCapacity = demandEstimator.bootingCapacity()
         // Lazily: what is stopped for one job counts for the next.
@@ -80,17 +74,17 @@
             shardState.isWithinGuarantee(job.team, job.spec),
             shardState.ratio(job.team, wallMs),
         )
-        val preemption = Preemption(job, request, wallMs)
-        if (job.spec.gang) preemptForGang(preemption) else preemptForTasks(preemption, machines)
+        val preempting = PreemptingJob(job, request, wallMs)
+        if (job.spec.gang) preemptForGang(preempting) else preemptForTasks(preempting, machines)
     }
 
-    private fun preemptForTasks(preemption: Preemption, machines: List<Machine>) {
-        val job = preemption.job
+    private fun preemptForTasks(preempting: PreemptingJob, machines: List<Machine>) {
+        val job = preempting.job
         machines.asSequence()
             .takeWhile { job.pendingCount > job.preempting }
             .filter { mayRunOn(job, it) && !isStoppingWork(it) }
             .forEach { machine ->
-                val toStop = placementsToStop(preemption, machine, taskCount = 1).orEmpty()
+                val toStop = placementsToStop(preempting, machine, taskCount = 1).orEmpty()
                 toStop.forEach { stop(it, job) }
             }
     }
@@ -101,14 +95,14 @@
     private fun isStoppingWork(machine: Machine): Boolean = machine.placements.values.any { it.stopReason != null }
 
     /** Stops work on the machines that are reserved for the gang, if all of it fits there then. */
-    private fun preemptForGang(preemption: Preemption) {
-        val job = preemption.job
+    private fun preemptForGang(preempting: PreemptingJob) {
+        val job = preempting.job
         if (job.preempting > 0 || !shardState.allowsWholeGang(job)) return
         val toStop = ArrayList<Placement>()
         var remainingTasks = job.spec.taskCount
         for (machine in reservations.machinesReservedFor(job).filter { it.usable && !isStoppingWork(it) }) {
             if (remainingTasks <= 0) break
-            val largest = largestGangPreemption(preemption, machine, remainingTasks)
+            val largest = largestGangPreemption(preempting, machine, remainingTasks)
             toStop.addAll(largest.toStop)
             remainingTasks -= largest.taskCount
         }
@@ -116,12 +110,12 @@
     }
 
     /** The most tasks of the gang, up to [maxTasks], for which work on the machine may be stopped. */
-    private fun largestGangPreemption(preemption: Preemption, machine: Machine, maxTasks: Int): GangPreemption {
-        val fittingNow = minOf(maxTasks, tasksThatFit(preemption.job.spec, machine))
+    private fun largestGangPreemption(preempting: PreemptingJob, machine: Machine, maxTasks: Int): GangPreemption {
+        val fittingNow = minOf(maxTasks, tasksThatFit(preempting.job.spec, machine))
         var largest = GangPreemption(fittingNow, emptyList())
         while (largest.taskCount < maxTasks) {
             val taskCount = largest.taskCount + 1
-            val toStop = placementsToStop(preemption, machine, taskCount) ?: break
+            val toStop = placementsToStop(preempting, machine, taskCount) ?: break
             largest = GangPreemption(taskCount, toStop)
         }
         return largest
@@ -131,33 +125,8 @@
      * What must be stopped so that [taskCount] tasks of the job fit on the machine; null if that is not allowed or not
      * needed.
      */
-    private fun placementsToStop(preemption: Preemption, machine: Machine, taskCount: Int): List<Placement>? {
-        val job = preemption.job
-        val candidates = machine.placements.values
-            .filter { it.stopReason == null && protection.isPreemptable(it) && !protection.isProtectedFrom(it, job) }
-            .filter { mayPreempt(candidateOf(it, preemption), preemption.request) }
-        return selectForPreemption(job.spec, taskCount, machine, candidates)
-    }
-
-    private fun candidateOf(placement: Placement, preemption: Preemption): PreemptionCandidate {
-        val spec = placement.job.spec
-        val maxProtectionS = shardState.tuning.protectCapS
-        return PreemptionCandidate(
-            priority = spec.priority,
-            resumable = spec.resumable,
-            sameTeam = placement.job.team == preemption.job.team,
-            ranForS = (shardState.clock.now() - protectedSince(placement)) / MS_PER_SECOND.toDouble(),
-            minimumS = minOf(maxProtectionS, if (spec.estimateS > 0) spec.estimateS else maxProtectionS),
-            teamBeyondGuarantee = shardState.isBeyondGuarantee(placement.job.team),
-            teamRatio = shardState.ratio(placement.job.team, preemption.wallMs),
-        )
-    }
-
-    /** A gang does not work before all of it runs. */
-    private fun protectedSince(placement: Placement): Long {
-        if (!placement.job.spec.gang) return placement.madeAt
-        return placement.job.placements().maxOf { if (it.running) it.runningSince else shardState.clock.now() }
-    }
+    private fun placementsToStop(preempting: PreemptingJob, machine: Machine, taskCount: Int): List<Placement>? =
+        selectForPreemption(preempting.job.spec, taskCount, machine, candidates.on(machine, preempting))
 
     private fun stop(placement: Placement, job: Job) {
         log.info("task {}: preempted for job {} on {}", placement.id, job.spec.jobId, placement.machine.name)
--- a/src/main/kotlin/io/reedmast/scheduling/QueueOrder.kt
+++ b/src/main/kotlin/io/reedmast/scheduling/QueueOrder.kt
@@ -13,3 +13,12 @@
     { !it.spec.gang },
     { shardState.deadlineMs(it) },
 )
+
+/**
+ * The order of teams by fair share, each represented by its first job: teams within their guarantee before others, then
+ * by charged use against allocation.
+ */
+internal fun fairShareOrder(shardState: ShardState, wallMs: Long): Comparator<Job> = compareBy(
+    { !shardState.isWithinGuarantee(it.team, it.spec) },
+    { shardState.ratio(it.team, wallMs) },
+)
--- a/src/main/kotlin/io/reedmast/scheduling/Scheduler.kt
+++ b/src/main/kotlin/io/reedmast/scheduling/Scheduler.kt
@@ -21,9 +21,10 @@
     private val timer = PassTimer()
     private val reservations = GangReservations()
     private val protection = PreemptionProtection(shardState)
+    private val preemptionCandidates = PreemptionCandidates(shardState, protection)
     private val placer = JobPlacer(shardState, reservations, TaskBinder(shardState, protection))
     private val underservedJobs = UnderservedJobs(shardState)
-    private val preemptor = Preemptor(shardState, dispatcher, demandEstimator, reservations, protection)
+    private val preemptor = Preemptor(shardState, dispatcher, demandEstimator, reservations, preemptionCandidates)
 
     /** Passes made so far, for those who count work. */
     var passes = 0L
@@ -104,7 +105,7 @@
     }
 
     private fun placeByFairShare(jobs: List<Job>, pass: SchedulingPass) {
-        val queues = FairShareQueues(jobs, shardState, pass.wallMs)
+        val queues = FairShareQueues(jobs, queueOrder(shardState), fairShareOrder(shardState, pass.wallMs))
         while (queues.isNotEmpty()) {
             val job = queues.next()
             if (!placer.placeNext(job, pass)) queues.remove(job)
--- a/src/main/kotlin/io/reedmast/scheduling/SchedulingPass.kt
+++ b/src/main/kotlin/io/reedmast/scheduling/SchedulingPass.kt
@@ -21,6 +21,7 @@
     /** How often something was placed for each job: a gang counts once. */
     val placementCounts: Map<Job, Int> get() = placementsByJob
 
+    /** Records that a task of the job, or all of a gang, was placed. */
     fun recordPlaced(job: Job) {
         placementsByJob.merge(job, 1, Int::plus)
     }
