--- a/src/main/kotlin/io/reedmast/fairshare/Preemption.kt
+++ b/src/main/kotlin/io/reedmast/fairshare/Preemption.kt
@@ -31,16 +31,16 @@
     request.priority.isFunded && protocolPermits(candidate, request) && designPermits(candidate, request)
 
 /**
- * The protocol asks that the request have a higher priority, or that it be within its team's guarantee and the
- * candidate's team beyond its own.
+ * The request must have a higher priority, or be within its team's guarantee while the candidate's team is beyond its
+ * own (PROTOCOL, Preemption).
  */
 private fun protocolPermits(candidate: PreemptionCandidate, request: PreemptionRequest): Boolean =
     request.priority < candidate.priority ||
         (!candidate.sameTeam && request.withinGuarantee && candidate.teamBeyondGuarantee)
 
 /**
- * The design lets uncharged work be stopped for any funded request, and resumable work past its protected minimum for a
- * team further below its share.
+ * Uncharged work may be stopped for any funded request, and resumable work past its protected minimum for a team
+ * further below its share (docs/design.md).
  */
 private fun designPermits(candidate: PreemptionCandidate, request: PreemptionRequest): Boolean {
     if (!candidate.priority.isFunded) return true
--- a/src/main/kotlin/io/reedmast/gangs/ExpectedGangSelection.kt
+++ b/src/main/kotlin/io/reedmast/gangs/ExpectedGangSelection.kt
@@ -19,7 +19,7 @@
 
     /**
      * At most [maxMachines] of [machines], of one zone if any recent gang needed that, for [expectedGangs] gangs and
-     * one more of the size of the largest recent one. None if no gang has arrived recently.
+     * one more, three at most, of the size of the largest recent one. None if no gang has arrived recently.
      */
     fun select(machines: List<Machine>, expectedGangs: Double, maxMachines: Int): Set<Machine> {
         val largestGang = recentGangs.maxByOrNull { it.cpus * it.taskCount } ?: return emptySet()
--- a/src/main/kotlin/io/reedmast/gangs/ReservationSelection.kt
+++ b/src/main/kotlin/io/reedmast/gangs/ReservationSelection.kt
@@ -15,12 +15,12 @@
 internal fun selectMachinesForWaitingGang(job: Job, machines: List<Machine>): Set<Machine>? {
     val eligible = machines.filter { isEligible(job.spec, it.record) && it !in job.failedOn }
     return groupForGang(eligible, job.spec.oneZone)
-        .mapNotNull { selectFewestMachines(job.spec, it) }
+        .mapNotNull { selectUntilGangFits(job.spec, it) }
         .maxByOrNull { selected -> selected.sumOf { tasksThatFit(job.spec, it) } }
 }
 
-/** The fewest machines on which the whole gang fits once arrays there have ended, those with most free now first. */
-private fun selectFewestMachines(spec: JobSpec, machines: List<Machine>): Set<Machine>? {
+/** Machines, those with most free now first, until the whole gang fits once arrays there have ended; null if never. */
+private fun selectUntilGangFits(spec: JobSpec, machines: List<Machine>): Set<Machine>? {
     val mostFreeFirst = compareBy<Machine>({ -tasksThatFit(spec, it) }, { -tasksOnceArraysEnd(spec, it) })
     val selected = firstMachinesThatHold(spec, spec.taskCount, machines.sortedWith(mostFreeFirst))
     return selected.takeIf { it.sumOf { machine -> tasksOnceArraysEnd(spec, machine) } >= spec.taskCount }
--- a/src/main/kotlin/io/reedmast/placement/GangPacking.kt
+++ b/src/main/kotlin/io/reedmast/placement/GangPacking.kt
@@ -30,13 +30,15 @@
     val tasksByZone = HashMap<String, Int>()
     var remainingTasks = spec.taskCount
     for (machine in machines) {
+        if (remainingTasks == 0) break
         val zone = machine.record.zone
         val tasksInZone = tasksByZone[zone] ?: 0
         val tasks = minOf(remainingTasks, tasksThatFit(spec, machine), maxGangTasksInOneZone(spec) - tasksInZone)
-        if (tasks <= 0) continue
-        tasksByMachine[machine] = tasks
-        tasksByZone[zone] = tasksInZone + tasks
-        remainingTasks -= tasks
+        if (tasks > 0) {
+            tasksByMachine[machine] = tasks
+            tasksByZone[zone] = tasksInZone + tasks
+            remainingTasks -= tasks
+        }
     }
     return if (remainingTasks == 0) GangAssignment(tasksByMachine) else null
 }
--- a/src/main/kotlin/io/reedmast/placement/MachineEligibility.kt
+++ b/src/main/kotlin/io/reedmast/placement/MachineEligibility.kt
@@ -3,7 +3,7 @@
 import io.reedmast.model.MachineRecord
 import io.reedmast.wire.JobSpec
 
-/** Whether a job may ever run on a machine of this kind, whatever else is on it. */
+/** Whether a job may ever run on a machine of this kind, whatever else is on it (PROTOCOL, POST /submissions). */
 fun isEligible(spec: JobSpec, typeName: String, zone: String, spot: Boolean): Boolean =
     (!spot || spec.spot) && (spec.allowedTypes == null || typeName in spec.allowedTypes) &&
         (spec.zone == null || zone == spec.zone)
--- a/src/main/kotlin/io/reedmast/placement/ZoneRules.kt
+++ b/src/main/kotlin/io/reedmast/placement/ZoneRules.kt
@@ -7,7 +7,7 @@
  * Whether one more task of [job] may start in [zone], given every other task of it that may be on a machine.
  *
  * In-flight launches and attempts on machines that have gone silent count like running ones: the rules `oneZone` and
- * `spread` are broken by what is there, not by what was reported.
+ * `spread` are broken by what is there, not by what was reported (PROTOCOL, POST /submissions and Rules).
  */
 fun satisfiesZoneRules(job: Job, zone: String): Boolean {
     if (!hasZoneRules(job.spec)) return true
@@ -37,11 +37,12 @@
     return usableZones > 0 && maxGangTasksInOneZone(spec).toLong() * usableZones < spec.taskCount
 }
 
+/** Whether it matters to the job's tasks in which zone its other tasks are. */
 private fun hasZoneRules(spec: JobSpec): Boolean = spec.oneZone || spec.spread
 
 /** How many tasks of the gang one zone may hold. */
 internal fun maxGangTasksInOneZone(spec: JobSpec): Int =
     if (spec.spread) largestHalf(spec.taskCount) else spec.taskCount
 
-/** At most half of a spread job's tasks, rounded up, may be in one zone. */
+/** At most half of a spread job's tasks, rounded up, may be in one zone (PROTOCOL, POST /submissions). */
 private fun largestHalf(taskCount: Int): Int = (taskCount + 1) / 2
--- a/src/main/kotlin/io/reedmast/scheduling/PreemptionProtection.kt
+++ b/src/main/kotlin/io/reedmast/scheduling/PreemptionProtection.kt
@@ -14,8 +14,8 @@
     private val protectedFromAll = HashMap<TeamId, MutableList<Placement>>()
 
     /**
-     * Protects a new placement of an underserved job from its own team, for the estimated run time and a minute; that
-     * of an overdue job from all teams.
+     * Protects a new placement of an underserved job from work of its own team, for the estimated run time and a
+     * minute; that of an overdue job from all work.
      */
     fun protect(placement: Placement, nowMs: Long) {
         val protectedUntil = nowMs + PROTECTION_MS + (placement.job.spec.estimateS * MS_PER_SECOND).toLong()
