--- a/src/main/kotlin/io/reedmast/app/DirectStore.kt
+++ b/src/main/kotlin/io/reedmast/app/DirectStore.kt
@@ -4,6 +4,7 @@
 import io.reedmast.kvstore.CommitOutcome
 import io.reedmast.kvstore.Committer
 import io.reedmast.kvstore.EffectiveLimits
+import io.reedmast.kvstore.ListResult
 import io.reedmast.kvstore.ReadResult
 import io.reedmast.kvstore.StoreClient
 import io.reedmast.kvstore.StoredItem
@@ -48,7 +49,8 @@
 
     override fun get(path: String, done: (ReadResult) -> Unit) = done(client.get(path))
 
-    override fun list(prefix: String, done: (List<StoredItem>?) -> Unit) = done(client.list(prefix)?.first)
+    override fun list(prefix: String, done: (List<StoredItem>?) -> Unit) =
+        done((client.list(prefix) as? ListResult.Listing)?.items)
 
     override fun writePermitLevel(): Double = client.writeLimiter.permitLevel()
 
--- a/src/main/kotlin/io/reedmast/app/NetworkGateway.kt
+++ b/src/main/kotlin/io/reedmast/app/NetworkGateway.kt
@@ -4,6 +4,9 @@
 import io.reedmast.kvstore.CasTransaction
 import io.reedmast.kvstore.Committer
 import io.reedmast.kvstore.EffectiveLimits
+import io.reedmast.kvstore.LeaseExtension
+import io.reedmast.kvstore.LeaseGrant
+import io.reedmast.kvstore.ListResult
 import io.reedmast.kvstore.ReadResult
 import io.reedmast.kvstore.StoreClient
 import io.reedmast.kvstore.StoredItem
@@ -77,7 +80,7 @@
     }, ReadResult.Failed, done)
 
     override fun list(prefix: String, done: (List<StoredItem>?) -> Unit) = call(reads, {
-        client.list(prefix)?.first
+        (client.list(prefix) as? ListResult.Listing)?.items
     }, null, done)
 
     override fun writePermitLevel(): Double = client.writeLimiter.permitLevel()
@@ -175,12 +178,15 @@
         leases,
         {
             if (lease == null) {
-                client.lease(lifeMs)?.let { LeaseState.Held(it, isNew = true) } ?: LeaseState.Unknown
+                when (val grant = client.grantLease(lifeMs)) {
+                    is LeaseGrant.Granted -> LeaseState.Held(grant.lease, isNew = true)
+                    LeaseGrant.Failed -> LeaseState.Unknown
+                }
             } else {
-                when (client.extend(lease)) {
-                    true -> LeaseState.Held(lease, isNew = false)
-                    false -> LeaseState.Lost
-                    null -> LeaseState.Unknown
+                when (client.extendLease(lease)) {
+                    LeaseExtension.EXTENDED -> LeaseState.Held(lease, isNew = false)
+                    LeaseExtension.EXPIRED -> LeaseState.Lost
+                    LeaseExtension.UNKNOWN -> LeaseState.Unknown
                 }
             }
         },
--- a/src/main/kotlin/io/reedmast/app/Watches.kt
+++ b/src/main/kotlin/io/reedmast/app/Watches.kt
@@ -1,6 +1,7 @@
 package io.reedmast.app
 
 import io.reedmast.kvstore.Keys
+import io.reedmast.kvstore.ListResult
 import io.reedmast.kvstore.StoreClient
 import io.reedmast.kvstore.WatchResult
 import io.reedmast.ports.Clock
@@ -16,16 +17,16 @@
     private fun followCluster() {
         while (true) {
             var askedAt = clock.now()
-            val (items, revision) = client.list(Keys.CLUSTER) ?: (emptyList<Nothing>() to -1L)
-            if (revision < 0) {
+            val listing = client.list(Keys.CLUSTER) as? ListResult.Listing
+            if (listing == null) {
                 pause()
                 continue
             }
-            handle.snapshot(items, revision, askedAt)
-            var after = revision
+            handle.snapshot(listing.items, listing.revision, askedAt)
+            var after = listing.revision
             while (true) {
                 askedAt = clock.now()
-                val watched = client.follow(Keys.CLUSTER, after, HOLD_MS)
+                val watched = client.watch(Keys.CLUSTER, after, HOLD_MS)
                 if (watched is WatchResult.Compacted) break
                 if (watched is WatchResult.Events) {
                     handle.clusterEvents(watched.events, watched.revision, askedAt)
@@ -45,18 +46,18 @@
     private fun followJobs() {
         while (true) {
             var askedAt = clock.now()
-            val (items, revision) = client.list(Keys.LIVE) ?: (null to 0L)
-            if (items == null) {
+            val listing = client.list(Keys.LIVE) as? ListResult.Listing
+            if (listing == null) {
                 pause()
                 continue
             }
-            handle.jobsSnapshot(items, revision, askedAt)
-            var after = revision
+            handle.jobsSnapshot(listing.items, listing.revision, askedAt)
+            var after = listing.revision
             while (true) {
                 val remainingMs = askedAt + JOBS_EVERY_MS - clock.now()
                 if (remainingMs > 0) Thread.sleep(remainingMs)
                 askedAt = clock.now()
-                val watched = client.follow(Keys.JOBS, after, if (handle.questionsWait()) 0 else JOBS_HOLD_MS)
+                val watched = client.watch(Keys.JOBS, after, if (handle.questionsWait()) 0 else JOBS_HOLD_MS)
                 if (watched is WatchResult.Compacted) break
                 if (watched is WatchResult.Events) {
                     handle.jobEvents(watched.events, watched.revision, askedAt)
--- /dev/null
+++ b/src/main/kotlin/io/reedmast/kvstore/ReadResult.kt
@@ -0,0 +1,13 @@
+package io.reedmast.kvstore
+
+/** What came of reading one key. */
+sealed interface ReadResult {
+    /** The key exists. */
+    data class Found(val item: StoredItem) : ReadResult
+
+    /** The key does not exist. */
+    data object Missing : ReadResult
+
+    /** Nothing is known: the store did not answer, or refused to. */
+    data object Failed : ReadResult
+}
--- a/src/main/kotlin/io/reedmast/kvstore/StoreClient.kt
+++ b/src/main/kotlin/io/reedmast/kvstore/StoreClient.kt
@@ -3,6 +3,7 @@
 import com.google.common.util.concurrent.RateLimiter
 import io.reedmast.wire.Caller
 import io.reedmast.wire.Fields
+import io.reedmast.wire.HttpStatus
 import io.reedmast.wire.KeyedValue
 import io.reedmast.wire.MalformedException
 import io.reedmast.wire.Reply
@@ -11,155 +12,177 @@
 import java.net.URLEncoder
 import java.util.concurrent.TimeUnit
 
-/** Blocking calls to the store, kept within this controller's part of its limits. */
+/**
+ * Blocking calls to the store, kept within this controller's part of its limits. Thread-safe.
+ *
+ * A call that did not succeed is reported in its result and throws nothing; the caller decides whether to ask again.
+ *
+ * @param address the store's address, such as `10.0.0.1:8080`.
+ * @param controllers how many controllers share the limits at first, see [shareAmong].
+ */
 class StoreClient(
     private val address: String,
     private val limits: EffectiveLimits,
-    nodes: Int,
+    controllers: Int,
     private val caller: Caller,
 ) {
     private val log = LoggerFactory.getLogger("store")
-    private val requests = RateLimiter.create(limits.allowed.requestsPerS * SAFETY / nodes)
-    val writeLimiter = WriteRateLimiter(limits.allowed.writesPerS * SAFETY / nodes) { System.nanoTime() / 1_000_000 }
+    private val requestLimiter = RateLimiter.create(requestsPerS(controllers))
 
-    /** Controllers that are down leave their part of the limits to the others. */
-    fun shareAmong(nodes: Int) {
-        requests.rate = limits.allowed.requestsPerS * SAFETY / nodes
-        writeLimiter.setRate(limits.allowed.writesPerS * SAFETY / nodes)
+    /** Pays for the writes of [commit]: whoever calls that acquires their permits first. */
+    val writeLimiter = WriteRateLimiter(writesPerS(controllers), ::monotonicMs)
+
+    /** Controllers that are down leave their part of the limits to the others, of which there are [controllers]. */
+    fun shareAmong(controllers: Int) {
+        requestLimiter.rate = requestsPerS(controllers)
+        writeLimiter.setRate(writesPerS(controllers))
     }
 
+    private fun requestsPerS(controllers: Int) = limits.allowed.requestsPerS * SAFETY / controllers
+
+    private fun writesPerS(controllers: Int) = limits.allowed.writesPerS * SAFETY / controllers
+
+    /** Reads one key. */
     fun get(path: String): ReadResult {
-        val reply = ask("GET", "/kv/$path")
+        val reply = call("GET", "/kv/$path")
         if (reply !is Reply.Answer) return ReadResult.Failed
-        return reading(ReadResult.Failed) {
+        return parsed(ReadResult.Failed) {
             when (reply.status) {
-                200 -> ReadResult.Found(item(StoreMessages.item(reply.body)))
-                404 -> ReadResult.Missing
+                HttpStatus.OK -> ReadResult.Found(storedItem(StoreMessages.item(reply.body)))
+                HttpStatus.NOT_FOUND -> ReadResult.Missing
                 else -> ReadResult.Failed
             }
         }
     }
 
-    /** All keys with the prefix and the revision of the first page, or null if they could not be read. */
-    fun list(prefix: String): Pair<List<StoredItem>, Long>? {
-        val items = ArrayList<StoredItem>()
-        var revision = -1L
-        var after: String? = null
-        while (true) {
-            val tail = if (after == null) "" else "&after=${encode(after)}"
-            val reply = ask("GET", "/kv?prefix=${encode(prefix)}$tail&most=$PAGE") as? Reply.Answer ?: return null
-            if (reply.status != 200) return null
-            val more =
-                reading(null) {
-                    StoreMessages.page(reply.body).mapTo(items) { item(it) }
-                    if (revision < 0) revision = StoreMessages.revision(reply.body)
-                    StoreMessages.hasMore(reply.body)
-                } ?: return null
-            if (!more) return items to revision
-            after = items.lastOrNull()?.path ?: return null
+    /** Reads all keys with the prefix, page by page. */
+    fun list(prefix: String): ListResult {
+        var listing = listPage(prefix, previous = null)
+        while (listing != null && listing.hasMore) listing = listPage(prefix, listing)
+        return if (listing == null) ListResult.Failed else ListResult.Listing(listing.items, listing.revision)
+    }
+
+    /** The pages of a listing read so far; [revision] is that of the first one. */
+    private class PartialListing(val items: MutableList<StoredItem>, val revision: Long, val hasMore: Boolean)
+
+    /** [previous] with the page that follows it, or the first page; null if that page could not be read. */
+    private fun listPage(prefix: String, previous: PartialListing?): PartialListing? {
+        if (previous != null && previous.items.isEmpty()) return null
+        val after = if (previous == null) "" else "&after=${encoded(previous.items.last().path)}"
+        val reply = call("GET", "/kv?prefix=${encoded(prefix)}$after&most=$ITEMS_PER_PAGE")
+        if (reply !is Reply.Answer || reply.status != HttpStatus.OK) return null
+        return parsed(null) {
+            PartialListing(
+                items = StoreMessages.page(reply.body).mapTo(previous?.items ?: ArrayList()) { storedItem(it) },
+                revision = previous?.revision ?: StoreMessages.revision(reply.body),
+                hasMore = StoreMessages.hasMore(reply.body),
+            )
         }
     }
 
+    /** Sends a transaction, whose writes the [writeLimiter] must have granted, once. */
     fun commit(transaction: StoreTransaction): CommitReply {
         val conditions = transaction.preconditions.map { StoreMessages.condition(it.path, it.version) }
         val body = StoreMessages.transaction(conditions, transaction.writes.map { encoded(it, transaction.id) })
-        return when (val reply = ask("POST", "/commit", body)) {
+        return when (val reply = call("POST", "/commit", body)) {
             is Reply.NotSent -> CommitReply.NotExecuted
             is Reply.Unanswered, Reply.TooLarge -> CommitReply.Unknown
-            is Reply.Answer ->
-                reading<CommitReply>(CommitReply.Unknown) {
-                    when (reply.status) {
-                        200 -> CommitReply.Applied(StoreMessages.revision(reply.body))
-                        409 -> CommitReply.PreconditionFailed(StoreMessages.failedKeys(reply.body))
-                        400 -> CommitReply.Malformed(StoreMessages.error(reply.body))
-                        429 -> CommitReply.RateLimited
-                        503 -> CommitReply.NotExecuted
-                        else -> CommitReply.Unknown
-                    }
-                }
+            is Reply.Answer -> parsed(CommitReply.Unknown) { commitReply(reply) }
         }
     }
 
-    /** A new lease, or null. */
-    fun lease(lifeMs: Long): Long? {
-        val reply = ask("POST", "/leases", StoreMessages.leaseRequest(lifeMs)) as? Reply.Answer ?: return null
-        return if (reply.status == 200) reading(null) { StoreMessages.lease(reply.body) } else null
+    private fun commitReply(reply: Reply.Answer): CommitReply = when (reply.status) {
+        HttpStatus.OK -> CommitReply.Applied(StoreMessages.revision(reply.body))
+        HttpStatus.CONFLICT -> CommitReply.PreconditionFailed(StoreMessages.failedKeys(reply.body))
+        HttpStatus.BAD_REQUEST -> CommitReply.Malformed(StoreMessages.error(reply.body))
+        HttpStatus.TOO_MANY_REQUESTS -> CommitReply.RateLimited
+        HttpStatus.SERVICE_UNAVAILABLE -> CommitReply.NotExecuted
+        else -> CommitReply.Unknown
     }
 
-    /** True: renewed. False: the lease has ended. Null: not known. */
-    fun extend(lease: Long): Boolean? {
-        val reply = ask("POST", "/leases/$lease/extend") as? Reply.Answer ?: return null
+    /** Asks for a new lease that lasts [lifeMs] milliseconds unless it is extended. */
+    fun grantLease(lifeMs: Long): LeaseGrant {
+        val reply = call("POST", "/leases", StoreMessages.leaseRequest(lifeMs))
+        if (reply !is Reply.Answer || reply.status != HttpStatus.OK) return LeaseGrant.Failed
+        return parsed(LeaseGrant.Failed) { LeaseGrant.Granted(StoreMessages.lease(reply.body)) }
+    }
+
+    /** Asks that a lease have its full time again. */
+    fun extendLease(lease: Long): LeaseExtension {
+        val reply = call("POST", "/leases/$lease/extend")
+        if (reply !is Reply.Answer) return LeaseExtension.UNKNOWN
         return when (reply.status) {
-            200 -> true
-            404 -> false
-            else -> null
+            HttpStatus.OK -> LeaseExtension.EXTENDED
+            HttpStatus.NOT_FOUND -> LeaseExtension.EXPIRED
+            else -> LeaseExtension.UNKNOWN
         }
     }
 
-    fun follow(prefix: String, after: Long, holdMs: Int): WatchResult {
-        val reply = ask(
-            "GET",
-            "/follow?prefix=${encode(prefix)}&after=$after&holdMs=$holdMs",
-            scaleInDelayMs =
-            holdMs + FOLLOW_GRACE_MS,
-        )
-        // Asked again, it would only have grown: reading all keys takes their present values alone, page by page.
-        if (reply is Reply.TooLarge) return WatchResult.Compacted
-        if (reply !is Reply.Answer) return WatchResult.Failed
-        return reading<WatchResult>(WatchResult.Failed) {
-            when (reply.status) {
-                200 ->
-                    WatchResult.Events(
-                        StoreMessages.revision(reply.body),
-                        StoreMessages.changes(reply.body).map { WatchEvent(it.key, it.value, it.version) },
-                    )
-                410 -> WatchResult.Compacted
-                else -> WatchResult.Failed
-            }
+    /** The changes of a prefix since the revision [after]; waits up to [holdMs] milliseconds for the first of them. */
+    fun watch(prefix: String, after: Long, holdMs: Int): WatchResult {
+        val path = "/follow?prefix=${encoded(prefix)}&after=$after&holdMs=$holdMs"
+        return when (val reply = call("GET", path, readTimeoutMs = holdMs + WATCH_GRACE_MS)) {
+            // Asked again, it would only have grown: reading all keys takes their present values alone, page by page.
+            is Reply.TooLarge -> WatchResult.Compacted
+            is Reply.NotSent, is Reply.Unanswered -> WatchResult.Failed
+            is Reply.Answer -> parsed(WatchResult.Failed) { watchResult(reply) }
         }
     }
 
+    private fun watchResult(reply: Reply.Answer): WatchResult = when (reply.status) {
+        HttpStatus.OK -> {
+            val revision = StoreMessages.revision(reply.body)
+            WatchResult.Events(revision, StoreMessages.changes(reply.body).map { watchEvent(it) })
+        }
+
+        HttpStatus.GONE -> WatchResult.Compacted
+
+        else -> WatchResult.Failed
+    }
+
     private fun encoded(write: Write, transactionId: String): Fields = when (write) {
         is Write.Put -> StoreMessages.put(write.path, write.value, write.lease, transactionId)
         is Write.Delete -> StoreMessages.delete(write.path)
     }
 
-    private fun item(of: KeyedValue) = StoredItem(of.key, of.value.orEmpty(), of.version)
+    private fun encoded(text: String): String = URLEncoder.encode(text, Charsets.UTF_8)
 
-    private fun ask(method: String, path: String, body: Fields? = null, scaleInDelayMs: Int? = null): Reply {
-        if (!requests.tryAcquire(
-                PATIENCE_MS,
-                TimeUnit.MILLISECONDS,
-            )
-        ) {
+    private fun storedItem(item: KeyedValue) = StoredItem(item.key, item.value.orEmpty(), item.version)
+
+    private fun watchEvent(change: KeyedValue) = WatchEvent(change.key, change.value, change.version)
+
+    private fun call(method: String, path: String, body: Fields? = null, readTimeoutMs: Int? = null): Reply {
+        if (!requestLimiter.tryAcquire(PERMIT_WAIT_MS, TimeUnit.MILLISECONDS)) {
             return Reply.NotSent("over this controller's part of the limit")
         }
-        val reply =
-            if (scaleInDelayMs ==
-                null
-            ) {
-                caller.call(method, address, path, body)
-            } else {
-                caller.call(method, address, path, body, scaleInDelayMs)
-            }
-        if (reply !is Reply.Answer || reply.status >= 500) log.debug("{} {}: {}", method, path, reply)
+        val reply = if (readTimeoutMs == null) {
+            caller.call(method, address, path, body)
+        } else {
+            caller.call(method, address, path, body, readTimeoutMs)
+        }
+        if (reply !is Reply.Answer || reply.status >= HttpStatus.INTERNAL_SERVER_ERROR) {
+            log.debug("{} {}: {}", method, path, reply)
+        }
         return reply
     }
 
-    private inline fun <T> reading(nonsense: T, read: () -> T): T = try {
-        read()
+    /** What [parse] makes of an answer, or [onMalformed] if the answer has not the form that it should have. */
+    private inline fun <T> parsed(onMalformed: T, parse: () -> T): T = try {
+        parse()
     } catch (e: MalformedException) {
         log.error("store: malformed answer: {}", e.message)
-        nonsense
+        onMalformed
     }
 
-    private fun encode(text: String): String = URLEncoder.encode(text, Charsets.UTF_8)
-
     private companion object {
         /** A little below the limits: the clocks of the two ends differ. */
         const val SAFETY = 0.9
-        const val PATIENCE_MS = 1500L
-        const val FOLLOW_GRACE_MS = 1500
-        const val PAGE = 500
+
+        /** How long a request waits for its permit. */
+        const val PERMIT_WAIT_MS = 1500L
+
+        /** How much longer than a watch is held its answer is waited for. */
+        const val WATCH_GRACE_MS = 1500
+        const val ITEMS_PER_PAGE = 500
     }
 }
--- a/src/main/kotlin/io/reedmast/kvstore/StoredItem.kt
+++ b/src/main/kotlin/io/reedmast/kvstore/StoredItem.kt
@@ -3,16 +3,8 @@
 import io.reedmast.wire.Fields
 import io.reedmast.wire.StoreMessages
 
+/** The [value] under a key of the store; [version] is the revision at which it was stored. */
 data class StoredItem(val path: String, val value: Fields, val version: Long) {
-    /** The transaction that stored it; null if that cannot be told. */
+    /** The id of the transaction that stored it; null if the value carries none. */
     val transactionId: String? get() = StoreMessages.transactionId(value)
 }
-
-sealed interface ReadResult {
-    data class Found(val item: StoredItem) : ReadResult
-
-    data object Missing : ReadResult
-
-    /** Nothing is known: the store did not answer, or would not. */
-    data object Failed : ReadResult
-}
--- a/src/test/kotlin/io/reedmast/kvstore/StoreClientTest.kt
+++ b/src/test/kotlin/io/reedmast/kvstore/StoreClientTest.kt
@@ -13,7 +13,7 @@
     @Test
     fun `a watch is told what has changed`() {
         service.changes = listOf(mapOf("put" to "c/1", "v" to mapOf("a" to 1), "stamp" to 101))
-        val watched = service.client.follow("c/", after = 90, holdMs = 0) as WatchResult.Events
+        val watched = service.client.watch("c/", after = 90, holdMs = 0) as WatchResult.Events
         assertEquals(listOf("c/1"), watched.events.map { it.path })
     }
 
@@ -25,6 +25,6 @@
     fun `more changes than can be read are taken for a gap, and everything is read anew`() {
         val large = "x".repeat(30_000)
         service.changes = List(300) { mapOf("put" to "c/$it", "v" to mapOf("a" to large), "stamp" to 101 + it) }
-        assertEquals(WatchResult.Compacted, service.client.follow("c/", after = 90, holdMs = 0))
+        assertEquals(WatchResult.Compacted, service.client.watch("c/", after = 90, holdMs = 0))
     }
 }
