--- a/src/main/kotlin/io/reedmast/cluster/ClusterRollout.kt
+++ b/src/main/kotlin/io/reedmast/cluster/ClusterRollout.kt
@@ -46,7 +46,7 @@
         clock::wall,
         rolloutStore,
         view,
-        limits.target.opsPerCommit * EffectiveLimits.CONDITIONS_PER_CHANGE,
+        limits.target.maxPreconditions,
         ::refreshGates,
     )
     private val clusterMigration = reconciler(MigrationUnit.Cluster, UncontendedRecords)
--- a/src/main/kotlin/io/reedmast/kvstore/CasTransaction.kt
+++ b/src/main/kotlin/io/reedmast/kvstore/CasTransaction.kt
@@ -1,10 +1,17 @@
 package io.reedmast.kvstore
 
 /**
- * Writes that are applied together or not at all.
+ * A compare-and-swap transaction as its author hands it over: all of [writes] are applied together, or none is.
+ *
+ * Several of them may be sent to the store in one [StoreTransaction].
  *
  * Every key written must be guarded by its own version: a transaction that got no answer may be applied minutes later,
  * and it must then find that its keys have moved on.
+ *
+ * @property preconditions the versions that keys must still have; they cover at least every key written.
+ * @property writePriority what goes first when the store takes fewer writes than there are.
+ * @property done called once, when the outcome is certain.
+ * @throws IllegalArgumentException if a key is written without a precondition on it.
  */
 class CasTransaction(
     val preconditions: List<Precondition>,
@@ -13,7 +20,7 @@
     val done: (CommitOutcome) -> Unit,
 ) {
     init {
-        val covered = preconditions.mapTo(HashSet()) { it.path }
-        require(writes.all { it.path in covered }) { "a key is written without its own guard" }
+        val guardedPaths = preconditions.mapTo(HashSet()) { it.path }
+        require(writes.all { it.path in guardedPaths }) { "a key is written without its own guard" }
     }
 }
--- a/src/main/kotlin/io/reedmast/kvstore/Committer.kt
+++ b/src/main/kotlin/io/reedmast/kvstore/Committer.kt
@@ -4,10 +4,13 @@
 import java.util.concurrent.ThreadLocalRandom
 
 /**
- * Sends changes to the store, several in one transaction where they fit.
+ * Sends transactions to the store, several together where they fit. Thread-safe.
  *
- * A change stays here until what became of it is certain, which [InDoubtResolution] finds out; this class does the
+ * A transaction stays here until what became of it is certain, which [InDoubtResolution] finds out; this class does the
  * waiting and the I/O.
+ *
+ * @param maxQueued how many refusable transactions of one priority may wait.
+ * @param deliver called on a committing thread with each transaction and its outcome.
  */
 class Committer(
     private val client: StoreClient,
@@ -18,33 +21,33 @@
 ) {
     private val log = LoggerFactory.getLogger("store")
     private val lock = Object()
-    private val queue = CommitQueue(limits.target, client.writeLimiter, maxQueued) { System.nanoTime() / 1_000_000 }
+    private val queue = CommitQueue(limits.target, client.writeLimiter, maxQueued, ::monotonicMs)
 
     @Volatile
     private var lastAnswered = true
 
-    /** False while the store does not take changes: new submissions need not wait to find out. */
+    /** False while the store does not take transactions: new submissions need not wait to find out. */
     val answering: Boolean get() = lastAnswered
 
-    /** False if the queue is full; only changes asked for from outside may be refused. */
-    fun offer(change: CasTransaction, refusable: Boolean): Boolean {
+    /** False if the queue is full; only transactions asked for from outside may be [refusable]. */
+    fun offer(transaction: CasTransaction, refusable: Boolean): Boolean {
         synchronized(lock) {
-            if (!queue.offer(change, refusable)) return false
+            if (!queue.offer(transaction, refusable)) return false
             lock.notify()
         }
         return true
     }
 
-    /** The body of a committing thread. */
+    /** The body of a committing thread; returns when the thread is interrupted. */
     fun run() {
-        while (!Thread.currentThread().isInterrupted) resolve(takeBatch())
+        while (!Thread.currentThread().isInterrupted) resolve(awaitBatch())
     }
 
-    private fun takeBatch(): List<CasTransaction> {
+    private fun awaitBatch(): List<CasTransaction> {
         synchronized(lock) {
             while (true) {
                 when (val polled = queue.poll()) {
-                    is CommitQueue.Polled.Batch -> return polled.changes
+                    is CommitQueue.Polled.Batch -> return polled.transactions
                     is CommitQueue.Polled.Wait -> lock.wait(polled.forMs)
                     CommitQueue.Polled.Empty -> lock.wait()
                 }
@@ -71,21 +74,23 @@
         }
     }
 
-    private fun send(transaction: StoreTransaction): CommitReply {
-        val reply = try {
-            client.commit(transaction)
-        } catch (e: RuntimeException) {
-            // What became of it is not known; with the thread gone, its changes would never be settled.
-            log.error("store: a transaction failed in this process", e)
-            CommitReply.Unknown
-        }
+    private fun send(storeTransaction: StoreTransaction): CommitReply {
+        val reply = commitOrUnknown(storeTransaction)
         lastAnswered = reply !is CommitReply.NotExecuted && reply !is CommitReply.Unknown
-        if (reply is CommitReply.Malformed && limits.exceedsOnlyReduced(transaction)) {
+        if (reply is CommitReply.Malformed && limits.exceedsOnlyReduced(storeTransaction)) {
             log.info("store: its limits have been reduced, it refuses what it used to accept")
             limits.reduce()
         }
-        // Sent again hot, it would only keep the limit exceeded.
+        // Sent again at once, it would only keep the limit exceeded.
         if (reply is CommitReply.RateLimited) client.writeLimiter.empty()
         return reply
     }
+
+    private fun commitOrUnknown(storeTransaction: StoreTransaction): CommitReply = try {
+        client.commit(storeTransaction)
+    } catch (e: RuntimeException) {
+        // What became of it is not known; with the thread gone, its transactions would never be resolved.
+        log.error("store: a transaction failed in this process", e)
+        CommitReply.Unknown
+    }
 }
--- a/src/main/kotlin/io/reedmast/kvstore/InDoubtResolution.kt
+++ b/src/main/kotlin/io/reedmast/kvstore/InDoubtResolution.kt
@@ -3,21 +3,24 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Finds out what becomes of a batch of changes that share a transaction, and reports each change once that is certain.
+ * Finds out what became of a batch of transactions that are sent together, and reports each one once that is certain.
  *
- * A transaction that got no answer is in doubt: it may have been executed, or may yet be. It is sent again as it was,
- * since its preconditions keep it from being applied twice. If the repeat fails, either the first copy was applied or
- * it never will be, and the keys that it puts are read: one that carries the transaction's id proves that all of it was
- * applied. Nothing else does. An equal value may have been stored by another controller, and must not pass for changes
- * that merely shared the transaction.
+ * A [StoreTransaction] that got no answer is in doubt: it may have been executed, or may yet be. It is sent again as it
+ * was, since its preconditions keep it from being applied twice. If the repeat fails, either the first copy was applied
+ * or it never will be, and the keys that it puts are read: one that carries the transaction's id proves that all of it
+ * was applied. Nothing else does. An equal value may have been stored by another controller, and must not pass for
+ * transactions that merely shared the one that was sent.
  *
- * A change is reported as a conflict as well if it was applied and all that it put has been replaced since. Whoever is
- * told of a conflict therefore reads the keys again before deciding anything.
+ * A transaction is reported as a conflict as well if it was applied and all that it put has been replaced since. Whoever
+ * receives a conflict therefore reads the keys again before deciding anything.
  *
- * This class does no I/O: the caller carries out each [ResolutionStep] and hands back the result.
+ * This class does no I/O: the caller carries out each [ResolutionStep] and hands back the result. Not thread-safe.
+ *
+ * @param transactions at least one, and such that they can share a [StoreTransaction].
+ * @param deliver called once for each of [transactions], with its outcome.
  */
 class InDoubtResolution(
-    changes: List<CasTransaction>,
+    transactions: List<CasTransaction>,
     private val ids: TransactionIds,
     /** A number from 0 to 1, anew with each call. */
     private val jitter: () -> Double,
@@ -25,34 +28,38 @@
 ) {
     private val log = LoggerFactory.getLogger("store")
 
-    /** Changes that are sent together, and the ids of the transactions in doubt that hold them. */
-    private class Group(val changes: List<CasTransaction>, val inDoubt: Set<String>)
+    /** Transactions that are sent together, and the ids of the store transactions in doubt that hold them. */
+    private class Group(val transactions: List<CasTransaction>, val idsInDoubt: Set<String>)
 
-    /** Keys still to be read for the id of a transaction in doubt, and what follows if none carries it. */
-    private class Check(
-        val preconditions: Map<String, Long>,
-        val unread: ArrayDeque<String>,
-        val notApplied: () -> Unit,
+    /** Keys still to be read for the id of a store transaction in doubt, and what follows if none carries it. */
+    private class AppliedCheck(
+        val versionsByGuardedPath: Map<String, Long>,
+        val unreadPaths: ArrayDeque<String>,
+        val onNotApplied: () -> Unit,
     )
 
-    private val groups = ArrayDeque(listOf(Group(changes, emptySet())))
-    private var transaction: StoreTransaction? = null
-    private var check: Check? = null
+    private val groups = ArrayDeque(listOf(Group(transactions, emptySet())))
+
+    /** What is sent for the first group; null until its first attempt. */
+    private var storeTransaction: StoreTransaction? = null
+
+    /** Set while keys are read to find out whether the first group was applied. */
+    private var appliedCheck: AppliedCheck? = null
     private var pauseMs = 0L
     private var backoffMs = FIRST_BACKOFF_MS
 
+    /** What the caller has to do now; its result goes to [replied] or [read]. */
     fun next(): ResolutionStep {
         val group = groups.firstOrNull() ?: return ResolutionStep.Done
-        check?.let { return ResolutionStep.Read(it.unread.first(), pauseMs) }
-        return ResolutionStep.Send(transaction ?: transactionOf(group).also { transaction = it }, pauseMs)
+        appliedCheck?.let { return ResolutionStep.Read(it.unreadPaths.first(), pauseMs) }
+        val attempt = storeTransaction ?: newStoreTransaction(group).also { storeTransaction = it }
+        return ResolutionStep.Send(attempt, pauseMs)
     }
 
-    private fun transactionOf(group: Group) = StoreTransaction(
-        ids.next(),
-        group.changes.flatMap {
-            it.preconditions
-        }.distinct(),
-        group.changes.flatMap { it.writes },
+    private fun newStoreTransaction(group: Group) = StoreTransaction(
+        id = ids.next(),
+        preconditions = group.transactions.flatMap { it.preconditions }.distinct(),
+        writes = group.transactions.flatMap { it.writes },
     )
 
     /** The store's reply to the transaction of the last [ResolutionStep.Send]. */
@@ -60,110 +67,116 @@
         val group = groups.first()
         pauseMs = 0L
         when (reply) {
-            is CommitReply.Applied -> finish(group) { CommitOutcome.Applied(reply.revision) }
-
+            is CommitReply.Applied -> finish(group, CommitOutcome.Applied(reply.revision))
             is CommitReply.PreconditionFailed -> unlessApplied(group, reply.paths) { conflict(group, reply.paths) }
-
-            is CommitReply.Malformed -> {
-                log.info("store: a transaction was refused as malformed: {}", reply.reason)
-                if (group.changes.size >
-                    1
-                ) {
-                    split(group)
-                } else {
-                    unlessApplied(group, emptySet()) { finish(group) { CommitOutcome.Refused(reply.reason) } }
-                }
-            }
-
+            is CommitReply.Malformed -> refused(group, reply.reason)
             is CommitReply.RateLimited, is CommitReply.NotExecuted -> backOff()
+            is CommitReply.Unknown -> unanswered(group)
+        }
+    }
 
-            is CommitReply.Unknown -> {
-                val sent = transaction ?: return
-                groups[0] = Group(group.changes, group.inDoubt + sent.id)
-                backOff()
-            }
+    private fun refused(group: Group, reason: String) {
+        log.info("store: a transaction was refused as malformed: {}", reason)
+        if (group.transactions.size > 1) {
+            split(group)
+        } else {
+            unlessApplied(group, emptySet()) { finish(group, CommitOutcome.Refused(reason)) }
         }
     }
 
+    private fun unanswered(group: Group) {
+        val sent = storeTransaction ?: return
+        groups[0] = Group(group.transactions, group.idsInDoubt + sent.id)
+        backOff()
+    }
+
     private fun backOff() {
-        pauseMs = (backoffMs * (HALF + HALF * jitter())).toLong()
+        pauseMs = (backoffMs * (JITTER_RANGE + JITTER_RANGE * jitter())).toLong()
         backoffMs = minOf(backoffMs * 2, MAX_BACKOFF_MS)
     }
 
     /** The value under the key of the last [ResolutionStep.Read]. */
-    fun read(fetched: ReadResult) {
-        val running = check ?: return
-        val group = groups.first()
+    fun read(result: ReadResult) {
+        val check = appliedCheck ?: return
         pauseMs = 0L
-        if (fetched is ReadResult.Failed) {
-            backOff()
-            return
+        when (result) {
+            is ReadResult.Failed -> backOff()
+            is ReadResult.Missing -> evaluate(check, null)
+            is ReadResult.Found -> evaluate(check, result.item)
         }
-        val path = running.unread.removeFirst()
-        val item = (fetched as? ReadResult.Found)?.item
-        val writer = item?.transactionId
+    }
+
+    /** [item] is what stands under the first unread key; null: nothing. */
+    private fun evaluate(check: AppliedCheck, item: StoredItem?) {
+        val group = groups.first()
+        val path = check.unreadPaths.removeFirst()
         when {
-            item != null && writer in group.inDoubt -> {
-                check = null
-                finish(group) { CommitOutcome.Applied(item.version) }
+            item != null && item.transactionId in group.idsInDoubt -> {
+                appliedCheck = null
+                finish(group, CommitOutcome.Applied(item.version))
             }
 
             // A key that has not moved shows that the transaction was not applied, and no other key needs to be read.
             // One that is missing shows nothing: a key under a lease is gone once the lease has ended.
-            running.unread.isEmpty() || (item != null && item.version == running.preconditions[path]) -> {
-                check = null
-                running.notApplied()
+            check.unreadPaths.isEmpty() || (item != null && item.version == check.versionsByGuardedPath[path]) -> {
+                appliedCheck = null
+                check.onNotApplied()
             }
         }
     }
 
     /**
-     * Does [notApplied] at once if no transaction with these changes is in doubt, or once it is certain that none was
-     * applied.
+     * Calls [onNotApplied] at once if no store transaction with these transactions is in doubt, or once it is certain
+     * that none was applied.
      *
-     * Keys whose preconditions have not [failed] are read first: one that has not moved saves reading the others.
+     * Keys whose preconditions are not among [failedPaths] are read first: one that has not moved saves reading the
+     * others.
      */
-    private fun unlessApplied(group: Group, failed: Set<String>, notApplied: () -> Unit) {
-        val puts = group.changes.flatMap { it.writes }.filterIsInstance<Write.Put>().map { it.path }
-        if (group.inDoubt.isEmpty() || puts.isEmpty()) {
-            notApplied()
+    private fun unlessApplied(group: Group, failedPaths: Set<String>, onNotApplied: () -> Unit) {
+        val putPaths = group.transactions.flatMap { it.writes }.filterIsInstance<Write.Put>().map { it.path }
+        if (group.idsInDoubt.isEmpty() || putPaths.isEmpty()) {
+            onNotApplied()
             return
         }
-        val preconditions = group.changes.flatMap { it.preconditions }.associate { it.path to it.version }
-        val unread = puts.sortedWith(compareBy({ it in failed }, { preconditions[it] == 0L }))
-        check = Check(preconditions, ArrayDeque(unread), notApplied)
+        val versions = group.transactions.flatMap { it.preconditions }.associate { it.path to it.version }
+        val unreadPaths = putPaths.sortedWith(compareBy({ it in failedPaths }, { versions[it] == 0L }))
+        appliedCheck = AppliedCheck(versions, ArrayDeque(unreadPaths), onNotApplied)
     }
 
-    /** Changes whose preconditions failed are reported; the others are sent without them. */
-    private fun conflict(group: Group, paths: Set<String>) {
-        val (failed, rest) = group.changes.partition { change -> change.preconditions.any { it.path in paths } }
+    /** Transactions whose preconditions failed are reported; the others are sent without them. */
+    private fun conflict(group: Group, failedPaths: Set<String>) {
+        val (failed, others) = group.transactions.partition { transaction ->
+            transaction.preconditions.any { it.path in failedPaths }
+        }
         if (failed.isEmpty()) {
             log.error("store: a transaction was refused without naming one of its keys")
-            finish(group) { CommitOutcome.Conflict(paths) }
+            finish(group, CommitOutcome.Conflict(failedPaths))
             return
         }
-        replace(if (rest.isEmpty()) emptyList() else listOf(Group(rest, emptySet())))
-        failed.forEach { deliver(it, CommitOutcome.Conflict(paths)) }
+        replaceFirstGroup(if (others.isEmpty()) emptyList() else listOf(Group(others, emptySet())))
+        failed.forEach { deliver(it, CommitOutcome.Conflict(failedPaths)) }
     }
 
-    /** Each change goes by itself: one of them keeps the others from being stored. */
-    private fun split(group: Group) = replace(group.changes.map { Group(listOf(it), group.inDoubt) })
+    /** Each transaction goes by itself: one of them keeps the others from being stored. */
+    private fun split(group: Group) = replaceFirstGroup(group.transactions.map { Group(listOf(it), group.idsInDoubt) })
 
-    private fun finish(group: Group, outcome: () -> CommitOutcome) {
-        replace(emptyList())
-        group.changes.forEach { deliver(it, outcome()) }
+    private fun finish(group: Group, outcome: CommitOutcome) {
+        replaceFirstGroup(emptyList())
+        group.transactions.forEach { deliver(it, outcome) }
     }
 
-    private fun replace(by: List<Group>) {
+    private fun replaceFirstGroup(replacements: List<Group>) {
         groups.removeFirst()
-        by.asReversed().forEach { groups.addFirst(it) }
-        transaction = null
+        replacements.asReversed().forEach { groups.addFirst(it) }
+        storeTransaction = null
         backoffMs = FIRST_BACKOFF_MS
     }
 
     private companion object {
         const val FIRST_BACKOFF_MS = 50L
         const val MAX_BACKOFF_MS = 800L
-        const val HALF = 0.5
+
+        /** A pause lies between half of the backoff and all of it. */
+        const val JITTER_RANGE = 0.5
     }
 }
--- a/src/main/kotlin/io/reedmast/kvstore/Keys.kt
+++ b/src/main/kotlin/io/reedmast/kvstore/Keys.kt
@@ -1,50 +1,78 @@
 package io.reedmast.kvstore
 
-/** Where things are kept in the store. */
+/** Where records are kept in the store. The key texts are part of the record format and never change. */
 object Keys {
     /** Shards, controllers, leader and token counter: few keys, watched by every controller. */
     const val CLUSTER = "c/"
+
+    /** The controller that is the leader. */
     const val LEADER = "c/leader"
+
+    /** The counter from which fencing tokens are allocated. */
     const val TOKEN = "c/token"
 
-    /** The format that every controller reads. */
+    /** The record format that every controller reads. */
     const val FORMAT = "c/format"
+
+    /** The controllers that are alive, each under its label and its lease. */
     const val MEMBERS = "c/node/"
 
-    /** Which features have been rolled out, and what operators wish of them. */
+    /** Which features have been rolled out, and what operators request of them. */
     const val ROLLOUT = "c/rollout"
 
     /** How far migrations of records have come. */
     const val MIGRATIONS = "c/migration/"
 
-    /** Controllers that are to give their shards up before they are stopped. */
+    /** Controllers that are to release their shards before they are stopped. */
     const val DRAINS = "c/drain/"
+
+    /** Owner and fencing token of each shard. */
     const val SHARDS = "c/slice/"
+
+    /** The names of each shard's machines, in one or several parts. */
     const val MACHINES = "c/hosts/"
 
     /** Jobs, unfinished and ended: watched by every controller. */
     const val JOBS = "j/"
+
+    /** Unfinished jobs, by shard. */
     const val LIVE = "j/live/"
+
+    /** Ended jobs. */
     const val ENDS = "j/end/"
+
+    /** Usage summaries of the shards. */
     const val TOTALS = "totals/"
 
+    private const val PAGES = "page/"
+
+    /** Owner and fencing token of a shard. */
     fun shard(index: Int) = "$SHARDS$index"
 
+    /** One part of the names of a shard's machines. */
     fun machineNames(shard: Int, part: Int) = "$MACHINES$shard/$part"
 
+    /** The controller with this label. */
     fun member(label: String) = "$MEMBERS$label"
 
+    /** How far the migration of a feature has come in one unit, such as a shard. */
     fun migration(feature: String, unit: String) = "$MIGRATIONS$feature/$unit"
 
+    /** The request that the controller with this label releases its shards. */
     fun drain(label: String) = "$DRAINS$label"
 
+    /** An unfinished job of a shard. */
     fun live(shard: Int, jobId: String) = "$LIVE$shard/$jobId"
 
+    /** An ended job. */
     fun end(jobId: String) = "$ENDS$jobId"
 
-    fun pagesOf(shard: Int) = "page/$shard/"
+    /** The prefix of all progress pages of a shard. */
+    fun pagesOf(shard: Int) = "$PAGES$shard/"
 
-    fun page(shard: Int, index: Int) = "page/$shard/$index"
+    /** One progress page of a shard. */
+    fun page(shard: Int, index: Int) = "${pagesOf(shard)}$index"
 
+    /** The usage summary of a shard. */
     fun totals(shard: Int) = "$TOTALS$shard"
 }
--- a/src/main/kotlin/io/reedmast/kvstore/StoreTransaction.kt
+++ b/src/main/kotlin/io/reedmast/kvstore/StoreTransaction.kt
@@ -1,17 +1,9 @@
 package io.reedmast.kvstore
 
 /**
- * One transaction as it is sent to the store.
+ * One transaction as it is sent to the store; it carries one or several [CasTransaction]s.
  *
  * Every value that it puts carries [id]. The value of a key tells by it which transaction stored it, where equal values
  * would not: two controllers that cancel the same job write the same record.
  */
 class StoreTransaction(val id: String, val preconditions: List<Precondition>, val writes: List<Write>)
-
-/** Gives each transaction of this process an id that no other transaction has, of any process. */
-class TransactionIds(private val incarnation: String) {
-    private var last = 0L
-
-    @Synchronized
-    fun next(): String = "$incarnation-${++last}"
-}
--- a/src/main/kotlin/io/reedmast/kvstore/Write.kt
+++ b/src/main/kotlin/io/reedmast/kvstore/Write.kt
@@ -4,28 +4,17 @@
 import io.reedmast.wire.StoreMessages
 import io.reedmast.wire.Tree
 
-/** The condition that a key still has this version; 0: that it does not exist. */
-data class Precondition(val path: String, val version: Long)
-
+/** One write of a transaction. */
 sealed interface Write {
+    /** The key written. */
     val path: String
 
+    /** Stores [value]; the key is deleted when [lease] ends, if there is one. */
     data class Put(override val path: String, val value: Fields, val lease: Long? = null) : Write {
-        /** What the store counts the value by, with the id of its transaction. */
+        /** The bytes that the store counts for the value, with the id of its transaction. */
         fun storedSize(transactionId: String): Int = Tree.jsonSize(StoreMessages.stored(value, transactionId))
     }
 
+    /** Deletes the key. */
     data class Delete(override val path: String) : Write
 }
-
-/** What goes first when the store takes fewer changes than there are. */
-enum class WritePriority {
-    /** A user waits for it: an acceptance, a cancellation. It takes turns with prompt changes. */
-    USER,
-
-    /** Work waits for it: a placement, the end of a job, machines. */
-    URGENT,
-
-    /** It only saves repeated work, or clears away. */
-    DEFERRED,
-}
--- a/src/main/kotlin/io/reedmast/settings/Settings.kt
+++ b/src/main/kotlin/io/reedmast/settings/Settings.kt
@@ -47,7 +47,18 @@
     val gangPeerS: Double = 5.0,
 )
 
-data class StoreLimits(val requestsPerS: Double, val writesPerS: Double, val valueBytes: Int, val opsPerCommit: Int)
+/**
+ * What the store accepts, from all controllers together: requests and writes a second, bytes of one value and writes of
+ * one transaction.
+ */
+data class StoreLimits(val requestsPerS: Double, val writesPerS: Double, val valueBytes: Int, val opsPerCommit: Int) {
+    /** How many preconditions one transaction may hold (PROTOCOL, POST /commit). */
+    val maxPreconditions: Int get() = opsPerCommit * PRECONDITIONS_PER_WRITE
+
+    private companion object {
+        const val PRECONDITIONS_PER_WRITE = 4
+    }
+}
 
 data class CloudLimits(val requestsPerS: Double, val listLagS: Double)
 
--- a/src/test/kotlin/io/reedmast/kvstore/CommitQueueTest.kt
+++ b/src/test/kotlin/io/reedmast/kvstore/CommitQueueTest.kt
@@ -18,7 +18,7 @@
     ) {
     }
 
-    private fun paths() = (queue.poll() as CommitQueue.Polled.Batch).changes.map { it.writes.single().path }
+    private fun paths() = (queue.poll() as CommitQueue.Polled.Batch).transactions.map { it.writes.single().path }
 
     @Test
     fun `changes of a moment share a transaction, up to the service's limit`() {
@@ -43,7 +43,7 @@
         val sent = ArrayList<String>()
         repeat(200) {
             repeat(4) { queue.offer(change("user${sent.size}-$it", WritePriority.USER), refusable = true) }
-            (queue.poll() as? CommitQueue.Polled.Batch)?.changes?.mapTo(sent) { it.writes.single().path }
+            (queue.poll() as? CommitQueue.Polled.Batch)?.transactions?.mapTo(sent) { it.writes.single().path }
             now += 50
         }
         assertTrue(sent.count { it.startsWith("work") } >= 25, "$sent")
@@ -79,7 +79,7 @@
             now += 100
             queue.offer(change("p$it"), refusable = false)
             (queue.poll() as? CommitQueue.Polled.Batch)?.let { batch ->
-                batch.changes.forEach { sent.add(it.writes.single().path) }
+                batch.transactions.forEach { sent.add(it.writes.single().path) }
             }
         }
         assertTrue("lazy" in sent, "$sent")
--- a/src/test/kotlin/io/reedmast/sim/SimGateway.kt
+++ b/src/test/kotlin/io/reedmast/sim/SimGateway.kt
@@ -82,7 +82,7 @@
                 is CommitQueue.Polled.Batch -> {
                     idleCommitters--
                     resolve(
-                        InDoubtResolution(polled.changes, ids, jitter::nextDouble) { change, outcome ->
+                        InDoubtResolution(polled.transactions, ids, jitter::nextDouble) { change, outcome ->
                             change.done(outcome)
                         },
                     )
--- a/src/test/kotlin/io/reedmast/sim/SimStore.kt
+++ b/src/test/kotlin/io/reedmast/sim/SimStore.kt
@@ -2,7 +2,6 @@
 
 import io.reedmast.cluster.MachineListPart
 import io.reedmast.kvstore.CommitReply
-import io.reedmast.kvstore.EffectiveLimits
 import io.reedmast.kvstore.Keys
 import io.reedmast.kvstore.StoreTransaction
 import io.reedmast.kvstore.StoredItem
@@ -131,7 +130,7 @@
     }
 
     private fun isTooLarge(transaction: StoreTransaction) = transaction.writes.size > limits.opsPerCommit ||
-        transaction.preconditions.size > limits.opsPerCommit * EffectiveLimits.CONDITIONS_PER_CHANGE ||
+        transaction.preconditions.size > limits.maxPreconditions ||
         transaction.writes.any { it is Write.Put && it.storedSize(transaction.id) > limits.valueBytes }
 
     fun commit(transaction: StoreTransaction): CommitReply {
