--- a/src/main/kotlin/io/reedmast/app/DirectStore.kt
+++ b/src/main/kotlin/io/reedmast/app/DirectStore.kt
@@ -11,7 +11,7 @@
 import io.reedmast.kvstore.TransactionIds
 import io.reedmast.rollout.RolloutStore
 import io.reedmast.settings.Settings
-import io.reedmast.wire.Caller
+import io.reedmast.wire.HttpCaller
 import java.util.concurrent.CompletableFuture
 import java.util.concurrent.TimeUnit
 import java.util.concurrent.TimeoutException
@@ -21,7 +21,8 @@
     private val limits = EffectiveLimits(settings.storeLimits, settings.nextStoreLimits)
 
     /** It takes a controller's part of the limits for the moment that it runs. */
-    private val client = StoreClient(settings.storeAddress, limits, settings.members.size, Caller(CONNECT_MS, READ_MS))
+    private val client =
+        StoreClient(settings.storeAddress, limits, settings.members.size, HttpCaller(CONNECT_MS, READ_MS))
     private val committer =
         Committer(client, limits, MAX_QUEUED, TransactionIds(incarnation)) { change, outcome -> change.done(outcome) }
 
--- a/src/main/kotlin/io/reedmast/app/Main.kt
+++ b/src/main/kotlin/io/reedmast/app/Main.kt
@@ -25,7 +25,7 @@
 import io.reedmast.settings.Settings
 import io.reedmast.settings.SettingsException
 import io.reedmast.settings.Tuning
-import io.reedmast.wire.Caller
+import io.reedmast.wire.HttpCaller
 import org.slf4j.LoggerFactory
 import java.io.IOException
 import java.net.InetSocketAddress
@@ -124,7 +124,12 @@
         val eventLoop = EventLoop(SystemClock, MAX_QUEUED)
         val limits = EffectiveLimits(settings.storeLimits, settings.nextStoreLimits)
         val client =
-            StoreClient(settings.storeAddress, limits, settings.members.size, Caller(STORE_CONNECT_MS, STORE_READ_MS))
+            StoreClient(
+                settings.storeAddress,
+                limits,
+                settings.members.size,
+                HttpCaller(STORE_CONNECT_MS, STORE_READ_MS),
+            )
         // Time of day and process start tell two processes of a controller apart.
         val incarnation = "${settings.label}-${java.lang.Long.toString(
             SystemClock.wall(),
--- a/src/main/kotlin/io/reedmast/app/NetworkGateway.kt
+++ b/src/main/kotlin/io/reedmast/app/NetworkGateway.kt
@@ -20,8 +20,8 @@
 import io.reedmast.settings.ControllerId
 import io.reedmast.settings.Member
 import io.reedmast.settings.Settings
-import io.reedmast.wire.Caller
 import io.reedmast.wire.CloudMessages
+import io.reedmast.wire.HttpCaller
 import io.reedmast.wire.ListedMachine
 import io.reedmast.wire.MachineType
 import io.reedmast.wire.MalformedException
@@ -55,8 +55,8 @@
     /** With many machines, hundreds of connections to them would lie idle that the workers' own connections need. */
     @Volatile
     private var scarceSockets = false
-    private val workerCaller = Caller(WORKER_CONNECT_MS, WORKER_READ_MS) { !scarceSockets }
-    private val cloudCaller = Caller(CLOUD_CONNECT_MS, CLOUD_READ_MS)
+    private val workerCaller = HttpCaller(WORKER_CONNECT_MS, WORKER_READ_MS) { !scarceSockets }
+    private val cloudCaller = HttpCaller(CLOUD_CONNECT_MS, CLOUD_READ_MS)
     private val cloudLimit = RateLimiter.create(settings.cloudLimits.requestsPerS / settings.members.size)
 
     /** Those that wait longer would be asked for again before they are stored. */
--- a/src/main/kotlin/io/reedmast/kvstore/CommitOutcome.kt
+++ b/src/main/kotlin/io/reedmast/kvstore/CommitOutcome.kt
@@ -8,8 +8,8 @@
     /**
      * Not applied and never will be: the keys in [failed] had moved on.
      *
-     * A transaction that was applied, but whose answer was lost and whose puts have all been replaced since, is reported
-     * in the same way: read the keys again before deciding anything.
+     * A transaction that was applied, but whose answer was lost and whose puts have all been replaced since, is
+     * reported in the same way: read the keys again before deciding anything.
      */
     data class Conflict(val failed: Set<String>) : CommitOutcome
 
--- a/src/main/kotlin/io/reedmast/kvstore/InDoubtResolution.kt
+++ b/src/main/kotlin/io/reedmast/kvstore/InDoubtResolution.kt
@@ -11,8 +11,8 @@
  * was applied. Nothing else does. An equal value may have been stored by another controller, and must not pass for
  * transactions that merely shared the one that was sent.
  *
- * A transaction is reported as a conflict as well if it was applied and all that it put has been replaced since. Whoever
- * receives a conflict therefore reads the keys again before deciding anything.
+ * A transaction is reported as a conflict as well if it was applied and all that it put has been replaced since.
+ * Whoever receives a conflict therefore reads the keys again before deciding anything.
  *
  * This class does no I/O: the caller carries out each [ResolutionStep] and hands back the result. Not thread-safe.
  *
--- a/src/main/kotlin/io/reedmast/kvstore/StoreClient.kt
+++ b/src/main/kotlin/io/reedmast/kvstore/StoreClient.kt
@@ -1,13 +1,14 @@
 package io.reedmast.kvstore
 
 import com.google.common.util.concurrent.RateLimiter
-import io.reedmast.wire.Caller
 import io.reedmast.wire.Fields
+import io.reedmast.wire.HttpCaller
 import io.reedmast.wire.HttpStatus
 import io.reedmast.wire.KeyedValue
 import io.reedmast.wire.MalformedException
 import io.reedmast.wire.Reply
 import io.reedmast.wire.StoreMessages
+import io.reedmast.wire.StoreReplies
 import org.slf4j.LoggerFactory
 import java.net.URLEncoder
 import java.util.concurrent.TimeUnit
@@ -24,7 +25,7 @@
     private val address: String,
     private val limits: EffectiveLimits,
     controllers: Int,
-    private val caller: Caller,
+    private val httpCaller: HttpCaller,
 ) {
     private val log = LoggerFactory.getLogger("store")
     private val requestLimiter = RateLimiter.create(requestsPerS(controllers))
@@ -48,7 +49,7 @@
         if (reply !is Reply.Answer) return ReadResult.Failed
         return parsed(ReadResult.Failed) {
             when (reply.status) {
-                HttpStatus.OK -> ReadResult.Found(storedItem(StoreMessages.item(reply.body)))
+                HttpStatus.OK -> ReadResult.Found(storedItem(StoreReplies.item(reply.body)))
                 HttpStatus.NOT_FOUND -> ReadResult.Missing
                 else -> ReadResult.Failed
             }
@@ -73,9 +74,9 @@
         if (reply !is Reply.Answer || reply.status != HttpStatus.OK) return null
         return parsed(null) {
             PartialListing(
-                items = StoreMessages.page(reply.body).mapTo(previous?.items ?: ArrayList()) { storedItem(it) },
-                revision = previous?.revision ?: StoreMessages.revision(reply.body),
-                hasMore = StoreMessages.hasMore(reply.body),
+                items = StoreReplies.page(reply.body).mapTo(previous?.items ?: ArrayList()) { storedItem(it) },
+                revision = previous?.revision ?: StoreReplies.revision(reply.body),
+                hasMore = StoreReplies.hasMore(reply.body),
             )
         }
     }
@@ -92,9 +93,9 @@
     }
 
     private fun commitReply(reply: Reply.Answer): CommitReply = when (reply.status) {
-        HttpStatus.OK -> CommitReply.Applied(StoreMessages.revision(reply.body))
-        HttpStatus.CONFLICT -> CommitReply.PreconditionFailed(StoreMessages.failedKeys(reply.body))
-        HttpStatus.BAD_REQUEST -> CommitReply.Malformed(StoreMessages.error(reply.body))
+        HttpStatus.OK -> CommitReply.Applied(StoreReplies.revision(reply.body))
+        HttpStatus.CONFLICT -> CommitReply.PreconditionFailed(StoreReplies.failedKeys(reply.body))
+        HttpStatus.BAD_REQUEST -> CommitReply.Malformed(StoreReplies.error(reply.body))
         HttpStatus.TOO_MANY_REQUESTS -> CommitReply.RateLimited
         HttpStatus.SERVICE_UNAVAILABLE -> CommitReply.NotExecuted
         else -> CommitReply.Unknown
@@ -104,7 +105,7 @@
     fun grantLease(lifeMs: Long): LeaseGrant {
         val reply = call("POST", "/leases", StoreMessages.leaseRequest(lifeMs))
         if (reply !is Reply.Answer || reply.status != HttpStatus.OK) return LeaseGrant.Failed
-        return parsed(LeaseGrant.Failed) { LeaseGrant.Granted(StoreMessages.lease(reply.body)) }
+        return parsed(LeaseGrant.Failed) { LeaseGrant.Granted(StoreReplies.lease(reply.body)) }
     }
 
     /** Asks that a lease have its full time again. */
@@ -131,8 +132,8 @@
 
     private fun watchResult(reply: Reply.Answer): WatchResult = when (reply.status) {
         HttpStatus.OK -> {
-            val revision = StoreMessages.revision(reply.body)
-            WatchResult.Events(revision, StoreMessages.changes(reply.body).map { watchEvent(it) })
+            val revision = StoreReplies.revision(reply.body)
+            WatchResult.Events(revision, StoreReplies.changes(reply.body).map { watchEvent(it) })
         }
 
         HttpStatus.GONE -> WatchResult.Compacted
@@ -151,15 +152,16 @@
 
     private fun watchEvent(change: KeyedValue) = WatchEvent(change.key, change.value, change.version)
 
-    private fun call(method: String, path: String, body: Fields? = null, readTimeoutMs: Int? = null): Reply {
+    private fun call(
+        method: String,
+        path: String,
+        body: Fields? = null,
+        readTimeoutMs: Int = httpCaller.readTimeoutMs,
+    ): Reply {
         if (!requestLimiter.tryAcquire(PERMIT_WAIT_MS, TimeUnit.MILLISECONDS)) {
             return Reply.NotSent("over this controller's part of the limit")
         }
-        val reply = if (readTimeoutMs == null) {
-            caller.call(method, address, path, body)
-        } else {
-            caller.call(method, address, path, body, readTimeoutMs)
-        }
+        val reply = httpCaller.call(method, address, path, body, readTimeoutMs)
         if (reply !is Reply.Answer || reply.status >= HttpStatus.INTERNAL_SERVER_ERROR) {
             log.debug("{} {}: {}", method, path, reply)
         }
--- /dev/null
+++ b/src/main/kotlin/io/reedmast/wire/Cause.kt
@@ -0,0 +1,28 @@
+package io.reedmast.wire
+
+/** Why a task ended, as far as the difference matters to a controller; [wire] is the name in messages. */
+enum class Cause(val wire: String) {
+    /** It completed. */
+    DONE("done"),
+
+    /** It was stopped by command. */
+    HALTED("halted"),
+
+    /** It failed. */
+    ERROR("error"),
+
+    /** Its start was refused: the machine has not enough free resources. */
+    NO_ROOM("no_room"),
+
+    /** Its start was refused: the task is on this machine with another attempt. */
+    BUSY("busy"),
+
+    /** Its start was refused: there is no such job or task. */
+    UNKNOWN("unknown"),
+
+    /** Another task of the gang is gone. */
+    PEERS("peers"),
+
+    /** The gang was not complete in time. */
+    ALONE("alone"),
+}
--- /dev/null
+++ b/src/main/kotlin/io/reedmast/wire/JobShape.kt
@@ -0,0 +1,20 @@
+package io.reedmast.wire
+
+/** How the tasks of a job belong together; [wire] is the name in messages and records. */
+enum class JobShape(val wire: String) {
+    /** Independent tasks, each of which runs to completion. */
+    ARRAY("array"),
+
+    /** Replicas that run until the job is cancelled. */
+    SERVICE("service"),
+
+    /** All tasks run at the same time, or none does; they complete together. */
+    GANG("gang"),
+    ;
+
+    companion object {
+        /** The shape of this name; throws [MalformedException] if there is none. */
+        fun of(text: String): JobShape =
+            entries.firstOrNull { it.wire == text } ?: throw MalformedException("shape is unknown: $text")
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/io/reedmast/wire/JobState.kt
@@ -0,0 +1,14 @@
+package io.reedmast.wire
+
+/** The state of a job as its users see it; [wire] is the name in messages and records. */
+enum class JobState(val wire: String) {
+    /** No task runs. */
+    QUEUED("queued"),
+    RUNNING("running"),
+    DONE("done"),
+    CANCELLED("aborted"),
+    ;
+
+    /** Whether the job is over, so that this never changes again. */
+    val isFinal: Boolean get() = this == DONE || this == CANCELLED
+}
--- /dev/null
+++ b/src/main/kotlin/io/reedmast/wire/TaskState.kt
@@ -0,0 +1,17 @@
+package io.reedmast.wire
+
+/** The state of one task on a worker; [wire] is the name in messages. */
+enum class TaskState(val wire: String) {
+    /** Waiting for its image. */
+    FETCHING("fetching"),
+
+    /** A task of a gang that waits for the other tasks of its attempt. */
+    WAITING("waiting"),
+    RUNNING("running"),
+
+    /** It was stopped and saves its progress. */
+    SAVING("saving"),
+
+    /** It is over, see [Cause]. */
+    ENDED("ended"),
+}
--- /dev/null
+++ b/src/main/kotlin/io/reedmast/wire/TaskStatus.kt
@@ -0,0 +1,24 @@
+package io.reedmast.wire
+
+/** What a worker reports of one attempt at a task; [cause] is null unless the attempt has ended. */
+data class TaskStatus(val id: TaskId, val attempt: Long, val state: TaskState, val cause: Cause?) {
+    companion object {
+        /** Reads one task of a heartbeat; throws [MalformedException] if it is not valid. */
+        internal fun parse(fields: Fields): TaskStatus {
+            val state = state(fields.text("stage"))
+            val cause = cause(fields.optionalText("cause"))
+            return TaskStatus(
+                id = TaskId.parse(fields.text("piece")),
+                attempt = fields.count("try"),
+                state = state,
+                cause = if (state == TaskState.ENDED) cause else null,
+            )
+        }
+
+        /** An unknown state: the task is on the machine, and not known to run. */
+        private fun state(name: String) = TaskState.entries.firstOrNull { it.wire == name } ?: TaskState.FETCHING
+
+        /** An unknown cause still means that the attempt is over without a result. */
+        private fun cause(name: String?) = Cause.entries.firstOrNull { it.wire == name } ?: Cause.ERROR
+    }
+}
--- a/src/test/kotlin/io/reedmast/app/SocketTest.kt
+++ b/src/test/kotlin/io/reedmast/app/SocketTest.kt
@@ -11,8 +11,8 @@
 import io.reedmast.ports.PeerMessage
 import io.reedmast.settings.Settings
 import io.reedmast.settings.Tuning
-import io.reedmast.wire.Caller
 import io.reedmast.wire.Fields
+import io.reedmast.wire.HttpCaller
 import io.reedmast.wire.Tree
 import org.junit.jupiter.api.AfterAll
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -87,7 +87,7 @@
         val settings = Settings.parse(Tree.readJson(text.toByteArray()))
         val eventLoop = EventLoop(SystemClock, 100)
         val limits = EffectiveLimits(settings.storeLimits, settings.nextStoreLimits)
-        val client = StoreClient(settings.storeAddress, limits, 1, Caller(500, 1000))
+        val client = StoreClient(settings.storeAddress, limits, 1, HttpCaller(500, 1000))
         val out = NetworkGateway(settings, eventLoop, client, limits, "test") {}
         val timings = Timings(SystemClock)
         val node =
--- a/src/test/kotlin/io/reedmast/kvstore/StoreStub.kt
+++ b/src/test/kotlin/io/reedmast/kvstore/StoreStub.kt
@@ -3,8 +3,8 @@
 import com.sun.net.httpserver.HttpExchange
 import com.sun.net.httpserver.HttpServer
 import io.reedmast.settings.StoreLimits
-import io.reedmast.wire.Caller
 import io.reedmast.wire.Fields
+import io.reedmast.wire.HttpCaller
 import io.reedmast.wire.Tree
 import java.net.InetAddress
 import java.net.InetSocketAddress
@@ -44,7 +44,7 @@
                 "127.0.0.1:${server.address.port}",
                 EffectiveLimits(limits),
                 1,
-                Caller(connectMs = 500, readMs = 300),
+                HttpCaller(connectTimeoutMs = 500, readTimeoutMs = 300),
             )
     }
 
--- a/src/test/kotlin/io/reedmast/loopback/LoopbackCluster.kt
+++ b/src/test/kotlin/io/reedmast/loopback/LoopbackCluster.kt
@@ -11,8 +11,8 @@
 import io.reedmast.sim.SimStore
 import io.reedmast.sim.World
 import io.reedmast.sim.testSettings
-import io.reedmast.wire.Caller
 import io.reedmast.wire.Fields
+import io.reedmast.wire.HttpCaller
 import io.reedmast.wire.JobSpec
 import io.reedmast.wire.MachineType
 import io.reedmast.wire.Reply
@@ -55,7 +55,7 @@
     private val workers = LinkedHashMap<String, LoopbackWorker>()
     private val processes = HashMap<Int, Process>()
     private val services = HashSet<String>()
-    private val caller = Caller(CONNECT_MS, READ_MS)
+    private val caller = HttpCaller(CONNECT_MS, READ_MS)
     private val directory: Path = Files.createTempDirectory("loopback")
     private var transactions = 0
 
--- a/src/test/kotlin/io/reedmast/loopback/LoopbackWorker.kt
+++ b/src/test/kotlin/io/reedmast/loopback/LoopbackWorker.kt
@@ -2,8 +2,8 @@
 
 import com.sun.net.httpserver.HttpExchange
 import com.sun.net.httpserver.HttpServer
-import io.reedmast.wire.Caller
 import io.reedmast.wire.Fields
+import io.reedmast.wire.HttpCaller
 import io.reedmast.wire.Reply
 import io.reedmast.wire.Tree
 import java.net.InetAddress
@@ -28,7 +28,7 @@
         var cause: String? = null,
     )
 
-    private val caller = Caller(CONNECT_MS, READ_MS)
+    private val caller = HttpCaller(CONNECT_MS, READ_MS)
     private val server = HttpServer.create(InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 50)
     private val threads = Executors.newCachedThreadPool { Thread(it).apply { isDaemon = true } }
     val addr = "127.0.0.1:${server.address.port}"
