--- /dev/null
+++ b/src/main/kotlin/io/reedmast/settings/Objective.kt
@@ -0,0 +1,9 @@
+package io.reedmast.settings
+
+/**
+ * A service-level objective of the deployment.
+ *
+ * @property jobClass the class of jobs that it is for; null: all.
+ * @property withinS the time that it sets, in seconds, for a [kind] that has one.
+ */
+data class Objective(val kind: String, val jobClass: String?, val withinS: Double?)
--- /dev/null
+++ b/src/main/kotlin/io/reedmast/settings/SettingsParser.kt
@@ -0,0 +1,215 @@
+package io.reedmast.settings
+
+import io.reedmast.wire.Fields
+import io.reedmast.wire.MalformedException
+import io.reedmast.wire.amount
+import io.reedmast.wire.count
+import io.reedmast.wire.map
+import io.reedmast.wire.maps
+import io.reedmast.wire.optionalAmount
+import io.reedmast.wire.text
+import java.net.InetSocketAddress
+
+/**
+ * Reads [Settings] section by section, in an order that stays as it is: the first field that cannot be used is the one
+ * that is reported. Unknown fields are ignored.
+ */
+internal class SettingsParser(private val root: Fields) {
+    /** The settings; throws [SettingsException] for the first field that cannot be used. */
+    fun parse(): Settings {
+        val label = label()
+        val front = at("") { address("front", root.text("front")) }
+        val clusterListen = at("") { address("cluster_listen", root.text("cluster_listen")) }
+        val members = members(Member(label, clusterListen))
+        val outside = at("") { root.map("outside") }
+        val facts = at("") { root.map("facts") }
+        requireControllerCount(facts, members.size)
+        val workers = workerRules(facts)
+        val store = storeSection(facts)
+        return Settings(
+            label = label,
+            front = front,
+            clusterListen = clusterListen,
+            members = members,
+            self = ControllerId(members.indexOfFirst { it.label == label }),
+            workers = workers,
+            storeLimits = store.limits,
+            nextStoreLimits = store.nextLimits,
+            cloudLimits = cloudLimits(facts),
+            maxConnections = maxConnections(facts),
+            cloudAddress = outsideAddress(outside, "cloud"),
+            storeAddress = outsideAddress(outside, "state"),
+            zones = zones(facts),
+            teams = teams(facts),
+            objectives = objectives(facts),
+        )
+    }
+
+    private fun label(): String {
+        val label = at("") { root.text("label") }
+        if (label.isEmpty()) throw SettingsException("label is empty")
+        return label
+    }
+
+    /** This controller and the others, in name order. */
+    private fun members(self: Member): List<Member> {
+        val seeds = if (root["seeds"] == null) emptyList() else at("") { root.maps("seeds") }
+        val others = seeds.mapIndexed { i, seed -> at("seeds[$i].") { member(seed) } }
+        val members = (others + self).sortedBy { it.label }
+        requireDistinct(members.map { it.label }, "seeds name a label twice")
+        return members
+    }
+
+    private fun member(seed: Fields) = Member(seed.text("label"), address("endpoint", seed.text("endpoint")))
+
+    private fun requireControllerCount(facts: Fields, memberCount: Int) {
+        val nodes = at("facts.") { facts.count("nodes") }
+        if (nodes != memberCount.toLong()) {
+            throw SettingsException("facts.nodes is $nodes, but label and seeds name $memberCount nodes")
+        }
+    }
+
+    private fun workerRules(facts: Fields): WorkerRules {
+        val workers = at("facts.") { facts.map("workers") }
+        val rules = at("facts.workers.") {
+            WorkerRules(
+                reportS = positive(workers, "report_s"),
+                leaseS = positive(workers, "lease_s"),
+                cancelS = positive(workers, "cancel_s"),
+                gangWaitS = workers.optionalAmount("gang_wait_s") ?: WorkerRules.DEFAULT_GANG_WAIT_S,
+                gangPeerS = workers.optionalAmount("gang_peer_s") ?: WorkerRules.DEFAULT_GANG_PEER_S,
+            )
+        }
+        if (rules.cancelS <= rules.leaseS) throw SettingsException("facts.workers.cancel_s must be above lease_s")
+        return rules
+    }
+
+    private class StoreSection(val limits: StoreLimits, val nextLimits: StoreLimits?)
+
+    private fun storeSection(facts: Fields): StoreSection {
+        val store = at("facts.") { facts.map("state") }
+        val limits = storeLimits(store)
+        val nextLimits = nextStoreLimits(store, limits)
+        if (limits.opsPerCommit < MIN_OPS_PER_COMMIT) {
+            throw SettingsException("facts.state.txn_ops must be at least $MIN_OPS_PER_COMMIT")
+        }
+        return StoreSection(limits, nextLimits)
+    }
+
+    private fun storeLimits(store: Fields): StoreLimits = at("facts.state.") {
+        StoreLimits(
+            requestsPerS = positive(store, "rps"),
+            writesPerS = positive(store, "write_rps"),
+            valueBytes = bytes(positive(store, "value_kb")),
+            opsPerCommit = positive(store, "txn_ops").toInt(),
+        )
+    }
+
+    /** The limits that are announced for later; one that is not named stays as it is. */
+    private fun nextStoreLimits(store: Fields, current: StoreLimits): StoreLimits? {
+        if (store["next"] == null) return null
+        val next = at("facts.state.next: ") { store.map("next") }
+        return at("facts.state.next.") {
+            StoreLimits(
+                requestsPerS = optionalPositive(next, "rps") ?: current.requestsPerS,
+                writesPerS = optionalPositive(next, "write_rps") ?: current.writesPerS,
+                valueBytes = optionalPositive(next, "value_kb")?.let { bytes(it) } ?: current.valueBytes,
+                opsPerCommit = optionalPositive(next, "txn_ops")?.toInt() ?: current.opsPerCommit,
+            )
+        }
+    }
+
+    private fun bytes(kibibytes: Double): Int = (kibibytes * BYTES_PER_KIBIBYTE).toInt()
+
+    private fun cloudLimits(facts: Fields): CloudLimits {
+        val cloud = at("facts.") { facts.map("cloud") }
+        return at("facts.cloud.") { CloudLimits(positive(cloud, "rps"), cloud.amount("list_lag_s")) }
+    }
+
+    private fun maxConnections(facts: Fields): Int {
+        if (facts["resources"] == null) return DEFAULT_MAX_CONNECTIONS
+        val resources = at("facts.") { facts.map("resources") }
+        return at("facts.resources.") { resources.optionalAmount("max_connections") }?.toInt()
+            ?: DEFAULT_MAX_CONNECTIONS
+    }
+
+    private fun outsideAddress(outside: Fields, name: String): String = at("outside.") {
+        outside.text(name).also { address(name, it) }
+    }
+
+    private fun zones(facts: Fields): List<String> = at("facts.") {
+        val zones = facts["zones"] as? List<*> ?: throw MalformedException("zones is missing or not a list")
+        zones.map { it as? String ?: throw MalformedException("zones holds something that is not text") }
+    }
+
+    private fun teams(facts: Fields): List<TeamShare> {
+        val sections = at("facts.") { facts.maps("teams") }
+        if (sections.isEmpty()) throw SettingsException("facts.teams is empty")
+        val teams = sections.mapIndexed { i, section -> at("facts.teams[$i].") { team(section) } }
+        requireDistinct(teams.map { it.name }, "facts.teams names a team twice")
+        return teams
+    }
+
+    private fun team(section: Fields) = TeamShare(
+        name = section.text("name"),
+        cpus = section.amount("cpus"),
+        maxCpus = section.optionalAmount("cpus_max") ?: 0.0,
+        gpus = section.optionalAmount("gpus") ?: 0.0,
+        maxGpus = section.optionalAmount("gpus_max") ?: 0.0,
+    )
+
+    private fun objectives(facts: Fields): List<Objective> {
+        if (facts["objectives"] == null) return emptyList()
+        val sections = at("facts.") { facts.maps("objectives") }
+        return sections.mapIndexed { i, section -> at("facts.objectives[$i].") { objective(section) } }
+    }
+
+    private fun objective(section: Fields) = Objective(
+        kind = section.text("kind"),
+        jobClass = section["class"] as? String,
+        withinS = section.optionalAmount("within_s"),
+    )
+
+    private fun requireDistinct(names: List<String>, complaint: String) {
+        if (names.toSet().size != names.size) throw SettingsException(complaint)
+    }
+
+    private fun positive(fields: Fields, name: String): Double {
+        val value = fields.amount(name)
+        if (value <= 0.0) throw MalformedException("$name must be above 0")
+        return value
+    }
+
+    private fun optionalPositive(fields: Fields, name: String): Double? =
+        if (fields[name] == null) null else positive(fields, name)
+
+    private fun address(name: String, text: String): InetSocketAddress {
+        val ipAddress = text.substringBeforeLast(':', missingDelimiterValue = "")
+        val port = text.substringAfterLast(':', missingDelimiterValue = "").toIntOrNull()
+        // By IP numbers only: a name would be looked up, and there may be nobody to ask.
+        if (port == null || port !in 1..MAX_PORT || !ipAddress.matches(IP_ADDRESS)) {
+            throw MalformedException("$name is not an address of the form 10.0.0.1:8080: $text")
+        }
+        return try {
+            InetSocketAddress(ipAddress, port)
+        } catch (e: IllegalArgumentException) {
+            throw MalformedException("$name is not an address: ${e.message}", e)
+        }
+    }
+
+    /** Has [read] done; if a field is malformed, it is reported by its path, of which [prefix] is the beginning. */
+    private inline fun <T> at(prefix: String, read: () -> T): T = try {
+        read()
+    } catch (e: MalformedException) {
+        throw SettingsException(prefix + e.message, e)
+    }
+
+    private companion object {
+        const val BYTES_PER_KIBIBYTE = 1024
+
+        const val MIN_OPS_PER_COMMIT = 4
+        const val DEFAULT_MAX_CONNECTIONS = 1_000
+        const val MAX_PORT = 65_535
+        val IP_ADDRESS = Regex("[0-9]{1,3}(\\.[0-9]{1,3}){3}")
+    }
+}
