--- a/src/main/kotlin/io/reedmast/kvstore/CommitQueue.kt
+++ b/src/main/kotlin/io/reedmast/kvstore/CommitQueue.kt
@@ -8,7 +8,7 @@
  *
  * @param limits what one batch has to fit.
  * @param writeLimiter pays for every write that [poll] hands out.
- * @param maxQueued how many refusable transactions of one priority may wait.
+ * @param maxQueued a refusable transaction is refused when so many of its priority wait.
  * @param nowMs a monotonic clock, in milliseconds.
  */
 class CommitQueue(
@@ -56,7 +56,7 @@
         var shortestWaitMs = Long.MAX_VALUE
         for (candidate in candidates()) {
             val waitMs = acquirePermits(candidate.queue.peek().transaction, candidate)
-            if (waitMs == 0L) return Polled.Batch(takeBatch(candidate))
+            if (waitMs == 0L) return Polled.Batch(nextBatch(candidate))
             shortestWaitMs = minOf(shortestWaitMs, waitMs)
         }
         return if (shortestWaitMs == Long.MAX_VALUE) Polled.Empty else Polled.Wait(shortestWaitMs)
@@ -66,7 +66,7 @@
         writeLimiter.tryAcquire(transaction.writes.size, candidate.limiterPriority)
 
     /** The first transaction of the candidate, whose permits are acquired, with those that can go with it. */
-    private fun takeBatch(candidate: Candidate): List<CasTransaction> {
+    private fun nextBatch(candidate: Candidate): List<CasTransaction> {
         batchCount++
         userBatchesInARow = if (candidate.queue === userQueue) userBatchesInARow + 1 else 0
         val queue = candidate.queue
--- a/src/main/kotlin/io/reedmast/kvstore/Committer.kt
+++ b/src/main/kotlin/io/reedmast/kvstore/Committer.kt
@@ -9,7 +9,7 @@
  * A transaction stays here until what became of it is certain, which [InDoubtResolution] finds out; this class does the
  * waiting and the I/O.
  *
- * @param maxQueued how many refusable transactions of one priority may wait.
+ * @param maxQueued a refusable transaction is refused when so many of its priority wait.
  * @param deliver called on a committing thread with each transaction and its outcome.
  */
 class Committer(
@@ -38,7 +38,7 @@
         return true
     }
 
-    /** The body of a committing thread; returns when the thread is interrupted. */
+    /** The body of a committing thread, which runs until it is interrupted. */
     fun run() {
         while (!Thread.currentThread().isInterrupted) resolve(awaitBatch())
     }
--- a/src/main/kotlin/io/reedmast/kvstore/StoreClient.kt
+++ b/src/main/kotlin/io/reedmast/kvstore/StoreClient.kt
@@ -81,7 +81,7 @@
         }
     }
 
-    /** Sends a transaction, whose writes the [writeLimiter] must have granted, once. */
+    /** Sends a transaction once; the permits for its writes have been acquired from the [writeLimiter]. */
     fun commit(transaction: StoreTransaction): CommitReply {
         val conditions = transaction.preconditions.map { StoreMessages.condition(it.path, it.version) }
         val body = StoreMessages.transaction(conditions, transaction.writes.map { encoded(it, transaction.id) })
--- a/src/main/kotlin/io/reedmast/kvstore/TransactionBatch.kt
+++ b/src/main/kotlin/io/reedmast/kvstore/TransactionBatch.kt
@@ -53,7 +53,7 @@
         /** Below the 64 KiB of a request body (PROTOCOL), with room for what surrounds the writes. */
         const val MAX_BYTES = 56 * 1024
 
-        /** More than a precondition takes in a request body. */
+        /** What a precondition is assumed to take of a request body. */
         const val PRECONDITION_BYTES = 80
     }
 }
--- a/src/main/kotlin/io/reedmast/wire/HttpCaller.kt
+++ b/src/main/kotlin/io/reedmast/wire/HttpCaller.kt
@@ -8,8 +8,8 @@
  * Calls other processes over HTTP with CBOR bodies; blocking, connections kept open and reused as long as [keepOpen]
  * holds. Thread-safe.
  *
- * @param connectTimeoutMs how long a connection may take to be made.
- * @param readTimeoutMs how long an answer may keep silent, unless a call says otherwise.
+ * @param connectTimeoutMs how long to wait for a connection.
+ * @param readTimeoutMs how long to wait for bytes of an answer, unless a call says otherwise.
  */
 class HttpCaller(
     private val connectTimeoutMs: Int,
--- a/src/main/kotlin/io/reedmast/wire/MachineType.kt
+++ b/src/main/kotlin/io/reedmast/wire/MachineType.kt
@@ -36,7 +36,7 @@
         private const val ROUNDING_ERROR = 1e-9
         private const val DEFAULT_FETCH_GB_PER_S = 0.1
 
-        /** Fetch times are quotients by the rate. */
+        /** Keeps fetch times finite: they are quotients by the rate. */
         private const val MIN_FETCH_GB_PER_S = 0.001
 
         /** All types in the answer to `GET /flavors`. */
--- a/src/test/kotlin/io/reedmast/kvstore/CommitQueueTest.kt
+++ b/src/test/kotlin/io/reedmast/kvstore/CommitQueueTest.kt
@@ -11,7 +11,7 @@
     private val limits = StoreLimits(100.0, 10.0, 8192, 4)
     private val queue = CommitQueue(limits, WriteRateLimiter(10.0) { now }, maxQueued = 8) { now }
 
-    private fun change(path: String, writePriority: WritePriority = WritePriority.URGENT) = CasTransaction(
+    private fun transaction(path: String, writePriority: WritePriority = WritePriority.URGENT) = CasTransaction(
         listOf(Precondition(path, 1), Precondition("term", 3)),
         listOf(Write.Put(path, emptyMap())),
         writePriority,
@@ -22,7 +22,7 @@
 
     @Test
     fun `changes of a moment share a transaction, up to the service's limit`() {
-        ('a'..'f').forEach { queue.offer(change("$it"), refusable = true) }
+        ('a'..'f').forEach { queue.offer(transaction("$it"), refusable = true) }
         assertEquals(listOf("a", "b", "c", "d"), paths())
         assertEquals(listOf("e", "f"), paths())
         assertEquals(CommitQueue.Polled.Empty, queue.poll())
@@ -30,8 +30,8 @@
 
     @Test
     fun `two changes of one key do not share a transaction`() {
-        queue.offer(change("a"), refusable = true)
-        queue.offer(change("a"), refusable = true)
+        queue.offer(transaction("a"), refusable = true)
+        queue.offer(transaction("a"), refusable = true)
         assertEquals(listOf("a"), paths())
         assertEquals(listOf("a"), paths())
     }
@@ -39,10 +39,10 @@
     /** A burst of submissions must not hold up the placements of what was accepted. */
     @Test
     fun `work goes on while users send more than the limit allows`() {
-        repeat(100) { queue.offer(change("work$it"), refusable = false) }
+        repeat(100) { queue.offer(transaction("work$it"), refusable = false) }
         val sent = ArrayList<String>()
         repeat(200) {
-            repeat(4) { queue.offer(change("user${sent.size}-$it", WritePriority.USER), refusable = true) }
+            repeat(4) { queue.offer(transaction("user${sent.size}-$it", WritePriority.USER), refusable = true) }
             (queue.poll() as? CommitQueue.Polled.Batch)?.transactions?.mapTo(sent) { it.writes.single().path }
             now += 50
         }
@@ -53,19 +53,19 @@
     /** Acceptances waited for a change's time and more, as long as work took every change that the limit allowed. */
     @Test
     fun `a user's change goes at once while work takes all that the limit leaves`() {
-        repeat(40) { queue.offer(change("a$it"), refusable = false) }
+        repeat(40) { queue.offer(transaction("a$it"), refusable = false) }
         while (queue.poll() is CommitQueue.Polled.Batch) now += 1
         repeat(2) {
-            queue.offer(change("accept$it", WritePriority.USER), refusable = true)
+            queue.offer(transaction("accept$it", WritePriority.USER), refusable = true)
             assertEquals(listOf("accept$it"), paths())
         }
     }
 
     @Test
     fun `only what is asked for from outside is refused`() {
-        repeat(8) { assertTrue(queue.offer(change("a$it"), refusable = true)) }
-        assertFalse(queue.offer(change("b"), refusable = true))
-        assertTrue(queue.offer(change("c"), refusable = false))
+        repeat(8) { assertTrue(queue.offer(transaction("a$it"), refusable = true)) }
+        assertFalse(queue.offer(transaction("b"), refusable = true))
+        assertTrue(queue.offer(transaction("c"), refusable = false))
     }
 
     /**
@@ -73,11 +73,11 @@
      */
     @Test
     fun `a lazy change is not kept waiting for ever by prompt ones`() {
-        queue.offer(change("lazy", WritePriority.DEFERRED), refusable = false)
+        queue.offer(transaction("lazy", WritePriority.DEFERRED), refusable = false)
         val sent = ArrayList<String>()
         repeat(60) {
             now += 100
-            queue.offer(change("p$it"), refusable = false)
+            queue.offer(transaction("p$it"), refusable = false)
             (queue.poll() as? CommitQueue.Polled.Batch)?.let { batch ->
                 batch.transactions.forEach { sent.add(it.writes.single().path) }
             }
--- a/src/test/kotlin/io/reedmast/kvstore/CommitterTest.kt
+++ b/src/test/kotlin/io/reedmast/kvstore/CommitterTest.kt
@@ -17,18 +17,25 @@
     @AfterEach
     fun close() = service.close()
 
-    private fun change(name: String, preconditions: List<Precondition>, vararg writes: Write, done: CountDownLatch) =
-        CasTransaction(preconditions, writes.toList()) {
-            outcomes[name] = it
-            done.countDown()
-        }
+    private fun transaction(
+        name: String,
+        preconditions: List<Precondition>,
+        vararg writes: Write,
+        done: CountDownLatch,
+    ) = CasTransaction(preconditions, writes.toList()) {
+        outcomes[name] = it
+        done.countDown()
+    }
 
-    private fun commit(changes: List<CasTransaction>, done: CountDownLatch) {
+    private fun commit(transactions: List<CasTransaction>, done: CountDownLatch) {
         val committer =
-            Committer(service.client, EffectiveLimits(service.limits), 64, TransactionIds("test")) { change, outcome ->
-                change.done(outcome)
+            Committer(service.client, EffectiveLimits(service.limits), 64, TransactionIds("test")) {
+                    transaction,
+                    outcome,
+                ->
+                transaction.done(outcome)
             }
-        changes.forEach { committer.offer(it, refusable = false) }
+        transactions.forEach { committer.offer(it, refusable = false) }
         Thread(committer::run).apply { isDaemon = true }.start()
         assertTrue(done.await(20, TimeUnit.SECONDS), "some changes are never settled")
     }
@@ -47,21 +54,21 @@
         service.plan(Fate.LOST)
         service.whenLost = { service.store("j/live/0/wk-1", cancelled) }
         val cancel =
-            change(
+            transaction(
                 "cancel",
                 listOf(Precondition("j/live/0/wk-1", before)),
                 Write.Put("j/live/0/wk-1", cancelled),
                 done = done,
             )
         val accept =
-            change(
+            transaction(
                 "accept",
                 listOf(Precondition("j/live/0/wk-2", 0)),
                 Write.Put("j/live/0/wk-2", mapOf("spec" to "wk-2")),
                 done = done,
             )
         val page =
-            change(
+            transaction(
                 "page",
                 listOf(Precondition("page/0/0", 0)),
                 Write.Put("page/0/0", mapOf("chunks" to listOf("wk-3"))),
--- a/src/test/kotlin/io/reedmast/kvstore/InDoubtResolutionTest.kt
+++ b/src/test/kotlin/io/reedmast/kvstore/InDoubtResolutionTest.kt
@@ -11,28 +11,33 @@
     private val outcomes = LinkedHashMap<String, CommitOutcome>()
     private val sent = ArrayList<StoreTransaction>()
 
-    private fun change(name: String, preconditions: List<Precondition>, vararg writes: Write) =
+    private fun transaction(name: String, preconditions: List<Precondition>, vararg writes: Write) =
         CasTransaction(preconditions, writes.toList()) {
             outcomes[name] =
                 it
         }
 
-    private val cancel = change("cancel", listOf(Precondition("a", 5)), Write.Put("a", mapOf("aborted" to true)))
+    private val cancel = transaction("cancel", listOf(Precondition("a", 5)), Write.Put("a", mapOf("aborted" to true)))
     private val accept =
-        change("accept", listOf(Precondition("b", 0), Precondition("end/b", 0)), Write.Put("b", mapOf("spec" to "b")))
+        transaction(
+            "accept",
+            listOf(Precondition("b", 0), Precondition("end/b", 0)),
+            Write.Put("b", mapOf("spec" to "b")),
+        )
     private val end =
-        change(
+        transaction(
             "end",
             listOf(Precondition("c", 7), Precondition("end/c", 4)),
             Write.Put("end/c", mapOf("state" to "done")),
             Write.Delete("c"),
         )
     private val lead =
-        change("lead", listOf(Precondition("leader", 0)), Write.Put("leader", mapOf("label" to "n0"), lease = 3))
+        transaction("lead", listOf(Precondition("leader", 0)), Write.Put("leader", mapOf("label" to "n0"), lease = 3))
 
-    private fun resolution(vararg changes: CasTransaction) = InDoubtResolution(changes.toList(), TransactionIds("me"), {
-        0.5
-    }) { change, outcome -> change.done(outcome) }
+    private fun resolution(vararg transactions: CasTransaction) =
+        InDoubtResolution(transactions.toList(), TransactionIds("me"), {
+            0.5
+        }) { transaction, outcome -> transaction.done(outcome) }
 
     private fun InDoubtResolution.reply(reply: CommitReply) {
         sent.add((next() as ResolutionStep.Send).transaction)
