--- /dev/null
+++ b/src/main/kotlin/io/reedmast/heartbeats/FailureTracker.kt
@@ -0,0 +1,88 @@
+package io.reedmast.heartbeats
+
+import io.reedmast.model.DecommissionReason
+import io.reedmast.model.Job
+import io.reedmast.model.Machine
+import io.reedmast.model.Placement
+import io.reedmast.model.ShardState
+import org.slf4j.LoggerFactory
+
+/**
+ * Tells faulty jobs from unhealthy machines by where tasks fail: a job with a mistake fails wherever it runs, and on an
+ * unhealthy machine several jobs fail.
+ */
+internal class FailureTracker(private val shardState: ShardState) {
+    private val log = LoggerFactory.getLogger("shard")
+
+    /** A task has completed: neither its machine nor its job is at fault. Where the job failed before, a machine may be. */
+    fun recordSuccess(placement: Placement, now: Long) {
+        val job = placement.job
+        placement.machine.failedJobs.clear()
+        job.failures = 0
+        job.hasSucceeded = true
+        job.failedOn.forEach { decommissionIfUnhealthy(it, now) }
+    }
+
+    /** A task has failed by itself: holds back its job if that seems faulty, or gives up its machine if that does. */
+    fun recordFailure(placement: Placement, now: Long) {
+        if (!countsAsFailure(placement)) return
+        val job = placement.job
+        val machine = placement.machine
+        machine.failedJobs.add(job.spec.jobId)
+        // Several tasks that fail together on one machine say no more of the job than one does: counted each,
+        // they made an unhealthy machine look like a job with a mistake, and the machine was kept.
+        if (job.failedOn.add(machine)) job.failures++
+        if (shardState.isSuspectedFaulty(job)) {
+            holdBackFaultyJob(job, now)
+        } else {
+            decommissionIfUnhealthy(machine, now)
+        }
+    }
+
+    /** Several tasks of a gang fail together where the gang has a mistake: that says no more than one failure does. */
+    private fun countsAsFailure(placement: Placement): Boolean {
+        val job = placement.job
+        val isFirstOfAttempt = !job.spec.gang || job.lastFailedAttempt != placement.attempt
+        job.lastFailedAttempt = placement.attempt
+        return isFirstOfAttempt
+    }
+
+    /** It fails wherever it runs: the job has a mistake, and the machines have not. */
+    private fun holdBackFaultyJob(job: Job, now: Long) {
+        job.failedOn.forEach { it.failedJobs.remove(job.spec.jobId) }
+        job.failedOn.clear()
+        val doublings = minOf(MAX_DOUBLINGS, job.failures / FAILURES_PER_DOUBLING)
+        job.notBefore = now + minOf(MAX_RETRY_MS, FIRST_RETRY_MS shl doublings)
+    }
+
+    private fun decommissionIfUnhealthy(machine: Machine, now: Long) {
+        if (machine.decommissionReason != null || !isUnhealthy(machine, now)) return
+        log.info("machine {}: unhealthy, every task fails there, decommissioned", machine.name)
+        machine.decommissionReason = DecommissionReason.UNHEALTHY
+    }
+
+    /**
+     * Tasks of several jobs failed there since the last success, and one of the jobs is known to run elsewhere. Without
+     * that, a few jobs with a mistake that met on one machine had it returned.
+     */
+    private fun isUnhealthy(machine: Machine, now: Long): Boolean {
+        val failedJobs = machine.failedJobs
+        if (failedJobs.size < MIN_FAILED_JOBS_WITH_PROVEN_ONE) return false
+        return failedJobs.size >= MIN_FAILED_JOBS_IN_ANY_CASE ||
+            failedJobs.any { jobId -> shardState.jobs[jobId]?.let { isProven(it, now) } == true }
+    }
+
+    /** Whether the job is known to run on some machine, so that it has no mistake. */
+    private fun isProven(job: Job, now: Long) =
+        job.hasSucceeded || job.placements().any { it.running && now - it.runningSince > RUN_THAT_PROVES_JOB_MS }
+
+    private companion object {
+        const val FIRST_RETRY_MS = 2_000L
+        const val MAX_RETRY_MS = 30_000L
+        const val MAX_DOUBLINGS = 5
+        const val FAILURES_PER_DOUBLING = 4
+        const val MIN_FAILED_JOBS_WITH_PROVEN_ONE = 2
+        const val MIN_FAILED_JOBS_IN_ANY_CASE = 4
+        const val RUN_THAT_PROVES_JOB_MS = 10_000L
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/io/reedmast/heartbeats/MissingTask.kt
@@ -0,0 +1,65 @@
+package io.reedmast.heartbeats
+
+import io.reedmast.model.Placement
+import io.reedmast.wire.WorkerStatus
+
+/** What the absence of a stored placement's task from the newest status means. */
+internal enum class MissingTask {
+    /** Killed with an earlier epoch (PROTOCOL, Leases), and not to be started on this machine again. */
+    LOST,
+
+    /**
+     * Killed with an earlier epoch, on a worker that is back and has the image. Placed anew, all tasks of a fleet
+     * waited for the store's limit and for images after an outage that was longer than the workers' leases.
+     */
+    LOST_AND_RESTARTABLE,
+
+    /** The status answers a direct call: commands go with the answer to the next heartbeat. */
+    NO_ANSWER_POSSIBLE,
+
+    /** It is to run: the launch goes with the answer, for the first time or again. */
+    LAUNCH_DUE,
+
+    /** It is to be stopped, and a direct call to the worker is unanswered: the task may just be starting. */
+    DIRECT_CALL_PENDING,
+
+    /** It is to be stopped, but a direct launch of it, or a copy of one, may still arrive. */
+    STOPPED_BEFORE_LATE_LAUNCH,
+
+    /** It is to be stopped, and this status is no newer than the one whose answer last carried its launch. */
+    ANSWER_PENDING,
+
+    /** It is to be stopped, and is not on the machine: no launch of it can arrive any more. */
+    STOPPED,
+    ;
+
+    companion object {
+        /** The case of [placement], stored and absent from [status], which is the newest one and current. */
+        fun of(placement: Placement, status: WorkerStatus, source: StatusSource): MissingTask {
+            val machine = placement.machine
+            val mayLaunchLate = machine.mayLaunch(placement.id, placement.attempt)
+            val wasSent = placement.launchEpoch != 0L
+            return when {
+                // A later epoch: everything of the earlier one was killed, and its launches are refused.
+                wasSent && placement.launchEpoch < status.epoch && !mayLaunchLate ->
+                    if (isRestartable(placement)) LOST_AND_RESTARTABLE else LOST
+
+                source != StatusSource.HEARTBEAT -> NO_ANSWER_POSSIBLE
+
+                placement.stopReason == null -> LAUNCH_DUE
+
+                mayLaunchLate -> if (machine.directCalls > 0) DIRECT_CALL_PENDING else STOPPED_BEFORE_LATE_LAUNCH
+
+                wasSent && status.sequence <= placement.answeredSequence -> ANSWER_PENDING
+
+                else -> STOPPED
+            }
+        }
+
+        private fun isRestartable(placement: Placement): Boolean {
+            val machine = placement.machine
+            return placement.stopReason == null && machine.usable && machine.noticeUntil == 0L &&
+                !placement.job.spec.gang
+        }
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/io/reedmast/heartbeats/MissingTaskHandler.kt
@@ -0,0 +1,68 @@
+package io.reedmast.heartbeats
+
+import io.reedmast.commands.CommandDispatcher
+import io.reedmast.gangs.GangCoordinator
+import io.reedmast.model.Placement
+import io.reedmast.model.ShardState
+import io.reedmast.wire.WorkerCommand
+import io.reedmast.wire.WorkerStatus
+import org.slf4j.LoggerFactory
+
+/** Stored placements that the newest status of their machine's worker does not list. */
+internal class MissingTaskHandler(
+    private val shardState: ShardState,
+    private val dispatcher: CommandDispatcher,
+    private val gangs: GangCoordinator,
+) {
+    private val log = LoggerFactory.getLogger("shard")
+
+    /** Does what [status] lets happen next with [placement], and returns the commands for the answer. */
+    fun onMissing(placement: Placement, status: WorkerStatus, source: StatusSource): List<WorkerCommand> =
+        when (MissingTask.of(placement, status, source)) {
+            MissingTask.LOST -> {
+                logLost(placement)
+                shardState.finish(placement, done = false)
+                emptyList()
+            }
+
+            MissingTask.LOST_AND_RESTARTABLE -> {
+                logLost(placement)
+                placement.job.recordLost(placement)
+                if (source == StatusSource.HEARTBEAT) launchIfAllowed(placement, status) else emptyList()
+            }
+
+            MissingTask.LAUNCH_DUE -> launchIfAllowed(placement, status)
+
+            // Launched and stopped here, the attempt is known to the worker as ended, and the late launch has no effect.
+            MissingTask.STOPPED_BEFORE_LATE_LAUNCH ->
+                listOf(launch(placement, status), dispatcher.stopCommand(placement))
+
+            MissingTask.STOPPED -> {
+                shardState.finish(placement, done = false)
+                emptyList()
+            }
+
+            MissingTask.NO_ANSWER_POSSIBLE, MissingTask.DIRECT_CALL_PENDING, MissingTask.ANSWER_PENDING -> emptyList()
+        }
+
+    private fun logLost(placement: Placement) = log.info(
+        "task {} attempt {}: lost with an epoch of {}",
+        placement.id,
+        placement.attempt,
+        placement.machine.name,
+    )
+
+    /**
+     * What runs is answered on through an outage of the store, but nothing starts: its user may have been told that it
+     * is cancelled.
+     */
+    private fun launchIfAllowed(placement: Placement, status: WorkerStatus): List<WorkerCommand> =
+        if (shardState.isCurrent() && gangs.mayLaunch(placement)) listOf(launch(placement, status)) else emptyList()
+
+    private fun launch(placement: Placement, status: WorkerStatus): WorkerCommand {
+        placement.launchEpoch = placement.machine.epoch
+        placement.answeredSequence = status.sequence
+        placement.launchesAnswered++
+        return WorkerCommand.StartTask(placement.id, placement.attempt)
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/io/reedmast/heartbeats/ReportedTaskHandler.kt
@@ -0,0 +1,58 @@
+package io.reedmast.heartbeats
+
+import io.reedmast.commands.CommandDispatcher
+import io.reedmast.model.Placement
+import io.reedmast.model.StopReason
+import io.reedmast.wire.Cause
+import io.reedmast.wire.TaskState
+import io.reedmast.wire.TaskStatus
+import io.reedmast.wire.WorkerCommand
+
+/** Tasks that a worker's status lists and a stored placement accounts for. */
+internal class ReportedTaskHandler(private val dispatcher: CommandDispatcher, private val taskEnds: TaskEndHandler) {
+    /** Records what [reported] shows of [placement], and returns the commands for the answer. */
+    fun onReported(placement: Placement, reported: TaskStatus, now: Long): List<WorkerCommand> {
+        recordSeen(placement)
+        when (reported.state) {
+            TaskState.FETCHING -> {}
+
+            TaskState.WAITING -> recordImage(placement)
+
+            TaskState.RUNNING, TaskState.SAVING -> recordRunning(placement, now)
+
+            TaskState.ENDED -> {
+                taskEnds.onEnded(placement, reported.cause ?: Cause.ERROR, now)
+                return emptyList()
+            }
+        }
+        val isSaving = reported.state == TaskState.SAVING
+        // An owner before us has begun to stop the gang: its other tasks must be stopped in time, or nothing is saved.
+        if (placement.job.spec.gang && isSaving) dispatcher.stop(placement, StopReason.DRAINED)
+        return if (isStopDue(placement, isSaving)) listOf(dispatcher.stopCommand(placement)) else emptyList()
+    }
+
+    private fun recordSeen(placement: Placement) {
+        placement.seen = true
+        placement.launchEpoch = placement.machine.epoch
+        if (placement.launchesAnswered > 0) {
+            placement.launchesAnswered = 0
+            placement.machine.unacknowledged = 0
+        }
+    }
+
+    private fun recordRunning(placement: Placement, now: Long) {
+        if (placement.running) return
+        placement.job.recordRunning(placement, now)
+        recordImage(placement)
+    }
+
+    private fun recordImage(placement: Placement) =
+        placement.machine.recordImage(placement.job.spec.image, placement.job.spec.imageGb)
+
+    /** A task that saves is let finish that, unless its job is cancelled: then what it saves is of no use. */
+    private fun isStopDue(placement: Placement, isSaving: Boolean) = when (placement.stopReason) {
+        null -> false
+        StopReason.CANCELLED -> true
+        StopReason.PREEMPTED, StopReason.DRAINED, StopReason.GANG_INCOMPLETE -> !isSaving
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/io/reedmast/heartbeats/StatusEvaluator.kt
@@ -0,0 +1,94 @@
+package io.reedmast.heartbeats
+
+import io.reedmast.model.FencingToken
+import io.reedmast.model.Machine
+import io.reedmast.model.ShardState
+import io.reedmast.wire.WorkerStatus
+import org.slf4j.LoggerFactory
+
+/**
+ * Decides what a worker's status proves, and records what it shows of the machine itself: its epoch, address, notice
+ * and token. The tasks that it lists are not looked at here.
+ *
+ * Only a status made under this owner's token counts: an older owner's commands may reach the worker until it has seen
+ * that token (PROTOCOL, Tokens).
+ */
+internal class StatusEvaluator(
+    private val shardState: ShardState,
+    /** Asks for a fresh token for the shard: a worker has seen a higher one than this owner's. */
+    private val renewToken: () -> Unit,
+) {
+    private val log = LoggerFactory.getLogger("shard")
+    private val leaseMs = shardState.settings.workers.leaseS * MS_PER_S
+
+    /** Records what [status] shows of [machine], and returns what it proves. */
+    fun evaluate(machine: Machine, status: WorkerStatus, source: StatusSource, now: Long): StatusEvidence {
+        if (!machine.isNewer(status)) return StatusEvidence.OUTDATED
+        if (status.epoch > machine.epoch && machine.everReported) onEpochLost(machine, now)
+        machine.addr = status.addr
+        machine.show(status)
+        machine.sequence = status.sequence
+        recordNotice(machine, status.noticeS, now)
+        if (status.token > FencingToken.last(shardState.token)) {
+            machine.trusted = false
+            renewToken()
+            return StatusEvidence.HIGHER_TOKEN_SEEN
+        }
+        if (source == StatusSource.HEARTBEAT) recordAnswer(machine, now)
+        if (status.token < machine.floor) {
+            if (source == StatusSource.HEARTBEAT) machine.unacknowledged++
+            return StatusEvidence.OWN_TOKEN_NOT_SEEN
+        }
+        machine.lastHeartbeatAt = now
+        machine.everReported = true
+        if (!machine.trusted) trust(machine, now)
+        return StatusEvidence.CURRENT
+    }
+
+    /**
+     * The worker's lease expired (PROTOCOL, Leases). While its heartbeats came and were answered, that means that our
+     * answers do not arrive.
+     *
+     * A machine that hung, or was cut off, has sent nothing for a whole lease.
+     */
+    private fun onEpochLost(machine: Machine, now: Long) {
+        val wasAnsweredLately = now - machine.answeredAt < leaseMs / 2
+        val wasAnsweredThroughout = now - machine.regularSince > leaseMs * MIN_ANSWERED_PART_OF_LEASE
+        if (wasAnsweredLately && wasAnsweredThroughout) {
+            machine.unacknowledged = maxOf(machine.unacknowledged, Machine.UNREACHABLE_AFTER)
+            log.info("machine {}: its lease expired although its heartbeats were answered", machine.name)
+        }
+    }
+
+    /** Records in how many seconds the cloud takes the machine back; null if it has given no notice. */
+    private fun recordNotice(machine: Machine, noticeS: Double?, now: Long) {
+        if (noticeS == null) {
+            machine.noticeUntil = 0L
+            return
+        }
+        if (machine.noticeUntil == 0L) {
+            log.info("machine {}: the cloud takes it back in {} s", machine.name, noticeS)
+        }
+        machine.noticeUntil = now + (noticeS * MS_PER_S).toLong()
+    }
+
+    /** The heartbeat is answered now. A gap of half a lease interrupts the regular answers. */
+    private fun recordAnswer(machine: Machine, now: Long) {
+        if (now - machine.answeredAt > leaseMs / 2) machine.regularSince = now
+        machine.answeredAt = now
+    }
+
+    private fun trust(machine: Machine, now: Long) {
+        machine.trusted = true
+        machine.trustedAt = now
+        machine.unacknowledged = 0
+        shardState.passRequested = true
+    }
+
+    private companion object {
+        const val MS_PER_S = 1000.0
+
+        /** Of a lease that expired, the part for which heartbeats must have been answered to blame the answers. */
+        const val MIN_ANSWERED_PART_OF_LEASE = 0.8
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/io/reedmast/heartbeats/TaskEndHandler.kt
@@ -0,0 +1,63 @@
+package io.reedmast.heartbeats
+
+import io.reedmast.gangs.GangCoordinator
+import io.reedmast.model.Job
+import io.reedmast.model.Placement
+import io.reedmast.model.ShardState
+import io.reedmast.wire.Cause
+import org.slf4j.LoggerFactory
+
+/** The end of a task on its machine: by its cause, when its job may be tried again, and whose fault a failure is. */
+internal class TaskEndHandler(private val shardState: ShardState, private val gangs: GangCoordinator) {
+    private val log = LoggerFactory.getLogger("shard")
+    private val failures = FailureTracker(shardState)
+
+    /** The worker reports that the attempt of [placement] has ended, which is the evidence that finishes it. */
+    fun onEnded(placement: Placement, cause: Cause, now: Long) {
+        val job = placement.job
+        if (!isExpected(placement, cause)) {
+            log.info(
+                "task {} attempt {}: ended on {}: {}",
+                placement.id,
+                placement.attempt,
+                placement.machine.name,
+                cause,
+            )
+        }
+        when (cause) {
+            Cause.DONE -> {
+                placement.machine.recordImage(job.spec.image, job.spec.imageGb)
+                failures.recordSuccess(placement, now)
+            }
+
+            Cause.ERROR -> failures.recordFailure(placement, now)
+
+            Cause.NO_ROOM, Cause.BUSY -> delayRetry(job, now + RETRY_AFTER_REFUSAL_MS)
+
+            Cause.UNKNOWN -> delayRetry(job, now + RETRY_OF_UNKNOWN_JOB_MS)
+
+            Cause.HALTED, Cause.PEERS, Cause.ALONE -> {}
+        }
+        if (job.spec.gang) {
+            gangs.onTaskEnded(placement, cause)
+        } else {
+            // A service has no end that counts as its result: a replica that ended is placed anew.
+            shardState.finish(placement, done = cause == Cause.DONE && !job.spec.service)
+        }
+    }
+
+    private fun isExpected(placement: Placement, cause: Cause) =
+        cause == Cause.DONE || (cause == Cause.HALTED && placement.stopReason != null)
+
+    private fun delayRetry(job: Job, notBefore: Long) {
+        job.notBefore = maxOf(job.notBefore, notBefore)
+    }
+
+    private companion object {
+        /** After a refusal for lack of room, or because another attempt is still there. */
+        const val RETRY_AFTER_REFUSAL_MS = 500L
+
+        /** The worker found no description of the job yet. */
+        const val RETRY_OF_UNKNOWN_JOB_MS = 2_000L
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/io/reedmast/heartbeats/UnknownTaskHandler.kt
@@ -0,0 +1,70 @@
+package io.reedmast.heartbeats
+
+import io.reedmast.model.FencingToken
+import io.reedmast.model.Job
+import io.reedmast.model.Machine
+import io.reedmast.model.ShardState
+import io.reedmast.wire.TaskId
+import io.reedmast.wire.TaskState
+import io.reedmast.wire.TaskStatus
+import io.reedmast.wire.WorkerCommand
+
+/** Tasks on a machine that no stored placement accounts for: they are stopped, and forgotten once they have ended. */
+internal class UnknownTaskHandler(private val shardState: ShardState) {
+    private val minMsBetweenRaises = shardState.settings.workers.leaseS * MS_PER_S / 2
+
+    /** A new status is about to be looked at: it says anew what unknown tasks take on the machine. */
+    fun resetUnknownUsage(machine: Machine) {
+        machine.unknownTaskCpus = 0.0
+        machine.unknownTaskGpus = 0.0
+        machine.unknownTaskMemoryGb = 0.0
+    }
+
+    /** Returns the command for the answer; null if there is none for now. */
+    fun onUnknown(machine: Machine, reported: TaskStatus): WorkerCommand? {
+        val job = shardState.jobs[reported.id.jobId]
+        if (reported.state == TaskState.ENDED) return forget(machine, reported, job)
+        if (job != null) addUnknownUsage(machine, job)
+        return WorkerCommand.StopTask(reported.id, reported.attempt, graceS = 0.0)
+    }
+
+    private fun addUnknownUsage(machine: Machine, job: Job) {
+        machine.unknownTaskCpus += job.spec.cpus
+        machine.unknownTaskGpus += job.spec.gpus
+        machine.unknownTaskMemoryGb += job.spec.memoryGb
+    }
+
+    /** Once forgotten, the attempt would start again if its launch came late; and its result must be stored first. */
+    private fun forget(machine: Machine, reported: TaskStatus, job: Job?): WorkerCommand? {
+        if (job != null && !isResultStored(job, reported.id)) return null
+        if (machine.mayLaunch(reported.id, reported.attempt)) {
+            raiseToken(machine)
+            return null
+        }
+        return WorkerCommand.ForgetTask(reported.id, reported.attempt)
+    }
+
+    private fun isResultStored(job: Job, id: TaskId) =
+        id.task < job.spec.taskCount && job.chunkOf(id.task).stored && !job.ending
+
+    /**
+     * Makes earlier direct calls to the worker void, so that their attempts can be forgotten.
+     *
+     * Calls that were carried out are repeated at times, minutes later (PROTOCOL, Delayed messages): the copy of a
+     * launch starts its attempt anew once it is forgotten, wherever the task then runs and even if its job was
+     * cancelled. A worker sends a heartbeat for a new token no more than once in half a lease, and no call of ours must
+     * be on its way that the new token would refuse.
+     */
+    private fun raiseToken(machine: Machine) {
+        val now = shardState.clock.now()
+        if (machine.directCalls > 0 || now - machine.raisedAt < minMsBetweenRaises) return
+        val raised = shardState.tokenFor(machine) + 1
+        if (raised > FencingToken.last(shardState.token)) return
+        machine.raisedTo = raised
+        machine.raisedAt = now
+    }
+
+    private companion object {
+        const val MS_PER_S = 1000.0
+    }
+}
