--- a/src/main/kotlin/io/reedmast/commands/CommandDispatcher.kt
+++ b/src/main/kotlin/io/reedmast/commands/CommandDispatcher.kt
@@ -7,139 +7,125 @@
 import io.reedmast.model.StopReason
 import io.reedmast.ports.Cloud
 import io.reedmast.ports.WorkerTransport
-import io.reedmast.wire.MalformedException
 import io.reedmast.wire.Reply
 import io.reedmast.wire.WorkerCommand
 import io.reedmast.wire.WorkerStatus
 import org.slf4j.LoggerFactory
 
-/** Direct commands to workers. Launches also go out with the answers to reports, so none of these must arrive. */
+/**
+ * Direct commands to workers (PROTOCOL, POST /do), collected as they are decided and sent together.
+ *
+ * Launches and stops also go out with the answers to heartbeats, so none of the direct ones must arrive.
+ */
 class CommandDispatcher(
     private val shardState: ShardState,
-    private val cloud: Cloud,
+    cloud: Cloud,
     private val workers: WorkerTransport,
-    private val onStatusReport: (Machine, WorkerStatus) -> Unit,
+    /** Applies the status that a direct call to the machine was answered with. */
+    onStatusReport: (Machine, WorkerStatus) -> Unit,
 ) {
     private val log = LoggerFactory.getLogger("shard")
-    private val outbox = LinkedHashMap<Machine, MutableList<WorkerCommand>>()
-    private val announcer = TokenAnnouncer(shardState, cloud, workers, ::answered)
+    private val queue = CommandQueue()
+    private val callPolicy = DirectCallPolicy(shardState)
+    private val replies = DirectReplyHandler(shardState, onStatusReport)
+    private val announcer = TokenAnnouncer(shardState, cloud, workers, replies)
 
-    /** The shard has just been taken. */
+    /** The shard has just been acquired. */
     fun begin() = announcer.begin()
 
-    /** Called now and then: shows our token to machines that have not reported since the shard was taken. */
+    /** Called periodically: shows our token to machines that have sent no heartbeat since the shard was acquired. */
     fun announceToken(now: Long) = announcer.runOnce(now)
 
+    /** Queues the launch of a stored placement, unless it is not known what is on its machine. */
     fun launch(placement: Placement) {
-        if (placement.machine.trusted) {
-            outbox.getOrPut(placement.machine) {
-                ArrayList()
-            }.add(WorkerCommand.StartTask(placement.id, placement.attempt))
-        }
+        if (!placement.machine.trusted) return
+        queue.add(placement.machine, WorkerCommand.StartTask(placement.id, placement.attempt))
     }
 
     /** Stops an attempt, and with a task of a gang all of it: each has to save at the same time. */
     fun stop(placement: Placement, reason: StopReason) {
-        val begins = placement.stopReason == null
+        val isFirstStop = placement.stopReason == null
         stopOne(placement, reason)
-        // Whatever stopped the first of them has stopped all.
-        if (begins &&
-            placement.job.spec.gang
-        ) {
-            placement.job.placements().filter { it.stopReason == null }.toList().forEach { stopOne(it, reason) }
-        }
+        // Whatever stopped the first task of a gang has stopped all.
+        if (!isFirstStop || !placement.job.spec.gang) return
+        val otherTasks = placement.job.placements().filter { it.stopReason == null }.toList()
+        otherTasks.forEach { stopOne(it, reason) }
     }
 
     private fun stopOne(placement: Placement, reason: StopReason) {
         if (placement.stopReason == StopReason.CANCELLED || placement.stopReason == reason) return
         placement.stopReason = reason
-        if (reason !=
-            StopReason.CANCELLED
-        ) {
+        val machine = placement.machine
+        if (reason != StopReason.CANCELLED) {
             log.info(
                 "task {} attempt {}: to be stopped on {}: {}",
                 placement.id,
                 placement.attempt,
-                placement.machine.name,
+                machine.name,
                 reason,
             )
         }
-        val machine = placement.machine
         if (placement.committed && machine.trusted && placement.launchEpoch == machine.epoch) {
-            outbox.getOrPut(machine) { ArrayList() }.add(stopCommand(placement))
+            queue.add(machine, stopCommand(placement))
         }
     }
 
+    /** The command that stops an attempt, with the time it is given to save (PROTOCOL, POST /checkin: `stop`). */
     fun stopCommand(placement: Placement): WorkerCommand.StopTask {
         val spec = placement.job.spec
-        val grace = if (savesNothing(placement.stopReason) || !spec.resumable) 0.0 else spec.saveS + GRACE_SLACK_S
-        return WorkerCommand.StopTask(placement.id, placement.attempt, grace)
+        val isSaveUseful = spec.resumable && !isProgressUseless(placement.stopReason)
+        val graceS = if (isSaveUseful) spec.saveS + GRACE_SLACK_S else 0.0
+        return WorkerCommand.StopTask(placement.id, placement.attempt, graceS)
     }
 
     /** The progress is of no use to anybody, or is lost already. */
-    private fun savesNothing(reason: StopReason?) =
+    private fun isProgressUseless(reason: StopReason?) =
         reason == StopReason.CANCELLED || reason == StopReason.GANG_INCOMPLETE
 
-    /** Sends what has gathered for the workers. */
+    /** Sends the queued commands: one call for each machine that may be called, and none for the others. */
     fun send() {
-        if (outbox.isEmpty()) return
-        val batches = LinkedHashMap(outbox)
-        outbox.clear()
-        for ((machine, gathered) in batches) {
-            val commands = gathered.filter { it !is WorkerCommand.StartTask || isWanted(machine, it) }
+        for ((machine, queued) in queue.drain()) {
+            val commands = queued.filter { it !is WorkerCommand.StartTask || isStillDue(machine, it) }
             val addr = machine.addr
-            if (commands.isEmpty() || addr == null || !machine.trusted || machine.directCalls >= MAX_DIRECT_CALLS ||
-                !shardState.isCurrent() ||
-                seemsAway(machine)
-            ) {
-                continue
-            }
-            val token = shardState.tokenFor(machine)
-            val epoch = machine.epoch
-            val launches = commands.filterIsInstance<WorkerCommand.StartTask>()
-            for (command in launches) {
-                machine.recordLaunch(command.id, command.attempt, DirectLaunch(epoch, token))
-                machine.placements[command.id]?.takeIf { it.attempt == command.attempt }?.launchEpoch = epoch
-            }
-            machine.directCalls++
-            workers.call(addr, token, epoch, commands) { reply ->
-                machine.directCalls--
-                if (reply is Reply.NotSent) launches.forEach { machine.recordNotSent(it.id, it.attempt) }
-                if (reply is Reply.Answer) {
-                    answered(machine, reply)
-                } else {
-                    machine.callUnansweredAt =
-                        shardState.clock.now()
-                }
-            }
+            if (commands.isNotEmpty() && addr != null && callPolicy.mayCall(machine)) call(machine, addr, commands)
         }
     }
 
-    /** Since the launch was decided, a report may have ended its placement, or the job may have been cancelled. */
-    private fun isWanted(machine: Machine, launch: WorkerCommand.StartTask): Boolean {
+    /** Since the launch was decided, a status may have ended its placement, or the job may have been cancelled. */
+    private fun isStillDue(machine: Machine, launch: WorkerCommand.StartTask): Boolean {
         val placement = machine.placements[launch.id] ?: return false
         return placement.attempt == launch.attempt && placement.stopReason == null
     }
 
-    /**
-     * Whether calling the machine would only hold a thread for seconds: it left a command unanswered since its last
-     * report, or its report is overdue. A few dozen hung machines would otherwise hold up the commands to all others.
-     */
-    private fun seemsAway(machine: Machine) = machine.callUnansweredAt >= machine.lastHeartbeatAt ||
-        shardState.clock.now() - machine.lastHeartbeatAt > shardState.heartbeatLateMs
+    private fun call(machine: Machine, addr: String, commands: List<WorkerCommand>) {
+        val token = shardState.tokenFor(machine)
+        val epoch = machine.epoch
+        val launches = commands.filterIsInstance<WorkerCommand.StartTask>()
+        launches.forEach { recordLaunch(machine, it, DirectLaunch(epoch, token)) }
+        machine.directCalls++
+        workers.call(addr, token, epoch, commands) { reply ->
+            machine.directCalls--
+            onReply(machine, launches, reply)
+        }
+    }
+
+    private fun recordLaunch(machine: Machine, command: WorkerCommand.StartTask, launch: DirectLaunch) {
+        machine.recordLaunch(command.id, command.attempt, launch)
+        val placement = machine.placements[command.id] ?: return
+        if (placement.attempt == command.attempt) placement.launchEpoch = launch.epoch
+    }
 
-    private fun answered(machine: Machine, reply: Reply.Answer): WorkerStatus? {
-        if (shardState.dropped || (reply.status != 200 && reply.status != 409)) return null
-        return try {
-            WorkerStatus.parse(reply.body).also { if (it.machineName == machine.name) onStatusReport(machine, it) }
-        } catch (e: MalformedException) {
-            log.error("machine {}: malformed answer: {}", machine.name, e.message)
-            null
+    private fun onReply(machine: Machine, launches: List<WorkerCommand.StartTask>, reply: Reply) {
+        if (reply is Reply.NotSent) launches.forEach { machine.recordNotSent(it.id, it.attempt) }
+        if (reply is Reply.Answer) {
+            replies.onReply(machine, reply)
+        } else {
+            machine.callUnansweredAt = shardState.clock.now()
         }
     }
 
     private companion object {
-        const val MAX_DIRECT_CALLS = 3
+        /** Given to a task beyond the time that its job states for saving. */
         const val GRACE_SLACK_S = 1.0
     }
 }
