--- /dev/null
+++ b/src/main/kotlin/io/reedmast/machines/MachineLifecycleRequests.kt
@@ -0,0 +1,13 @@
+package io.reedmast.machines
+
+/** What the lifecycle of a shard's machines asks of the cluster; each request is repeated while its cause lasts. */
+interface MachineLifecycleRequests {
+    /** Removes machines that the cloud has confirmed to be gone from the shard's records. */
+    fun removeMachines(machineNames: Set<String>)
+
+    /** Gives empty machines to the shards that they are marked to leave for. */
+    fun transferMachines(machineNames: Collection<String>)
+
+    /** Asks the other controllers to acquire the shard, since its workers do not reach this one. */
+    fun requestFailover()
+}
--- a/src/main/kotlin/io/reedmast/shard/ShardOwner.kt
+++ b/src/main/kotlin/io/reedmast/shard/ShardOwner.kt
@@ -15,6 +15,7 @@
 import io.reedmast.kvstore.Keys
 import io.reedmast.kvstore.StoredItem
 import io.reedmast.machines.MachineLifecycle
+import io.reedmast.machines.MachineLifecycleRequests
 import io.reedmast.model.Job
 import io.reedmast.model.Placement
 import io.reedmast.model.ShardRecord
@@ -74,9 +75,7 @@
     val scheduler = Scheduler(shardState, dispatcher, demandEstimator, scaleInPolicy)
     private val progressStore = ProgressStore(shardState, gateway, Storing())
     private val lifecycle =
-        MachineLifecycle(shardState, gateway, dispatcher, scaleInPolicy, {
-            records.removeMachines(index, it)
-        }, { records.transferMachines(index, it) }, { records.requestFailover(index) })
+        MachineLifecycle(shardState, gateway, dispatcher, scaleInPolicy, RequestsForMachines())
     private val migration = records.rollout.reconciler(MigrationUnit.Shard(shard), progressStore.migrationAccess)
     private val machines = ShardMachines(shardState, lifecycle, records)
     private val news = ShardStatusPublisher(shardState, gateway, records)
@@ -300,6 +299,14 @@
         }
     }
 
+    private inner class RequestsForMachines : MachineLifecycleRequests {
+        override fun removeMachines(machineNames: Set<String>) = records.removeMachines(index, machineNames)
+
+        override fun transferMachines(machineNames: Collection<String>) = records.transferMachines(index, machineNames)
+
+        override fun requestFailover() = records.requestFailover(index)
+    }
+
     // ---- messages and time ------------------------------------------------------------------------------------------
 
     fun onHeartbeat(status: WorkerStatus): List<WorkerCommand> = heartbeats.onHeartbeat(status)
