--- a/src/main/kotlin/io/reedmast/commands/CommandDispatcher.kt
+++ b/src/main/kotlin/io/reedmast/commands/CommandDispatcher.kt
@@ -15,7 +15,7 @@
 /**
  * Direct commands to workers (PROTOCOL, POST /do), collected as they are decided and sent together.
  *
- * Launches and stops also go out with the answers to heartbeats, so none of the direct ones must arrive.
+ * Launches and stops also go out with the answers to heartbeats, so a direct command that is lost does no harm.
  */
 class CommandDispatcher(
     private val shardState: ShardState,
--- a/src/main/kotlin/io/reedmast/commands/CommandQueue.kt
+++ b/src/main/kotlin/io/reedmast/commands/CommandQueue.kt
@@ -7,6 +7,7 @@
 internal class CommandQueue {
     private val commandsByMachine = LinkedHashMap<Machine, MutableList<WorkerCommand>>()
 
+    /** Queues [command] behind what is queued for [machine]. */
     fun add(machine: Machine, command: WorkerCommand) {
         commandsByMachine.getOrPut(machine) { ArrayList() }.add(command)
     }
--- a/src/main/kotlin/io/reedmast/commands/DirectReplyHandler.kt
+++ b/src/main/kotlin/io/reedmast/commands/DirectReplyHandler.kt
@@ -9,7 +9,10 @@
 import java.net.HttpURLConnection.HTTP_CONFLICT
 import java.net.HttpURLConnection.HTTP_OK
 
-/** Replies to direct calls: each that was executed or refused carries the worker's newest status (PROTOCOL, POST /do). */
+/**
+ * Replies to direct calls: each call that was executed or refused is answered with the worker's newest status
+ * (PROTOCOL, POST /do).
+ */
 internal class DirectReplyHandler(
     private val shardState: ShardState,
     /** Applies the status that a call to the machine was answered with. */
--- a/src/main/kotlin/io/reedmast/heartbeats/FailureTracker.kt
+++ b/src/main/kotlin/io/reedmast/heartbeats/FailureTracker.kt
@@ -14,7 +14,7 @@
 internal class FailureTracker(private val shardState: ShardState) {
     private val log = LoggerFactory.getLogger("shard")
 
-    /** A task has completed: neither its machine nor its job is at fault. Where the job failed before, a machine may be. */
+    /** A task has completed: neither its machine nor its job is at fault. Machines on which the job failed may be. */
     fun recordSuccess(placement: Placement, now: Long) {
         val job = placement.job
         placement.machine.failedJobs.clear()
--- a/src/main/kotlin/io/reedmast/heartbeats/HeartbeatHandler.kt
+++ b/src/main/kotlin/io/reedmast/heartbeats/HeartbeatHandler.kt
@@ -55,10 +55,10 @@
             }
         }
         val missing = machine.placements.values.filter { it.committed && it.id !in listed }
-        val isLaunchIgnored = source == StatusSource.HEARTBEAT && isLaunchIgnored(missing)
+        val isAnswerLost = source == StatusSource.HEARTBEAT && isLaunchIgnored(missing)
         missing.flatMapTo(commands) { missingTasks.onMissing(it, status, source) }
-        // Counted last: whether the machine is usable for what is missing does not depend on this status's answer.
-        if (isLaunchIgnored) machine.unacknowledged++
+        // Counted last: for what is missing now, the machine is as usable as it was before this status.
+        if (isAnswerLost) machine.unacknowledged++
         return commands
     }
 
--- a/src/main/kotlin/io/reedmast/heartbeats/MissingTask.kt
+++ b/src/main/kotlin/io/reedmast/heartbeats/MissingTask.kt
@@ -9,8 +9,9 @@
     LOST,
 
     /**
-     * Killed with an earlier epoch, on a worker that is back and has the image. Placed anew, all tasks of a fleet
-     * waited for the store's limit and for images after an outage that was longer than the workers' leases.
+     * Killed with an earlier epoch, on a worker that is back and has the image: it is launched there again. Placed
+     * anew, all tasks of a fleet waited for the store's limit and for images after an outage of the store that was
+     * longer than workers are answered without it.
      */
     LOST_AND_RESTARTABLE,
 
--- a/src/main/kotlin/io/reedmast/heartbeats/MissingTaskHandler.kt
+++ b/src/main/kotlin/io/reedmast/heartbeats/MissingTaskHandler.kt
@@ -33,7 +33,7 @@
 
             MissingTask.LAUNCH_DUE -> launchIfAllowed(placement, status)
 
-            // Launched and stopped here, the attempt is known to the worker as ended, and the late launch has no effect.
+            // Launched and stopped here, the attempt is known to the worker as ended: a late launch has no effect.
             MissingTask.STOPPED_BEFORE_LATE_LAUNCH ->
                 listOf(launch(placement, status), dispatcher.stopCommand(placement))
 
@@ -53,8 +53,8 @@
     )
 
     /**
-     * What runs is answered on through an outage of the store, but nothing starts: its user may have been told that it
-     * is cancelled.
+     * Through an outage of the store, heartbeats are still answered for the sake of what runs, but nothing starts: its
+     * user may have been told that it is cancelled.
      */
     private fun launchIfAllowed(placement: Placement, status: WorkerStatus): List<WorkerCommand> =
         if (shardState.isCurrent() && gangs.mayLaunch(placement)) listOf(launch(placement, status)) else emptyList()
--- a/src/main/kotlin/io/reedmast/heartbeats/StatusEvaluator.kt
+++ b/src/main/kotlin/io/reedmast/heartbeats/StatusEvaluator.kt
@@ -23,26 +23,39 @@
 
     /** Records what [status] shows of [machine], and returns what it proves. */
     fun evaluate(machine: Machine, status: WorkerStatus, source: StatusSource, now: Long): StatusEvidence {
-        if (!machine.isNewer(status)) return StatusEvidence.OUTDATED
+        val evidence = evidenceOf(machine, status)
+        if (evidence == StatusEvidence.OUTDATED) return evidence
+        recordMachineState(machine, status, now)
+        val isAnswered = source == StatusSource.HEARTBEAT && evidence != StatusEvidence.HIGHER_TOKEN_SEEN
+        if (isAnswered) recordAnswer(machine, now)
+        when (evidence) {
+            StatusEvidence.OUTDATED -> {}
+
+            StatusEvidence.HIGHER_TOKEN_SEEN -> {
+                machine.trusted = false
+                renewToken()
+            }
+
+            StatusEvidence.OWN_TOKEN_NOT_SEEN -> if (isAnswered) machine.unacknowledged++
+
+            StatusEvidence.CURRENT -> recordContact(machine, now)
+        }
+        return evidence
+    }
+
+    private fun evidenceOf(machine: Machine, status: WorkerStatus) = when {
+        !machine.isNewer(status) -> StatusEvidence.OUTDATED
+        status.token > FencingToken.last(shardState.token) -> StatusEvidence.HIGHER_TOKEN_SEEN
+        status.token < machine.floor -> StatusEvidence.OWN_TOKEN_NOT_SEEN
+        else -> StatusEvidence.CURRENT
+    }
+
+    private fun recordMachineState(machine: Machine, status: WorkerStatus, now: Long) {
         if (status.epoch > machine.epoch && machine.everReported) onEpochLost(machine, now)
         machine.addr = status.addr
         machine.show(status)
         machine.sequence = status.sequence
         recordNotice(machine, status.noticeS, now)
-        if (status.token > FencingToken.last(shardState.token)) {
-            machine.trusted = false
-            renewToken()
-            return StatusEvidence.HIGHER_TOKEN_SEEN
-        }
-        if (source == StatusSource.HEARTBEAT) recordAnswer(machine, now)
-        if (status.token < machine.floor) {
-            if (source == StatusSource.HEARTBEAT) machine.unacknowledged++
-            return StatusEvidence.OWN_TOKEN_NOT_SEEN
-        }
-        machine.lastHeartbeatAt = now
-        machine.everReported = true
-        if (!machine.trusted) trust(machine, now)
-        return StatusEvidence.CURRENT
     }
 
     /**
@@ -78,7 +91,11 @@
         machine.answeredAt = now
     }
 
-    private fun trust(machine: Machine, now: Long) {
+    /** The worker is alive under our token. From its first such status on, what is on the machine is known. */
+    private fun recordContact(machine: Machine, now: Long) {
+        machine.lastHeartbeatAt = now
+        machine.everReported = true
+        if (machine.trusted) return
         machine.trusted = true
         machine.trustedAt = now
         machine.unacknowledged = 0
--- a/src/main/kotlin/io/reedmast/heartbeats/TaskEndHandler.kt
+++ b/src/main/kotlin/io/reedmast/heartbeats/TaskEndHandler.kt
@@ -15,15 +15,7 @@
     /** The worker reports that the attempt of [placement] has ended, which is the evidence that finishes it. */
     fun onEnded(placement: Placement, cause: Cause, now: Long) {
         val job = placement.job
-        if (!isExpected(placement, cause)) {
-            log.info(
-                "task {} attempt {}: ended on {}: {}",
-                placement.id,
-                placement.attempt,
-                placement.machine.name,
-                cause,
-            )
-        }
+        logUnexpectedEnd(placement, cause)
         when (cause) {
             Cause.DONE -> {
                 placement.machine.recordImage(job.spec.image, job.spec.imageGb)
@@ -46,8 +38,17 @@
         }
     }
 
-    private fun isExpected(placement: Placement, cause: Cause) =
-        cause == Cause.DONE || (cause == Cause.HALTED && placement.stopReason != null)
+    private fun logUnexpectedEnd(placement: Placement, cause: Cause) {
+        val isExpected = cause == Cause.DONE || (cause == Cause.HALTED && placement.stopReason != null)
+        if (isExpected) return
+        log.info(
+            "task {} attempt {}: ended on {}: {}",
+            placement.id,
+            placement.attempt,
+            placement.machine.name,
+            cause,
+        )
+    }
 
     private fun delayRetry(job: Job, notBefore: Long) {
         job.notBefore = maxOf(job.notBefore, notBefore)
--- a/src/main/kotlin/io/reedmast/heartbeats/UnknownTaskHandler.kt
+++ b/src/main/kotlin/io/reedmast/heartbeats/UnknownTaskHandler.kt
@@ -13,7 +13,7 @@
 internal class UnknownTaskHandler(private val shardState: ShardState) {
     private val minMsBetweenRaises = shardState.settings.workers.leaseS * MS_PER_S / 2
 
-    /** A new status is about to be looked at: it says anew what unknown tasks take on the machine. */
+    /** Called before the tasks of a new status are handled: it says anew what unknown tasks use on the machine. */
     fun resetUnknownUsage(machine: Machine) {
         machine.unknownTaskCpus = 0.0
         machine.unknownTaskGpus = 0.0
--- a/src/main/kotlin/io/reedmast/machines/MachineDrainer.kt
+++ b/src/main/kotlin/io/reedmast/machines/MachineDrainer.kt
@@ -26,8 +26,8 @@
     private fun endsSoon(placement: Placement, now: Long): Boolean {
         val spec = placement.job.spec
         if (spec.service || !placement.running) return false
-        val ranS = ranS(placement, now)
-        return spec.estimateS - ranS < ScaleInPolicy.ENDS_SOON_S && ranS < spec.estimateS + ScaleInPolicy.ENDS_SOON_S
+        return endsWithin(placement, ScaleInPolicy.ENDS_SOON_S, now) &&
+            elapsedS(placement, now) < spec.estimateS + ScaleInPolicy.ENDS_SOON_S
     }
 
     /** The cloud takes the machine back at [noticeUntil]: each task is stopped when waiting longer would lose more. */
@@ -38,16 +38,21 @@
 
     private fun isStopDue(placement: Placement, remainingS: Double, now: Long): Boolean {
         val spec = placement.job.spec
-        if (spec.service || !placement.running) return true
-        // What can save runs on until it just has the time for that.
-        if (spec.resumable) return remainingS < spec.saveS + SAVE_SLACK_S
-        val endsInTime = spec.estimateS - ranS(placement, now) < remainingS - END_SLACK_S
-        return remainingS < 0.0 || !endsInTime
+        return when {
+            spec.service || !placement.running -> true
+            // What can save runs on until it just has the time for that.
+            spec.resumable -> remainingS < spec.saveS + SAVE_SLACK_S
+            else -> remainingS < 0.0 || !endsWithin(placement, remainingS - END_SLACK_S, now)
+        }
     }
 
+    /** Whether the task, by its estimate, ends in less than [seconds]. */
+    private fun endsWithin(placement: Placement, seconds: Double, now: Long) =
+        placement.job.spec.estimateS - elapsedS(placement, now) < seconds
+
     private fun stopAll(placements: List<Placement>) = placements.forEach { dispatcher.stop(it, StopReason.DRAINED) }
 
-    private fun ranS(placement: Placement, now: Long) = (now - placement.runningSince) / MS_PER_S
+    private fun elapsedS(placement: Placement, now: Long) = (now - placement.runningSince) / MS_PER_S
 
     private companion object {
         const val MS_PER_S = 1000.0
--- a/src/main/kotlin/io/reedmast/machines/MachineLifecycle.kt
+++ b/src/main/kotlin/io/reedmast/machines/MachineLifecycle.kt
@@ -39,7 +39,7 @@
     /** The shard's records now name [machineNames] only. */
     fun onRecordedMachines(machineNames: Set<String>) = returner.onRecordedMachines(machineNames)
 
-    /** Called periodically. */
+    /** Called periodically: decides anew on every machine, and returns those that are to go. */
     fun runOnce(now: Long) {
         if (shardState.isCurrent()) {
             decideAll(now)
@@ -137,7 +137,8 @@
         val isFree = machine.placements.isEmpty() && machine.directCalls == 0
         if (!isFree) drainer.drainForTransfer(machine, now)
         val isTransferable = isFree && machine.isEmptyAsStored
-        if (machine.everReported && now - machine.lastHeartbeatAt > silentDetector.silentAfterMs * 2) {
+        val isLongSilent = now - machine.lastHeartbeatAt > silentDetector.silentAfterMs * 2
+        if (machine.everReported && isLongSilent) {
             machine.decommissionReason = DecommissionReason.MISSED_HEARTBEATS
         }
         return isTransferable
--- a/src/main/kotlin/io/reedmast/machines/MachineReturner.kt
+++ b/src/main/kotlin/io/reedmast/machines/MachineReturner.kt
@@ -54,18 +54,18 @@
      */
     private fun sendReturns() {
         if (isReturnInFlight || pending.isEmpty() || !shardState.isCurrent()) return
-        val leaving = pending.take(MAX_MACHINES_PER_RETURN)
-        pending.removeAll(leaving.toSet())
+        val batch = pending.take(MAX_MACHINES_PER_RETURN)
+        pending.removeAll(batch.toSet())
         isReturnInFlight = true
-        cloud.returnMachines(leaving.map { it.name }) { confirmed ->
+        cloud.returnMachines(batch.map { it.name }) { confirmed ->
             isReturnInFlight = false
-            if (!shardState.dropped) onAnswer(leaving, confirmed)
+            if (!shardState.dropped) onAnswer(batch, confirmed)
         }
     }
 
     /** A return that was not confirmed is tried again while the machine is still to go. */
-    private fun onAnswer(leaving: List<Machine>, confirmed: Boolean) =
-        leaving.forEach { if (confirmed) onGone(it) else it.returning = false }
+    private fun onAnswer(batch: List<Machine>, confirmed: Boolean) =
+        batch.forEach { if (confirmed) onGone(it) else it.returning = false }
 
     /** The cloud has confirmed that the machine and all that was on it are gone. */
     private fun onGone(machine: Machine) {
--- a/src/main/kotlin/io/reedmast/machines/SilentMachineDetector.kt
+++ b/src/main/kotlin/io/reedmast/machines/SilentMachineDetector.kt
@@ -19,8 +19,8 @@
      * answer workers or to decide: silence before that says nothing.
      */
     fun decommissionSilent(observationGapUntil: Long, now: Long) {
-        // A machine that was up before we acquired the shard must show itself to us too, and may need to be called for
-        // that.
+        // A machine that was up before we acquired the shard must show itself to us too, and may first have to be shown
+        // our token for that.
         val expected = shardState.machines.values.filter { it.everReported || it.placements.isNotEmpty() }
         val silent = expected.filter { now - countedSince(it, observationGapUntil) > silentAfterMs }
         // If most machines are silent at once, it is rather this controller that hears nothing.
