--- a/src/main/kotlin/io/reedmast/autoscaling/ArrivalRates.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/ArrivalRates.kt
@@ -1,5 +1,6 @@
 package io.reedmast.autoscaling
 
+import io.reedmast.model.JobArrival
 import io.reedmast.model.ShardState
 import kotlin.math.sqrt
 
@@ -28,10 +29,10 @@
         return maxOf(0.0, inWindow) * MS_PER_S / ARRAYS_WINDOW_MS
     }
 
-    private fun sumOfSquares(arrivals: Collection<ShardState.Arrival>): Double = arrivals.sumOf { it.cpus * it.cpus }
+    private fun sumOfSquares(arrivals: Collection<JobArrival>): Double = arrivals.sumOf { it.cpus * it.cpus }
 
     /** Removes the arrivals before [startMs], which are the first ones. */
-    private fun ArrayDeque<ShardState.Arrival>.dropBefore(startMs: Long) = apply {
+    private fun ArrayDeque<JobArrival>.dropBefore(startMs: Long) = apply {
         while (isNotEmpty() && first().at < startMs) removeFirst()
     }
 
--- a/src/main/kotlin/io/reedmast/model/Job.kt
+++ b/src/main/kotlin/io/reedmast/model/Job.kt
@@ -48,6 +48,13 @@
     /** Since when none of its tasks has run for longer than a moment. */
     var underservedSince = 0L
 
+    /** Counts every wait of the job from [since] on. */
+    fun restartWaiting(since: Long) {
+        waitsSince = since
+        idleSince = since
+        underservedSince = since
+    }
+
     /** Which machine types are too dear for it, as long as prices stay as they are. */
     val expensiveTypes = HashMap<String, Boolean>(4)
 
--- a/src/main/kotlin/io/reedmast/model/ShardState.kt
+++ b/src/main/kotlin/io/reedmast/model/ShardState.kt
@@ -60,18 +60,11 @@
     /** Something has changed that may let waiting work start. */
     var passRequested = false
 
-    /** A service accepted lately, and what it takes. */
-    class Arrival(val at: Long, val cpus: Double)
-
-    val arrivals = ArrayDeque<Arrival>()
-
-    /** A gang accepted lately. */
-    class GangArrival(val at: Long, val spec: JobSpec)
-
-    val gangArrivals = ArrayDeque<GangArrival>()
-
-    /** Arrays accepted lately: of these, [Arrival.cpus] is their work in CPU seconds. */
-    val arrayArrivals = ArrayDeque<Arrival>()
+    /** The jobs that came lately. */
+    val jobArrivals = JobArrivals()
+    val arrivals: ArrayDeque<JobArrival> get() = jobArrivals.services
+    val arrayArrivals: ArrayDeque<JobArrival> get() = jobArrivals.arrays
+    val gangArrivals: ArrayDeque<GangArrival> get() = jobArrivals.gangs
 
     val machineTypes: Collection<MachineType> get() = machineTypeList()
     val termPrecondition: Precondition get() = Precondition(Keys.shard(index.value), term)
--- a/src/main/kotlin/io/reedmast/shard/ShardMachines.kt
+++ b/src/main/kotlin/io/reedmast/shard/ShardMachines.kt
@@ -8,24 +8,26 @@
 import io.reedmast.model.ShardState
 
 /** Brings the machines of a shard, as its owner knows them, in line with those that the records name. */
-class ShardMachines(
+internal class ShardMachines(
     private val shardState: ShardState,
     private val lifecycle: MachineLifecycle,
     private val records: ShardRecords,
 ) {
+    private val clock = shardState.clock
+
     /**
      * The machine that a stored placement names. One that the shard does not have any more is kept until it is
      * returned.
      */
-    fun named(machineName: String): Machine = shardState.machines.getOrPut(machineName) {
-        Machine(MachineRecord(machineName, "", "", false), null, shardState.clock.now(), shardState.token).apply {
-            decommissionReason =
-                DecommissionReason.MISSED_HEARTBEATS
+    fun machineOfStoredPlacement(machineName: String): Machine = shardState.machines.getOrPut(machineName) {
+        val record = MachineRecord(machineName, typeName = "", zone = "", spot = false)
+        Machine(record, null, clock.now(), shardState.token).apply {
+            decommissionReason = DecommissionReason.MISSED_HEARTBEATS
         }
     }
 
-    /** Takes up the machines that the records now name for the shard. */
-    fun sync() {
+    /** Adds and drops machines so that the shard has those that the records now name for it. */
+    fun syncWithRecords() {
         val recorded = records.transferTargetsOf(shardState.index)
         val names = recorded.keys.mapTo(HashSet()) { it.name }
         lifecycle.onRecordedMachines(names)
@@ -35,45 +37,47 @@
         shardState.passRequested = true
     }
 
+    /** Adds the machine of [record] if it is new, and marks it to leave if it has a [destination] shard. */
     private fun sync(record: MachineRecord, destination: Int?) {
-        val known = shardState.machines[record.name]
-        val machine = if (known == null || known.record.typeName.isEmpty()) added(record, known) else known
+        val machine = shardState.machines[record.name]?.takeIf { isFullyKnown(it) } ?: add(record)
         if (destination != null && machine.decommissionReason == null) {
             machine.decommissionReason = DecommissionReason.TRANSFER
-            machine.movingSince = shardState.clock.now()
+            machine.movingSince = clock.now()
         }
-        if (destination == null &&
-            machine.decommissionReason == DecommissionReason.TRANSFER
-        ) {
+        if (destination == null && machine.decommissionReason == DecommissionReason.TRANSFER) {
             machine.decommissionReason = null
         }
     }
 
-    private fun added(record: MachineRecord, known: Machine?): Machine {
+    /** Whether the machine came from a record: one that only a stored placement named has no type. */
+    private fun isFullyKnown(machine: Machine): Boolean = machine.record.typeName.isNotEmpty()
+
+    private fun add(record: MachineRecord): Machine {
         val type = shardState.machineTypeOf(record.typeName)
         val machine =
-            Machine(record, type, shardState.clock.now(), shardState.token, records.machineDirectory.of(record.name))
+            Machine(record, type, clock.now(), shardState.token, records.machineDirectory.of(record.name))
         // An address known from another owner: the machine was up before.
         machine.everReported = machine.addr != null
-        known?.placements?.values?.toList()?.forEach { old ->
-            val placement = Placement(old.job, old.task, old.attempt, machine, old.madeAt).apply {
-                committed =
-                    old.committed
-            }
-            old.job.chunkOf(old.task).placements[old.task] = placement
-            machine.add(placement)
-        }
+        shardState.machines[record.name]?.let { movePlacements(it, machine) }
         shardState.machines[record.name] = machine
         return machine
     }
 
-    /** The cloud's machine types are known anew. */
-    fun typesChanged() {
+    /** Replaces the placements of a machine that only its stored placements had named. */
+    private fun movePlacements(from: Machine, to: Machine) {
+        for (old in from.placements.values.toList()) {
+            val placement = Placement(old.job, old.task, old.attempt, to, old.madeAt)
+            placement.committed = old.committed
+            old.job.chunkOf(old.task).placements[old.task] = placement
+            to.add(placement)
+        }
+    }
+
+    /** The cloud's machine types, or their prices, have changed. */
+    fun onMachineTypesChanged() {
         for (machine in shardState.machines.values) {
-            shardState.machineTypeOf(machine.record.typeName)?.let {
-                machine.machineType =
-                    it
-            }
+            val type = shardState.machineTypeOf(machine.record.typeName) ?: continue
+            machine.machineType = type
         }
         shardState.jobs.values.forEach { it.expensiveTypes.clear() }
         shardState.passRequested = true
--- /dev/null
+++ b/src/main/kotlin/io/reedmast/shard/ShardRestoration.kt
@@ -0,0 +1,73 @@
+package io.reedmast.shard
+
+import io.reedmast.autoscaling.UsageSummaryWriter
+import io.reedmast.gangs.GangCoordinator
+import io.reedmast.jobs.LiveJob
+import io.reedmast.kvstore.StoredItem
+import io.reedmast.model.Job
+import io.reedmast.model.Placement
+import io.reedmast.model.ShardState
+import io.reedmast.persistence.PageForm
+import io.reedmast.persistence.ProgressStore
+import io.reedmast.wire.MalformedException
+
+/** Restores the state of a shard from its stored records, once after the shard's acquisition. */
+internal class ShardRestoration(
+    private val shardState: ShardState,
+    private val jobs: ShardJobs,
+    private val machines: ShardMachines,
+    private val progressStore: ProgressStore,
+    private val usageSummaryWriter: UsageSummaryWriter,
+    private val gangs: GangCoordinator,
+) {
+    private val clock = shardState.clock
+
+    /** Reads [pages], which were listed, and [live], which is at least as new, after our token was stored. */
+    fun restore(live: List<LiveJob>, pages: List<StoredItem>, usageSummary: StoredItem?) {
+        if (pages.any { isSized(it) }) shardState.limits.reduce()
+        machines.syncWithRecords()
+        usageSummary?.let { usageSummaryWriter.load(it) }
+        live.forEach { jobs.add(it) }
+        restoreProgress(live, pages)
+        resumeJobs()
+    }
+
+    /**
+     * Whether the page is of the form that reduced limits require: only a controller that knows that every controller
+     * reads such pages stores them.
+     */
+    private fun isSized(page: StoredItem): Boolean = try {
+        PageForm.isSized(page.value)
+    } catch (ignored: MalformedException) {
+        // Reported where the page's content is read.
+        false
+    }
+
+    private fun restoreProgress(live: List<LiveJob>, pages: List<StoredItem>) {
+        val chunkSizes = live.associate { it.record.spec.jobId to it.record.chunkSize }
+        progressStore.load(pages, chunkSizes) { job, stored ->
+            val machine = machines.machineOfStoredPlacement(stored.machineName)
+            val placement = Placement(job, stored.task, stored.attempt, machine, clock.now())
+            placement.committed = true
+            shardState.place(placement)
+        }
+    }
+
+    /** Continues what the previous owner had begun: gangs that were starting, waits, cancellations, ends to store. */
+    private fun resumeJobs() {
+        val restored = shardState.jobs.values
+        restored.forEach { gangs.onRestored(it) }
+        restored.forEach { countWaitFromAcceptance(it) }
+        restored.filter { it.isCancelled }.forEach { jobs.stopAll(it) }
+        shardState.changed.addAll(restored)
+    }
+
+    /**
+     * A job that has got nothing so far has waited since its acceptance, whoever owned the shard: else each failover
+     * prolongs its wait.
+     */
+    private fun countWaitFromAcceptance(job: Job) {
+        if (job.placedCount > 0 || job.doneCount > 0) return
+        job.restartWaiting(clock.now() - maxOf(0L, clock.wall() - job.acceptedAtMs))
+    }
+}
--- a/src/main/kotlin/io/reedmast/shard/ShardStatusPublisher.kt
+++ b/src/main/kotlin/io/reedmast/shard/ShardStatusPublisher.kt
@@ -6,41 +6,46 @@
 import io.reedmast.ports.PeerTransport
 
 /**
- * Tells the other controllers how far jobs are, for their users' display, and what helps whoever takes the shard over.
+ * Sends the other controllers how far jobs are, for their users' display, and what helps the one that takes the shard
+ * over.
  */
-class ShardStatusPublisher(
+internal class ShardStatusPublisher(
     private val shardState: ShardState,
     private val peers: PeerTransport,
     private val records: ShardRecords,
 ) {
-    private var due = 0L
+    private var dueAt = 0L
     private var publications = 0
 
+    /** Publishes what has changed, if an update is due at [now]. */
     fun publishIfDue(now: Long) {
-        if (now < due) return
-        due = now + PUBLISH_INTERVAL_MS
-        // A controller that has just come back knows nothing: now and then all is told again.
-        val all = ++publications % PUBLISH_ALL_TURN == 0
-        val progress = progress(all)
-        val hints = records.machineDirectory.hints(shardState.machines.keys, all)
+        if (now < dueAt) return
+        dueAt = now + PUBLISH_INTERVAL_MS
+        // A controller that has just come back knows nothing: now and then everything is sent again.
+        val isFull = ++publications % FULL_UPDATE_TURN == 0
+        val progress = progressToPublish(isFull)
+        val hints = records.machineDirectory.hints(shardState.machines.keys, isFull)
         if (progress.isEmpty() && hints.isEmpty()) return
         records.jobs.applyProgressUpdates(progress)
         peers.broadcast(PeerMessage.ShardStatusUpdate(progress, hints))
     }
 
-    private fun progress(all: Boolean): List<JobProgress> {
-        val news = ArrayList<JobProgress>()
+    /** The counts that differ from those last published, or all of them. */
+    private fun progressToPublish(isFull: Boolean): List<JobProgress> {
+        val updates = ArrayList<JobProgress>()
         for (job in shardState.jobs.values) {
-            if (!all && job.doneCount == job.publishedDone && job.runningCount == job.publishedRunning) continue
+            if (!isFull && job.doneCount == job.publishedDone && job.runningCount == job.publishedRunning) continue
             job.publishedDone = job.doneCount
             job.publishedRunning = job.runningCount
-            news.add(JobProgress(job.spec.jobId, job.doneCount, job.runningCount))
+            updates.add(JobProgress(job.spec.jobId, job.doneCount, job.runningCount))
         }
-        return news
+        return updates
     }
 
     private companion object {
         const val PUBLISH_INTERVAL_MS = 1_000L
-        const val PUBLISH_ALL_TURN = 10
+
+        /** Every so many updates one is full. */
+        const val FULL_UPDATE_TURN = 10
     }
 }
--- /dev/null
+++ b/src/main/kotlin/io/reedmast/shard/StoredProgressListener.kt
@@ -0,0 +1,69 @@
+package io.reedmast.shard
+
+import io.reedmast.commands.CommandDispatcher
+import io.reedmast.jobs.EndRecord
+import io.reedmast.kvstore.Keys
+import io.reedmast.kvstore.StoredItem
+import io.reedmast.model.Job
+import io.reedmast.model.Placement
+import io.reedmast.model.ShardState
+import io.reedmast.model.StopReason
+import io.reedmast.persistence.ProgressListener
+import org.slf4j.LoggerFactory
+
+/** Acts on what the storing of a shard's progress reports: launches what is stored, and completes jobs that are over. */
+internal class StoredProgressListener(
+    private val shardState: ShardState,
+    private val dispatcher: CommandDispatcher,
+    private val jobs: ShardJobs,
+    private val records: ShardRecords,
+) : ProgressListener {
+    private val log = LoggerFactory.getLogger("shard")
+    private val shard = shardState.index
+
+    override fun onPlacementStored(placement: Placement) {
+        if (placement.committed) return
+        placement.committed = true
+        if (!isCurrent(placement)) return
+        if (placement.job.isCancelled) dispatcher.stop(placement, StopReason.CANCELLED)
+        if (placement.stopReason == null) {
+            launch(placement)
+        } else if (placement.launchEpoch == 0L) {
+            // It was never launched, so nothing has to be stopped.
+            shardState.finish(placement, done = false)
+        }
+    }
+
+    /** Whether the task still has this placement: it may have ended while the store was written. */
+    private fun isCurrent(placement: Placement): Boolean =
+        placement.job.chunkOf(placement.task).placements[placement.task] === placement
+
+    /** A gang is launched all at once, when the last of its placements is stored. */
+    private fun launch(placement: Placement) {
+        val job = placement.job
+        when {
+            !job.spec.gang -> dispatcher.launch(placement)
+            job.isWholeGangStored -> job.placements().forEach { dispatcher.launch(it) }
+        }
+    }
+
+    override fun onTermInDoubt() = records.refresh(shard)
+
+    override fun onGatesInDoubt() = records.rollout.refreshGates()
+
+    override fun onJobRecordChanged(path: String, item: StoredItem?) {
+        if (item == null) {
+            jobs.onJobGone(path.substringAfterLast('/'))
+        } else {
+            records.jobs.applyRecord(path, item.value, item.version)
+        }
+    }
+
+    override fun onJobEnded(job: Job, end: EndRecord, revision: Long) {
+        val jobId = job.spec.jobId
+        log.info("job {}: {}", jobId, if (job.isCancelled) "cancellation complete" else "done")
+        jobs.forget(job)
+        records.jobs.applyRecord(Keys.end(jobId), end.toFields(), revision)
+        records.jobs.applyRecord(Keys.live(shard.value, jobId), null, revision)
+    }
+}
