--- /dev/null
+++ b/src/main/kotlin/io/reedmast/model/FairShare.kt
@@ -0,0 +1,64 @@
+package io.reedmast.model
+
+import io.reedmast.ports.Clock
+import io.reedmast.settings.Settings
+import io.reedmast.settings.TeamId
+import io.reedmast.settings.Tuning
+import io.reedmast.wire.JobSpec
+import io.reedmast.wire.MachineType
+
+/** Charges the teams of a shard for what runs, and compares their charged use with what they are allocated. */
+class FairShare(
+    private val settings: Settings,
+    private val tuning: Tuning,
+    private val clock: Clock,
+    private val quota: TeamQuota,
+    /** The teams of the shard. */
+    private val teams: List<TeamId>,
+) {
+    /** What was charged lately, by team. */
+    val usage = ChargedUsage((tuning.windowS * MS_PER_S).toLong())
+
+    /** Charges funded work that was seen on its machine, one of [machines], for the last [seconds]. */
+    fun charge(machines: Collection<Machine>, seconds: Double) {
+        val rates = DoubleArray(settings.teams.size)
+        for (machine in machines) {
+            val type = machine.machineType ?: continue
+            for (placement in machine.placements.values) {
+                if (isCharged(placement)) rates[placement.job.team.value] += chargedCpus(placement.job.spec, type)
+            }
+        }
+        val wall = clock.wall()
+        for (team in teams) if (rates[team.value] > 0) usage.charge(team, rates[team.value] * seconds, wall)
+    }
+
+    private fun isCharged(placement: Placement) = placement.seen && placement.job.spec.priority.isFunded
+
+    /** The largest share of the machine, in that machine's CPUs, so that machines of different sizes add up. */
+    private fun chargedCpus(spec: JobSpec, type: MachineType): Double {
+        val share = maxOf(
+            if (type.cpus > 0) spec.cpus / type.cpus else 0.0,
+            if (type.gpus > 0) spec.gpus / type.gpus else 0.0,
+            if (type.memoryGb > 0) spec.memoryGb / type.memoryGb else 0.0,
+        )
+        return share * type.cpus
+    }
+
+    /**
+     * Charged use over the window that ends at [wallMs], against what the team is allocated for it: the team with the
+     * smallest ratio comes first. A team that is allocated nothing comes last.
+     */
+    fun ratio(team: TeamId, wallMs: Long): Double {
+        val share = settings.teams[team.value]
+        val allocated = if (share.cpus > 0) share.cpus else share.gpus
+        if (allocated <= 0.0) return Double.MAX_VALUE
+        // What runs now counts for the next minute too, so that a burst of decisions sees its own effect.
+        val soon = quota.usedCpus(team) * LOOKAHEAD_S
+        return (usage.within(team, wallMs) + soon) / (allocated * tuning.windowS)
+    }
+
+    private companion object {
+        const val MS_PER_S = 1000
+        const val LOOKAHEAD_S = 60.0
+    }
+}
--- a/src/main/kotlin/io/reedmast/model/ShardState.kt
+++ b/src/main/kotlin/io/reedmast/model/ShardState.kt
@@ -13,8 +13,8 @@
 import io.reedmast.wire.MachineType
 
 /**
- * What an owner knows of its shard. The duties around it (reports, commands, placing, storing, upkeep, demand) read and
- * change it, all on the deciding thread.
+ * What an owner knows of its shard. The duties around it (heartbeats, commands, scheduling, persistence, machine
+ * lifecycle, autoscaling) read and change it, all on the deciding thread.
  *
  * Nothing here guesses: a placement counts from the decision until there is evidence that its attempt is over.
  */
@@ -26,29 +26,48 @@
     private val machineTypeList: () -> Collection<MachineType>,
     /** Whether this controller has lately heard enough from the store to act. */
     val isCurrent: () -> Boolean,
+    /** Which limits of the store hold for this process. */
     val limits: EffectiveLimits = EffectiveLimits(settings.storeLimits, settings.nextStoreLimits),
     /** The gates of the rollout as they now stand. */
     val gates: () -> GateSnapshot = { GateSnapshot.NONE },
 ) {
+    /** The fencing token under which the shard's workers are commanded. */
     var token = 0L
+
+    /** The version of the shard's record: every write of the owner is conditional on it. */
     var term = 0L
+
+    /** Whether the shard has been restored, so that decisions may be made. */
     var active = false
+
+    /** When the shard became [active]. */
     var activeAt = 0L
 
-    /** Set when another owner has taken the shard: answers that still come in are ignored. */
+    /** Set when another owner has acquired the shard: answers that still come in are ignored. */
     var dropped = false
 
+    /** The shard's unfinished jobs, by id, in the order in which they became known. */
     val jobs = LinkedHashMap<String, Job>()
+
+    /** The shard's machines, by name; one that only a stored placement names is among them until it is returned. */
     val machines = LinkedHashMap<String, Machine>()
-    val usage = ChargedUsage((tuning.windowS * 1000).toLong())
+
+    /** The teams whose jobs belong to the shard. */
     val teams = settings.teams.indices.map { TeamId(it) }.filter { settings.shardOf(it) == index }
-    private val usedCpus = DoubleArray(settings.teams.size)
-    private val usedGpus = DoubleArray(settings.teams.size)
 
-    /** For whom a placement is being stopped: that many tasks of the job need no other victim. */
+    /** What the teams' placements take, against their guarantees and limits. */
+    val quota = TeamQuota(settings)
+
+    /** What the teams have used lately, against what they are allocated. */
+    val fairShare = FairShare(settings, tuning, clock, quota, teams)
+
+    /** Which jobs are late, starving or underserved. */
+    val urgency = JobUrgency(settings, clock)
+
+    /** For which job a placement is being preempted: that many tasks of the job need no other candidate. */
     val preemptedFor = HashMap<Placement, Job>()
 
-    /** Machines of a zone that were given up as silent or never came up, by when. */
+    /** When machines of a zone were given up because they missed heartbeats or never came up, by zone. */
     val silentMachinesByZone = HashMap<String, ArrayDeque<Long>>()
 
     /** Until then nothing is placed: what runs is not fully known. */
@@ -60,31 +79,37 @@
     /** Something has changed that may let waiting work start. */
     var passRequested = false
 
+    /** Jobs to look at when storing: what is stored of them, or whether they are over, may have changed. */
+    val changed = LinkedHashSet<Job>()
+
     /** The jobs that came lately. */
     val jobArrivals = JobArrivals()
-    val arrivals: ArrayDeque<JobArrival> get() = jobArrivals.services
-    val arrayArrivals: ArrayDeque<JobArrival> get() = jobArrivals.arrays
-    val gangArrivals: ArrayDeque<GangArrival> get() = jobArrivals.gangs
 
+    /** How long after the last heartbeat the next one is late: heartbeats go out a quarter early or late. */
+    val heartbeatLateMs: Long = (settings.workers.reportS * MAX_HEARTBEAT_INTERVAL_MS_PER_S).toLong() + REPORT_SLACK_MS
+
+    /** The cloud's machine types as they are now known. */
     val machineTypes: Collection<MachineType> get() = machineTypeList()
+
+    /** The precondition of every write of the owner: that no other has acquired the shard. */
     val termPrecondition: Precondition get() = Precondition(Keys.shard(index.value), term)
 
     /** The token of commands to this machine's worker. */
     fun tokenFor(machine: Machine): Long = maxOf(token, machine.raisedTo)
 
+    /** The machine type of this name, null if the cloud does not offer it. */
     fun machineTypeOf(typeName: String): MachineType? = machineTypes.firstOrNull { it.label == typeName }
 
     /** How soon the machine type that is up first of those in the shard is up, in seconds; null without machines. */
     fun shortestBootS(): Double? = machines.values.mapNotNull { it.machineType?.bootS }.minOrNull()
 
-    fun usedCpus(team: TeamId): Double = usedCpus[team.value]
-
+    /** Adds a placement, which counts from now on. */
     fun place(placement: Placement) {
         placement.job.add(placement)
-        count(placement, +1)
+        quota.add(placement.job)
     }
 
-    /** There is evidence that the attempt is over. */
+    /** There is evidence that the attempt is over; [done] if it completed its task. */
     fun finish(placement: Placement, done: Boolean) {
         val job = placement.job
         if (job.pendingCount == 0) job.waitsSince = clock.now()
@@ -96,7 +121,7 @@
         }
         if (job.spec.gang && !done && job.placedCount > 0) incompleteGangs.add(job)
         markDirty(job.chunkOf(placement.task))
-        count(placement, -1)
+        quota.remove(job)
         if (placement.machine.placements.isEmpty()) placement.machine.emptySince = clock.now()
         passRequested = true
     }
@@ -112,168 +137,38 @@
         changed.add(chunk.job)
     }
 
-    /** Jobs to look at when storing: what is stored of them, or whether they are over, may have changed. */
-    val changed = LinkedHashSet<Job>()
-
-    private fun count(placement: Placement, sign: Int) {
-        val team = placement.job.team.value
-        usedCpus[team] += sign * placement.job.spec.cpus
-        usedGpus[team] += sign * placement.job.spec.gpus
-    }
+    // ---- short forms of jobArrivals, quota, fairShare and urgency, for the duties -----------------------------------
 
-    /** Charges funded work that was seen on its machine for the last [seconds]. */
-    fun charge(seconds: Double) {
-        val sums = DoubleArray(settings.teams.size)
-        for (machine in machines.values) {
-            val machineType = machine.machineType ?: continue
-            for (placement in machine.placements.values) {
-                if (placement.seen &&
-                    placement.job.spec.priority.isFunded
-                ) {
-                    sums[placement.job.team.value] +=
-                        charge(placement.job.spec, machineType)
-                }
-            }
-        }
-        val wall = clock.wall()
-        for (team in teams) if (sums[team.value] > 0) usage.charge(team, sums[team.value] * seconds, wall)
-    }
-
-    /** The largest share of the machine, in that machine's CPUs, so that machines of different sizes add up. */
-    private fun charge(spec: JobSpec, machineType: MachineType): Double {
-        val share =
-            maxOf(
-                if (machineType.cpus > 0) spec.cpus / machineType.cpus else 0.0,
-                if (machineType.gpus > 0) spec.gpus / machineType.gpus else 0.0,
-                if (machineType.memoryGb > 0) spec.memoryGb / machineType.memoryGb else 0.0,
-            )
-        return share * machineType.cpus
-    }
-
-    // ---- teams ------------------------------------------------------------------------------------------------------
-
-    /** Charged use over the window against what the team is allocated for it. */
-    fun ratio(team: TeamId, nowMs: Long): Double {
-        val share = settings.teams[team.value]
-        val allocated = if (share.cpus > 0) share.cpus else share.gpus
-        // What runs now counts for the next minute too, so that a burst of decisions sees its own effect.
-        val soon = usedCpus[team.value] * LOOKAHEAD_S
-        return if (allocated <=
-            0.0
-        ) {
-            Double.MAX_VALUE
-        } else {
-            (usage.within(team, nowMs) + soon) / (allocated * tuning.windowS)
-        }
-    }
-
-    /** Whether one more task of this shape is within the team's guarantee. */
-    fun isWithinGuarantee(team: TeamId, spec: JobSpec): Boolean {
-        val share = settings.teams[team.value]
-        return usedCpus[team.value] + spec.cpus <= share.cpus + Machine.EPSILON &&
-            (spec.gpus == 0.0 || usedGpus[team.value] + spec.gpus <= share.gpus + Machine.EPSILON)
-    }
-
-    /** Whether all tasks of a gang are within the team's guarantee. */
-    fun isGangWithinGuarantee(job: Job): Boolean {
-        val share = settings.teams[job.team.value]
-        return usedCpus[job.team.value] + job.spec.cpus * job.spec.taskCount <= share.cpus + Machine.EPSILON &&
-            (
-                job.spec.gpus == 0.0 ||
-                    usedGpus[job.team.value] + job.spec.gpus * job.spec.taskCount <= share.gpus + Machine.EPSILON
-                )
-    }
-
-    fun isBeyondGuarantee(team: TeamId): Boolean =
-        usedCpus[team.value] > settings.teams[team.value].cpus + Machine.EPSILON
-
-    /** How many more tasks of this shape the team's limit allows. */
-    fun remainingQuota(job: Job): Int {
-        val share = settings.teams[job.team.value]
-        var most = Int.MAX_VALUE
-        if (share.maxCpus > 0 && job.spec.cpus > 0) {
-            most = minOf(most, ((share.maxCpus - usedCpus[job.team.value] + Machine.EPSILON) / job.spec.cpus).toInt())
-        }
-        if (share.maxGpus > 0 && job.spec.gpus > 0) {
-            most = minOf(most, ((share.maxGpus - usedGpus[job.team.value] + Machine.EPSILON) / job.spec.gpus).toInt())
-        }
-        return maxOf(0, most)
-    }
-
-    fun deadlineMs(job: Job): Long {
-        val due =
-            job.spec.deadlineS
-                ?: settings.objectives.firstOrNull {
-                    it.kind == "finished" && it.jobClass == job.spec.jobClass
-                }?.withinS
-        return if (due == null) job.acceptedAtMs else job.acceptedAtMs + (due * 1000).toLong()
-    }
-
-    fun isPastDeadline(job: Job): Boolean =
-        clock.wall() > deadlineMs(job) + if (job.spec.deadlineS == null) LATE_WITHOUT_DUE_MS else 0L
-
-    /**
-     * Nothing of it runs, or a service lacks replicas, and has for so long that what a machine costs, whose room it is
-     * or where it failed counts no more: with room for it somewhere it must not be left waiting for 90 s.
-     *
-     * Not sooner: at 30 s, a swarm of small jobs took the room that services were to find.
-     */
-    fun isStarving(job: Job): Boolean = isNearlyStarving(job) && starvingSince(job) < clock.now() - STARVING_MS
-
-    /**
-     * No task of it has run for longer than a moment for so long that its next task comes before other work of its
-     * team.
-     */
-    fun isUnderserved(job: Job): Boolean = underservedForMs(job) > STARVING_MS
-
-    /** As [isUnderserved], for so long that its next task yields to nothing. */
-    fun isOverdue(job: Job): Boolean = underservedForMs(job) > OVERDUE_MS
-
-    /**
-     * How long a job that waits has got nothing that lasted, a service: lacked replicas; 0 if it does not wait for
-     * that.
-     */
-    fun underservedForMs(job: Job): Long {
-        if (job.pendingCount <= 0 || isSuspectedFaulty(job)) return 0L
-        return when {
-            job.spec.service -> clock.now() - job.waitsSince
-            job.placedCount == 0 -> clock.now() - job.underservedSince
-            else -> 0L
-        }
-    }
-
-    /** It may starve before a machine of another shard is emptied for it, so that is thought of sooner. */
-    fun isNearlyStarving(job: Job): Boolean =
-        job.pendingCount > 0 && !isSuspectedFaulty(job) && starvingSince(job) < clock.now() - NEARLY_STARVING_MS
-
-    /** Since when the job lacks what it must not lack for long; in the future if it does not. */
-    fun starvingSince(job: Job): Long = when {
-        job.spec.service -> job.waitsSince
-        job.placedCount == 0 -> job.idleSince
-        else -> Long.MAX_VALUE
-    }
-
-    fun isLatencySensitive(job: Job) = job.spec.service || job.spec.gang ||
-        settings.objectives.any { it.kind == "wait" && it.jobClass == job.spec.jobClass }
-
-    /** It failed on several machines in a row: the job has a mistake, and the machines have not. */
-    fun isSuspectedFaulty(job: Job) = job.failures >= FAILURES_OF_FAULTY_JOB
+    val arrivals: ArrayDeque<JobArrival> get() = jobArrivals.services
+    val arrayArrivals: ArrayDeque<JobArrival> get() = jobArrivals.arrays
+    val gangArrivals: ArrayDeque<GangArrival> get() = jobArrivals.gangs
 
-    /** When a worker's report is overdue: reports go out a quarter early or late. */
-    val heartbeatLateMs: Long = (settings.workers.reportS * 1250).toLong() + REPORT_SLACK_MS
+    val usage: ChargedUsage get() = fairShare.usage
+    fun ratio(team: TeamId, nowMs: Long): Double = fairShare.ratio(team, nowMs)
+
+    fun usedCpus(team: TeamId): Double = quota.usedCpus(team)
+    fun isWithinGuarantee(team: TeamId, spec: JobSpec): Boolean = quota.isWithinGuarantee(team, spec)
+    fun isGangWithinGuarantee(job: Job): Boolean = quota.isWithinGuarantee(job.team, job.spec, job.spec.taskCount)
+    fun isBeyondGuarantee(team: TeamId): Boolean = quota.isBeyondGuarantee(team)
+    fun remainingQuota(job: Job): Int = quota.remainingTasks(job)
+
+    fun deadlineMs(job: Job): Long = urgency.deadlineMs(job)
+    fun isPastDeadline(job: Job): Boolean = urgency.isPastDeadline(job)
+    fun isStarving(job: Job): Boolean = urgency.isStarving(job)
+    fun isUnderserved(job: Job): Boolean = urgency.isUnderserved(job)
+    fun isOverdue(job: Job): Boolean = urgency.isOverdue(job)
+    fun underservedForMs(job: Job): Long = urgency.underservedForMs(job)
+    fun isNearlyStarving(job: Job): Boolean = urgency.isNearlyStarving(job)
+    fun starvingSince(job: Job): Long = urgency.starvingSince(job)
+    fun isLatencySensitive(job: Job): Boolean = urgency.isLatencySensitive(job)
+    fun isSuspectedFaulty(job: Job): Boolean = urgency.isSuspectedFaulty(job)
 
     private companion object {
-        const val LOOKAHEAD_S = 60.0
-        const val LATE_WITHOUT_DUE_MS = 120_000L
-        const val STARVING_MS = 60_000L
-        const val NEARLY_STARVING_MS = 30_000L
-
-        /** Half of the time within which the largest jobs must have begun. */
-        const val OVERDUE_MS = 120_000L
+        /** Milliseconds in the longest interval between heartbeats, for each second of the one that is set. */
+        const val MAX_HEARTBEAT_INTERVAL_MS_PER_S = 1250
+        const val REPORT_SLACK_MS = 1_000L
 
         /** A start counts for users if no command stops the task for this long. */
         const val COUNTS_AS_RUN_MS = 30_000L
-        const val FAILURES_OF_FAULTY_JOB = 4
-        const val REPORT_SLACK_MS = 1_000L
     }
 }
--- a/src/main/kotlin/io/reedmast/shard/UsageCharging.kt
+++ b/src/main/kotlin/io/reedmast/shard/UsageCharging.kt
@@ -13,7 +13,7 @@
         chargedAt = now
         // The first time, or after a long pause: nobody observed what ran meanwhile.
         if (seconds > MAX_CHARGED_S) return
-        shardState.charge(seconds)
+        shardState.fairShare.charge(shardState.machines.values, seconds)
     }
 
     private companion object {
