--- a/src/main/kotlin/io/reedmast/model/Chunk.kt
+++ b/src/main/kotlin/io/reedmast/model/Chunk.kt
@@ -3,9 +3,16 @@
 import java.util.BitSet
 import java.util.TreeMap
 
-/** Tasks `first` to `first + size - 1` of a job, the unit in which progress is stored. */
+/**
+ * Tasks [first] to `first + size - 1` of a job, the unit in which progress is stored.
+ *
+ * @property index the chunk's place among those of its job.
+ */
 class Chunk(val job: Job, val index: Int, val first: Int, val size: Int) {
+    /** The tasks that are done, counted from [first]. */
     val done = BitSet(size)
+
+    /** The placements of the chunk's tasks, by the tasks' numbers in the job. */
     val placements = TreeMap<Int, Placement>()
 
     /** The stored value that holds it, from its first change on. */
--- a/src/main/kotlin/io/reedmast/model/FencingToken.kt
+++ b/src/main/kotlin/io/reedmast/model/FencingToken.kt
@@ -1,7 +1,7 @@
 package io.reedmast.model
 
 /**
- * Tokens of shards' owners. Each taking of a shard gets a range of them, above every range given before.
+ * Fencing tokens of shards' owners. Each acquisition of a shard gets a range of them, above every range given before.
  *
  * The owner commands under the first one. It moves on within its range, for one worker at a time, where copies of its
  * own earlier commands must become void: no record is written for that, and no term moves.
@@ -16,7 +16,7 @@
     fun last(first: Long): Long = first + RANGE - 1
 
     /**
-     * How many ranges were given up to this one. Records of an earlier form counted takings alone, below a range's
+     * How many ranges were given up to this one. Records of an earlier form counted acquisitions alone, below a range's
      * size.
      */
     fun acquisitions(token: Long): Long = if (token < RANGE) token else token / RANGE
--- a/src/main/kotlin/io/reedmast/model/MachineDirectory.kt
+++ b/src/main/kotlin/io/reedmast/model/MachineDirectory.kt
@@ -3,42 +3,37 @@
 import io.reedmast.ports.MachineHint
 
 /**
- * Addresses and images of all machines, told by their owners to the other controllers.
+ * Addresses and images of all machines, sent by their owners to the other controllers.
  *
- * A controller that takes a shard over can so show its token to the workers at once, and place work where its images
- * are.
+ * A controller that acquires a shard can so show its token to the workers at once, and place work where its images are.
  */
 class MachineDirectory {
-    private val facts = HashMap<String, MachineFacts>()
+    private val factsByMachine = HashMap<String, MachineFacts>()
 
-    fun of(machineName: String): MachineFacts = facts.getOrPut(machineName) { MachineFacts(machineName) }
+    /** What is known of the machine, now and later on: the owner records there what its heartbeats show. */
+    fun of(machineName: String): MachineFacts = factsByMachine.getOrPut(machineName) { MachineFacts(machineName) }
 
+    /** The machine is gone. */
     fun forget(machineName: String) {
-        facts.remove(machineName)
+        factsByMachine.remove(machineName)
     }
 
-    /** What to tell of [machineNames]: what has changed, or [all]. */
-    fun hints(machineNames: Collection<String>, all: Boolean): List<MachineHint> {
-        val hints = ArrayList<MachineHint>()
-        for (machineName in machineNames) {
-            val of = facts[machineName] ?: continue
-            val addr = of.addr ?: continue
-            if (!all && !of.changed) continue
-            of.changed = false
-            hints.add(MachineHint(machineName, addr, of.images.entries.map { it.key to it.value }))
-        }
-        return hints
+    /** What to send of [machineNames]: what has changed since it was last sent, or [all]. */
+    fun hints(machineNames: Collection<String>, all: Boolean): List<MachineHint> =
+        machineNames.mapNotNull { hint(it, all) }
+
+    private fun hint(machineName: String, always: Boolean): MachineHint? {
+        val facts = factsByMachine[machineName] ?: return null
+        val addr = facts.addr ?: return null
+        if (!always && !facts.changed) return null
+        facts.changed = false
+        return MachineHint(machineName, addr, facts.images.entries.map { it.key to it.value })
     }
 
-    /** Takes up what an owner tells of machines that are [known] to belong to some shard. */
+    /** Applies what an owner has sent of machines that are [known] to belong to some shard. */
     fun heard(hints: List<MachineHint>, known: (String) -> Boolean) {
         for (hint in hints) {
-            if (!known(hint.machineName)) continue
-            val mine = of(hint.machineName)
-            mine.addr = hint.addr
-            mine.images.clear()
-            hint.images.forEach { (image, imageGb) -> mine.images[image] = imageGb }
-            mine.changed = false
+            if (known(hint.machineName)) of(hint.machineName).replace(hint.addr, hint.images)
         }
     }
 }
--- a/src/main/kotlin/io/reedmast/model/Placement.kt
+++ b/src/main/kotlin/io/reedmast/model/Placement.kt
@@ -4,8 +4,13 @@
 
 /** Why an owner wants an attempt stopped. */
 enum class StopReason {
+    /** The job's user has cancelled it. */
     CANCELLED,
+
+    /** Other work takes its place. */
     PREEMPTED,
+
+    /** Its machine is decommissioned. */
     DRAINED,
 
     /** Another task of its gang is gone. */
@@ -15,7 +20,15 @@
 /**
  * One attempt to run one task on one machine, from the decision until there is evidence that the attempt is over.
  *
- * Quota, zone rules and free room count every placement, whatever is known of it.
+ * Quota, zone rules and free capacity count every placement, whatever is known of it.
+ *
+ * The steps of a placement: decided ([madeAt]), stored ([committed]), launched ([launchEpoch], [answeredSequence]),
+ * shown by the worker ([seen]), [running], and gone ([ShardState.finish]). A [stopReason] may come at any step. Where
+ * the worker has lost its state, the placement is merely stored again ([Job.recordLost]).
+ *
+ * @property task the task's number in its job.
+ * @property attempt the attempt's number, different for each attempt at the task.
+ * @property madeAt when the decision was made, or when the placement was restored.
  */
 class Placement(val job: Job, val task: Int, val attempt: Long, val machine: Machine, val madeAt: Long) {
     val id = TaskId(job.spec.jobId, task)
@@ -23,23 +36,30 @@
     /** Whether the store holds it: nothing is launched before. */
     var committed = false
 
-    /** The worker's session for which a launch was last sent, 0 if this owner sent none. */
+    /** The worker's epoch for which a launch was last sent, 0 if this owner sent none. */
     var launchEpoch = 0L
 
-    /** The sequence of the report in whose answer a launch was last sent. */
+    /** The sequence of the heartbeat in whose answer a launch was last sent. */
     var answeredSequence = -1L
 
     /** In how many answers a launch was sent since the worker last showed the attempt. */
     var launchesAnswered = 0
 
+    /** Whether the worker has shown the attempt in its present epoch. */
     var seen = false
+
+    /** Since when it runs, as its worker shows it; 0 while it does not. */
     var runningSince = 0L
+
+    /** Why it is to stop; null as long as it may run. */
     var stopReason: StopReason? = null
 
-    /** Until then it yields to no work of its own team: its job had got nothing for long. */
+    /** Until then it is not preempted for other work of its own team: its job had got nothing for long. */
     var keptUntil = 0L
 
-    /** Until then it yields to nothing: its job had got nothing for very long. */
+    /** Until then it is not preempted at all: its job had got nothing for very long. */
     var keptFromAllUntil = 0L
+
+    /** Whether the worker has shown it running. */
     val running: Boolean get() = runningSince != 0L
 }
--- a/src/main/kotlin/io/reedmast/shard/ShardRecords.kt
+++ b/src/main/kotlin/io/reedmast/shard/ShardRecords.kt
@@ -5,18 +5,25 @@
 import io.reedmast.model.MachineRecord
 import io.reedmast.settings.ShardId
 
-/** The records of shards and their machines, which their owner asks to change and others may change too. */
+/**
+ * The records of shards and their machines, which their owner asks to change and others may change too.
+ *
+ * A request returns at once; what comes of it shows in the records, and the owner is told then.
+ */
 interface ShardRecords {
+    /** All unfinished jobs. */
     val jobs: JobIndex
+
+    /** What is known of the machines of all shards. */
     val machineDirectory: MachineDirectory
 
     /** What is rolled out, and this controller's part in it. */
     val rollout: ShardRollout
 
-    /** The machines that the records name for the shard, and the shards that they are to move to. */
+    /** The machines that the records name for the shard, and the shards that they are to move to (null: they stay). */
     fun transferTargetsOf(shard: ShardId): Map<MachineRecord, Int?>
 
-    /** Stamp of the newest change to them. */
+    /** The version of the newest change to these records. */
     fun machinesVersion(shard: ShardId): Long
 
     /** Asks for a fresh token: a worker has seen a higher one than ours. */
@@ -25,9 +32,10 @@
     /** The term may have moved on: read the record again. */
     fun refresh(shard: ShardId)
 
-    /** Asks the other controllers to take the shard, since its workers do not reach this one. */
+    /** Asks the other controllers to acquire the shard, since its workers do not reach this one. */
     fun requestFailover(shard: ShardId)
 
+    /** Removes machines that have been returned to the cloud. */
     fun removeMachines(shard: ShardId, machineNames: Set<String>)
 
     /** Gives empty machines to the shards that they are marked to leave for. */
