--- a/src/main/kotlin/io/reedmast/jobs/JobIndex.kt
+++ b/src/main/kotlin/io/reedmast/jobs/JobIndex.kt
@@ -1,6 +1,5 @@
 package io.reedmast.jobs
 
-import com.github.benmanes.caffeine.cache.Caffeine
 import io.reedmast.kvstore.Keys
 import io.reedmast.kvstore.StoredItem
 import io.reedmast.kvstore.UnreadableRecordLog
@@ -11,58 +10,78 @@
 import io.reedmast.settings.ShardId
 import io.reedmast.wire.Fields
 import io.reedmast.wire.MalformedException
-import io.reedmast.wire.map
 
 /**
- * All unfinished jobs, and as many ended ones as fit, as the watch on their records tells.
+ * All unfinished jobs, and as many ended ones as fit, as the watch on their records shows them.
  *
  * Every controller has it, so that a question about a job need not be read from the store one by one: with hundreds of
  * users asking, those reads were more than the service takes.
+ *
+ * Records reach the index in three ways that overtake each other: complete readings ([load]), the watch ([follow]), and
+ * this controller's own transactions and reads ([applyRecord]), which may be ahead of the watch or, where an answer was
+ * lost, seconds behind it. A job is in one of these states:
+ *
+ * - *unknown*: nothing is known of it; it was never accepted, or it ended long ago;
+ * - *live*: its record is known, with a version;
+ * - *unreadable*: it has a record that cannot be read, with a version;
+ * - *ended*: it is over, see [EndedJobs].
+ *
+ * What may happen next:
+ *
+ * | event | from | to |
+ * | --- | --- | --- |
+ * | live record, from a reading or the watch | unknown, unreadable, live with an older version | live |
+ * | live record, from an own transaction that the watch has not reached | the same | live |
+ * | live record, from an own transaction that the watch has passed | live with an older version | live |
+ * | the same, and the job is not live | unknown, unreadable | no change: it has ended since |
+ * | live record | live with the same or a newer version, ended | no change |
+ * | live record that cannot be read | unknown, unreadable, live with an older version | unreadable, or both |
+ * | removal, not older than the known version | live, unreadable | unknown |
+ * | removal, from an own transaction that the watch has not reached | any | ended |
+ * | missing from a complete reading that is at least as new as the known version | live, unreadable | unknown |
+ * | cancellation known to another controller | live with an older version | live, cancelled |
+ * | end record | any | ended, and still live until the removal, which shares its transaction |
+ *
+ * The [listeners], read anew at each change, hear of the live jobs of their shards alone.
  */
 class JobIndex(private val settings: Settings, private val listeners: () -> List<JobListener>) {
+    /** Reports records that cannot be read. */
     val unreadable = UnreadableRecordLog()
-    private val live = HashMap<String, LiveJob>()
-
-    /** The revision up to which the watch has told of every change; 0 before the first reading. */
-    private var observedRevision = 0L
 
-    /**
-     * Jobs whose end this controller knows from its own change, by the change's revision, until the watch has told as
-     * much.
-     */
-    private val endedHere = HashMap<String, Long>()
+    /** The jobs that are known to be over. */
+    val ended = EndedJobs()
+    private val live = HashMap<String, LiveJob>()
 
     /**
      * Unfinished jobs whose records cannot be read, by the versions of these: nobody may be told that they are unknown.
      */
     private val unreadableLive = HashMap<String, Long>()
 
-    /** Final states never change, so those that do not fit are read again. */
-    private val ends = Caffeine.newBuilder().maximumSize(ENDS_KEPT).executor(Runnable::run).build<String, EndRecord>()
+    /** The revision up to which the watch has shown every change; 0 before the first reading. */
+    private var observedRevision = 0L
 
+    /** The unfinished job of this id, if there is one. */
     fun live(jobId: String): LiveJob? = live[jobId]
 
+    /** The unfinished jobs of the shard. */
+    fun liveOf(shard: ShardId): List<LiveJob> = live.values.filter { it.shard == shard }
+
     /** Whether the job is there, and nothing else can be said of it. */
     fun isUnreadable(jobId: String): Boolean = jobId in unreadableLive
 
-    fun end(jobId: String): EndRecord? = ends.getIfPresent(jobId)
+    // ---- records ----------------------------------------------------------------------------------------------------
 
-    fun recordEnd(jobId: String, end: EndRecord) = ends.put(jobId, end)
-
-    fun liveOf(shard: ShardId): List<LiveJob> = live.values.filter { it.shard == shard }
-
-    /** Takes up a complete reading; [revision] is what it is at least as new as. */
+    /** Applies a complete reading; [revision] is what it is at least as new as. */
     fun load(items: List<StoredItem>, revision: Long) {
         recordObserved(revision)
-        val listed = items.mapTo(HashSet()) { it.path.substringAfterLast('/') }
-        live.filter { (jobId, job) ->
-            jobId !in listed && job.version <= revision
-        }.keys.toList().forEach { remove(it, Long.MAX_VALUE) }
+        val listed = items.mapTo(HashSet()) { jobIdOf(it.path) }
+        val missing = live.filter { (jobId, job) -> jobId !in listed && job.version <= revision }.keys.toList()
+        missing.forEach { remove(it, Long.MAX_VALUE) }
         unreadableLive.entries.removeIf { (jobId, version) -> jobId !in listed && version <= revision }
         items.forEach { accept(it.path, it.value, it.version) }
     }
 
-    /** Takes up what the watch tells: all changes up to [revision]. */
+    /** Applies what the watch shows: all changes up to [revision]. */
     fun follow(events: List<WatchEvent>, revision: Long) {
         events.forEach { accept(it.path, it.value, it.version) }
         recordObserved(revision)
@@ -70,53 +89,62 @@
 
     private fun recordObserved(revision: Long) {
         observedRevision = maxOf(observedRevision, revision)
-        endedHere.values.removeIf { it <= observedRevision }
+        ended.onObserved(observedRevision)
     }
 
     /**
-     * Takes up a record that a read, or a change of this controller's own, shows to have been stored, or (null)
+     * Applies a record that a read, or a transaction of this controller's own, shows to have been stored, or (null)
      * deleted.
      *
-     * It may be long ago: an answer that was lost is made up for seconds later. If the watch has told of all changes up
-     * to then and the job is not among the unfinished, it is over: taken up again, it was called queued after its user
-     * had been told of its end.
+     * It may be long ago: an answer that was lost is made up for seconds later. If the watch has shown all changes up
+     * to then and the job is not among the unfinished, it is over: added again, it was called queued after its user had
+     * been told of its end.
      */
     fun applyRecord(path: String, value: Fields?, version: Long) {
-        val jobId = path.substringAfterLast('/')
         if (path.startsWith(Keys.LIVE)) {
-            if (value == null && version > observedRevision) endedHere[jobId] = version
-            if (value != null && version <= observedRevision && jobId !in live) return
+            val jobId = jobIdOf(path)
+            val isObserved = version <= observedRevision
+            if (value == null && !isObserved) ended.recordRemoval(jobId, version)
+            if (value != null && isObserved && jobId !in live) return
         }
         accept(path, value, version)
     }
 
+    /** Applies a record of any origin that is not known to be outdated. */
     private fun accept(path: String, value: Fields?, version: Long) {
-        val jobId = path.substringAfterLast('/')
         try {
             when {
-                path.startsWith(Keys.ENDS) -> if (value != null) recordEnd(jobId, EndRecord.parse(value))
-                !path.startsWith(Keys.LIVE) -> {}
-                value == null -> remove(jobId, version)
-                else -> put(jobId, path.removePrefix(Keys.LIVE).substringBefore('/').toIntOrNull(), value, version)
+                path.startsWith(Keys.ENDS) -> value?.let { ended.record(jobIdOf(path), EndRecord.parse(it)) }
+                path.startsWith(Keys.LIVE) -> acceptLive(path, value, version)
             }
         } catch (e: MalformedException) {
             unreadable.report(path, e.message)
-            if (path.startsWith(Keys.LIVE)) unreadableLive[jobId] = version
+            if (path.startsWith(Keys.LIVE)) unreadableLive[jobIdOf(path)] = version
         }
     }
 
-    private fun put(jobId: String, shard: Int?, value: Fields, version: Long) {
-        // The watch may tell of the job after our own change has ended it.
-        if (jobId in endedHere || ends.getIfPresent(jobId) != null) return
+    private fun acceptLive(path: String, value: Fields?, version: Long) {
+        val jobId = jobIdOf(path)
+        if (value == null) {
+            remove(jobId, version)
+            return
+        }
+        // The watch may show the job after our own transaction has ended it.
+        if (jobId in ended) return
         val known = live[jobId]
         if (known != null && known.version >= version) return
-        if (shard == null ||
-            shard !in 0 until settings.shardCount
-        ) {
+        put(jobId, LiveJob(shardOf(path), LiveRecord.parse(value), version))
+        unreadableLive.remove(jobId)
+    }
+
+    private fun jobIdOf(path: String): String = path.substringAfterLast('/')
+
+    private fun shardOf(path: String): ShardId {
+        val number = path.removePrefix(Keys.LIVE).substringBefore('/').toIntOrNull()
+        if (number == null || number !in 0 until settings.shardCount) {
             throw MalformedException("the job belongs to no shard")
         }
-        put(jobId, LiveJob(ShardId(shard), LiveRecord.parse(value), version))
-        unreadableLive.remove(jobId)
+        return ShardId(number)
     }
 
     private fun put(jobId: String, job: LiveJob) {
@@ -128,6 +156,7 @@
         listeners().forEach { if (it.index == job.shard) it.onJobChanged(job) }
     }
 
+    /** The record was removed at [version]; one that is newer stays. */
     private fun remove(jobId: String, version: Long) {
         unreadableLive[jobId]?.let { if (it <= version) unreadableLive.remove(jobId) }
         val known = live[jobId] ?: return
@@ -136,31 +165,26 @@
         listeners().forEach { if (it.index == known.shard) it.onJobGone(jobId) }
     }
 
+    // ---- other controllers ------------------------------------------------------------------------------------------
+
     /** All cancelled jobs that are not over. */
-    fun cancellations(): List<Cancellation> = live.filterValues {
-        it.record.isCancelled
-    }.map { (jobId, job) -> Cancellation(jobId, job.version) }
+    fun cancellations(): List<Cancellation> = live
+        .filterValues { it.record.isCancelled }
+        .map { (jobId, job) -> Cancellation(jobId, job.version) }
 
-    /** Another controller knows that a job is cancelled, while the watch tells nothing. */
+    /** Another controller knows that a job is cancelled, while the watch shows nothing. */
     fun applyCancellation(cancellation: Cancellation) {
         val job = live[cancellation.jobId] ?: return
-        if (job.version <
-            cancellation.version
-        ) {
-            put(cancellation.jobId, LiveJob(job.shard, job.record.cancelled(), cancellation.version))
-        }
+        if (job.version >= cancellation.version) return
+        put(cancellation.jobId, LiveJob(job.shard, job.record.cancelled(), cancellation.version))
     }
 
-    fun applyProgressUpdates(progress: List<JobProgress>) {
-        for (of in progress) {
-            live[of.jobId]?.apply {
-                done = of.done
-                running = of.running
-            }
+    /** Records the counts that the shards' owners have published, for display. */
+    fun applyProgressUpdates(updates: List<JobProgress>) {
+        for (update in updates) {
+            val job = live[update.jobId] ?: continue
+            job.done = update.done
+            job.running = update.running
         }
     }
-
-    private companion object {
-        const val ENDS_KEPT = 20_000L
-    }
 }
--- a/src/main/kotlin/io/reedmast/jobs/JobListener.kt
+++ b/src/main/kotlin/io/reedmast/jobs/JobListener.kt
@@ -4,6 +4,7 @@
 
 /** Whoever acts on the unfinished jobs of one shard. */
 interface JobListener {
+    /** The shard. */
     val index: ShardId
 
     /** A job of the shard is new, or its user has cancelled it. */
--- a/src/main/kotlin/io/reedmast/requests/JobRequestHandler.kt
+++ b/src/main/kotlin/io/reedmast/requests/JobRequestHandler.kt
@@ -45,7 +45,7 @@
     private val jobs get() = cluster.jobs
 
     fun submit(spec: JobSpec, answer: (UserAnswer) -> Unit) {
-        jobs.end(spec.jobId)?.let {
+        jobs.ended[spec.jobId]?.let {
             answer(ended(spec.jobId, it))
             return
         }
@@ -193,7 +193,7 @@
             answer(UNKNOWN)
             return
         }
-        jobs.end(jobId)?.let {
+        jobs.ended[jobId]?.let {
             answer(ended(jobId, it))
             return
         }
@@ -203,7 +203,7 @@
         }
         cluster.staleness.awaitJobsBarrier { known ->
             val job = jobs.live(jobId)
-            val end = jobs.end(jobId)
+            val end = jobs.ended[jobId]
             when {
                 !known -> answer(later())
                 end != null -> answer(ended(jobId, end))
@@ -223,7 +223,7 @@
 
             is ReadResult.Found -> try {
                 val end = EndRecord.parse(fetched.item.value)
-                jobs.recordEnd(jobId, end)
+                jobs.ended.record(jobId, end)
                 answer(ended(jobId, end))
             } catch (e: MalformedException) {
                 jobs.unreadable.report(Keys.end(jobId), e.message)
--- a/src/main/kotlin/io/reedmast/shard/StoredProgressListener.kt
+++ b/src/main/kotlin/io/reedmast/shard/StoredProgressListener.kt
@@ -11,7 +11,7 @@
 import io.reedmast.persistence.ProgressListener
 import org.slf4j.LoggerFactory
 
-/** Acts on what the storing of a shard's progress reports: launches what is stored, and completes jobs that are over. */
+/** Acts on what is stored of a shard's progress: launches placements, and completes jobs that are over. */
 internal class StoredProgressListener(
     private val shardState: ShardState,
     private val dispatcher: CommandDispatcher,
--- a/src/test/kotlin/io/reedmast/jobs/JobIndexTest.kt
+++ b/src/test/kotlin/io/reedmast/jobs/JobIndexTest.kt
@@ -18,78 +18,106 @@
  * unfinished.
  */
 class JobIndexTest {
-    private val settings = testSettings()
-    private val index = JobIndex(settings) { emptyList() }
-    private val path = "j/live/0/wk-1"
+    private val index = JobIndex(testSettings()) { emptyList() }
 
-    private fun record(isCancelled: Boolean = false): Fields =
-        Tree.readCbor(Tree.writeCbor(LiveRecord(World.spec("wk-1", emptyMap()), 10, 0, isCancelled).toFields()))
+    private fun record(isCancelled: Boolean = false): Fields {
+        val record = LiveRecord(World.spec(JOB_ID, emptyMap()), chunkSize = 10, acceptedAtMs = 0, isCancelled)
+        return Tree.readCbor(Tree.writeCbor(record.toFields()))
+    }
+
+    private fun accepted(version: Long) = WatchEvent(LIVE_PATH, record(), version)
+
+    private fun cancelled(version: Long) = WatchEvent(LIVE_PATH, record(isCancelled = true), version)
+
+    private fun removed(version: Long) = WatchEvent(LIVE_PATH, null, version)
 
     /**
      * An acceptance shared a transaction whose answer was lost. The job ended, everything was read anew, and only then
      * another key of the transaction showed that it had been applied.
      */
     @Test
-    fun `an acceptance that is settled after the job's end does not bring it back`() {
+    fun `an acceptance that is resolved after a reading without the job does not bring it back`() {
         index.load(emptyList(), 100)
-        index.applyRecord(path, record(), 90)
-        assertNull(index.live("wk-1"))
+
+        index.applyRecord(LIVE_PATH, record(), 90)
+
+        assertNull(index.live(JOB_ID))
     }
 
     @Test
-    fun `nor after the watch has told of the end`() {
+    fun `an acceptance that is resolved after the watch has shown the end does not bring the job back`() {
         index.load(emptyList(), 80)
-        index.follow(listOf(WatchEvent(path, record(), 90), WatchEvent(path, null, 95)), 95)
-        index.applyRecord(path, record(), 90)
-        assertNull(index.live("wk-1"))
+        index.follow(listOf(accepted(90), removed(95)), 95)
+
+        index.applyRecord(LIVE_PATH, record(), 90)
+
+        assertNull(index.live(JOB_ID))
     }
 
     @Test
-    fun `an acceptance that the watch has not reached is taken up at once`() {
+    fun `an acceptance that the watch has not reached is added at once and stays until its removal`() {
         index.load(emptyList(), 80)
-        index.applyRecord(path, record(), 90)
-        assertNotNull(index.live("wk-1"))
+
+        index.applyRecord(LIVE_PATH, record(), 90)
+        assertNotNull(index.live(JOB_ID))
+
         index.follow(emptyList(), 85)
         index.load(emptyList(), 86)
-        assertNotNull(index.live("wk-1"))
-        index.follow(listOf(WatchEvent(path, record(), 90), WatchEvent(path, null, 95)), 95)
-        assertNull(index.live("wk-1"))
+        assertNotNull(index.live(JOB_ID))
+
+        index.follow(listOf(accepted(90), removed(95)), 95)
+        assertNull(index.live(JOB_ID))
     }
 
     @Test
-    fun `the watch tells of a job that our own change has ended`() {
+    fun `a job that an own transaction has ended is not added when the watch shows its acceptance`() {
         index.load(emptyList(), 80)
-        index.applyRecord("j/end/wk-1", EndRecord(JobState.DONE, 1).toFields(), 95)
-        index.applyRecord(path, null, 95)
-        index.follow(listOf(WatchEvent(path, record(), 90)), 92)
-        assertNull(index.live("wk-1"))
+        index.applyRecord(END_PATH, EndRecord(JobState.DONE, 1).toFields(), 95)
+        index.applyRecord(LIVE_PATH, null, 95)
+
+        index.follow(listOf(accepted(90)), 92)
+
+        assertNull(index.live(JOB_ID))
     }
 
     /** Many thousand ends later, when that of the job is no longer remembered. */
     @Test
-    fun `an end of our own holds until the watch has told it, whatever else ends meanwhile`() {
+    fun `an own removal holds until the watch has shown it, whether the end is remembered or not`() {
         index.load(emptyList(), 80)
-        index.applyRecord(path, null, 95)
-        index.load(listOf(StoredItem(path, record(), 90)), 91)
-        assertNull(index.live("wk-1"))
-        index.follow(listOf(WatchEvent(path, null, 95)), 95)
-        assertNull(index.live("wk-1"))
+        index.applyRecord(LIVE_PATH, null, 95)
+
+        index.load(listOf(StoredItem(LIVE_PATH, record(), 90)), 91)
+        assertNull(index.live(JOB_ID))
+
+        index.follow(listOf(removed(95)), 95)
+        assertNull(index.live(JOB_ID))
     }
 
     /** The first page of a listing is older than the last one: a job that came meanwhile may be listed or not. */
     @Test
     fun `a listing whose pages are of different moments loses nothing`() {
-        index.load(listOf(StoredItem(path, record(), 104)), 100)
-        index.follow(listOf(WatchEvent("j/live/0/wk-2", record(), 102), WatchEvent(path, record(), 104)), 110)
-        assertNotNull(index.live("wk-1"))
+        index.load(listOf(StoredItem(LIVE_PATH, record(), 104)), 100)
+
+        index.follow(listOf(WatchEvent("j/live/0/wk-2", record(), 102), accepted(104)), 110)
+
+        assertNotNull(index.live(JOB_ID))
     }
 
     @Test
-    fun `an older state never replaces a newer one`() {
+    fun `an older record never replaces a newer one`() {
         index.load(emptyList(), 80)
-        index.follow(listOf(WatchEvent(path, record(), 90), WatchEvent(path, record(isCancelled = true), 93)), 93)
-        index.applyRecord(path, record(), 90)
-        assertTrue(checkNotNull(index.live("wk-1")).record.isCancelled)
-        assertEquals(93, index.live("wk-1")?.version)
+        index.follow(listOf(accepted(90), cancelled(93)), 93)
+
+        index.applyRecord(LIVE_PATH, record(), 90)
+
+        val job = checkNotNull(index.live(JOB_ID))
+        assertTrue(job.record.isCancelled)
+        assertEquals(93, job.version)
+    }
+
+    private companion object {
+        const val JOB_ID = "wk-1"
+        const val LIVE_PATH = "j/live/0/$JOB_ID"
+        const val END_PATH = "j/end/$JOB_ID"
     }
 }
