--- /dev/null
+++ b/src/main/kotlin/io/reedmast/requests/JobLookup.kt
@@ -0,0 +1,60 @@
+package io.reedmast.requests
+
+import io.reedmast.cluster.Cluster
+import io.reedmast.jobs.EndRecord
+import io.reedmast.kvstore.Keys
+import io.reedmast.kvstore.ReadResult
+import io.reedmast.ports.KeyValueStore
+import io.reedmast.wire.JobSpec
+import io.reedmast.wire.MalformedException
+
+/**
+ * Finds a job, whatever its state, so that the result agrees with everything that any controller has answered before.
+ *
+ * A lookup waits until this controller knows all that was stored when it began. Only final states are returned from
+ * memory at once, since they never change.
+ */
+internal class JobLookup(private val store: KeyValueStore, private val cluster: Cluster) {
+    private val jobs get() = cluster.jobs
+
+    /** Calls [onResult] once, at once or when the store has answered. */
+    fun find(jobId: String, onResult: (JobLookupResult) -> Unit) {
+        val end = jobs.ended[jobId]
+        when {
+            !JobSpec.isJobId(jobId) -> onResult(JobLookupResult.Unknown)
+            end != null -> onResult(JobLookupResult.Ended(end))
+            !cluster.isCurrent() -> onResult(JobLookupResult.Unavailable)
+            else -> cluster.staleness.awaitJobsBarrier { isUpToDate -> findInIndex(jobId, isUpToDate, onResult) }
+        }
+    }
+
+    private fun findInIndex(jobId: String, isUpToDate: Boolean, onResult: (JobLookupResult) -> Unit) {
+        val job = jobs.live(jobId)
+        val end = jobs.ended[jobId]
+        when {
+            !isUpToDate -> onResult(JobLookupResult.Unavailable)
+            end != null -> onResult(JobLookupResult.Ended(end))
+            job != null -> onResult(JobLookupResult.Unfinished(job))
+            jobs.isUnreadable(jobId) -> onResult(JobLookupResult.Unavailable)
+            else -> readEnd(jobId, onResult)
+        }
+    }
+
+    /** Not among the unfinished: it ended long ago, or nobody has submitted it. */
+    private fun readEnd(jobId: String, onResult: (JobLookupResult) -> Unit) = store.get(Keys.end(jobId)) { fetched ->
+        when (fetched) {
+            is ReadResult.Failed -> onResult(JobLookupResult.Unavailable)
+            is ReadResult.Missing -> onResult(JobLookupResult.Unknown)
+            is ReadResult.Found -> onResult(parseEnd(jobId, fetched))
+        }
+    }
+
+    private fun parseEnd(jobId: String, found: ReadResult.Found): JobLookupResult = try {
+        val end = EndRecord.parse(found.item.value)
+        jobs.ended.record(jobId, end)
+        JobLookupResult.Ended(end)
+    } catch (e: MalformedException) {
+        jobs.unreadable.report(Keys.end(jobId), e.message)
+        JobLookupResult.Unavailable
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/io/reedmast/requests/JobLookupResult.kt
@@ -0,0 +1,19 @@
+package io.reedmast.requests
+
+import io.reedmast.jobs.EndRecord
+import io.reedmast.jobs.LiveJob
+
+/** What this controller knows of a job that a user asks for. */
+internal sealed interface JobLookupResult {
+    /** The job is unfinished; its user may have cancelled it. */
+    data class Unfinished(val job: LiveJob) : JobLookupResult
+
+    /** The job is over, and will stay so. */
+    data class Ended(val end: EndRecord) : JobLookupResult
+
+    /** Nobody has submitted such a job. */
+    data object Unknown : JobLookupResult
+
+    /** The answer cannot be given now: the store, or the job's record, could not be read. */
+    data object Unavailable : JobLookupResult
+}
--- /dev/null
+++ b/src/main/kotlin/io/reedmast/requests/UserAnswers.kt
@@ -0,0 +1,52 @@
+package io.reedmast.requests
+
+import io.reedmast.jobs.EndRecord
+import io.reedmast.jobs.LiveJob
+import io.reedmast.wire.JobState
+import io.reedmast.wire.JobStatus
+import io.reedmast.wire.UserAnswer
+
+/** The answers that users get, with their status codes and error texts (PROTOCOL, "Users -> controller nodes"). */
+internal object UserAnswers {
+    private const val OK = 200
+    private const val CREATED = 201
+    private const val NOT_FOUND = 404
+    private const val CONTENT_TOO_LARGE = 413
+    private const val UNPROCESSABLE = 422
+    private const val TOO_MANY_REQUESTS = 429
+    private const val UNAVAILABLE = 503
+    private const val RETRY_AFTER_S = 1
+
+    /** The job was accepted just now. */
+    fun accepted(jobId: String) = UserAnswer(CREATED, JobStatus(jobId, JobState.QUEUED))
+
+    /** The job is over. */
+    fun ended(jobId: String, end: EndRecord): UserAnswer {
+        val done = if (end.state == JobState.DONE) end.taskCount else 0
+        return UserAnswer(OK, JobStatus(jobId, end.state, done, running = 0))
+    }
+
+    /** The job is cancelled, though tasks of it may still be stopping. */
+    fun cancelled(jobId: String) = ended(jobId, EndRecord(JobState.CANCELLED, 0))
+
+    /** Counts are for display; a job of which no owner has told is shown as queued, which is never too new. */
+    fun unfinished(jobId: String, job: LiveJob): UserAnswer {
+        val state = if (job.running > 0) JobState.RUNNING else JobState.QUEUED
+        return UserAnswer(OK, JobStatus(jobId, state, job.done, job.running))
+    }
+
+    /** Nobody has submitted such a job. */
+    fun unknown() = UserAnswer(NOT_FOUND, error = "no such job")
+
+    /** The submission is refused for good. */
+    fun rejected(reason: String) = UserAnswer(UNPROCESSABLE, error = reason)
+
+    /** The store refuses the job's record for its size. */
+    fun tooLarge() = UserAnswer(CONTENT_TOO_LARGE, error = "the job's description is too large")
+
+    /** Too many submissions wait for the store. */
+    fun overloaded() = UserAnswer(TOO_MANY_REQUESTS, error = "overloaded", retryAfterS = RETRY_AFTER_S)
+
+    /** This controller cannot answer now; it, or another one, can later. */
+    fun undecided() = UserAnswer(UNAVAILABLE, error = "cannot decide yet", retryAfterS = RETRY_AFTER_S)
+}
