--- a/src/test/kotlin/io/reedmast/CountedWorkTest.kt
+++ b/src/test/kotlin/io/reedmast/CountedWorkTest.kt
@@ -18,24 +18,20 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** What a fleet of hundreds costs, in counted work and not in time: changes stored, messages, passes. */
+/** What a fleet of hundreds costs, in counted work and not in time: changes stored, messages, scheduling passes. */
 class CountedWorkTest {
-    private val nodes = 3
-    private var machines = 300
-    private var cpus = 800.0
-    private var valueBytes = 8192
     private val machineTypes = listOf(MachineType("m", 16.0, 0.0, 64.0, 50.0, 0.5, 1.0, 0.3, 30.0, listOf("x")))
 
-    private fun settings(node: Int) = Settings(
-        label = "n$node",
-        front = World.address(node, 8080),
-        clusterListen = World.address(node, 8081),
-        members = (0 until nodes).map { Member("n$it", World.address(it, 8081)) },
-        self = ControllerId(node),
+    private fun settings(controller: Int, cpusPerTeam: Double, valueBytes: Int) = Settings(
+        label = "n$controller",
+        front = World.address(controller, 8080),
+        clusterListen = World.address(controller, 8081),
+        members = (0 until CONTROLLERS).map { Member("n$it", World.address(it, 8081)) },
+        self = ControllerId(controller),
         cloudAddress = "10.2.0.2:1",
         storeAddress = "10.2.0.1:1",
         zones = listOf("x"),
-        teams = (0 until 6).map { TeamShare("t$it", cpus, cpus * 1.5, 0.0, 0.0) },
+        teams = (0 until TEAMS).map { TeamShare("t$it", cpusPerTeam, cpusPerTeam * 1.5, 0.0, 0.0) },
         objectives = emptyList(),
         workers = WorkerRules(3.0, 16.0, 41.0),
         storeLimits = StoreLimits(150.0, 50.0, valueBytes, 16),
@@ -44,58 +40,72 @@
         maxConnections = 1000,
     )
 
-    @Test
-    fun `a fleet of hundreds stays within the limits, and what is stored follows the work`() {
-        val world = World(::settings, nodes, machineTypes)
+    /** A cluster whose controllers have just started, with machines that are up. */
+    private fun startedWorld(
+        machines: Int,
+        cpusPerTeam: Double = 800.0,
+        valueBytes: Int = 8192,
+        isSpot: (Int) -> Boolean = { it % 2 == 0 },
+    ): World {
+        val world = World({ settings(it, cpusPerTeam, valueBytes) }, CONTROLLERS, machineTypes)
         world.capacity = machines
-        repeat(machines) { world.addWorker("m", "x", it % 2 == 0, 0) }
+        repeat(machines) { world.addWorker("m", "x", isSpot(it), 0) }
         world.nodes.forEach { it.start() }
+        return world
+    }
+
+    /** Submits job [number] to one of the controllers in turn. */
+    private fun World.submit(number: Int, description: Map<String, String>, taskMs: Long) {
+        val jobId = "wk-%06d".format(number)
+        val spec = World.spec(jobId, description)
+        jobs[jobId] = World.SimJob(spec, taskMs, false)
+        nodes[number % CONTROLLERS].ask(jobId, { controller, answer -> controller.submit(spec, answer) })
+    }
+
+    private fun assertNoRuleBroken(world: World) = assertEquals(emptyList<String>(), world.rules.broken)
+
+    private fun assertPassesAtMost(world: World, limit: Int, period: String) {
+        for (node in world.nodes) {
+            val passes = checkNotNull(node.controller).cluster.owned().sumOf { it.scheduler.passes }
+            assertTrue(passes <= limit, "$passes passes in $period")
+        }
+    }
+
+    @Test
+    fun `a fleet of hundreds stays within the limits, and what is stored follows the work`() {
+        val machines = 300
+        val world = startedWorld(machines)
         world.runUntil(20_000)
         val jobs = 240
-        val before = world.state.changes
-        for (i in 0 until jobs) {
-            world.runUntil(20_000 + i * 100L)
-            val service = i % 4 != 0
-            val args = mapOf(
-                "team" to "t${i % 6}",
-                "tasks" to if (service) "2" else "60",
-                "kind" to if (service) "service" else "array",
+        val storedBefore = world.state.changes
+
+        for (number in 0 until jobs) {
+            world.runUntil(20_000 + number * 100L)
+            val isService = number % 4 != 0
+            val description = mapOf(
+                "team" to "t${number % TEAMS}",
+                "tasks" to if (isService) "2" else "60",
+                "kind" to if (isService) "service" else "array",
                 "run" to "8",
                 "spot" to "true",
             )
-            val jobId = "wk-%06d".format(i)
-            val spec = World.spec(jobId, args)
-            world.jobs[jobId] = World.SimJob(spec, 8_000, false)
-            world.nodes[i % nodes].ask(jobId, { c, answer -> c.submit(spec, answer) })
+            world.submit(number, description, taskMs = 8_000)
         }
         world.runUntil(70_000)
-        assertEquals(emptyList<String>(), world.rules.broken)
-        assertEquals(
-            60,
-            world.rules.told.keys.size.let {
-                world.jobs.values.count { job ->
-                    job.completed.size ==
-                        job.spec.taskCount
-                }
-            },
-            "arrays that are over",
-        )
-        assertEquals(
-            360,
-            world.workers.values.sumOf { w ->
-                w.onMachine().count { world.jobs.getValue(it.jobId).spec.service }
-            },
-        )
-        val seconds = 50
-        val stored = world.state.changes - before
+
+        assertNoRuleBroken(world)
+        val arraysDone = world.jobs.values.count { it.completed.size == it.spec.taskCount }
+        assertEquals(60, arraysDone, "arrays that are over")
+        val replicas = world.workers.values.sumOf { worker ->
+            worker.onMachine().count { world.jobs.getValue(it.jobId).spec.service }
+        }
+        assertEquals(360, replicas)
         // An acceptance for each job, two more for the end of each array; pages and totals at their own rate.
-        val perSecond = (stored - jobs - 2 * 60) / seconds.toDouble()
+        val stored = world.state.changes - storedBefore
+        val perSecond = (stored - jobs - 2 * 60) / 50.0
         assertTrue(perSecond < 36, "$perSecond changes a second besides acceptances and ends")
-        for (node in world.nodes) {
-            val passes = checkNotNull(node.controller).cluster.owned().sumOf { it.scheduler.passes }
-            assertTrue(passes <= 10 * 70, "$passes passes in 70 s")
-        }
-        // HeartbeatHandler every three seconds and at changes, and a few direct commands for each task.
+        assertPassesAtMost(world, 10 * 70, "70 s")
+        // Heartbeats every three seconds and at changes, and a few direct commands for each task.
         assertTrue(world.messages < machines * 70 / 3 * 1.2 + 4_000 * 4, "${world.messages} messages")
     }
 
@@ -105,98 +115,86 @@
      */
     @Test
     fun `sixteen hundred machines take ten thousand tasks`() {
-        machines = 1_600
-        cpus = 6_000.0
-        val world = World(::settings, nodes, machineTypes)
-        world.capacity = machines
-        repeat(machines) { world.addWorker("m", "x", it % 2 == 0, 0) }
-        world.nodes.forEach { it.start() }
+        val machines = 1_600
+        val world = startedWorld(machines, cpusPerTeam = 6_000.0)
         world.runUntil(30_000)
-        val before = world.state.changes
-        val messages = world.messages
-        for (i in 0 until 100) {
-            val jobId = "wk-%06d".format(i)
-            val spec = World.spec(
-                jobId,
-                mapOf(
-                    "team" to "t${i % 6}",
-                    "tasks" to "100",
-                    "cpus" to "2",
-                    "run" to "5",
-                    "spot" to "true",
-                ),
+        val storedBefore = world.state.changes
+        val messagesBefore = world.messages
+
+        for (number in 0 until 100) {
+            val description = mapOf(
+                "team" to "t${number % TEAMS}",
+                "tasks" to "100",
+                "cpus" to "2",
+                "run" to "5",
+                "spot" to "true",
             )
-            world.jobs[jobId] = World.SimJob(spec, 5_000, false)
-            world.nodes[i % nodes].ask(jobId, { c, answer -> c.submit(spec, answer) })
+            world.submit(number, description, taskMs = 5_000)
         }
         world.runUntil(60_000)
-        assertEquals(emptyList<String>(), world.rules.broken)
+
+        assertNoRuleBroken(world)
         assertEquals(10_000, world.jobs.values.sumOf { it.completed.size })
         assertEquals(10_000, world.rules.starts.values.sum(), "each task once")
         // An acceptance and two for the end of each job; a page holds a few dozen tasks, and is stored a few times.
-        val stored = world.state.changes - before
+        val stored = world.state.changes - storedBefore
         assertTrue(stored < 3 * 100 + 10_000 / 8, "$stored changes")
         // Idle machines report every three seconds; a busy one at three changes of each of its six tasks, and once to
         // forget.
-        val sent = world.messages - messages
+        val sent = world.messages - messagesBefore
         assertTrue(sent < machines * 30 / 3 * 1.2 + 10_000 * 4, "$sent messages")
-        for (node in world.nodes) {
-            val passes = checkNotNull(node.controller).cluster.owned().sumOf { it.scheduler.passes }
-            assertTrue(passes <= 10 * 60, "$passes passes in 60 s")
-        }
+        assertPassesAtMost(world, 10 * 60, "60 s")
     }
 
     @Test
-    fun `many jobs placed at one moment are stored in transactions that the service takes`() {
-        valueBytes = 32 * 1024
-        val world = World(::settings, nodes, machineTypes)
-        world.capacity = 20
-        repeat(20) { world.addWorker("m", "x", false, 0) }
-        world.nodes.forEach { it.start() }
+    fun `many jobs placed at one moment are stored in transactions that the store takes`() {
+        val world = startedWorld(machines = 20, valueBytes = 32 * 1024, isSpot = { false })
         world.runUntil(8_000)
-        for (i in 0 until 100) {
-            val jobId = "wk-%06d".format(i)
-            val spec = World.spec(jobId, mapOf("team" to "t0", "tasks" to "1", "kind" to "service"))
-            world.jobs[jobId] = World.SimJob(spec, 0, false)
-            // Over all nodes: one alone takes 64 submissions at a time, and tells other users to come back.
-            world.nodes[i % nodes].ask(jobId, { c, answer -> c.submit(spec, answer) })
-        }
+
+        // To all controllers: one alone takes 64 submissions at a time, and tells other users to come back.
+        repeat(100) { world.submit(it, mapOf("team" to "t0", "tasks" to "1", "kind" to "service"), taskMs = 0) }
         world.runUntil(60_000)
-        assertEquals(emptyList<String>(), world.rules.broken)
+
+        assertNoRuleBroken(world)
         assertEquals(100, world.workers.values.sumOf { it.onMachine().size })
     }
 
     @Test
-    fun `a slice's machines are spread over records below the limit`() {
+    fun `a shard's machines are spread over records below the limit`() {
         val records = (0 until 200).map { MachineRecord("host-%06d".format(it), "m", "x", it % 2 == 0) }
+
         val first = MachineListPart.EMPTY.with(records, 1024)
-        assertTrue(
-            Tree.jsonSize(first.toFields()) <= 1024 && first.records.size in 20..199,
-            "${first.records.size} machines",
-        )
+
+        val isBelowLimit = Tree.jsonSize(first.toFields()) <= 1024
+        assertTrue(isBelowLimit && first.records.size in 20..199, "${first.records.size} machines")
         assertEquals(first, first.with(records.take(10), 1024))
-        assertEquals(
-            first,
-            MachineListPart.parse(Tree.readCbor(Tree.writeCbor(first.toFields()))).copy(records = first.records),
-        )
+        val read = MachineListPart.parse(Tree.readCbor(Tree.writeCbor(first.toFields())))
+        assertEquals(first, read.copy(records = first.records))
     }
 
     @Test
-    fun `clean-up leaves part of the budget to work, and work to users`() {
+    fun `deferred writes leave part of the rate to urgent ones, and these to users`() {
         var now = 0L
-        val writeLimiter = WriteRateLimiter(10.0) { now }
-        assertEquals(0L, writeLimiter.tryAcquire(5, WritePriority.DEFERRED))
-        assertTrue(writeLimiter.tryAcquire(1, WritePriority.DEFERRED) > 0)
-        assertEquals(0L, writeLimiter.tryAcquire(2, WritePriority.URGENT))
-        assertEquals(100L, writeLimiter.tryAcquire(1, WritePriority.URGENT))
-        assertEquals(0L, writeLimiter.tryAcquire(3, WritePriority.USER))
-        assertEquals(100L, writeLimiter.tryAcquire(1, WritePriority.USER))
+        val limiter = WriteRateLimiter(10.0) { now }
+        assertEquals(0L, limiter.tryAcquire(5, WritePriority.DEFERRED))
+        assertTrue(limiter.tryAcquire(1, WritePriority.DEFERRED) > 0)
+        assertEquals(0L, limiter.tryAcquire(2, WritePriority.URGENT))
+        assertEquals(100L, limiter.tryAcquire(1, WritePriority.URGENT))
+        assertEquals(0L, limiter.tryAcquire(3, WritePriority.USER))
+        assertEquals(100L, limiter.tryAcquire(1, WritePriority.USER))
+
         now += 100
-        assertEquals(300L, writeLimiter.tryAcquire(1, WritePriority.URGENT))
-        assertEquals(0L, writeLimiter.tryAcquire(1, WritePriority.USER))
+        assertEquals(300L, limiter.tryAcquire(1, WritePriority.URGENT))
+        assertEquals(0L, limiter.tryAcquire(1, WritePriority.USER))
+
         // A transaction larger than a second's worth goes out once the bucket is full, and is paid for afterwards.
         now += 1_000
-        assertEquals(0L, writeLimiter.tryAcquire(16, WritePriority.URGENT))
-        assertTrue(writeLimiter.tryAcquire(1, WritePriority.USER) >= 700)
+        assertEquals(0L, limiter.tryAcquire(16, WritePriority.URGENT))
+        assertTrue(limiter.tryAcquire(1, WritePriority.USER) >= 700)
+    }
+
+    private companion object {
+        const val CONTROLLERS = 3
+        const val TEAMS = 6
     }
 }
