--- a/src/main/kotlin/io/reedmast/jobs/JobIndex.kt
+++ b/src/main/kotlin/io/reedmast/jobs/JobIndex.kt
@@ -115,7 +115,9 @@
         try {
             when {
                 path.startsWith(Keys.ENDS) -> value?.let { ended.record(jobIdOf(path), EndRecord.parse(it)) }
-                path.startsWith(Keys.LIVE) -> acceptLive(path, value, version)
+                !path.startsWith(Keys.LIVE) -> Unit
+                value == null -> remove(jobIdOf(path), version)
+                else -> acceptLive(path, value, version)
             }
         } catch (e: MalformedException) {
             unreadable.report(path, e.message)
@@ -123,12 +125,8 @@
         }
     }
 
-    private fun acceptLive(path: String, value: Fields?, version: Long) {
+    private fun acceptLive(path: String, value: Fields, version: Long) {
         val jobId = jobIdOf(path)
-        if (value == null) {
-            remove(jobId, version)
-            return
-        }
         // The watch may show the job after our own transaction has ended it.
         if (jobId in ended) return
         val known = live[jobId]
--- a/src/main/kotlin/io/reedmast/model/MachineFacts.kt
+++ b/src/main/kotlin/io/reedmast/model/MachineFacts.kt
@@ -17,7 +17,7 @@
 
     /**
      * The image is used on the machine: it is the most recently used one now. The least recently used images are
-     * dropped as long as all take more than [roomGb], as the worker does; 0 if its room is not known.
+     * dropped as long as all of them need more than [roomGb], as the worker does; 0 if its room is not known.
      */
     fun recordImage(image: String, imageGb: Double, roomGb: Double) {
         if (images.put(image, imageGb) == null) changed = true
--- a/src/main/kotlin/io/reedmast/requests/AdmissionPolicy.kt
+++ b/src/main/kotlin/io/reedmast/requests/AdmissionPolicy.kt
@@ -18,18 +18,15 @@
     /** What to do with a job of which no record is known. */
     fun decide(spec: JobSpec): AdmissionDecision {
         val team = settings.teamsByName[spec.teamName] ?: return AdmissionDecision.Rejected("unknown team")
-        if (exceedsLimit(spec, settings.teams[team.value])) {
-            return AdmissionDecision.Rejected("more than the team's limit")
-        }
         val types = machineTypes().values
-        if (!isReady() || types.isEmpty()) return AdmissionDecision.Undecided
-        if (zoneRulesNeverHold(spec, types.flatMapTo(HashSet()) { it.zones })) {
-            return AdmissionDecision.Rejected("the gang's zone rules leave it no place")
-        }
-        if (!isKnownZone(spec.zone, types) || types.none { fits(spec, it) }) {
-            return AdmissionDecision.Rejected("a task fits no allowed machine type")
+        return when {
+            exceedsLimit(spec, settings.teams[team.value]) -> AdmissionDecision.Rejected("more than the team's limit")
+            types.isEmpty() || !isReady() -> AdmissionDecision.Undecided
+            zoneRulesNeverHold(spec, zonesOf(types)) ->
+                AdmissionDecision.Rejected("the gang's zone rules leave it no place")
+            !fitsSomewhere(spec, types) -> AdmissionDecision.Rejected("a task fits no allowed machine type")
+            else -> AdmissionDecision.Admitted(team)
         }
-        return AdmissionDecision.Admitted(team)
     }
 
     /** Whether the job can never run within its team's limit: the tasks of an array may run one by one. */
@@ -41,6 +38,11 @@
     /** A limit of 0 is none. */
     private fun exceeds(amount: Double, limit: Double): Boolean = limit > 0 && amount > limit + ROUNDING_TOLERANCE
 
+    private fun zonesOf(types: Collection<MachineType>): Set<String> = types.flatMapTo(HashSet()) { it.zones }
+
+    private fun fitsSomewhere(spec: JobSpec, types: Collection<MachineType>): Boolean =
+        isKnownZone(spec.zone, types) && types.any { fits(spec, it) }
+
     private fun isKnownZone(zone: String?, types: Collection<MachineType>): Boolean =
         zone == null || zone in settings.zones || types.any { zone in it.zones }
 
--- a/src/main/kotlin/io/reedmast/requests/UserAnswers.kt
+++ b/src/main/kotlin/io/reedmast/requests/UserAnswers.kt
@@ -29,7 +29,7 @@
     /** The job is cancelled, though tasks of it may still be stopping. */
     fun cancelled(jobId: String) = ended(jobId, EndRecord(JobState.CANCELLED, 0))
 
-    /** Counts are for display; a job of which no owner has told is shown as queued, which is never too new. */
+    /** Counts are for display; a job whose owner has published none is shown as queued, which is never too new. */
     fun unfinished(jobId: String, job: LiveJob): UserAnswer {
         val state = if (job.running > 0) JobState.RUNNING else JobState.QUEUED
         return UserAnswer(OK, JobStatus(jobId, state, job.done, job.running))
--- a/src/main/kotlin/io/reedmast/shard/ShardOwner.kt
+++ b/src/main/kotlin/io/reedmast/shard/ShardOwner.kt
@@ -113,8 +113,8 @@
      * Restores the shard from what is stored of it, and begins to act: [pages] were listed, and [live] is at least as
      * new, after our token was stored.
      */
-    fun load(live: List<LiveJob>, pages: List<StoredItem>, totals: StoredItem?) {
-        restoration.restore(live, pages, totals)
+    fun load(live: List<LiveJob>, pages: List<StoredItem>, usageSummary: StoredItem?) {
+        restoration.restore(live, pages, usageSummary)
         shardState.active = true
         shardState.activeAt = clock.now()
         shardState.passRequested = true
