--- a/src/main/kotlin/io/reedmast/model/JobUrgency.kt
+++ b/src/main/kotlin/io/reedmast/model/JobUrgency.kt
@@ -6,10 +6,10 @@
 /**
  * How pressing a job is by its deadline and by how long it has got nothing.
  *
- * There are two kinds of waits. A job is *starving* by the time since none of its tasks had a machine ([Job.idleSince]),
- * and *underserved* by the time since none of them has run for longer than a moment ([Job.underservedSince]): one whose
- * tasks are preempted again and again as soon as they start is underserved, and never starving. For a service both are
- * the time for which it has lacked replicas ([Job.waitsSince]).
+ * There are two kinds of waits. A job is *starving* by the time since none of its tasks had a machine
+ * ([Job.idleSince]), and *underserved* by the time since none of them has run for longer than a moment
+ * ([Job.underservedSince]): one whose tasks are preempted again and again as soon as they start is underserved, and
+ * never starving. For a service both are the time for which it has lacked replicas ([Job.waitsSince]).
  *
  * | waited for | starving | underserved |
  * | --- | --- | --- |
