--- a/src/main/kotlin/io/reedmast/app/Controller.kt
+++ b/src/main/kotlin/io/reedmast/app/Controller.kt
@@ -87,7 +87,7 @@
             autoscaler.onUnassignedWorker(status)
             return WorkerAnswer.Elsewhere(cluster.shardOfMachine(status.machineName)?.let { cluster.ownerOf(it) })
         }
-        val owner = cluster.owners[shard.value]
+        val owner = cluster.owners[shard]
         if (owner == null ||
             owner.dropped
         ) {
--- a/src/main/kotlin/io/reedmast/app/ControllerHandle.kt
+++ b/src/main/kotlin/io/reedmast/app/ControllerHandle.kt
@@ -73,19 +73,19 @@
     }
 
     fun snapshot(items: List<StoredItem>, revision: Long, askedAt: Long) = eventLoop.post {
-        controller.cluster.snapshot(items, revision, askedAt)
+        controller.cluster.watchResults.onClusterSnapshot(items, revision, askedAt)
     }
 
     fun clusterEvents(events: List<WatchEvent>, revision: Long, askedAt: Long) = eventLoop.post {
-        controller.cluster.clusterEvents(events, revision, askedAt)
+        controller.cluster.watchResults.onClusterEvents(events, revision, askedAt)
     }
 
     fun jobsSnapshot(items: List<StoredItem>, revision: Long, askedAt: Long) = eventLoop.post {
-        controller.cluster.jobsSnapshot(items, revision, askedAt)
+        controller.cluster.watchResults.onJobsSnapshot(items, revision, askedAt)
     }
 
     fun jobEvents(events: List<WatchEvent>, revision: Long, askedAt: Long) = eventLoop.post {
-        controller.cluster.jobEvents(events, revision, askedAt)
+        controller.cluster.watchResults.onJobEvents(events, revision, askedAt)
         updateQuestionsWaiting()
     }
 }
--- /dev/null
+++ b/src/main/kotlin/io/reedmast/cluster/AcquisitionPolicy.kt
@@ -0,0 +1,71 @@
+package io.reedmast.cluster
+
+import io.reedmast.ports.Clock
+import io.reedmast.settings.Settings
+import io.reedmast.settings.ShardId
+
+/**
+ * Decides whether this controller should acquire a shard now.
+ *
+ * An acquisition is safe at any time, since it is a conditional write under a fresh token; the rules here only choose a
+ * good moment for it.
+ */
+internal class AcquisitionPolicy(
+    private val settings: Settings,
+    clock: Clock,
+    private val membership: Membership,
+    private val shards: ShardTable,
+    private val rollout: ClusterRollout,
+    private val failoverRequests: FailoverRequests,
+    private val failbackDelay: FailbackDelay,
+) {
+    private val startedAt = clock.now()
+
+    /** Whether this controller may own the shard of [owner] at all: while it is drained it keeps what it has. */
+    fun mayAcquireFrom(owner: String?): Boolean = !rollout.isDraining || owner == settings.label
+
+    /** The reason to acquire [shard], which this controller does not serve; null if there is none at time [now]. */
+    fun reasonToAcquire(shard: ShardId, now: Long): AcquisitionReason? {
+        val owner = shards.ownerOf(shard)
+        val requestedAt = failoverRequests.requestedAt(shard)
+        return when {
+            owner == null -> AcquisitionReason.Unowned.takeIf { mayAcquireUnowned(shard, now) }
+            owner == settings.label -> AcquisitionReason.OwnShardAfterRestart
+            !membership.isPresent(owner) -> reasonForAbsent(owner, now)
+            requestedAt != null -> AcquisitionReason.FailoverRequested.takeIf { now - requestedAt > delayMs(owner) }
+            else -> AcquisitionReason.Failback.takeIf { mayFailBack(shard, owner, now) }
+        }
+    }
+
+    /** Each controller begins with the shard of its own index and leaves the others a lease's time to do the same. */
+    private fun mayAcquireUnowned(shard: ShardId, now: Long) = isHome(shard) || uptimeMs(now) > Membership.LEASE_MS
+
+    private fun reasonForAbsent(owner: String, now: Long): AcquisitionReason? {
+        val absentMs = membership.absentForMs(owner, now)
+        val isDue = absentMs > delayMs(owner) && uptimeMs(now) > DELAY_PER_RANK_MS
+        return if (isDue) AcquisitionReason.OwnerAbsent(absentMs) else null
+    }
+
+    private fun mayFailBack(shard: ShardId, owner: String, now: Long) = isHome(shard) &&
+        uptimeMs(now) > MIN_UPTIME_FOR_FAILBACK_MS &&
+        failbackDelay.isOver(now) &&
+        shards.countOf(owner) > 1
+
+    private fun isHome(shard: ShardId) = shard.value == settings.self.value
+
+    private fun uptimeMs(now: Long) = now - startedAt
+
+    /** For how long this controller leaves a shard of [owner] to the controllers that come before it. */
+    private fun delayMs(owner: String): Long = rankAmongSuccessors(owner) * DELAY_PER_RANK_MS
+
+    /** The controller with the fewest shards comes first; the others follow if it does not act. */
+    private fun rankAmongSuccessors(owner: String): Int {
+        val successors = membership.alive() - owner - rollout.draining()
+        return successors.sortedWith(compareBy({ shards.countOf(it) }, { it })).indexOf(settings.label)
+    }
+
+    private companion object {
+        const val DELAY_PER_RANK_MS = 700L
+        const val MIN_UPTIME_FOR_FAILBACK_MS = 8_000L
+    }
+}
--- a/src/main/kotlin/io/reedmast/cluster/MachineAssignment.kt
+++ b/src/main/kotlin/io/reedmast/cluster/MachineAssignment.kt
@@ -39,7 +39,7 @@
 
     /** The shard's owner removes machines that are gone. */
     fun removeMachines(shard: ShardId, machineNames: Set<String>) {
-        val term = shards.records[shard.value]?.takeIf { it.record.owner == settings.label }?.version ?: return
+        val term = shards.termOf(settings.label, shard) ?: return
         for ((index, held) in machines.partsOf(shard)) {
             if (held.part.records.none { it.name in machineNames }) continue
             rewrite(
@@ -79,13 +79,18 @@
     }
 
     /** The record that machines leave. */
-    private class Source(val shard: ShardId, val index: Int, val held: StoredMachineListPart, val owner: StoredRecord)
+    private class Source(
+        val shard: ShardId,
+        val index: Int,
+        val held: StoredMachineListPart,
+        val owner: StoredShardRecord,
+    )
 
     private fun move(
         source: Source,
         left: MachineListPart,
         to: ShardId,
-        target: StoredRecord,
+        target: StoredShardRecord,
         destination: MachineTable.Grown,
         moved: Set<String>,
     ) {
@@ -203,7 +208,7 @@
      * one names.
      */
     fun divideOversized(shard: ShardId) {
-        val term = shards.records[shard.value]?.takeIf { it.record.owner == settings.label }?.version ?: return
+        val term = shards.termOf(settings.label, shard) ?: return
         val entitled = Precondition(Keys.shard(shard.value), term)
         val parts = machines.partsOf(shard)
         val bytes = limits.target.valueBytes
--- a/src/main/kotlin/io/reedmast/cluster/MisdirectedHeartbeats.kt
+++ b/src/main/kotlin/io/reedmast/cluster/MisdirectedHeartbeats.kt
@@ -3,68 +3,90 @@
 import io.reedmast.settings.ShardId
 
 /**
- * Workers that report to us although another controller owns their shard: it does not answer them.
+ * Workers that report to this controller although another one owns their shard, because that one does not answer them.
  *
- * An owner may be cut off from workers alone. It keeps its key and its term then, and nothing tells it so; if nobody
- * took its shards over, every task of them would end with the workers' leases.
+ * An owner may be cut off from workers alone. It keeps its key and its term then, and nothing shows that to it; if
+ * nobody acquired its shards, every task of them would end with the workers' leases (PROTOCOL, Leases). What the
+ * workers do shows it: a worker without an answer tries the next controller, a redirected one goes to the controller
+ * named, and one whom the owner does not answer comes back soon (PROTOCOL, Workers -> controller nodes).
+ *
+ * All times are in milliseconds.
  */
-class MisdirectedHeartbeats(shards: Int, reportS: Double) {
-    /** A worker that was redirects on to the owner; [again]: not for the first time. */
-    class Redirect(val at: Long, val addr: String, val again: Boolean)
+internal class MisdirectedHeartbeats(shards: Int, heartbeatIntervalS: Double) {
+    /** A worker at [addr] that was redirected to the owner; [isRepeated]: not for the first time. */
+    private class Redirect(val at: Long, val addr: String, val isRepeated: Boolean)
 
     private val redirects = Array(shards) { HashMap<String, Redirect>() }
-    private val changedAt = LongArray(shards)
+    private val ownerChangedAt = LongArray(shards)
 
     /**
-     * A worker reports a quarter late, waits for an answer in vain, and is redirects on, before it reaches a new owner.
+     * For how long after a change of owner redirects mean nothing: a worker's heartbeat comes a quarter late, waits for
+     * an answer in vain, and is redirected, before it reaches the new owner.
      */
-    private val settledMs = ((reportS * 1.25 + FRUITLESS_S) * SLACK * 1000).toLong()
+    private val settlingMs = (
+        (heartbeatIntervalS * HEARTBEAT_JITTER + UNANSWERED_ATTEMPT_S) * SETTLING_MARGIN *
+            MS_PER_S
+        ).toLong()
 
-    fun none(shard: ShardId): Boolean = redirects[shard.value].isEmpty()
+    /** Whether no worker of [shard] has been redirected. */
+    fun isEmpty(shard: ShardId): Boolean = redirects[shard.value].isEmpty()
 
-    /** Takes note of a worker of [shard] that is redirects to the owner, and tells whether it had just been there. */
+    /**
+     * Records that a worker of [shard] is redirected to the owner, and returns whether it had just been sent there
+     * before.
+     */
     fun recordRedirect(shard: ShardId, machineName: String, addr: String, now: Long): Boolean {
-        val before = redirects[shard.value][machineName]
-        val again = before != null && now - before.at <= BACK_WITHIN_MS
-        redirects[shard.value][machineName] = Redirect(now, addr, again)
-        return again
+        val previous = redirects[shard.value][machineName]
+        val isRepeated = previous != null && now - previous.at <= RETURN_WINDOW_MS
+        redirects[shard.value][machineName] = Redirect(now, addr, isRepeated)
+        return isRepeated
     }
 
     /**
-     * Names and addresses of some workers, if the owner seems out of reach for most of [machineNames], the shard's
-     * machines that have ever been up. A few workers may be lost on their own account, so of them it takes one that
-     * came back.
+     * Names and addresses of some workers, if the owner seems unreachable for more than half of the shard's
+     * [knownWorkers], the machines that have ever been up; otherwise nothing. A few workers may be lost on their own
+     * account, so one of them must have been redirected before.
      */
-    fun sampleIfMost(shard: ShardId, machineNames: Int, now: Long): Map<String, String> {
-        val of = redirects[shard.value]
-        of.values.removeIf { now - it.at > BACK_WITHIN_MS }
-        if (of.size * 2 <= machineNames || now - changedAt[shard.value] < settledMs) return emptyMap()
-        if (of.size < FEW && of.values.none { it.again }) return emptyMap()
-        return of.entries.sortedByDescending { it.value.at }.take(ASKED).associate { it.key to it.value.addr }
+    fun sampleOfMajority(shard: ShardId, knownWorkers: Int, now: Long): Map<String, String> {
+        val recent = redirects[shard.value]
+        recent.values.removeIf { now - it.at > RETURN_WINDOW_MS }
+        val isMajority = recent.size * 2 > knownWorkers
+        val isSettled = now - ownerChangedAt[shard.value] >= settlingMs
+        val isConvincing = recent.size >= CONVINCING_WORKERS || recent.values.any { it.isRepeated }
+        if (!isMajority || !isSettled || !isConvincing) return emptyMap()
+        return recent.entries.sortedByDescending { it.value.at }.take(SAMPLED_WORKERS)
+            .associate { it.key to it.value.addr }
     }
 
     /** The shard has another owner now, to whom its workers must find their way first. */
-    fun newOwner(shard: ShardId, now: Long) {
+    fun onNewOwner(shard: ShardId, now: Long) {
         redirects[shard.value].clear()
-        changedAt[shard.value] = now
+        ownerChangedAt[shard.value] = now
     }
 
     /**
-     * This controller hears nothing from the store. Its owners may be no better off and send their workers away: after
-     * an outage the workers of all of them went round, and one controller took every shard from owners that were well.
+     * This controller hears nothing from the store. The owners may be no better off and send their workers away: after
+     * an outage the workers of all of them went round, and one controller acquired every shard from owners that were
+     * well.
      */
-    fun isCutOff(now: Long) {
-        for (shard in redirects.indices) newOwner(ShardId(shard), now)
+    fun onStoreUnreachable(now: Long) {
+        for (shard in redirects.indices) onNewOwner(ShardId(shard), now)
     }
 
     private companion object {
         /**
          * A worker waits four seconds for an answer and one before it goes on, and may pause half a second on its way.
          */
-        const val BACK_WITHIN_MS = 8_000L
-        const val FRUITLESS_S = 5.5
-        const val SLACK = 1.5
-        const val FEW = 4
-        const val ASKED = 3
+        const val RETURN_WINDOW_MS = 8_000L
+        const val UNANSWERED_ATTEMPT_S = 5.5
+
+        /** A heartbeat comes up to a quarter of the interval late. */
+        const val HEARTBEAT_JITTER = 1.25
+        const val SETTLING_MARGIN = 1.5
+        const val MS_PER_S = 1_000
+
+        /** From so many redirected workers on, none needs to have come back. */
+        const val CONVINCING_WORKERS = 4
+        const val SAMPLED_WORKERS = 3
     }
 }
--- /dev/null
+++ b/src/main/kotlin/io/reedmast/cluster/PeerMessageHandler.kt
@@ -0,0 +1,63 @@
+package io.reedmast.cluster
+
+import io.reedmast.jobs.JobIndex
+import io.reedmast.model.MachineDirectory
+import io.reedmast.ports.Clock
+import io.reedmast.ports.PeerMessage
+import io.reedmast.ports.PeerTransport
+import io.reedmast.settings.Settings
+
+/** Applies and answers the messages of the other controllers; any of them may be lost, late or repeated. */
+internal class PeerMessageHandler(
+    private val settings: Settings,
+    private val clock: Clock,
+    private val peers: PeerTransport,
+    private val staleness: WatchStaleness,
+    private val jobs: JobIndex,
+    private val machineDirectory: MachineDirectory,
+    private val machines: MachineTable,
+    private val failoverRequests: FailoverRequests,
+    private val peerStatuses: PeerStatuses,
+) {
+    private val startedAt = clock.now()
+    private var queryDueAt = 0L
+
+    /** Another controller has sent [message]. */
+    fun onMessage(message: PeerMessage) = when (message) {
+        is PeerMessage.ShardStatusUpdate -> {
+            jobs.applyProgressUpdates(message.jobs)
+            machineDirectory.heard(message.machines, machines::contains)
+        }
+
+        is PeerMessage.FailoverRequest -> failoverRequests.record(message, clock.now())
+
+        is PeerMessage.StatusQuery -> peers.send(message.from, reportFor(message))
+
+        is PeerMessage.StatusReport -> {
+            message.cancellations?.forEach { jobs.applyCancellation(it) }
+            peerStatuses.applyReport(message, clock.now(), staleness.observedThrough)
+        }
+    }
+
+    private fun reportFor(query: PeerMessage.StatusQuery) = PeerMessage.StatusReport(
+        from = settings.self,
+        incarnation = query.incarnation,
+        sequence = query.sequence,
+        uptimeMs = clock.now() - startedAt,
+        storeAgeMs = staleness.ageMs(),
+        cancellations = jobs.cancellations().takeIf { it.size <= PeerMessage.MAX_CANCELLATIONS },
+    )
+
+    /** Asks the other controllers for their status, while the store does not answer this one. */
+    fun queryStatuses(now: Long) {
+        val ageMs = staleness.ageMs() ?: return
+        if (ageMs < QUERY_AFTER_MS || now < queryDueAt) return
+        queryDueAt = now + QUERY_INTERVAL_MS
+        peers.broadcast(peerStatuses.query(now))
+    }
+
+    private companion object {
+        const val QUERY_AFTER_MS = 3_500L
+        const val QUERY_INTERVAL_MS = 1_000L
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/io/reedmast/cluster/ShardAcquirer.kt
@@ -0,0 +1,117 @@
+package io.reedmast.cluster
+
+import io.reedmast.kvstore.CasTransaction
+import io.reedmast.kvstore.CommitOutcome
+import io.reedmast.kvstore.Keys
+import io.reedmast.kvstore.Precondition
+import io.reedmast.kvstore.Write
+import io.reedmast.model.FencingToken
+import io.reedmast.model.ShardRecord
+import io.reedmast.ports.KeyValueStore
+import io.reedmast.settings.Settings
+import io.reedmast.settings.ShardId
+import org.slf4j.LoggerFactory
+
+/**
+ * Acquires shards: stores this controller as the owner, under a fresh token, on condition that neither the shard's
+ * record nor the token counter nor the rollout's gates have changed (PROTOCOL, Tokens).
+ */
+internal class ShardAcquirer(
+    private val settings: Settings,
+    private val store: KeyValueStore,
+    private val shards: ShardTable,
+    private val owners: ShardOwners,
+    private val rollout: ClusterRollout,
+    private val attempts: AcquisitionAttempts,
+    private val restorer: ShardRestorer,
+    /** Reads a key again after a transaction that was not applied. */
+    private val reread: (String) -> Unit,
+) {
+    private val log = LoggerFactory.getLogger("cluster")
+
+    /** A shard's record that this controller is about to store. */
+    private class PendingAcquisition(val shard: ShardId, val record: ShardRecord)
+
+    /** The acquisition whose outcome is not known yet: two at once would both want the next token. */
+    private var pending: PendingAcquisition? = null
+
+    /** Acquires [shard], unless an acquisition is under way. */
+    fun acquire(shard: ShardId, reason: AcquisitionReason) {
+        logReason(shard, reason)
+        if (attempts.isInProgress(shard) || pending != null) return
+        attempts.begin(shard)
+        val acquisition = PendingAcquisition(shard, ShardRecord(settings.label, FencingToken.after(shards.token)))
+        pending = acquisition
+        commit(acquisition)
+    }
+
+    private fun logReason(shard: ShardId, reason: AcquisitionReason) = when (reason) {
+        is AcquisitionReason.WorkersCannotReachOwner ->
+            log.info("shard {}: its machines do not reach its owner {}", shard.value, reason.owner)
+
+        AcquisitionReason.HigherTokenSeen ->
+            log.info("shard {}: acquired again, a worker has seen a higher token", shard.value)
+
+        AcquisitionReason.OversizedRecords ->
+            log.info("shard {}: acquired again, to be stored in smaller parts", shard.value)
+
+        // The outcome says enough.
+        AcquisitionReason.Unowned,
+        AcquisitionReason.OwnShardAfterRestart,
+        is AcquisitionReason.OwnerAbsent,
+        AcquisitionReason.FailoverRequested,
+        AcquisitionReason.Failback,
+        -> Unit
+    }
+
+    private fun commit(acquisition: PendingAcquisition) {
+        val key = Keys.shard(acquisition.shard.value)
+        val stored = shards.records[acquisition.shard.value]
+        // A process that has not heard of a move of the gates acquires nothing: it may not be able to read what it
+        // would own.
+        val counter = TokenCounter.moveTo(acquisition.record.token, shards.tokenVersion, rollout.gates)
+        val preconditions = counter.preconditions + Precondition(key, stored?.version ?: 0L)
+        val writes = listOf(Write.Put(key, acquisition.record.toFields()), counter.write)
+        store.commit(CasTransaction(preconditions, writes) { outcome -> onOutcome(acquisition, outcome) })
+    }
+
+    private fun onOutcome(acquisition: PendingAcquisition, outcome: CommitOutcome) {
+        if (pending !== acquisition) return
+        pending = null
+        if (outcome is CommitOutcome.Applied) {
+            onAcquired(acquisition.shard, StoredShardRecord(acquisition.record, outcome.revision))
+            return
+        }
+        // Mostly another controller took the token we wanted.
+        attempts.retrySoon(acquisition.shard)
+        reread(Keys.shard(acquisition.shard.value))
+        reread(Keys.TOKEN)
+        if (outcome is CommitOutcome.Conflict && Keys.ROLLOUT in outcome.failed) rollout.refreshGates()
+    }
+
+    /**
+     * The watch has shown a record with this controller as owner. If it is the one that an acquisition is about to
+     * store, the shard is acquired, and the result is true. The transaction's own answer may be lost for seconds, in
+     * which an owner of before would act under the new term.
+     */
+    fun confirmedByWatch(shard: ShardId, stored: StoredShardRecord): Boolean {
+        val acquisition = pending ?: return false
+        if (acquisition.shard != shard || acquisition.record != stored.record) return false
+        pending = null
+        onAcquired(shard, stored)
+        return true
+    }
+
+    private fun onAcquired(shard: ShardId, acquired: StoredShardRecord) {
+        val known = shards.records[shard.value]
+        if (known != null && known.version > acquired.version) {
+            // The outcome became known late, and another controller has acquired the shard since.
+            attempts.retrySoon(shard)
+            return
+        }
+        owners.drop(shard)
+        shards.applyToken(acquired.record.token, acquired.version)
+        shards.applyShard(shard, acquired.record, acquired.version)
+        restorer.restore(owners.replace(shard, acquired))
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/io/reedmast/cluster/ShardRestorer.kt
@@ -0,0 +1,67 @@
+package io.reedmast.cluster
+
+import io.reedmast.jobs.JobIndex
+import io.reedmast.kvstore.Keys
+import io.reedmast.kvstore.ReadResult
+import io.reedmast.kvstore.StoredItem
+import io.reedmast.ports.Clock
+import io.reedmast.ports.KeyValueStore
+import io.reedmast.shard.ShardOwner
+import org.slf4j.LoggerFactory
+
+/** Reads the state of a shard just acquired: stored before the new term, it cannot change any more. */
+internal class ShardRestorer(
+    private val clock: Clock,
+    private val store: KeyValueStore,
+    private val staleness: WatchStaleness,
+    private val jobs: JobIndex,
+    private val owners: ShardOwners,
+    private val attempts: AcquisitionAttempts,
+) {
+    private val log = LoggerFactory.getLogger("cluster")
+
+    /** What has been read of the state of [owner]'s shard so far. */
+    private class StoredState(val owner: ShardOwner, val readSince: Long) {
+        /** The shard's progress pages; null until they have been read. */
+        var pages: List<StoredItem>? = null
+
+        /** The shard's usage summary, which need not exist. */
+        var usageSummary: ReadResult = ReadResult.Failed
+        var openReads = 2
+    }
+
+    /** Reads what is stored of the shard of [owner], and has it begin; a failed read drops it for another attempt. */
+    fun restore(owner: ShardOwner) {
+        val shard = owner.index.value
+        val state = StoredState(owner, clock.now())
+        store.list(Keys.pagesOf(shard)) {
+            state.pages = it
+            onRead(state)
+        }
+        store.get(Keys.totals(shard)) {
+            state.usageSummary = it
+            onRead(state)
+        }
+    }
+
+    private fun onRead(state: StoredState) {
+        if (--state.openReads > 0) return
+        // A page may name a job that the watch has not told of yet: without the wait its tasks would run twice.
+        staleness.awaitJobsBarrier { jobsKnown -> finish(state, state.pages.takeIf { jobsKnown }) }
+    }
+
+    private fun finish(state: StoredState, pages: List<StoredItem>?) {
+        val owner = state.owner
+        val usageSummary = state.usageSummary
+        attempts.end(owner.index)
+        if (owner.dropped) return
+        if (pages == null || usageSummary is ReadResult.Failed) {
+            log.info("shard {}: could not be restored, will be retried", owner.index.value)
+            owners.drop(owner.index)
+            attempts.retrySoon(owner.index)
+            return
+        }
+        owner.load(jobs.liveOf(owner.index), pages, (usageSummary as? ReadResult.Found)?.item)
+        log.info("shard {}: restored in {} ms", owner.index.value, clock.now() - state.readSince)
+    }
+}
--- a/src/main/kotlin/io/reedmast/cluster/ShardTable.kt
+++ b/src/main/kotlin/io/reedmast/cluster/ShardTable.kt
@@ -7,31 +7,36 @@
 import io.reedmast.settings.ShardId
 import io.reedmast.wire.Fields
 
-/** A shard record as last seen, with its version. */
-data class StoredRecord(val record: ShardRecord, val version: Long)
-
 /** The shards' records and the token counter, as last seen in the store or in answers to this controller's changes. */
 class ShardTable(
-    shards: Int,
+    shardCount: Int,
     private val store: KeyValueStore,
     /** Called with each newer record and the one before it. */
-    private val onChange: (ShardId, StoredRecord?, StoredRecord) -> Unit,
+    private val onChange: (ShardId, StoredShardRecord?, StoredShardRecord) -> Unit,
 ) {
-    val records = arrayOfNulls<StoredRecord>(shards)
+    /** The record of each shard; null while it has never had an owner. */
+    val records = arrayOfNulls<StoredShardRecord>(shardCount)
 
-    /** The highest token given so far, and the version of the counter. */
+    /** The highest token given to any shard so far. */
     var token = 0L
         private set
+
+    /** The version of the token counter, a precondition of giving the next token. */
     var tokenVersion = 0L
         private set
-    private val refreshing = BooleanArray(shards)
+    private val refreshing = BooleanArray(shardCount)
 
+    /** The label of the controller that owns [shard]; null while it has never had an owner. */
     fun ownerOf(shard: ShardId): String? = records[shard.value]?.record?.owner
 
-    /** How many shards [owner] has. */
+    /** The term of [owner] over [shard]; null if another controller owns it, or none does. */
+    fun termOf(owner: String, shard: ShardId): Long? =
+        records[shard.value]?.takeIf { it.record.owner == owner }?.version
+
+    /** How many shards the controller [owner] owns. */
     fun countOf(owner: String): Int = records.count { it?.record?.owner == owner }
 
-    /** Takes up the value under [path], if it is one of this table's keys. */
+    /** Applies the value under [path], if it is one of this table's keys; a deletion changes nothing. */
     fun applyRecord(path: String, value: Fields?, version: Long) {
         if (value == null) return
         if (path == Keys.TOKEN) {
@@ -42,27 +47,29 @@
         }
     }
 
+    /** Applies the token counter's value, unless a newer [version] is known. */
     fun applyToken(value: Long, version: Long) {
         if (version <= tokenVersion) return
         token = value
         tokenVersion = version
     }
 
+    /** Applies the record of [shard], unless a newer [version] is known. */
     fun applyShard(shard: ShardId, record: ShardRecord, version: Long) {
-        val before = records[shard.value]
-        if (before != null && before.version >= version) return
-        val now = StoredRecord(record, version)
-        records[shard.value] = now
-        onChange(shard, before, now)
+        val previous = records[shard.value]
+        if (previous != null && previous.version >= version) return
+        val current = StoredShardRecord(record, version)
+        records[shard.value] = current
+        onChange(shard, previous, current)
     }
 
-    /** Reads the shard's record again, unless that is being done. */
-    fun refresh(shard: ShardId, read: (ReadResult) -> Unit) {
+    /** Reads the shard's record again and hands the result to [onRead], unless a read is under way. */
+    fun refresh(shard: ShardId, onRead: (ReadResult) -> Unit) {
         if (refreshing[shard.value]) return
         refreshing[shard.value] = true
-        store.get(Keys.shard(shard.value)) { fetched ->
+        store.get(Keys.shard(shard.value)) { result ->
             refreshing[shard.value] = false
-            read(fetched)
+            onRead(result)
         }
     }
 }
--- a/src/main/kotlin/io/reedmast/cluster/WorkerReachability.kt
+++ b/src/main/kotlin/io/reedmast/cluster/WorkerReachability.kt
@@ -11,45 +11,56 @@
  * A controller that has lost only the workers still has its keys and hears the store. If it took over a shard, the
  * shard's workers would lose their leases before another controller noticed.
  */
-class WorkerReachability(private val clock: Clock, private val workers: WorkerTransport) {
-    private var heardAt: Long? = null
+internal class WorkerReachability(
+    private val clock: Clock,
+    private val workers: WorkerTransport,
+    private val addresses: WorkerAddresses,
+) {
+    private var lastContactAt: Long? = null
     private val probing = HashSet<ShardId>()
 
-    /** A worker's report, or its answer to a call, has come. */
+    /** Calls to some workers of one shard. */
+    private class Probe(var openCalls: Int) {
+        var answered = false
+    }
+
+    /** A worker's heartbeat, or its answer to a call, has come. */
     fun recordContact() {
-        heardAt = clock.now()
+        lastContactAt = clock.now()
     }
 
-    /** Whether a worker was heard so recently that nothing need be tried. */
-    val isRecent: Boolean get() = heardAt?.let { clock.now() - it < RECENT_MS } ?: false
+    /** Whether no probe is needed: a worker was heard recently, or no address of the shard's workers is known. */
+    fun canSkipProbe(shard: ShardId): Boolean = isRecent() || addresses.of(shard).isEmpty()
+
+    private fun isRecent() = lastContactAt?.let { clock.now() - it < RECENT_CONTACT_MS } ?: false
 
     /**
-     * Calls some of the workers of [shard] at [addresses], all over the list; [failed] is called if none of them
-     * answers.
+     * Calls some of the workers of [shard], spread over all of them, unless that is being done; [onUnreachable] is
+     * called if none of them answers.
      */
-    fun probe(shard: ShardId, addresses: List<String>, failed: () -> Unit) {
-        if (addresses.isEmpty() || !probing.add(shard)) return
-        val step = maxOf(1, addresses.size / PROBES)
-        val chosen = addresses.filterIndexed { index, _ -> index % step == 0 }.take(PROBES)
-        var open = chosen.size
-        var answered = false
+    fun probe(shard: ShardId, onUnreachable: () -> Unit) {
+        val known = addresses.of(shard)
+        if (known.isEmpty() || !probing.add(shard)) return
+        val step = maxOf(1, known.size / PROBED_WORKERS)
+        val chosen = known.filterIndexed { index, _ -> index % step == 0 }.take(PROBED_WORKERS)
+        val probe = Probe(chosen.size)
         for (address in chosen) {
-            // Neither token nor session are the worker's: nothing is executed, and the refusal is its newest report.
+            // Neither token nor epoch are the worker's: nothing is executed, and the refusal is its newest status.
             workers.call(address, 0L, 0L, emptyList()) { reply ->
                 if (reply is Reply.Answer) {
-                    answered = true
+                    probe.answered = true
                     recordContact()
                 }
-                if (--open == 0) {
+                if (--probe.openCalls == 0) {
                     probing.remove(shard)
-                    if (!answered) failed()
+                    if (!probe.answered) onUnreachable()
                 }
             }
         }
     }
 
     private companion object {
-        const val RECENT_MS = 5_000L
-        const val PROBES = 3
+        const val RECENT_CONTACT_MS = 5_000L
+        const val PROBED_WORKERS = 3
     }
 }
--- a/src/test/kotlin/io/reedmast/cluster/ShardAcquisitionTest.kt
+++ b/src/test/kotlin/io/reedmast/cluster/ShardAcquisitionTest.kt
@@ -39,8 +39,8 @@
 
     @BeforeEach
     fun begin() {
-        cluster.snapshot(emptyList(), revision = 10, askedAt = now)
-        cluster.jobsSnapshot(emptyList(), revision = 10, askedAt = now)
+        cluster.watchResults.onClusterSnapshot(emptyList(), revision = 10, askedAt = now)
+        cluster.watchResults.onJobsSnapshot(emptyList(), revision = 10, askedAt = now)
         cluster.runOnce()
     }
 
@@ -52,7 +52,11 @@
 
     @Test
     fun `the watch tells of it first, and the answer changes nothing more`() {
-        cluster.clusterEvents(listOf(WatchEvent(key, acquiring().value, 20)), revision = 20, askedAt = now)
+        cluster.watchResults.onClusterEvents(
+            listOf(WatchEvent(key, acquiring().value, 20)),
+            revision = 20,
+            askedAt = now,
+        )
         val owner = cluster.owned().single()
         take().done(CommitOutcome.Applied(20))
         assertEquals(owner, cluster.owned().single())
@@ -61,7 +65,7 @@
     /** The answer is made up for after an outage of this node alone, in which another has taken the shard. */
     @Test
     fun `a take that is settled after another controller's is not acted on`() {
-        cluster.clusterEvents(
+        cluster.watchResults.onClusterEvents(
             listOf(WatchEvent(key, ShardRecord("n1", 5L shl 20).toFields(), 30)),
             revision = 30,
             askedAt = now,
--- a/src/test/kotlin/io/reedmast/sim/SimNode.kt
+++ b/src/test/kotlin/io/reedmast/sim/SimNode.kt
@@ -164,8 +164,14 @@
                     loaded = true
                     watchedTo = clusterRevision
                     jobsWatchedTo = jobsRevision
-                    c.cluster.snapshot(cluster.filter { isVisible(it.path) }.map(::visible), clusterRevision, askedAt)
-                    c.cluster.jobsSnapshot(jobs, jobsRevision, jobsAskedAt)
+                    c.cluster.watchResults.onClusterSnapshot(
+                        cluster.filter {
+                            isVisible(it.path)
+                        }.map(::visible),
+                        clusterRevision,
+                        askedAt,
+                    )
+                    c.cluster.watchResults.onJobsSnapshot(jobs, jobsRevision, jobsAskedAt)
                 }
                 done()
             }
@@ -187,7 +193,7 @@
         }
         watchedTo = state.revision
         val clusterNews = news.filter { it.path.startsWith(Keys.CLUSTER) && isVisible(it.path) }
-        c.cluster.clusterEvents(
+        c.cluster.watchResults.onClusterEvents(
             clusterNews.map {
                 it.copy(value = it.value?.let { value -> visible(it.path, value) })
             },
@@ -202,7 +208,13 @@
         }
         jobsDue = world.now() + jobsLagMs
         jobsWatchedTo = state.revision
-        c.cluster.jobEvents(jobNews.filter { it.path.startsWith(Keys.JOBS) }, state.revision, world.now())
+        c.cluster.watchResults.onJobEvents(
+            jobNews.filter {
+                it.path.startsWith(Keys.JOBS)
+            },
+            state.revision,
+            world.now(),
+        )
     }
 
     /** Reads the keys with [prefix] page by page, each at its own moment; null if the store is lost meanwhile. */
