--- a/src/main/kotlin/io/reedmast/cluster/Cluster.kt
+++ b/src/main/kotlin/io/reedmast/cluster/Cluster.kt
@@ -56,11 +56,12 @@
         }
     private val membership =
         Membership(settings, clock, gateway, gateway, ::memberFields) { rollout.gates.precondition }
+    private val departedMachines = DepartedMachines(settings, clock)
     private val machines = MachineTable(
-        settings,
-        clock,
+        settings.shardCount,
         gateway,
         limits,
+        departedMachines,
         { owners[it]?.syncMachines() },
         machineDirectory::forget,
     )
@@ -184,7 +185,7 @@
     override fun isMarkedForTransfer(shard: ShardId, machineName: String) =
         machines.isMarkedForTransfer(shard, machineName)
 
-    override fun departedLately(machineName: String): Boolean = machines.departedLately(machineName)
+    override fun departedLately(machineName: String): Boolean = machineName in departedMachines
 
     /** A worker has sent a heartbeat to this controller. */
     fun onWorkerContact() = reachability.recordContact()
@@ -224,7 +225,7 @@
         keepLease()
         val now = clock.now()
         peerMessages.queryStatuses(now)
-        machines.runOnce(now)
+        departedMachines.expire(now)
         if (isCurrent()) {
             membership.claimKeys(mayLead = !rollout.isDraining)
             rollout.runOnce(membership.leaderVersion.takeIf { membership.leading })
--- a/src/main/kotlin/io/reedmast/cluster/MachineTable.kt
+++ b/src/main/kotlin/io/reedmast/cluster/MachineTable.kt
@@ -3,79 +3,74 @@
 import io.reedmast.kvstore.EffectiveLimits
 import io.reedmast.kvstore.Keys
 import io.reedmast.model.MachineRecord
-import io.reedmast.ports.Clock
 import io.reedmast.ports.ProcessControl
-import io.reedmast.settings.Settings
 import io.reedmast.settings.ShardId
 import io.reedmast.wire.Fields
 import java.util.TreeMap
 
-/** Some of a shard's machines as last seen, with the version of their record. */
-data class StoredMachineListPart(val part: MachineListPart, val version: Long)
-
-/** Which machines belong to which shard, as last seen in the store or in answers to this controller's changes. */
-class MachineTable(
-    private val settings: Settings,
-    private val clock: Clock,
+/**
+ * Which machines belong to which shard, as last seen in the store or in answers to this controller's changes.
+ *
+ * A shard's machines are stored in several numbered records, each a [MachineListPart].
+ */
+internal class MachineTable(
+    shardCount: Int,
     private val process: ProcessControl,
     private val limits: EffectiveLimits,
+    private val departed: DepartedMachines,
     /** Called when the machines of a shard have changed. */
     private val onChange: (ShardId) -> Unit,
     /** Called when a machine has left all shards. */
     private val onDeparture: (String) -> Unit,
 ) {
-    private val parts = Array(settings.shardCount) { TreeMap<Int, StoredMachineListPart>() }
+    private val partsByShard = Array(shardCount) { TreeMap<Int, StoredMachineListPart>() }
     private val shardByMachine = HashMap<String, ShardId>()
 
-    /** Hosts that have left all shards lately: lists may still show them. */
-    private val departed = HashMap<String, Long>()
-
-    /** Late copies of a machine's reports come for longer than its lease; lists show it for twice their lag. */
-    private val rememberDepartedMs =
-        ((settings.cloudLimits.listLagS + settings.workers.leaseS) * 3000 + 60_000).toLong()
-
+    /** The shard that the machine belongs to, if any. */
     fun shardOf(machineName: String): ShardId? = shardByMachine[machineName]
 
+    /** Whether the machine belongs to a shard. */
     fun contains(machineName: String): Boolean = machineName in shardByMachine
 
-    fun departedLately(machineName: String): Boolean = departed.containsKey(machineName)
+    /** The records of the shard's machines, by their index, in its order. */
+    fun partsOf(shard: ShardId): Map<Int, StoredMachineListPart> = partsByShard[shard.value]
 
-    fun partsOf(shard: ShardId): Map<Int, StoredMachineListPart> = parts[shard.value]
-
-    fun machinesOf(shard: ShardId): Sequence<MachineRecord> = parts[shard.value].values.asSequence().flatMap {
-        it.part.records
-    }
+    /** The shard's machines; one that stands in two of its records comes twice. */
+    fun machinesOf(shard: ShardId): Sequence<MachineRecord> =
+        partsByShard[shard.value].values.asSequence().flatMap { it.part.records }
 
-    fun isMarkedForTransfer(shard: ShardId, machineName: String) = parts[shard.value].values.any {
-        machineName in
-            it.part.transfers
-    }
+    /** Whether the machine is to leave [shard] for another one as soon as it is empty. */
+    fun isMarkedForTransfer(shard: ShardId, machineName: String): Boolean =
+        partsByShard[shard.value].values.any { machineName in it.part.transfers }
 
-    /** Stamp of the newest change to the shard's machines. */
-    fun versionOf(shard: ShardId): Long = parts[shard.value].values.maxOfOrNull { it.version } ?: 0L
+    /** The version of the newest change to the shard's machines. */
+    fun versionOf(shard: ShardId): Long = partsByShard[shard.value].values.maxOfOrNull { it.version } ?: 0L
 
-    /** The machines of a shard and where they are to move. */
+    /** The machines of a shard, each with the shard that it is to move to, if any. */
     fun transferTargetsOf(shard: ShardId): Map<MachineRecord, Int?> {
-        val all = LinkedHashMap<MachineRecord, Int?>()
-        for (held in parts[shard.value].values) held.part.records.forEach { all[it] = held.part.transfers[it.name] }
-        return all
+        val targets = LinkedHashMap<MachineRecord, Int?>()
+        for (stored in partsByShard[shard.value].values) {
+            stored.part.records.forEach { targets[it] = stored.part.transfers[it.name] }
+        }
+        return targets
     }
 
-    /** Takes up the value under [path], if it is a record of machines. */
+    /** Applies the value under [path], if it is a record of machines; a deletion changes nothing. */
     fun applyRecord(path: String, value: Fields?, version: Long) {
         if (!path.startsWith(Keys.MACHINES) || value == null) return
         val indices = path.removePrefix(Keys.MACHINES).split('/').map { it.toIntOrNull() }
         val shard = indices.getOrNull(0) ?: return
-        val part = indices.getOrNull(1) ?: return
-        if (shard in parts.indices) applyPart(ShardId(shard), part, MachineListPart.parse(value), version)
+        val index = indices.getOrNull(1) ?: return
+        if (shard in partsByShard.indices) applyPart(ShardId(shard), index, MachineListPart.parse(value), version)
     }
 
+    /** Applies the [index]th record of the shard's machines, unless a newer [version] is known. */
     fun applyPart(shard: ShardId, index: Int, part: MachineListPart, version: Long) {
-        val held = parts[shard.value][index]
-        if (held != null && held.version >= version) return
-        parts[shard.value][index] = StoredMachineListPart(part, version)
+        val previous = partsByShard[shard.value][index]
+        if (previous != null && previous.version >= version) return
+        partsByShard[shard.value][index] = StoredMachineListPart(part, version)
         val names = part.records.mapTo(HashSet()) { it.name }
-        held?.part?.records.orEmpty().filter { it.name !in names }.forEach { onRemoved(shard, it.name) }
+        previous?.part?.records.orEmpty().filter { it.name !in names }.forEach { onRemoved(shard, it.name) }
         for (record in part.records) {
             shardByMachine[record.name] = shard
             departed.remove(record.name)
@@ -87,24 +82,24 @@
     private fun onRemoved(shard: ShardId, machineName: String) {
         if (shardByMachine[machineName] != shard || machinesOf(shard).any { it.name == machineName }) return
         shardByMachine.remove(machineName)
-        departed[machineName] = clock.now()
+        departed.add(machineName)
         onDeparture(machineName)
     }
 
-    fun runOnce(now: Long) {
-        departed.values.removeIf { now - it > rememberDepartedMs }
-    }
-
-    /** A record with room for some of the machines that are to be added to a shard, with them in it. */
-    data class Grown(val index: Int, val held: StoredMachineListPart?, val part: MachineListPart)
-
-    /** The first record of the shard's machines, or a new one, that has room for some of [records], with them in it. */
-    fun roomIn(shard: ShardId, records: List<MachineRecord>): Grown {
-        val bytes = limits.target.valueBytes
-        for ((index, held) in parts[shard.value]) {
-            val grown = held.part.with(records, bytes)
-            if (grown.records.size > held.part.records.size) return Grown(index, held, grown)
+    /** The first record of the shard's machines, or a new one, that has room for some of [added], with them in it. */
+    fun partWithRoomFor(added: List<MachineRecord>, shard: ShardId): ExtendedMachineListPart {
+        val valueBytes = limits.target.valueBytes
+        for ((index, stored) in partsByShard[shard.value]) {
+            val extended = stored.part.with(added, valueBytes)
+            if (extended.records.size > stored.part.records.size) {
+                return ExtendedMachineListPart(index, stored, extended)
+            }
         }
-        return Grown((parts[shard.value].keys.maxOrNull() ?: -1) + 1, null, MachineListPart.EMPTY.with(records, bytes))
+        val newIndex = (partsByShard[shard.value].keys.maxOrNull() ?: -1) + 1
+        return ExtendedMachineListPart(
+            newIndex,
+            MachineListPart.NOT_STORED,
+            MachineListPart.EMPTY.with(added, valueBytes),
+        )
     }
 }
--- /dev/null
+++ b/src/main/kotlin/io/reedmast/cluster/MachineTransfer.kt
@@ -0,0 +1,130 @@
+package io.reedmast.cluster
+
+import io.reedmast.kvstore.CasTransaction
+import io.reedmast.kvstore.CommitOutcome
+import io.reedmast.kvstore.Keys
+import io.reedmast.kvstore.Precondition
+import io.reedmast.kvstore.Write
+import io.reedmast.model.MachineRecord
+import io.reedmast.ports.KeyValueStore
+import io.reedmast.settings.ShardId
+import org.slf4j.LoggerFactory
+
+/** Moves empty machines from a shard of this controller's to the shards that they are marked for. */
+internal class MachineTransfer(
+    private val store: KeyValueStore,
+    private val shards: ShardTable,
+    private val machines: MachineTable,
+    private val rollout: ClusterRollout,
+    private val writer: MachineListWriter,
+    private val reread: (String, () -> Unit) -> Unit,
+) {
+    private val log = LoggerFactory.getLogger("cluster")
+
+    /** The record that machines leave, and that of its shard. */
+    private class Source(
+        val shard: ShardId,
+        val owner: StoredShardRecord,
+        val index: Int,
+        val stored: StoredMachineListPart,
+    ) {
+        val path: String get() = Keys.machineNames(shard.value, index)
+    }
+
+    /** The record that machines join, and that of its shard. */
+    private class Destination(val shard: ShardId, val owner: StoredShardRecord, val extended: ExtendedMachineListPart) {
+        val path: String get() = Keys.machineNames(shard.value, extended.index)
+    }
+
+    /** Moves as many of [machineNames] as share a record and a destination; the others follow with the next call. */
+    fun transfer(shard: ShardId, machineNames: Collection<String>) {
+        val source = sourceOf(shard, machineNames) ?: return
+        val targetShard = machineNames.firstNotNullOfOrNull { source.stored.part.transfers[it] }?.let { ShardId(it) }
+        if (targetShard == null || targetShard == shard) return
+        val targetOwner = shards.records.getOrNull(targetShard.value) ?: return
+        val moving = movable(source, targetShard, machineNames)
+        val destination = Destination(targetShard, targetOwner, machines.partWithRoomFor(moving, targetShard))
+        val moved = moving.map { it.name }.filterTo(HashSet()) { destination.extended.part.holds(it) }
+        val remaining = source.stored.part.without(moved)
+        if (moved.isNotEmpty() && writer.isStorable(remaining)) commit(source, remaining, destination, moved)
+    }
+
+    private fun sourceOf(shard: ShardId, machineNames: Collection<String>): Source? {
+        val owner = shards.records[shard.value] ?: return null
+        val (index, stored) = machines.partsOf(shard).entries
+            .firstOrNull { (_, stored) -> machineNames.any { it in stored.part.transfers } } ?: return null
+        return Source(shard, owner, index, stored)
+    }
+
+    private fun movable(source: Source, target: ShardId, machineNames: Collection<String>): List<MachineRecord> {
+        val duplicates = namedTwice(source.shard)
+        return source.stored.part.records.filter {
+            val isMarked = source.stored.part.transfers[it.name] == target.value
+            isMarked && it.name in machineNames && it.name !in duplicates
+        }
+    }
+
+    /** Machines that stand in two records of a shard, one of which is being divided. */
+    private fun namedTwice(shard: ShardId): Set<String> {
+        val names = HashSet<String>()
+        return machines.machinesOf(shard).map { it.name }.filterTo(HashSet()) { !names.add(it) }
+    }
+
+    private fun commit(source: Source, remaining: MachineListPart, destination: Destination, moved: Set<String>) {
+        if (!writer.tryBegin(source.path, destination.path)) return
+        val renewal = renewalFor(source, destination)
+        store.commit(
+            CasTransaction(
+                preconditions(source, destination) + renewal?.counterPreconditions.orEmpty(),
+                writes(source, remaining, destination) + renewal?.writes.orEmpty(),
+            ) { outcome ->
+                writer.end(source.path, destination.path)
+                if (outcome is CommitOutcome.Applied) {
+                    logTransfer(moved, source, destination)
+                    renewal?.applyTo(shards, outcome.revision)
+                    applyTransfer(source, remaining, destination, outcome.revision)
+                } else {
+                    rereadAll(source, destination)
+                }
+            },
+        )
+    }
+
+    /** The other shard's owner must have a token above all that these machines have seen, which is at most ours. */
+    private fun renewalFor(source: Source, destination: Destination): TokenRenewal? {
+        if (destination.owner.record.token > source.owner.record.token) return null
+        return TokenRenewal(destination.shard, destination.owner, shards.token, shards.tokenVersion, rollout.gates)
+    }
+
+    private fun preconditions(source: Source, destination: Destination) = listOf(
+        Precondition(Keys.shard(source.shard.value), source.owner.version),
+        Precondition(source.path, source.stored.version),
+        Precondition(destination.path, destination.extended.stored.version),
+        Precondition(Keys.shard(destination.shard.value), destination.owner.version),
+    )
+
+    private fun writes(source: Source, remaining: MachineListPart, destination: Destination) = listOf<Write>(
+        Write.Put(source.path, remaining.toFields()),
+        Write.Put(destination.path, destination.extended.part.toFields()),
+    )
+
+    private fun logTransfer(moved: Set<String>, source: Source, destination: Destination) {
+        val from = source.shard.value
+        val to = destination.shard.value
+        log.info("machines {}: transferred from shard {} to shard {}", moved, from, to)
+    }
+
+    /** In this order the machines belong to some shard all the time. */
+    private fun applyTransfer(source: Source, remaining: MachineListPart, destination: Destination, revision: Long) {
+        machines.applyPart(destination.shard, destination.extended.index, destination.extended.part, revision)
+        machines.applyPart(source.shard, source.index, remaining, revision)
+    }
+
+    private fun rereadAll(source: Source, destination: Destination) = listOf(
+        Keys.shard(source.shard.value),
+        Keys.shard(destination.shard.value),
+        Keys.TOKEN,
+        source.path,
+        destination.path,
+    ).forEach { reread(it) {} }
+}
--- /dev/null
+++ b/src/main/kotlin/io/reedmast/cluster/TokenRenewal.kt
@@ -0,0 +1,37 @@
+package io.reedmast.cluster
+
+import io.reedmast.kvstore.Keys
+import io.reedmast.kvstore.Precondition
+import io.reedmast.kvstore.Write
+import io.reedmast.model.FencingToken
+import io.reedmast.rollout.GateSnapshot
+import io.reedmast.settings.ShardId
+
+/**
+ * Gives a shard's owner a token above [aboveToken] in the transaction that gives the shard machines: they drop answers
+ * under a token lower than the highest that they have seen (PROTOCOL, Tokens).
+ */
+internal class TokenRenewal(
+    private val shard: ShardId,
+    owner: StoredShardRecord,
+    aboveToken: Long,
+    tokenVersion: Long,
+    gates: GateSnapshot,
+) {
+    private val renewed = owner.record.copy(token = FencingToken.after(aboveToken))
+    private val counter = TokenCounter.moveTo(renewed.token, tokenVersion, gates)
+
+    /** That the token counter and the gates have not changed. */
+    val counterPreconditions: List<Precondition> get() = counter.preconditions
+
+    /** That the shard's record has not changed. */
+    val recordPrecondition = Precondition(Keys.shard(shard.value), owner.version)
+
+    val writes: List<Write> = listOf(Write.Put(Keys.shard(shard.value), renewed.toFields()), counter.write)
+
+    /** The renewal was stored with this [revision]. */
+    fun applyTo(shards: ShardTable, revision: Long) {
+        shards.applyToken(renewed.token, revision)
+        shards.applyShard(shard, renewed, revision)
+    }
+}
