--- a/src/main/kotlin/io/reedmast/cluster/AcquisitionPolicy.kt
+++ b/src/main/kotlin/io/reedmast/cluster/AcquisitionPolicy.kt
@@ -38,7 +38,7 @@
     }
 
     /** Each controller begins with the shard of its own index and leaves the others a lease's time to do the same. */
-    private fun mayAcquireUnowned(shard: ShardId, now: Long) = isHome(shard) || uptimeMs(now) > Membership.LEASE_MS
+    private fun mayAcquireUnowned(shard: ShardId, now: Long) = isHome(shard) || uptimeMs(now) > ControllerLease.LEASE_MS
 
     private fun reasonForAbsent(owner: String, now: Long): AcquisitionReason? {
         val absentMs = membership.absentForMs(owner, now)
--- a/src/main/kotlin/io/reedmast/cluster/ClockDrift.kt
+++ b/src/main/kotlin/io/reedmast/cluster/ClockDrift.kt
@@ -1,4 +1,7 @@
 package io.reedmast.cluster
 
-/** By how much two steady clocks may disagree over any time, as a part of it: twice the protocol's bound for one. */
+/**
+ * By how much two steady clocks may disagree over any time, as a part of it: twice the bound that the protocol gives
+ * (PROTOCOL, introduction: 0.05%).
+ */
 internal const val CLOCK_DRIFT = 0.001
--- a/src/main/kotlin/io/reedmast/cluster/ClusterFeatures.kt
+++ b/src/main/kotlin/io/reedmast/cluster/ClusterFeatures.kt
@@ -15,19 +15,27 @@
     val DIVIDED_RECORDS = FeatureName("divided-records")
 
     /**
-     * The token counter has a form that versions before the rollout record cannot read, so that they can take no shard.
+     * The token counter has a form that versions before the rollout record cannot read, so that they can acquire no
+     * shard.
      */
     val FENCED_TOKENS = FeatureName("fenced-tokens")
 
+    private const val DENSE_PAGES_VERSION = 3
     private val OLDEST = FormatVersion.NONE
     private val WITH_DIVIDED_RECORDS = FormatVersion(1)
     private val WITH_ROLLOUT = FormatVersion(2)
-    private val WITH_DENSE_PAGES = FormatVersion(3)
+    private val WITH_DENSE_PAGES = FormatVersion(DENSE_PAGES_VERSION)
 
+    /** See [DIVIDED_RECORDS]. */
     val dividedRecords = Feature(DIVIDED_RECORDS, WITH_DIVIDED_RECORDS, revertible = false)
+
+    /** See [FENCED_TOKENS]. */
     val fencedTokens = Feature(FENCED_TOKENS, WITH_ROLLOUT, setOf(DIVIDED_RECORDS), migration = TokenCounter)
+
+    /** See [DensePages]. */
     val densePages = Feature(DensePages.FEATURE, WITH_DENSE_PAGES, setOf(FENCED_TOKENS), migration = DensePages)
 
+    /** All features, in the order in which they can be enabled, and the versions that this process reads. */
     val registry =
         FeatureRegistry(listOf(dividedRecords, fencedTokens, densePages), VersionRange(OLDEST, WITH_DENSE_PAGES))
 }
--- a/src/main/kotlin/io/reedmast/cluster/ClusterRollout.kt
+++ b/src/main/kotlin/io/reedmast/cluster/ClusterRollout.kt
@@ -31,14 +31,14 @@
     private val options: RolloutOptions,
     private val incarnation: String,
     private val shards: ShardTable,
+    /** Reads a key of the cluster again. */
     private val reread: (String) -> Unit,
 ) : ShardRollout {
     private val rolloutStore = RolloutStoreAdapter(store)
     private val formatGate = FormatGate(settings, store, limits)
-    private val configured = settings.members.mapTo(HashSet()) { it.label }
-    private var ending = false
+    private val configuredMembers = settings.members.mapTo(HashSet()) { it.label }
+    private var isEnding = false
 
-    /** What has been read of the rollout. */
     override val view = RolloutView(options.registry, settings.label)
     private val coordinator = RolloutCoordinator(
         options.registry,
@@ -51,39 +51,38 @@
     )
     private val clusterMigration = reconciler(MigrationUnit.Cluster, UncontendedRecords)
 
-    /** The gates as they now stand; a decision asks once and keeps to the answer. */
     override val gates: GateSnapshot get() = view.gates
 
-    /** Whether this process takes part in the cluster: nothing is written or answered for it otherwise. */
     override val isAdmitted: Boolean get() = view.admission == Admission.Admitted
 
     /**
      * Whether workers may be answered: while the record cannot be read what runs goes on, but a process that does not
      * fit is silent.
      */
-    val mayAcknowledgeHeartbeats: Boolean get() = view.admission.let {
-        it == Admission.Admitted ||
-            it is Admission.Withheld
-    }
+    val mayAcknowledgeHeartbeats: Boolean
+        get() = when (view.admission) {
+            Admission.Admitted, is Admission.Withheld -> true
+            Admission.Excluded, is Admission.Unfit -> false
+        }
 
-    /** Whether an operator has ordered this process to give its shards up. */
+    /** Whether an operator has ordered this process to release its shards. */
     val isDraining: Boolean get() = view.drainOf(settings.label)?.order?.incarnation == incarnation
 
-    /** The controllers whose processes are to give their shards up: they take none. */
+    /** The labels of the controllers whose processes are to release their shards: they acquire none. */
     fun draining(): Set<String> = view.members.filter { (label, member) ->
-        view.drainOf(label)?.order?.incarnation?.let { it == member.versions.incarnation }
-            ?: false
+        val drained = view.drainOf(label)?.order?.incarnation
+        drained != null && drained == member.versions.incarnation
     }.keys
 
-    /** The migration of one part of the records, for whoever may write them. */
     override fun reconciler(unit: MigrationUnit, access: RecordAccess) =
         MigrationReconciler(unit, options.registry, rolloutStore, access, options.pace, clock::now) {
             limits.allowed.valueBytes
         }
 
+    /** All keys have been read anew, and follow. */
     fun reset() = view.reset()
 
-    /** Takes up the value under [path], if it is one of the rollout's keys. */
+    /** Applies the value under [path], if it is one of the rollout's keys. */
     fun applyRecord(path: String, value: Fields?, version: Long) {
         formatGate.applyRecord(path, value)
         view.applyRecord(path, value, version)
@@ -113,8 +112,8 @@
     }
 
     private fun end(reason: String) {
-        if (ending) return
-        ending = true
+        if (isEnding) return
+        isEnding = true
         process.end(reason)
     }
 
@@ -130,10 +129,8 @@
     }
 
     private fun snapshot(): ClusterSnapshot = view.snapshot(
-        configured,
-        shards.records.map { stored ->
-            stored?.let { ShardOwnership(it.record.owner, it.version) }
-        },
+        configuredMembers,
+        shards.records.map { stored -> stored?.let { ShardOwnership(it.record.owner, it.version) } },
         formatGate.finalized,
     )
 
--- a/src/main/kotlin/io/reedmast/cluster/FailoverRequests.kt
+++ b/src/main/kotlin/io/reedmast/cluster/FailoverRequests.kt
@@ -3,7 +3,7 @@
 import io.reedmast.ports.PeerMessage
 import io.reedmast.settings.ShardId
 
-/** The shards whose owners have asked the other controllers to acquire them, because their workers do not reach them. */
+/** The shards that their owners have asked the other controllers to acquire, as workers do not reach those owners. */
 internal class FailoverRequests(private val shards: ShardTable) {
     private class Request(val receivedAt: Long, val term: Long)
 
--- a/src/main/kotlin/io/reedmast/cluster/FormatGate.kt
+++ b/src/main/kotlin/io/reedmast/cluster/FormatGate.kt
@@ -19,47 +19,50 @@
  * form.
  *
  * Each controller names the feature's version in its membership key, where earlier versions ignore the field. The
- * feature cannot be taken back: a controller that has been seen with it counts for good, and the gate is finalized at
+ * feature cannot be reverted: a controller that has been seen with it counts for good, and the gate is finalized at
  * once when all have been. A process that starts later need not see all of them again.
  */
-class FormatGate(
+internal class FormatGate(
     private val settings: Settings,
     private val store: KeyValueStore,
     private val limits: EffectiveLimits,
 ) {
     private val log = LoggerFactory.getLogger("cluster")
-    private val upgraded = hashSetOf(settings.label)
-    private var stored = false
-    private var storing = false
+
+    /** The labels of the controllers that have been seen with the feature's version. */
+    private val upgradedMembers = hashSetOf(settings.label)
+    private var isFinalized = false
+    private var finalizing = false
 
     /** The feature, once its gate is known to be finalized. */
-    val finalized: Set<FeatureName> get() = if (stored) setOf(feature.name) else emptySet()
+    val finalized: Set<FeatureName> get() = if (isFinalized) setOf(feature.name) else emptySet()
 
-    /** Takes up the value under [path], if it tells of a controller's version or of that of all. */
+    /** Applies the value under [path], if it is the gate or the key of a controller; a deletion changes nothing. */
     fun applyRecord(path: String, value: Fields?) {
-        if (value == null) return
-        if (path == Keys.FORMAT && isReached(value)) {
-            stored = true
-            reached()
+        if (value == null || !readsDividedRecords(value)) return
+        if (path == Keys.FORMAT) {
+            isFinalized = true
+            reduceLimits()
         }
-        if (path.startsWith(Keys.MEMBERS) && isReached(value)) upgraded.add(path.removePrefix(Keys.MEMBERS))
+        if (path.startsWith(Keys.MEMBERS)) upgradedMembers.add(path.removePrefix(Keys.MEMBERS))
     }
 
-    private fun reached() {
+    private fun reduceLimits() {
         if (!limits.isReduced) log.info("cluster: every controller reads format {}", feature.requires)
         limits.reduce()
     }
 
-    /** Called while the store is heard. */
+    /** Called while the store is heard: finalizes the gate once every controller has been seen with the feature. */
     fun runOnce() {
-        if (stored || storing || !settings.members.all { it.label in upgraded }) return
-        reached()
-        storing = true
+        if (isFinalized || finalizing || !settings.members.all { it.label in upgradedMembers }) return
+        reduceLimits()
+        finalizing = true
+        val preconditions = listOf(Precondition(Keys.FORMAT, 0))
         store.commit(
-            CasTransaction(listOf(Precondition(Keys.FORMAT, 0)), listOf(Write.Put(Keys.FORMAT, fields()))) { outcome ->
-                storing = false
+            CasTransaction(preconditions, listOf(Write.Put(Keys.FORMAT, fields()))) { outcome ->
+                finalizing = false
                 // Refused for its version: another controller has stored the same.
-                if (outcome !is CommitOutcome.Refused) stored = true
+                if (outcome !is CommitOutcome.Refused) isFinalized = true
             },
         )
     }
@@ -71,7 +74,7 @@
         fun fields(): Fields = mapOf(RolloutView.LEGACY_VERSION to feature.requires.value.toLong())
 
         /** Whether a record, of a controller or of the gate, names the feature's version or a later one. */
-        fun isReached(value: Fields): Boolean =
+        fun readsDividedRecords(value: Fields): Boolean =
             (value[RolloutView.LEGACY_VERSION] as? Long ?: 0L) >= feature.requires.value
     }
 }
--- a/src/main/kotlin/io/reedmast/cluster/StoredClusterRecords.kt
+++ b/src/main/kotlin/io/reedmast/cluster/StoredClusterRecords.kt
@@ -7,17 +7,18 @@
 import io.reedmast.rollout.FeatureName
 import io.reedmast.rollout.ShardOwnership
 
-/** The cluster's records as the rollout's administration needs them. */
-class StoredClusterRecords(private val shards: Int) : ClusterRecords {
+/** Reads the cluster's records for the rollout's administration, which has no watch on them. */
+class StoredClusterRecords(private val shardCount: Int) : ClusterRecords {
     override fun shardOwners(items: List<StoredItem>): List<ShardOwnership?> {
         val byPath = items.associateBy { it.path }
-        return (0 until shards).map { index ->
+        return (0 until shardCount).map { index ->
             byPath[Keys.shard(index)]?.let { ShardOwnership(ShardRecord.parse(it.value).owner, it.version) }
         }
     }
 
     override fun externallyFinalized(items: List<StoredItem>): Set<FeatureName> {
-        val reached = items.firstOrNull { it.path == Keys.FORMAT }?.let { FormatGate.isReached(it.value) } ?: false
-        return if (reached) setOf(ClusterFeatures.DIVIDED_RECORDS) else emptySet()
+        val gate = items.firstOrNull { it.path == Keys.FORMAT }
+        val isFinalized = gate != null && FormatGate.readsDividedRecords(gate.value)
+        return if (isFinalized) setOf(ClusterFeatures.DIVIDED_RECORDS) else emptySet()
     }
 }
