--- a/src/main/kotlin/io/reedmast/cluster/AcquisitionPolicy.kt
+++ b/src/main/kotlin/io/reedmast/cluster/AcquisitionPolicy.kt
@@ -13,12 +13,13 @@
 internal class AcquisitionPolicy(
     private val settings: Settings,
     clock: Clock,
-    private val membership: Membership,
-    private val shards: ShardTable,
-    private val rollout: ClusterRollout,
+    tables: ClusterTables,
     private val failoverRequests: FailoverRequests,
     private val failbackDelay: FailbackDelay,
 ) {
+    private val membership = tables.membership
+    private val shards = tables.shards
+    private val rollout = tables.rollout
     private val startedAt = clock.now()
 
     /** Whether this controller may own the shard of [owner] at all: while it is drained it keeps what it has. */
@@ -38,7 +39,8 @@
     }
 
     /** Each controller begins with the shard of its own index and leaves the others a lease's time to do the same. */
-    private fun mayAcquireUnowned(shard: ShardId, now: Long) = isHome(shard) || uptimeMs(now) > ControllerLease.LEASE_MS
+    private fun mayAcquireUnowned(shard: ShardId, now: Long) =
+        isPreferredOwner(shard) || uptimeMs(now) > ControllerLease.LEASE_MS
 
     private fun reasonForAbsent(owner: String, now: Long): AcquisitionReason? {
         val absentMs = membership.absentForMs(owner, now)
@@ -46,12 +48,13 @@
         return if (isDue) AcquisitionReason.OwnerAbsent(absentMs) else null
     }
 
-    private fun mayFailBack(shard: ShardId, owner: String, now: Long) = isHome(shard) &&
+    private fun mayFailBack(shard: ShardId, owner: String, now: Long) = isPreferredOwner(shard) &&
         uptimeMs(now) > MIN_UPTIME_FOR_FAILBACK_MS &&
         failbackDelay.isOver(now) &&
         shards.countOf(owner) > 1
 
-    private fun isHome(shard: ShardId) = shard.value == settings.self.value
+    /** A shard belongs with the controller of the same index, unless that one cannot serve it. */
+    private fun isPreferredOwner(shard: ShardId) = shard.value == settings.self.value
 
     private fun uptimeMs(now: Long) = now - startedAt
 
--- a/src/main/kotlin/io/reedmast/cluster/Cluster.kt
+++ b/src/main/kotlin/io/reedmast/cluster/Cluster.kt
@@ -5,7 +5,6 @@
 import io.reedmast.kvstore.EffectiveLimits
 import io.reedmast.model.MachineDirectory
 import io.reedmast.model.MachineRecord
-import io.reedmast.model.ShardRecord
 import io.reedmast.ports.Clock
 import io.reedmast.ports.Gateway
 import io.reedmast.ports.PeerMessage
@@ -39,8 +38,6 @@
     FleetView {
     private val log = LoggerFactory.getLogger("cluster")
 
-    // Tables of what is stored.
-
     override val jobs = JobIndex(settings, ::owned)
     override val machineDirectory = MachineDirectory()
 
@@ -49,7 +46,9 @@
 
     /** How recent the view of the store is. */
     val staleness = WatchStaleness(clock, settings.workers)
-    private val shards = ShardTable(settings.shardCount, gateway, ::onShardRecordChanged)
+    private val shards = ShardTable(settings.shardCount, gateway) { shard, previous, current ->
+        failover.onShardRecordChanged(shard, previous, current)
+    }
     override val rollout =
         ClusterRollout(settings, clock, gateway, gateway, limits, rolloutOptions, incarnation, shards) {
             watchResults.reread(it)
@@ -66,12 +65,14 @@
         machineDirectory::forget,
     )
 
-    /** Takes the results of the watches on the store. */
-    val watchResults: WatchResultHandler =
-        WatchResultHandler(gateway, staleness, membership, rollout, shards, machines, jobs, ::keepLease)
+    private val tables =
+        ClusterTables(staleness, membership, rollout, shards, machines, jobs, machineDirectory, owners)
 
-    // Changes to the records of shards and machines.
+    /** Takes the results of the watches on the store. */
+    val watchResults: WatchResultHandler = WatchResultHandler(gateway, tables, ::keepLease)
 
+    private val failover: ShardFailover =
+        ShardFailover(settings, clock, gateway, gateway, tables) { watchResults.reread(it) }
     private val assignment = MachineAssignment(
         settings,
         gateway,
@@ -82,53 +83,8 @@
         { membership.leaderVersion },
         watchResults::reread,
     )
-    private val failoverRequests = FailoverRequests(shards)
-    private val failbackDelay = FailbackDelay()
-    private val attempts = AcquisitionAttempts(settings, clock)
-    private val restorer = ShardRestorer(clock, gateway, staleness, jobs, owners, attempts)
-    private val acquirer =
-        ShardAcquirer(settings, gateway, shards, owners, rollout, attempts, restorer) { watchResults.reread(it) }
-    private val workerAddresses = WorkerAddresses(machines, machineDirectory)
-    private val reachability = WorkerReachability(clock, gateway, workerAddresses)
-    private val unreachableOwners = UnreachableOwnerDetector(
-        settings,
-        clock,
-        gateway,
-        staleness,
-        shards,
-        machineDirectory,
-        workerAddresses,
-        acquirer,
-        attempts,
-    )
-    private val acquisitionPolicy =
-        AcquisitionPolicy(settings, clock, membership, shards, rollout, failoverRequests, failbackDelay)
-    private val acquisition = ShardAcquisition(
-        clock,
-        membership,
-        shards,
-        owners,
-        acquisitionPolicy,
-        attempts,
-        acquirer,
-        reachability,
-        unreachableOwners,
-    )
-
-    // The other controllers.
-
     private val peerStatuses = PeerStatuses(settings.self, settings.members.size, incarnation)
-    private val peerMessages = PeerMessageHandler(
-        settings,
-        clock,
-        gateway,
-        staleness,
-        jobs,
-        machineDirectory,
-        machines,
-        failoverRequests,
-        peerStatuses,
-    )
+    private val peerMessages = PeerMessageHandler(settings, clock, gateway, tables, failover, peerStatuses)
 
     private var reducedLimitsShared = false
     private var releaseDueAt = 0L
@@ -142,7 +98,7 @@
     /** The shards' records as last seen; null for a shard that has never had an owner. */
     val records: Array<StoredShardRecord?> get() = shards.records
 
-    /** Whether requests of users can be taken. */
+    /** Whether requests of users can be accepted. */
     val ready: Boolean get() = staleness.loaded && rollout.isAdmitted
 
     private fun createOwner(shard: ShardId) =
@@ -188,35 +144,18 @@
     override fun departedLately(machineName: String): Boolean = machineName in departedMachines
 
     /** A worker has sent a heartbeat to this controller. */
-    fun onWorkerContact() = reachability.recordContact()
+    fun onWorkerContact() = failover.onWorkerContact()
 
     /**
      * Where to send a worker of [shard], which is not this controller's; null if the worker must look for another
      * controller by itself.
      */
     fun redirectTarget(shard: ShardId, machineName: String, addr: String): String? =
-        unreachableOwners.redirectTarget(shard, machineName, addr)
+        failover.redirectTarget(shard, machineName, addr)
 
     /** Another controller has sent a message. */
     fun onPeerMessage(message: PeerMessage) = peerMessages.onMessage(message)
 
-    private fun onShardRecordChanged(shard: ShardId, previous: StoredShardRecord?, current: StoredShardRecord) {
-        val record = current.record
-        if (previous?.record?.owner != record.owner) unreachableOwners.onNewOwner(shard)
-        if (acquirer.confirmedByWatch(shard, current)) return
-        val owner = owners[shard] ?: return
-        if (record.owner == settings.label) owner.sync(record, current.version) else onLost(owner, record)
-    }
-
-    /** Another controller has acquired the shard of [owner]. */
-    private fun onLost(owner: ShardOwner, record: ShardRecord) {
-        if (!owner.dropped) {
-            log.info("shard {}: acquired by {}, token {}", owner.index.value, record.owner, record.token)
-            if (!rollout.isDraining) failbackDelay.onAcquiredByAnother(clock.now())
-        }
-        owners.drop(owner.index)
-    }
-
     /** Periodic: makes the changes that are due, and has each owner do the same. */
     fun runOnce() {
         staleness.resumeWaiters()
@@ -229,11 +168,11 @@
         if (isCurrent()) {
             membership.claimKeys(mayLead = !rollout.isDraining)
             rollout.runOnce(membership.leaderVersion.takeIf { membership.leading })
-            acquisition.runOnce(now)
+            failover.runOnce(now)
             releaseShards(now)
             divideForReducedLimits()
         } else {
-            unreachableOwners.onStoreUnreachable(now)
+            failover.onStoreUnreachable(now)
         }
         owned().forEach { it.runOnce() }
     }
@@ -262,7 +201,7 @@
         if (!reducedLimitsShared) membership.shareLimits()
         reducedLimitsShared = true
         for (owner in owned()) {
-            if (owner.needsReload) acquisition.reload(owner.index)
+            if (owner.needsReload) failover.reload(owner.index)
             assignment.divideOversized(owner.index)
         }
     }
@@ -270,7 +209,7 @@
     /** Has each owner act on what has changed in its shard. */
     fun reconcile() = owned().forEach { it.reconcile() }
 
-    override fun renewToken(shard: ShardId) = acquisition.renewToken(shard)
+    override fun renewToken(shard: ShardId) = failover.renewToken(shard)
 
     override fun requestFailover(shard: ShardId) {
         val term = shards.termOf(settings.label, shard) ?: return
--- a/src/main/kotlin/io/reedmast/cluster/ClusterRollout.kt
+++ b/src/main/kotlin/io/reedmast/cluster/ClusterRollout.kt
@@ -118,7 +118,7 @@
     }
 
     /**
-     * Called regularly while the store is heard and this process is admitted; [leaderVersion] is null unless this
+     * Called regularly while the store answers and this process is admitted; [leaderVersion] is null unless this
      * controller leads.
      */
     fun runOnce(leaderVersion: Long?) {
--- /dev/null
+++ b/src/main/kotlin/io/reedmast/cluster/ClusterTables.kt
@@ -0,0 +1,17 @@
+package io.reedmast.cluster
+
+import io.reedmast.jobs.JobIndex
+import io.reedmast.model.MachineDirectory
+
+/** What this controller knows of the cluster, from the watches, its own transactions and the other controllers. */
+internal class ClusterTables(
+    val staleness: WatchStaleness,
+    val membership: Membership,
+    val rollout: ClusterRollout,
+    val shards: ShardTable,
+    val machines: MachineTable,
+    val jobs: JobIndex,
+    val machineDirectory: MachineDirectory,
+    /** The owners of this controller's shards. */
+    val owners: ShardOwners,
+)
--- a/src/main/kotlin/io/reedmast/cluster/FormatGate.kt
+++ b/src/main/kotlin/io/reedmast/cluster/FormatGate.kt
@@ -52,7 +52,7 @@
         limits.reduce()
     }
 
-    /** Called while the store is heard: finalizes the gate once every controller has been seen with the feature. */
+    /** Called while the store answers: finalizes the gate once every controller has been seen with the feature. */
     fun runOnce() {
         if (isFinalized || finalizing || !settings.members.all { it.label in upgradedMembers }) return
         reduceLimits()
--- a/src/main/kotlin/io/reedmast/cluster/MachineListWriter.kt
+++ b/src/main/kotlin/io/reedmast/cluster/MachineListWriter.kt
@@ -52,13 +52,13 @@
 
     /** Stores [change]; [onOutcome] is called once it is certain what became of it. */
     fun write(change: MachineListChange, onOutcome: (MachineListOutcome) -> Unit = {}) {
-        if (!isStorable(change.part) || !tryBegin(change.path)) {
+        if (!isStorable(change.part) || !tryBegin(setOf(change.path))) {
             onOutcome(MachineListOutcome.NotSent)
             return
         }
         store.commit(
             CasTransaction(change.preconditions, change.writes, change.priority) { outcome ->
-                end(change.path)
+                end(setOf(change.path))
                 if (outcome is CommitOutcome.Applied) {
                     change.tokenRenewal?.applyTo(shards, outcome.revision)
                     machines.applyPart(change.shard, change.index, change.part, outcome.revision)
@@ -74,14 +74,14 @@
     }
 
     /** Reserves the records at [paths] for one change until [end]; false if a change to one of them is under way. */
-    fun tryBegin(vararg paths: String): Boolean {
+    fun tryBegin(paths: Set<String>): Boolean {
         if (paths.any { it in pendingPaths }) return false
         pendingPaths.addAll(paths)
         return true
     }
 
     /** The outcome of the change to the records at [paths] is known. */
-    fun end(vararg paths: String) {
-        pendingPaths.removeAll(paths.toSet())
+    fun end(paths: Set<String>) {
+        pendingPaths.removeAll(paths)
     }
 }
--- a/src/main/kotlin/io/reedmast/cluster/MachineTransfer.kt
+++ b/src/main/kotlin/io/reedmast/cluster/MachineTransfer.kt
@@ -36,6 +36,33 @@
         val path: String get() = Keys.machineNames(shard.value, extended.index)
     }
 
+    /** That machines leave one record and join another, in one transaction. */
+    private class Transfer(val source: Source, val destination: Destination, val moved: Set<String>) {
+        /** What the record that they leave is to hold. */
+        val remaining = source.stored.part.without(moved)
+
+        val preconditions: List<Precondition> get() = listOf(
+            Precondition(Keys.shard(source.shard.value), source.owner.version),
+            Precondition(source.path, source.stored.version),
+            Precondition(destination.path, destination.extended.stored.version),
+            Precondition(Keys.shard(destination.shard.value), destination.owner.version),
+        )
+
+        val writes: List<Write> get() = listOf(
+            Write.Put(source.path, remaining.toFields()),
+            Write.Put(destination.path, destination.extended.part.toFields()),
+        )
+
+        /** All keys that the transaction may have changed. */
+        val keys: List<String> get() = listOf(
+            Keys.shard(source.shard.value),
+            Keys.shard(destination.shard.value),
+            Keys.TOKEN,
+            source.path,
+            destination.path,
+        )
+    }
+
     /** Moves as many of [machineNames] as share a record and a destination; the others follow with the next call. */
     fun transfer(shard: ShardId, machineNames: Collection<String>) {
         val source = sourceOf(shard, machineNames) ?: return
@@ -45,8 +72,8 @@
         val moving = movable(source, targetShard, machineNames)
         val destination = Destination(targetShard, targetOwner, machines.partWithRoomFor(moving, targetShard))
         val moved = moving.map { it.name }.filterTo(HashSet()) { destination.extended.part.holds(it) }
-        val remaining = source.stored.part.without(moved)
-        if (moved.isNotEmpty() && writer.isStorable(remaining)) commit(source, remaining, destination, moved)
+        val transfer = Transfer(source, destination, moved)
+        if (moved.isNotEmpty() && writer.isStorable(transfer.remaining)) commit(transfer)
     }
 
     private fun sourceOf(shard: ShardId, machineNames: Collection<String>): Source? {
@@ -70,61 +97,40 @@
         return machines.machinesOf(shard).map { it.name }.filterTo(HashSet()) { !names.add(it) }
     }
 
-    private fun commit(source: Source, remaining: MachineListPart, destination: Destination, moved: Set<String>) {
-        if (!writer.tryBegin(source.path, destination.path)) return
-        val renewal = renewalFor(source, destination)
+    private fun commit(transfer: Transfer) {
+        val paths = setOf(transfer.source.path, transfer.destination.path)
+        if (!writer.tryBegin(paths)) return
+        val renewal = renewalFor(transfer)
+        val preconditions = transfer.preconditions + renewal?.counterPreconditions.orEmpty()
+        val writes = transfer.writes + renewal?.writes.orEmpty()
         store.commit(
-            CasTransaction(
-                preconditions(source, destination) + renewal?.counterPreconditions.orEmpty(),
-                writes(source, remaining, destination) + renewal?.writes.orEmpty(),
-            ) { outcome ->
-                writer.end(source.path, destination.path)
+            CasTransaction(preconditions, writes) { outcome ->
+                writer.end(paths)
                 if (outcome is CommitOutcome.Applied) {
-                    logTransfer(moved, source, destination)
-                    renewal?.applyTo(shards, outcome.revision)
-                    applyTransfer(source, remaining, destination, outcome.revision)
+                    onStored(transfer, renewal, outcome.revision)
                 } else {
-                    rereadAll(source, destination)
+                    transfer.keys.forEach { reread(it) {} }
                 }
             },
         )
     }
 
     /** The other shard's owner must have a token above all that these machines have seen, which is at most ours. */
-    private fun renewalFor(source: Source, destination: Destination): TokenRenewal? {
-        if (destination.owner.record.token > source.owner.record.token) return null
+    private fun renewalFor(transfer: Transfer): TokenRenewal? {
+        val destination = transfer.destination
+        if (destination.owner.record.token > transfer.source.owner.record.token) return null
         return TokenRenewal(destination.shard, destination.owner, shards.token, shards.tokenVersion, rollout.gates)
     }
 
-    private fun preconditions(source: Source, destination: Destination) = listOf(
-        Precondition(Keys.shard(source.shard.value), source.owner.version),
-        Precondition(source.path, source.stored.version),
-        Precondition(destination.path, destination.extended.stored.version),
-        Precondition(Keys.shard(destination.shard.value), destination.owner.version),
-    )
-
-    private fun writes(source: Source, remaining: MachineListPart, destination: Destination) = listOf<Write>(
-        Write.Put(source.path, remaining.toFields()),
-        Write.Put(destination.path, destination.extended.part.toFields()),
-    )
-
-    private fun logTransfer(moved: Set<String>, source: Source, destination: Destination) {
+    private fun onStored(transfer: Transfer, renewal: TokenRenewal?, revision: Long) {
+        val source = transfer.source
+        val destination = transfer.destination
         val from = source.shard.value
         val to = destination.shard.value
-        log.info("machines {}: transferred from shard {} to shard {}", moved, from, to)
-    }
-
-    /** In this order the machines belong to some shard all the time. */
-    private fun applyTransfer(source: Source, remaining: MachineListPart, destination: Destination, revision: Long) {
+        log.info("machines {}: transferred from shard {} to shard {}", transfer.moved, from, to)
+        renewal?.applyTo(shards, revision)
+        // In this order the machines belong to some shard all the time.
         machines.applyPart(destination.shard, destination.extended.index, destination.extended.part, revision)
-        machines.applyPart(source.shard, source.index, remaining, revision)
+        machines.applyPart(source.shard, source.index, transfer.remaining, revision)
     }
-
-    private fun rereadAll(source: Source, destination: Destination) = listOf(
-        Keys.shard(source.shard.value),
-        Keys.shard(destination.shard.value),
-        Keys.TOKEN,
-        source.path,
-        destination.path,
-    ).forEach { reread(it) {} }
 }
--- a/src/main/kotlin/io/reedmast/cluster/PeerMessageHandler.kt
+++ b/src/main/kotlin/io/reedmast/cluster/PeerMessageHandler.kt
@@ -1,7 +1,5 @@
 package io.reedmast.cluster
 
-import io.reedmast.jobs.JobIndex
-import io.reedmast.model.MachineDirectory
 import io.reedmast.ports.Clock
 import io.reedmast.ports.PeerMessage
 import io.reedmast.ports.PeerTransport
@@ -12,13 +10,14 @@
     private val settings: Settings,
     private val clock: Clock,
     private val peers: PeerTransport,
-    private val staleness: WatchStaleness,
-    private val jobs: JobIndex,
-    private val machineDirectory: MachineDirectory,
-    private val machines: MachineTable,
-    private val failoverRequests: FailoverRequests,
+    tables: ClusterTables,
+    private val failover: ShardFailover,
     private val peerStatuses: PeerStatuses,
 ) {
+    private val staleness = tables.staleness
+    private val jobs = tables.jobs
+    private val machineDirectory = tables.machineDirectory
+    private val machines = tables.machines
     private val startedAt = clock.now()
     private var queryDueAt = 0L
 
@@ -29,7 +28,7 @@
             machineDirectory.heard(message.machines, machines::contains)
         }
 
-        is PeerMessage.FailoverRequest -> failoverRequests.record(message, clock.now())
+        is PeerMessage.FailoverRequest -> failover.onFailoverRequest(message)
 
         is PeerMessage.StatusQuery -> peers.send(message.from, reportFor(message))
 
--- a/src/main/kotlin/io/reedmast/cluster/ShardAcquisition.kt
+++ b/src/main/kotlin/io/reedmast/cluster/ShardAcquisition.kt
@@ -10,18 +10,19 @@
  */
 internal class ShardAcquisition(
     private val clock: Clock,
-    private val membership: Membership,
-    private val shards: ShardTable,
-    private val owners: ShardOwners,
+    tables: ClusterTables,
     private val policy: AcquisitionPolicy,
     private val attempts: AcquisitionAttempts,
     private val acquirer: ShardAcquirer,
     private val reachability: WorkerReachability,
     private val unreachableOwners: UnreachableOwnerDetector,
 ) {
+    private val membership = tables.membership
+    private val shards = tables.shards
+    private val owners = tables.owners
     private val log = LoggerFactory.getLogger("cluster")
 
-    /** Considers each shard; called while the store is heard. */
+    /** Considers each shard; called while the store answers. */
     fun runOnce(now: Long) {
         for (index in shards.records.indices) considerShard(ShardId(index), now)
     }
--- a/src/main/kotlin/io/reedmast/cluster/ShardRestorer.kt
+++ b/src/main/kotlin/io/reedmast/cluster/ShardRestorer.kt
@@ -46,7 +46,7 @@
 
     private fun onRead(state: StoredState) {
         if (--state.openReads > 0) return
-        // A page may name a job that the watch has not told of yet: without the wait its tasks would run twice.
+        // A page may name a job that the watch has not shown yet: without the wait its tasks would run twice.
         staleness.awaitJobsBarrier { jobsKnown -> finish(state, state.pages.takeIf { jobsKnown }) }
     }
 
--- a/src/main/kotlin/io/reedmast/cluster/UnreachableOwnerDetector.kt
+++ b/src/main/kotlin/io/reedmast/cluster/UnreachableOwnerDetector.kt
@@ -1,6 +1,5 @@
 package io.reedmast.cluster
 
-import io.reedmast.model.MachineDirectory
 import io.reedmast.ports.Clock
 import io.reedmast.ports.WorkerTransport
 import io.reedmast.settings.Settings
@@ -17,13 +16,14 @@
     private val settings: Settings,
     private val clock: Clock,
     private val workers: WorkerTransport,
-    private val staleness: WatchStaleness,
-    private val shards: ShardTable,
-    private val machineDirectory: MachineDirectory,
+    tables: ClusterTables,
     private val addresses: WorkerAddresses,
     private val acquirer: ShardAcquirer,
     private val attempts: AcquisitionAttempts,
 ) {
+    private val staleness = tables.staleness
+    private val shards = tables.shards
+    private val machineDirectory = tables.machineDirectory
     private val misdirected = MisdirectedHeartbeats(settings.shardCount, settings.workers.reportS)
     private val probing = BooleanArray(settings.shardCount)
 
--- a/src/main/kotlin/io/reedmast/cluster/WatchResultHandler.kt
+++ b/src/main/kotlin/io/reedmast/cluster/WatchResultHandler.kt
@@ -1,6 +1,5 @@
 package io.reedmast.cluster
 
-import io.reedmast.jobs.JobIndex
 import io.reedmast.kvstore.ReadResult
 import io.reedmast.kvstore.StoredItem
 import io.reedmast.kvstore.UnreadableRecordLog
@@ -18,14 +17,15 @@
  */
 class WatchResultHandler internal constructor(
     private val store: KeyValueStore,
-    private val staleness: WatchStaleness,
-    private val membership: Membership,
-    private val rollout: ClusterRollout,
-    private val shards: ShardTable,
-    private val machines: MachineTable,
-    private val jobs: JobIndex,
+    tables: ClusterTables,
     private val keepLease: () -> Unit,
 ) {
+    private val staleness = tables.staleness
+    private val membership = tables.membership
+    private val rollout = tables.rollout
+    private val shards = tables.shards
+    private val machines = tables.machines
+    private val jobs = tables.jobs
     private val log = LoggerFactory.getLogger("cluster")
     private val unreadable = UnreadableRecordLog()
 
