--- a/src/main/kotlin/io/reedmast/cluster/UnreachableOwnerDetector.kt
+++ b/src/main/kotlin/io/reedmast/cluster/UnreachableOwnerDetector.kt
@@ -54,8 +54,7 @@
         val owner = shards.ownerOf(shard)
         for ((machineName, addr) in sample) {
             probing[shard.value] = true
-            // Neither token nor epoch are the worker's: nothing is executed, and the refusal is its newest status.
-            workers.call(addr, 0L, 0L, emptyList()) { reply ->
+            workers.probe(addr) { reply ->
                 probing[shard.value] = false
                 if (answers(machineName, reply) && mayAcquire(shard, owner)) {
                     acquirer.acquire(shard, AcquisitionReason.WorkersCannotReachOwner(owner))
--- a/src/main/kotlin/io/reedmast/cluster/WorkerReachability.kt
+++ b/src/main/kotlin/io/reedmast/cluster/WorkerReachability.kt
@@ -45,8 +45,7 @@
         val chosen = known.filterIndexed { index, _ -> index % step == 0 }.take(PROBED_WORKERS)
         val probe = Probe(chosen.size)
         for (address in chosen) {
-            // Neither token nor epoch are the worker's: nothing is executed, and the refusal is its newest status.
-            workers.call(address, 0L, 0L, emptyList()) { reply ->
+            workers.probe(address) { reply ->
                 if (reply is Reply.Answer) {
                     probe.answered = true
                     recordContact()
