--- a/src/main/kotlin/io/reedmast/cluster/FailbackDelay.kt
+++ b/src/main/kotlin/io/reedmast/cluster/FailbackDelay.kt
@@ -16,6 +16,7 @@
         delayMs = minOf(delayMs * 2, MAX_DELAY_MS)
     }
 
+    /** Whether a shard may be acquired back at time [now]. */
     fun isOver(now: Long): Boolean = now > notBefore
 
     private companion object {
--- a/src/main/kotlin/io/reedmast/cluster/TokenRenewal.kt
+++ b/src/main/kotlin/io/reedmast/cluster/TokenRenewal.kt
@@ -31,7 +31,7 @@
 
     /** The renewal was stored with this [revision]. */
     fun applyTo(shards: ShardTable, revision: Long) {
-        shards.applyToken(renewed.token, revision)
         shards.applyShard(shard, renewed, revision)
+        shards.applyToken(renewed.token, revision)
     }
 }
