--- a/src/main/kotlin/io/reedmast/autoscaling/ArrayThroughput.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/ArrayThroughput.kt
@@ -50,7 +50,7 @@
     fun tasksToProvisionFor(job: Job, maxTasks: Int, wallMs: Long): Int {
         val spec = job.spec
         queuedCpuSeconds += job.pendingCount * spec.cpus * spec.estimateS
-        val latestStartInS = (shardState.deadlineMs(job) - wallMs) / MS_PER_S - spec.estimateS
+        val latestStartInS = (shardState.urgency.deadlineMs(job) - wallMs) / MS_PER_S - spec.estimateS
         val availableS = maxOf(latestStartInS, bootS)
         val lackingCpus = maxOf(queuedCpuSeconds * ESTIMATE_SLACK / availableS, cpusForArrivals) - cpus
         if (lackingCpus <= 0.0) return 0
--- a/src/main/kotlin/io/reedmast/autoscaling/ArrivalRates.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/ArrivalRates.kt
@@ -11,7 +11,7 @@
      * in milliseconds.
      */
     fun serviceCpus(now: Long, seconds: Double): Double {
-        val arrivals = shardState.arrivals.dropBefore(now - SERVICES_WINDOW_MS)
+        val arrivals = shardState.jobArrivals.services.dropBefore(now - SERVICES_WINDOW_MS)
         // With the last service gone, nothing says that more will come.
         if (arrivals.isEmpty() || shardState.jobs.values.none { it.spec.service || it.spec.gang }) return 0.0
         val windowPart = seconds * MS_PER_S / SERVICES_WINDOW_MS
@@ -24,7 +24,7 @@
      * below the mean.
      */
     fun arrayCpuSecondsPerS(): Double {
-        val arrivals = shardState.arrayArrivals.dropBefore(shardState.clock.now() - ARRAYS_WINDOW_MS)
+        val arrivals = shardState.jobArrivals.arrays.dropBefore(shardState.clock.now() - ARRAYS_WINDOW_MS)
         val inWindow = arrivals.sumOf { it.cpus } - ARRAYS_DEVIATIONS * sqrt(sumOfSquares(arrivals))
         return maxOf(0.0, inWindow) * MS_PER_S / ARRAYS_WINDOW_MS
     }
--- a/src/main/kotlin/io/reedmast/autoscaling/DemandCalculation.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/DemandCalculation.kt
@@ -27,8 +27,8 @@
     }
 
     private fun waitingJobs(): List<Job> = shardState.jobs.values
-        .filter { it.pendingCount > 0 && !it.ending && !shardState.isSuspectedFaulty(it) }
-        .sortedWith(compareBy({ !it.spec.service }, { it.spec.priority }, { shardState.deadlineMs(it) }))
+        .filter { it.pendingCount > 0 && !it.ending && !shardState.urgency.isSuspectedFaulty(it) }
+        .sortedWith(compareBy({ !it.spec.service }, { it.spec.priority }, { shardState.urgency.deadlineMs(it) }))
 
     private fun demandOf(job: Job): List<Demand> {
         val startable = startableTasks(job)
@@ -44,7 +44,7 @@
 
     /** How many tasks of the job its team's quota limits let start; 0 if that is less than it needs to start. */
     private fun startableTasks(job: Job): Int {
-        val tasks = minOf(job.pendingCount, shardState.remainingQuota(job))
+        val tasks = minOf(job.pendingCount, shardState.quota.remainingTasks(job))
         if (tasks < tasksStartedTogether(job.spec)) return 0
         return cpuQuota.allocate(job, tasks)
     }
@@ -69,7 +69,7 @@
      */
     private fun tasksToMeetDeadline(job: Job, withoutCapacity: Int): Int {
         val forDeadline = throughput.tasksToProvisionFor(job, withoutCapacity, wallMs)
-        val forStarving = if (shardState.isStarving(job)) 1 else 0
+        val forStarving = if (shardState.urgency.isStarving(job)) 1 else 0
         return minOf(withoutCapacity, maxOf(forDeadline, forStarving))
     }
 
@@ -91,5 +91,5 @@
     }
 
     private fun demandFor(job: Job, tasks: Int, zone: String?): Demand =
-        Demand.of(job.spec, shardState.isPastDeadline(job), tasks, zone)
+        Demand.of(job.spec, shardState.urgency.isPastDeadline(job), tasks, zone)
 }
--- a/src/main/kotlin/io/reedmast/autoscaling/DemandEstimator.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/DemandEstimator.kt
@@ -28,7 +28,7 @@
 
     /** Whether the machines of [bootingCapacity] hold all that [job] may still start. Allocates it to them. */
     fun fitsOnBootingMachines(job: Job, bootingCapacity: List<FreeCapacity>): Boolean {
-        val startableTasks = minOf(job.pendingCount, shardState.remainingQuota(job))
+        val startableTasks = minOf(job.pendingCount, shardState.quota.remainingTasks(job))
         return allocateAndCountRemaining(job.spec, startableTasks, bootingCapacity) == 0
     }
 
@@ -36,18 +36,18 @@
     fun starving(now: Long): List<Starving> {
         val zones = DemandZones(shardState)
         return shardState.jobs.values
-            .filter { shardState.isNearlyStarving(it) && !it.ending && mayStart(it) }
-            .sortedBy { shardState.starvingSince(it) }
+            .filter { shardState.urgency.isNearlyStarving(it) && !it.ending && mayStart(it) }
+            .sortedBy { shardState.urgency.starvingSince(it) }
             .take(MAX_STARVING)
             .map {
                 Starving(
                     Demand.of(it.spec, pastDeadline = true, tasksStartedTogether(it.spec), zones.onlyZoneFor(it)),
-                    waitedS = (now - shardState.starvingSince(it)) / MS_PER_S,
+                    waitedS = (now - shardState.urgency.starvingSince(it)) / MS_PER_S,
                 )
             }
     }
 
-    private fun mayStart(job: Job): Boolean = shardState.remainingQuota(job) >= tasksStartedTogether(job.spec)
+    private fun mayStart(job: Job): Boolean = shardState.quota.remainingTasks(job) >= tasksStartedTogether(job.spec)
 
     /** The demand of all jobs that wait, added up by kind; the kinds of the most urgent jobs come first. */
     fun demand(): List<Demand> = DemandCalculation(shardState, arrivals, bootingCapacity()).demand()
--- a/src/main/kotlin/io/reedmast/autoscaling/RemainingCpuQuota.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/RemainingCpuQuota.kt
@@ -18,7 +18,7 @@
      */
     fun allocate(job: Job, tasks: Int): Int {
         if (!isLimited(job)) return tasks
-        val remaining = remainingCpus.getOrPut(job.team) { limitCpus(job) - shardState.usedCpus(job.team) }
+        val remaining = remainingCpus.getOrPut(job.team) { limitCpus(job) - shardState.quota.usedCpus(job.team) }
         val allowed = minOf(tasks, (remaining / job.spec.cpus + Machine.EPSILON).toInt())
         if (allowed < tasksStartedTogether(job.spec)) return 0
         remainingCpus[job.team] = remaining - allowed * job.spec.cpus
--- a/src/main/kotlin/io/reedmast/autoscaling/UsageSummaryWriter.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/UsageSummaryWriter.kt
@@ -41,7 +41,7 @@
     fun load(stored: StoredItem) {
         storedVersion = stored.version
         try {
-            shardState.usage.load(stored.value.map("usage"))
+            shardState.fairShare.usage.load(stored.value.map("usage"))
         } catch (e: MalformedException) {
             log.error("shard {}: usage summary cannot be read: {}", shard.value, e.message)
         }
@@ -65,7 +65,7 @@
     private fun summary(demand: List<Demand>, starving: List<Starving>, now: Long) = ShardUsageSummary(
         shard,
         machinesVersion(),
-        shardState.usage.toFields(shardState.teams, maxBuckets()),
+        shardState.fairShare.usage.toFields(shardState.teams, maxBuckets()),
         ratio = lowestRatio(),
         demand = demand.take(MAX_KINDS),
         idle = scaleInPolicy.transferable(now),
@@ -78,7 +78,7 @@
     private fun lowestRatio(): Double {
         val wallMs = shardState.clock.wall()
         val waitingTeams = shardState.jobs.values.filter { it.pendingCount > 0 }.mapTo(HashSet()) { it.team }
-        return waitingTeams.minOfOrNull { shardState.ratio(it, wallMs) } ?: 0.0
+        return waitingTeams.minOfOrNull { shardState.fairShare.ratio(it, wallMs) } ?: 0.0
     }
 
     /** Into how many buckets each team's charged usage may be split: all of it may take a third of the value. */
--- a/src/main/kotlin/io/reedmast/heartbeats/FailureTracker.kt
+++ b/src/main/kotlin/io/reedmast/heartbeats/FailureTracker.kt
@@ -32,7 +32,7 @@
         // Several tasks that fail together on one machine say no more of the job than one does: counted each,
         // they made an unhealthy machine look like a job with a mistake, and the machine was kept.
         if (job.failedOn.add(machine)) job.failures++
-        if (shardState.isSuspectedFaulty(job)) {
+        if (shardState.urgency.isSuspectedFaulty(job)) {
             holdBackFaultyJob(job, now)
         } else {
             decommissionIfUnhealthy(machine, now)
--- a/src/main/kotlin/io/reedmast/model/JobUrgency.kt
+++ b/src/main/kotlin/io/reedmast/model/JobUrgency.kt
@@ -20,8 +20,8 @@
 class JobUrgency(private val settings: Settings, private val clock: Clock) {
     /** Wall time at which the job should be over; without a deadline and an objective, when it was accepted. */
     fun deadlineMs(job: Job): Long {
-        val dueS = job.spec.deadlineS ?: finishObjectiveS(job) ?: return job.acceptedAtMs
-        return job.acceptedAtMs + (dueS * MS_PER_S).toLong()
+        val allowedS = job.spec.deadlineS ?: finishObjectiveS(job) ?: return job.acceptedAtMs
+        return job.acceptedAtMs + (allowedS * MS_PER_S).toLong()
     }
 
     private fun finishObjectiveS(job: Job): Double? =
--- a/src/main/kotlin/io/reedmast/model/ShardState.kt
+++ b/src/main/kotlin/io/reedmast/model/ShardState.kt
@@ -9,7 +9,6 @@
 import io.reedmast.settings.ShardId
 import io.reedmast.settings.TeamId
 import io.reedmast.settings.Tuning
-import io.reedmast.wire.JobSpec
 import io.reedmast.wire.MachineType
 
 /**
@@ -137,32 +136,6 @@
         changed.add(chunk.job)
     }
 
-    // ---- short forms of jobArrivals, quota, fairShare and urgency, for the duties -----------------------------------
-
-    val arrivals: ArrayDeque<JobArrival> get() = jobArrivals.services
-    val arrayArrivals: ArrayDeque<JobArrival> get() = jobArrivals.arrays
-    val gangArrivals: ArrayDeque<GangArrival> get() = jobArrivals.gangs
-
-    val usage: ChargedUsage get() = fairShare.usage
-    fun ratio(team: TeamId, nowMs: Long): Double = fairShare.ratio(team, nowMs)
-
-    fun usedCpus(team: TeamId): Double = quota.usedCpus(team)
-    fun isWithinGuarantee(team: TeamId, spec: JobSpec): Boolean = quota.isWithinGuarantee(team, spec)
-    fun isGangWithinGuarantee(job: Job): Boolean = quota.isWithinGuarantee(job.team, job.spec, job.spec.taskCount)
-    fun isBeyondGuarantee(team: TeamId): Boolean = quota.isBeyondGuarantee(team)
-    fun remainingQuota(job: Job): Int = quota.remainingTasks(job)
-
-    fun deadlineMs(job: Job): Long = urgency.deadlineMs(job)
-    fun isPastDeadline(job: Job): Boolean = urgency.isPastDeadline(job)
-    fun isStarving(job: Job): Boolean = urgency.isStarving(job)
-    fun isUnderserved(job: Job): Boolean = urgency.isUnderserved(job)
-    fun isOverdue(job: Job): Boolean = urgency.isOverdue(job)
-    fun underservedForMs(job: Job): Long = urgency.underservedForMs(job)
-    fun isNearlyStarving(job: Job): Boolean = urgency.isNearlyStarving(job)
-    fun starvingSince(job: Job): Long = urgency.starvingSince(job)
-    fun isLatencySensitive(job: Job): Boolean = urgency.isLatencySensitive(job)
-    fun isSuspectedFaulty(job: Job): Boolean = urgency.isSuspectedFaulty(job)
-
     private companion object {
         /** Milliseconds in the longest interval between heartbeats, for each second of the one that is set. */
         const val MAX_HEARTBEAT_INTERVAL_MS_PER_S = 1250
--- a/src/main/kotlin/io/reedmast/persistence/PendingWriteOfChunk.kt
+++ b/src/main/kotlin/io/reedmast/persistence/PendingWriteOfChunk.kt
@@ -7,6 +7,6 @@
 /** What waits for [chunk] to be stored. */
 internal fun ShardState.pendingWriteOf(chunk: Chunk): PendingWrite = when {
     chunk.placements.values.all { it.committed } -> PendingWrite.RESULTS
-    isLatencySensitive(chunk.job) -> PendingWrite.URGENT_PLACEMENTS
+    urgency.isLatencySensitive(chunk.job) -> PendingWrite.URGENT_PLACEMENTS
     else -> PendingWrite.ARRAY_PLACEMENTS
 }
--- a/src/main/kotlin/io/reedmast/scheduling/JobPlacer.kt
+++ b/src/main/kotlin/io/reedmast/scheduling/JobPlacer.kt
@@ -19,7 +19,7 @@
 
     /** True if something was placed and the job may have another task to place. */
     fun placeNext(job: Job, pass: SchedulingPass): Boolean {
-        if (job.pendingCount <= 0 || shardState.remainingQuota(job) < 1) return false
+        if (job.pendingCount <= 0 || shardState.quota.remainingTasks(job) < 1) return false
         val isPlaced = if (job.spec.gang) placeGang(job, pass) else placeTask(job, pass)
         if (isPlaced) pass.recordPlaced(job)
         return isPlaced
@@ -64,11 +64,11 @@
     }
 
     private fun urgencyOf(job: Job): Urgency = when {
-        shardState.isStarving(job) -> Urgency.STARVING
-        shardState.isPastDeadline(job) -> Urgency.LATE
+        shardState.urgency.isStarving(job) -> Urgency.STARVING
+        shardState.urgency.isPastDeadline(job) -> Urgency.LATE
         else -> Urgency.NORMAL
     }
 }
 
 /** Whether the limit of the gang's team allows all of its tasks. */
-internal fun ShardState.allowsWholeGang(job: Job): Boolean = remainingQuota(job) >= job.spec.taskCount
+internal fun ShardState.allowsWholeGang(job: Job): Boolean = quota.remainingTasks(job) >= job.spec.taskCount
--- a/src/main/kotlin/io/reedmast/scheduling/PreemptionCandidates.kt
+++ b/src/main/kotlin/io/reedmast/scheduling/PreemptionCandidates.kt
@@ -27,8 +27,8 @@
             sameTeam = job.team == preempting.job.team,
             ranForS = (shardState.clock.now() - protectedSince(placement)) / MS_PER_SECOND,
             minimumS = protectedMinimumS(job.spec.estimateS),
-            teamBeyondGuarantee = shardState.isBeyondGuarantee(job.team),
-            teamRatio = shardState.ratio(job.team, preempting.wallMs),
+            teamBeyondGuarantee = shardState.quota.isBeyondGuarantee(job.team),
+            teamRatio = shardState.fairShare.ratio(job.team, preempting.wallMs),
         )
     }
 
--- a/src/main/kotlin/io/reedmast/scheduling/Preemptor.kt
+++ b/src/main/kotlin/io/reedmast/scheduling/Preemptor.kt
@@ -47,12 +47,12 @@
         if (nowMs - job.waitsSince < preemptAfterMs(job)) return false
         // What only has to be done some time fits on the machines that are on their way; what has to start soon does
         // not.
-        return shardState.isLatencySensitive(job) || !demandEstimator.fitsOnBootingMachines(job, comingCapacity)
+        return shardState.urgency.isLatencySensitive(job) || !demandEstimator.fitsOnBootingMachines(job, comingCapacity)
     }
 
     /** Whether tasks that the team's limit allows wait, beyond those for which work is being stopped already. */
     private fun hasUnservedTasks(job: Job): Boolean =
-        job.pendingCount > job.preempting && shardState.remainingQuota(job) > job.preempting
+        job.pendingCount > job.preempting && shardState.quota.remainingTasks(job) > job.preempting
 
     /**
      * What fits a little later without stopping anything needs no preemption: tasks end all the time, and each task
@@ -63,7 +63,7 @@
         val heartbeatIntervalMs = shardState.settings.workers.reportS * MS_PER_SECOND
         return when {
             job.spec.gang -> GANG_WAIT_MS
-            shardState.isLatencySensitive(job) -> heartbeatIntervalMs.toLong()
+            shardState.urgency.isLatencySensitive(job) -> heartbeatIntervalMs.toLong()
             else -> (heartbeatIntervalMs * ARRAY_WAIT_HEARTBEATS).toLong()
         }
     }
@@ -71,8 +71,8 @@
     private fun preemptFor(job: Job, machines: List<Machine>, wallMs: Long) {
         val request = PreemptionRequest(
             job.spec.priority,
-            shardState.isWithinGuarantee(job.team, job.spec),
-            shardState.ratio(job.team, wallMs),
+            shardState.quota.isWithinGuarantee(job.team, job.spec),
+            shardState.fairShare.ratio(job.team, wallMs),
         )
         val preempting = PreemptingJob(job, request, wallMs)
         if (job.spec.gang) preemptForGang(preempting) else preemptForTasks(preempting, machines)
--- a/src/main/kotlin/io/reedmast/scheduling/QueueOrder.kt
+++ b/src/main/kotlin/io/reedmast/scheduling/QueueOrder.kt
@@ -9,9 +9,9 @@
  */
 internal fun queueOrder(shardState: ShardState): Comparator<Job> = compareBy(
     { it.spec.priority },
-    { !shardState.isUnderserved(it) },
+    { !shardState.urgency.isUnderserved(it) },
     { !it.spec.gang },
-    { shardState.deadlineMs(it) },
+    { shardState.urgency.deadlineMs(it) },
 )
 
 /**
@@ -19,6 +19,6 @@
  * by charged use against allocation.
  */
 internal fun fairShareOrder(shardState: ShardState, wallMs: Long): Comparator<Job> = compareBy(
-    { !shardState.isWithinGuarantee(it.team, it.spec) },
-    { shardState.ratio(it.team, wallMs) },
+    { !shardState.quota.isWithinGuarantee(it.team, it.spec) },
+    { shardState.fairShare.ratio(it.team, wallMs) },
 )
--- a/src/main/kotlin/io/reedmast/scheduling/Scheduler.kt
+++ b/src/main/kotlin/io/reedmast/scheduling/Scheduler.kt
@@ -46,7 +46,7 @@
     }
 
     private fun isLatencySensitiveWorkPending(): Boolean =
-        shardState.jobs.values.any { it.pendingCount > 0 && shardState.isLatencySensitive(it) }
+        shardState.jobs.values.any { it.pendingCount > 0 && shardState.urgency.isLatencySensitive(it) }
 
     /** Funded work before uncharged work, and preemption for what found no machine. */
     private fun runPass(nowMs: Long) {
@@ -71,7 +71,7 @@
 
     /** Reserves machines for as many gangs as arrive while capacity for one becomes free, judged by recent arrivals. */
     private fun reserveForExpectedGangs(machines: List<Machine>, nowMs: Long) {
-        val arrivals = shardState.gangArrivals
+        val arrivals = shardState.jobArrivals.gangs
         while (arrivals.isNotEmpty() && nowMs - arrivals.first().at > GANG_ARRIVALS_WINDOW_MS) arrivals.removeFirst()
         val expectedGangs = arrivals.size.toDouble() * GANG_CAPACITY_DELAY_MS / GANG_ARRIVALS_WINDOW_MS
         reservations.reserveForExpectedGangs(arrivals.map { it.spec }, expectedGangs, machines)
@@ -91,7 +91,10 @@
     private fun placeWaitingGangs(fundedJobs: List<Job>, pass: SchedulingPass) {
         val waitingGangs = fundedJobs
             .filter { it.spec.gang && pass.nowMs - it.waitsSince > PassTimer.PASS_INTERVAL_MS }
-            .filter { shardState.allowsWholeGang(it) && shardState.isGangWithinGuarantee(it) }
+            .filter {
+                shardState.allowsWholeGang(it) &&
+                    shardState.quota.isWithinGuarantee(it.team, it.spec, it.spec.taskCount)
+            }
             .sortedWith(compareBy({ it.spec.priority }, { it.waitsSince }))
         for (gang in waitingGangs) {
             if (!placer.placeNext(gang, pass)) reservations.reserve(gang, pass.machines, pass.nowMs)
--- a/src/main/kotlin/io/reedmast/scheduling/TaskBinder.kt
+++ b/src/main/kotlin/io/reedmast/scheduling/TaskBinder.kt
@@ -28,7 +28,7 @@
 
     private fun place(placement: Placement, pass: SchedulingPass) {
         val job = placement.job
-        if (shardState.isUnderserved(job)) protection.protect(placement, pass.nowMs)
+        if (shardState.urgency.isUnderserved(job)) protection.protect(placement, pass.nowMs)
         if (placement.machine.isServiceHome) pass.serviceHeadroom.allocate(job.spec.cpus)
         shardState.place(placement)
         shardState.markDirty(job.chunkOf(placement.task))
--- a/src/main/kotlin/io/reedmast/scheduling/UnderservedJobs.kt
+++ b/src/main/kotlin/io/reedmast/scheduling/UnderservedJobs.kt
@@ -15,10 +15,10 @@
 
     /** The underserved ones of [readyJobs] whose teams may have such a turn now. */
     fun select(readyJobs: List<Job>, nowMs: Long): List<Job> = readyJobs
-        .filter { nowMs >= (nextTurnAtMs[it.team] ?: 0L) && shardState.isUnderserved(it) }
+        .filter { nowMs >= (nextTurnAtMs[it.team] ?: 0L) && shardState.urgency.isUnderserved(it) }
         .groupBy { it.team }
         .values
-        .flatMap { jobs -> jobs.sortedByDescending { shardState.underservedForMs(it) }.take(MAX_JOBS_PER_TEAM) }
+        .flatMap { jobs -> jobs.sortedByDescending { shardState.urgency.underservedForMs(it) }.take(MAX_JOBS_PER_TEAM) }
 
     /** Records that the team has used its turn. */
     fun recordTurn(team: TeamId, nowMs: Long) {
--- a/src/test/kotlin/io/reedmast/autoscaling/OfferingSelectorTest.kt
+++ b/src/test/kotlin/io/reedmast/autoscaling/OfferingSelectorTest.kt
@@ -1,6 +1,5 @@
 package io.reedmast.autoscaling
 
-import io.reedmast.wire.MachineType
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertNull
 import org.junit.jupiter.api.Test
