--- a/src/main/kotlin/io/reedmast/autoscaling/Autoscaler.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/Autoscaler.kt
@@ -76,14 +76,14 @@
         if (readingSummaries || now < summariesDueAt || machineTypes().isEmpty()) return
         readingSummaries = true
         summariesDueAt = now + READ_SUMMARIES_MS
-        gateway.list(Keys.TOTALS) { items ->
+        gateway.list(Keys.USAGE_SUMMARIES) { items ->
             readingSummaries = false
             if (items != null && fleet.leading && fleet.isCurrent()) scale(items.mapNotNull { parse(it) })
         }
     }
 
     private fun parse(item: StoredItem): ShardUsageSummary? = try {
-        ShardUsageSummary.parse(ShardId(item.path.removePrefix(Keys.TOTALS).toInt()), item.value)
+        ShardUsageSummary.parse(ShardId(item.path.removePrefix(Keys.USAGE_SUMMARIES).toInt()), item.value)
     } catch (e: MalformedException) {
         unreadable.report(item.path, e.message)
         null
--- a/src/main/kotlin/io/reedmast/autoscaling/DemandCalculation.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/DemandCalculation.kt
@@ -27,7 +27,7 @@
     }
 
     private fun waitingJobs(): List<Job> = shardState.jobs.values
-        .filter { it.pendingCount > 0 && !it.ending && !shardState.urgency.isSuspectedFaulty(it) }
+        .filter { it.pendingCount > 0 && !it.isFinalRecordInFlight && !shardState.urgency.isSuspectedFaulty(it) }
         .sortedWith(compareBy({ !it.spec.service }, { it.spec.priority }, { shardState.urgency.deadlineMs(it) }))
 
     private fun demandOf(job: Job): List<Demand> {
--- a/src/main/kotlin/io/reedmast/autoscaling/DemandEstimator.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/DemandEstimator.kt
@@ -36,7 +36,7 @@
     fun starving(now: Long): List<Starving> {
         val zones = DemandZones(shardState)
         return shardState.jobs.values
-            .filter { shardState.urgency.isNearlyStarving(it) && !it.ending && mayStart(it) }
+            .filter { shardState.urgency.isNearlyStarving(it) && !it.isFinalRecordInFlight && mayStart(it) }
             .sortedBy { shardState.urgency.starvingSince(it) }
             .take(MAX_STARVING)
             .map {
--- a/src/main/kotlin/io/reedmast/autoscaling/ScaleInPolicy.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/ScaleInPolicy.kt
@@ -68,7 +68,7 @@
     }
 
     private fun isEmptyAndStays(machine: Machine): Boolean =
-        machine.placements.isEmpty() && machine.decommissionReason == null && !machine.returning &&
+        machine.placements.isEmpty() && machine.decommissionReason == null && !machine.isReturning &&
             machine.machineType != null
 
     /**
--- a/src/main/kotlin/io/reedmast/autoscaling/UsageSummaryWriter.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/UsageSummaryWriter.kt
@@ -27,7 +27,7 @@
 ) {
     private val log = LoggerFactory.getLogger("shard")
     private val shard = shardState.index
-    private val path = Keys.totals(shard.value)
+    private val path = Keys.usageSummary(shard.value)
     private val drainCandidates = DrainCandidates(shardState)
     private val zoneAvailability = ZoneAvailability(shardState)
     private var storedVersion = 0L
--- a/src/main/kotlin/io/reedmast/autoscaling/ZoneAvailability.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/ZoneAvailability.kt
@@ -10,7 +10,7 @@
      * cannot be reached either, and with its machines returned such a zone would look like the one with the most
      * capacity. [now] is in milliseconds; what was recorded too long before it is forgotten.
      */
-    fun unavailableZones(now: Long): List<String> = shardState.silentMachinesByZone
+    fun unavailableZones(now: Long): List<String> = shardState.lostMachinesByZone
         .filter { (zone, silentAt) ->
             while (silentAt.isNotEmpty() && now - silentAt.first() > SILENCE_COUNTS_MS) silentAt.removeFirst()
             silentAt.size >= MIN_SILENT_MACHINES && silentAt.size > reachableMachinesIn(zone, now)
--- a/src/main/kotlin/io/reedmast/cluster/MachineListChange.kt
+++ b/src/main/kotlin/io/reedmast/cluster/MachineListChange.kt
@@ -22,7 +22,7 @@
     val priority: WritePriority = WritePriority.URGENT,
 ) {
     /** The key of the record. */
-    val path: String get() = Keys.machineNames(shard.value, index)
+    val path: String get() = Keys.machineList(shard.value, index)
 
     val preconditions: List<Precondition> get() {
         val renewal = tokenRenewal?.let { it.counterPreconditions + it.recordPrecondition }.orEmpty()
--- a/src/main/kotlin/io/reedmast/cluster/MachineTransfer.kt
+++ b/src/main/kotlin/io/reedmast/cluster/MachineTransfer.kt
@@ -28,12 +28,12 @@
         val index: Int,
         val stored: StoredMachineListPart,
     ) {
-        val path: String get() = Keys.machineNames(shard.value, index)
+        val path: String get() = Keys.machineList(shard.value, index)
     }
 
     /** The record that machines join, and that of its shard. */
     private class Destination(val shard: ShardId, val owner: StoredShardRecord, val extended: ExtendedMachineListPart) {
-        val path: String get() = Keys.machineNames(shard.value, extended.index)
+        val path: String get() = Keys.machineList(shard.value, extended.index)
     }
 
     /** That machines leave one record and join another, in one transaction. */
--- a/src/main/kotlin/io/reedmast/cluster/OversizedMachineLists.kt
+++ b/src/main/kotlin/io/reedmast/cluster/OversizedMachineLists.kt
@@ -28,7 +28,7 @@
             writer.write(MachineListChange(shard, index, oversized, remaining, entitlement))
             return
         }
-        val unchanged = Precondition(Keys.machineNames(shard.value, index), oversized.version)
+        val unchanged = Precondition(Keys.machineList(shard.value, index), oversized.version)
         writer.write(
             MachineListChange(
                 shard,
--- a/src/main/kotlin/io/reedmast/cluster/PeerMessageHandler.kt
+++ b/src/main/kotlin/io/reedmast/cluster/PeerMessageHandler.kt
@@ -25,7 +25,7 @@
     fun onMessage(message: PeerMessage) = when (message) {
         is PeerMessage.ShardStatusUpdate -> {
             jobs.applyProgressUpdates(message.jobs)
-            machineDirectory.heard(message.machines, machines::contains)
+            machineDirectory.applyHints(message.machines, machines::contains)
         }
 
         is PeerMessage.FailoverRequest -> failover.onFailoverRequest(message)
--- a/src/main/kotlin/io/reedmast/cluster/ShardRestorer.kt
+++ b/src/main/kotlin/io/reedmast/cluster/ShardRestorer.kt
@@ -38,7 +38,7 @@
             state.pages = it
             onRead(state)
         }
-        store.get(Keys.totals(shard)) {
+        store.get(Keys.usageSummary(shard)) {
             state.usageSummary = it
             onRead(state)
         }
@@ -61,7 +61,7 @@
             attempts.retrySoon(owner.index)
             return
         }
-        owner.load(jobs.liveOf(owner.index), pages, (usageSummary as? ReadResult.Found)?.item)
+        owner.restore(jobs.liveOf(owner.index), pages, (usageSummary as? ReadResult.Found)?.item)
         log.info("shard {}: restored in {} ms", owner.index.value, clock.now() - state.readSince)
     }
 }
--- a/src/main/kotlin/io/reedmast/commands/CommandDispatcher.kt
+++ b/src/main/kotlin/io/reedmast/commands/CommandDispatcher.kt
@@ -102,9 +102,9 @@
         val epoch = machine.epoch
         val launches = commands.filterIsInstance<WorkerCommand.StartTask>()
         launches.forEach { recordLaunch(machine, it, DirectLaunch(epoch, token)) }
-        machine.directCalls++
+        machine.pendingDirectCalls++
         workers.call(addr, token, epoch, commands) { reply ->
-            machine.directCalls--
+            machine.pendingDirectCalls--
             onReply(machine, launches, reply)
         }
     }
--- a/src/main/kotlin/io/reedmast/commands/DirectCallPolicy.kt
+++ b/src/main/kotlin/io/reedmast/commands/DirectCallPolicy.kt
@@ -7,7 +7,7 @@
 internal class DirectCallPolicy(private val shardState: ShardState) {
     /** Whether commands may be sent to [machine]; what is not sent now goes out with the answers to its heartbeats. */
     fun mayCall(machine: Machine): Boolean = machine.trusted &&
-        machine.directCalls < MAX_DIRECT_CALLS &&
+        machine.pendingDirectCalls < MAX_DIRECT_CALLS &&
         shardState.isCurrent() &&
         !seemsUnreachable(machine)
 
--- a/src/main/kotlin/io/reedmast/gangs/GangCoordinator.kt
+++ b/src/main/kotlin/io/reedmast/gangs/GangCoordinator.kt
@@ -42,7 +42,7 @@
 
     /** Nothing is launched before its placement is stored: neither stored nor being written, it runs nowhere. */
     private fun isLaunchRuledOut(placement: Placement): Boolean =
-        !placement.committed && placement.job.chunkOf(placement.task).page?.writing != true
+        !placement.committed && placement.job.chunkOf(placement.task).page?.isWriteInFlight != true
 
     /** A task of a gang has ended on its machine, for the reason that its worker reported. */
     fun onTaskEnded(placement: Placement, cause: Cause) {
@@ -88,10 +88,10 @@
      * once, that might happen for ever.
      */
     private fun backOff(job: Job, attempt: Long) {
-        if (job.lastAloneAttempt == attempt) return
-        job.lastAloneAttempt = attempt
-        val retryDelayMs = gangRetryDelayMs(job.attemptsAlone)
-        job.attemptsAlone++
+        if (job.lastTimedOutAttempt == attempt) return
+        job.lastTimedOutAttempt = attempt
+        val retryDelayMs = gangRetryDelayMs(job.timedOutAttempts)
+        job.timedOutAttempts++
         job.notBefore = maxOf(job.notBefore, shardState.clock.now() + retryDelayMs)
     }
 
@@ -115,7 +115,7 @@
      */
     fun mayLaunch(placement: Placement): Boolean {
         if (!placement.job.spec.gang) return true
-        if (!placement.job.isWholeGangStored) return false
+        if (!placement.job.isCompleteGangStored) return false
         val hasStarted = placement.job.placements().any { it.running }
         if (hasStarted) shardState.incompleteGangs.add(placement.job)
         return !hasStarted
--- a/src/main/kotlin/io/reedmast/heartbeats/HeartbeatHandler.kt
+++ b/src/main/kotlin/io/reedmast/heartbeats/HeartbeatHandler.kt
@@ -68,5 +68,5 @@
 
     /** Whether an earlier answer carried the launch of a task that is still missing: it seems not to have arrived. */
     private fun isLaunchIgnored(missing: List<Placement>) =
-        missing.any { it.launchesAnswered > 0 } && shardState.isCurrent()
+        missing.any { it.launchesSentSinceSeen > 0 } && shardState.isCurrent()
 }
--- a/src/main/kotlin/io/reedmast/heartbeats/MissingTask.kt
+++ b/src/main/kotlin/io/reedmast/heartbeats/MissingTask.kt
@@ -49,7 +49,7 @@
 
                 placement.stopReason == null -> LAUNCH_DUE
 
-                mayLaunchLate -> if (machine.directCalls > 0) DIRECT_CALL_PENDING else STOPPED_BEFORE_LATE_LAUNCH
+                mayLaunchLate -> if (machine.pendingDirectCalls > 0) DIRECT_CALL_PENDING else STOPPED_BEFORE_LATE_LAUNCH
 
                 wasSent && status.sequence <= placement.answeredSequence -> ANSWER_PENDING
 
--- a/src/main/kotlin/io/reedmast/heartbeats/MissingTaskHandler.kt
+++ b/src/main/kotlin/io/reedmast/heartbeats/MissingTaskHandler.kt
@@ -62,7 +62,7 @@
     private fun launch(placement: Placement, status: WorkerStatus): WorkerCommand {
         placement.launchEpoch = placement.machine.epoch
         placement.answeredSequence = status.sequence
-        placement.launchesAnswered++
+        placement.launchesSentSinceSeen++
         return WorkerCommand.StartTask(placement.id, placement.attempt)
     }
 }
--- a/src/main/kotlin/io/reedmast/heartbeats/ReportedTaskHandler.kt
+++ b/src/main/kotlin/io/reedmast/heartbeats/ReportedTaskHandler.kt
@@ -34,8 +34,8 @@
     private fun recordSeen(placement: Placement) {
         placement.seen = true
         placement.launchEpoch = placement.machine.epoch
-        if (placement.launchesAnswered > 0) {
-            placement.launchesAnswered = 0
+        if (placement.launchesSentSinceSeen > 0) {
+            placement.launchesSentSinceSeen = 0
             placement.machine.unacknowledged = 0
         }
     }
--- a/src/main/kotlin/io/reedmast/heartbeats/StatusEvaluator.kt
+++ b/src/main/kotlin/io/reedmast/heartbeats/StatusEvaluator.kt
@@ -46,14 +46,14 @@
     private fun evidenceOf(machine: Machine, status: WorkerStatus) = when {
         !machine.isNewer(status) -> StatusEvidence.OUTDATED
         status.token > FencingToken.last(shardState.token) -> StatusEvidence.HIGHER_TOKEN_SEEN
-        status.token < machine.floor -> StatusEvidence.OWN_TOKEN_NOT_SEEN
+        status.token < machine.minimumToken -> StatusEvidence.OWN_TOKEN_NOT_SEEN
         else -> StatusEvidence.CURRENT
     }
 
     private fun recordMachineState(machine: Machine, status: WorkerStatus, now: Long) {
         if (status.epoch > machine.epoch && machine.everReported) onEpochLost(machine, now)
         machine.addr = status.addr
-        machine.show(status)
+        machine.recordShownToken(status)
         machine.sequence = status.sequence
         recordNotice(machine, status.noticeS, now)
     }
--- a/src/main/kotlin/io/reedmast/heartbeats/UnknownTaskHandler.kt
+++ b/src/main/kotlin/io/reedmast/heartbeats/UnknownTaskHandler.kt
@@ -45,7 +45,7 @@
     }
 
     private fun isResultStored(job: Job, id: TaskId) =
-        id.task < job.spec.taskCount && job.chunkOf(id.task).stored && !job.ending
+        id.task < job.spec.taskCount && job.chunkOf(id.task).isStored && !job.isFinalRecordInFlight
 
     /**
      * Makes earlier direct calls to the worker void, so that their attempts can be forgotten.
@@ -57,11 +57,11 @@
      */
     private fun raiseToken(machine: Machine) {
         val now = shardState.clock.now()
-        if (machine.directCalls > 0 || now - machine.raisedAt < minMsBetweenRaises) return
+        if (machine.pendingDirectCalls > 0 || now - machine.tokenRaisedAt < minMsBetweenRaises) return
         val raised = shardState.tokenFor(machine) + 1
         if (raised > FencingToken.last(shardState.token)) return
-        machine.raisedTo = raised
-        machine.raisedAt = now
+        machine.raisedToken = raised
+        machine.tokenRaisedAt = now
     }
 
     private companion object {
--- a/src/main/kotlin/io/reedmast/kvstore/EffectiveLimits.kt
+++ b/src/main/kotlin/io/reedmast/kvstore/EffectiveLimits.kt
@@ -42,7 +42,7 @@
         !isWithin(target, transaction) && isWithin(current, transaction)
 
     private fun isWithin(limits: StoreLimits, transaction: StoreTransaction): Boolean =
-        transaction.writes.size <= limits.opsPerCommit &&
+        transaction.writes.size <= limits.writesPerTransaction &&
             transaction.preconditions.size <= limits.maxPreconditions &&
             transaction.writes.all { it !is Write.Put || it.storedSize(transaction.id) <= limits.valueBytes }
 
@@ -51,7 +51,7 @@
             requestsPerS = minOf(first.requestsPerS, second.requestsPerS),
             writesPerS = minOf(first.writesPerS, second.writesPerS),
             valueBytes = minOf(first.valueBytes, second.valueBytes),
-            opsPerCommit = minOf(first.opsPerCommit, second.opsPerCommit),
+            writesPerTransaction = minOf(first.writesPerTransaction, second.writesPerTransaction),
         )
     }
 }
--- a/src/main/kotlin/io/reedmast/kvstore/Keys.kt
+++ b/src/main/kotlin/io/reedmast/kvstore/Keys.kt
@@ -42,7 +42,7 @@
     const val ENDS = "j/end/"
 
     /** Usage summaries of the shards. */
-    const val TOTALS = "totals/"
+    const val USAGE_SUMMARIES = "totals/"
 
     private const val PAGES = "page/"
 
@@ -50,7 +50,7 @@
     fun shard(index: Int) = "$SHARDS$index"
 
     /** One part of the names of a shard's machines. */
-    fun machineNames(shard: Int, part: Int) = "$MACHINES$shard/$part"
+    fun machineList(shard: Int, part: Int) = "$MACHINES$shard/$part"
 
     /** The controller with this label. */
     fun member(label: String) = "$MEMBERS$label"
@@ -74,5 +74,5 @@
     fun page(shard: Int, index: Int) = "${pagesOf(shard)}$index"
 
     /** The usage summary of a shard. */
-    fun totals(shard: Int) = "$TOTALS$shard"
+    fun usageSummary(shard: Int) = "$USAGE_SUMMARIES$shard"
 }
--- a/src/main/kotlin/io/reedmast/kvstore/TransactionBatch.kt
+++ b/src/main/kotlin/io/reedmast/kvstore/TransactionBatch.kt
@@ -27,7 +27,7 @@
 
     private fun fitsCounts(transaction: CasTransaction): Boolean {
         val newPreconditions = transaction.preconditions.count { it.path !in versionsByGuardedPath }
-        return writeCount + transaction.writes.size <= limits.opsPerCommit &&
+        return writeCount + transaction.writes.size <= limits.writesPerTransaction &&
             versionsByGuardedPath.size + newPreconditions <= limits.maxPreconditions
     }
 
--- a/src/main/kotlin/io/reedmast/machines/MachineLifecycle.kt
+++ b/src/main/kotlin/io/reedmast/machines/MachineLifecycle.kt
@@ -134,7 +134,7 @@
      * nor would an owner that reads what is stored think so.
      */
     private fun prepareTransfer(machine: Machine, now: Long): Boolean {
-        val isFree = machine.placements.isEmpty() && machine.directCalls == 0
+        val isFree = machine.placements.isEmpty() && machine.pendingDirectCalls == 0
         if (!isFree) drainer.drainForTransfer(machine, now)
         val isTransferable = isFree && machine.isEmptyAsStored
         val isLongSilent = now - machine.lastHeartbeatAt > silentDetector.silentAfterMs * 2
--- a/src/main/kotlin/io/reedmast/machines/MachineReturner.kt
+++ b/src/main/kotlin/io/reedmast/machines/MachineReturner.kt
@@ -33,8 +33,8 @@
 
     /** Lets [machine] go with the next call to the cloud, unless it is on its way already. */
     fun returnMachine(machine: Machine) {
-        if (machine.returning || !shardState.isCurrent()) return
-        machine.returning = true
+        if (machine.isReturning || !shardState.isCurrent()) return
+        machine.isReturning = true
         pending.add(machine)
     }
 
@@ -65,7 +65,7 @@
 
     /** A return that was not confirmed is tried again while the machine is still to go. */
     private fun onAnswer(batch: List<Machine>, confirmed: Boolean) =
-        batch.forEach { if (confirmed) onGone(it) else it.returning = false }
+        batch.forEach { if (confirmed) onGone(it) else it.isReturning = false }
 
     /** The cloud has confirmed that the machine and all that was on it are gone. */
     private fun onGone(machine: Machine) {
--- a/src/main/kotlin/io/reedmast/machines/SilentMachineDetector.kt
+++ b/src/main/kotlin/io/reedmast/machines/SilentMachineDetector.kt
@@ -46,7 +46,7 @@
             TimeUnit.MILLISECONDS.toSeconds(now - machine.lastHeartbeatAt),
         )
         machine.decommissionReason = DecommissionReason.MISSED_HEARTBEATS
-        shardState.silentMachinesByZone.getOrPut(machine.record.zone) { ArrayDeque() }.addLast(now)
+        shardState.lostMachinesByZone.getOrPut(machine.record.zone) { ArrayDeque() }.addLast(now)
     }
 
     private companion object {
--- a/src/main/kotlin/io/reedmast/model/Chunk.kt
+++ b/src/main/kotlin/io/reedmast/model/Chunk.kt
@@ -22,11 +22,11 @@
     var dirty = false
 
     /** How many stored pages of another division hold an older copy of it and are yet to be cleared. */
-    var olderCopies = 0
+    var supersededCopies = 0
 
     /** Whether the store holds its present state, though another page may hold an older one too. */
-    val isInItsPage: Boolean get() = !dirty && page?.writing != true
+    val isStoredInItsPage: Boolean get() = !dirty && page?.isWriteInFlight != true
 
     /** Whether the store holds its present state, and nothing else of it. */
-    val stored: Boolean get() = isInItsPage && olderCopies == 0
+    val isStored: Boolean get() = isStoredInItsPage && supersededCopies == 0
 }
--- a/src/main/kotlin/io/reedmast/model/ChunkPage.kt
+++ b/src/main/kotlin/io/reedmast/model/ChunkPage.kt
@@ -15,7 +15,7 @@
 /** The stored page that holds a [Chunk], as far as the rest of a shard's owner needs to know of it. */
 interface ChunkPage {
     /** Whether the page is on its way to the store. */
-    val writing: Boolean
+    val isWriteInFlight: Boolean
 
     /** Something in the page differs from what is stored since [now]. */
     fun markDirty(now: Long)
--- a/src/main/kotlin/io/reedmast/model/Job.kt
+++ b/src/main/kotlin/io/reedmast/model/Job.kt
@@ -44,10 +44,10 @@
     var publishedRunning = 0
 
     /** Whether its end is on its way to the store: nothing of it is decided meanwhile. */
-    var ending = false
+    var isFinalRecordInFlight = false
 
     /** Until then the store is not asked to end it: the last attempt has failed. */
-    var endNotBefore = 0L
+    var finalRecordNotBefore = 0L
 
     private val pendingTasks = BitSet(spec.taskCount).apply { set(0, spec.taskCount) }
 
@@ -83,14 +83,14 @@
     val expensiveTypes = HashMap<String, Boolean>(EXPENSIVE_TYPES_CAPACITY)
 
     /** Of a gang: the last attempt that did not become complete in time, and how many there were. */
-    var lastAloneAttempt = 0L
-    var attemptsAlone = 0
+    var lastTimedOutAttempt = 0L
+    var timedOutAttempts = 0
 
     /** Of a gang: the last attempt in which a task failed by itself. */
     var lastFailedAttempt = 0L
 
     /** Whether all tasks of the gang have placements, and the store holds each: nothing of it is launched before. */
-    val isWholeGangStored: Boolean get() = placedCount == spec.taskCount &&
+    val isCompleteGangStored: Boolean get() = placedCount == spec.taskCount &&
         placements().all { it.committed && it.stopReason == null }
 
     /** Counts every wait of the job from [since] on. */
@@ -156,7 +156,7 @@
         placement.runningSince = 0L
         placement.seen = false
         placement.launchEpoch = 0L
-        placement.launchesAnswered = 0
+        placement.launchesSentSinceSeen = 0
     }
 
     /** The worker shows that the attempt runs, at the latest since [now]. */
--- a/src/main/kotlin/io/reedmast/model/Machine.kt
+++ b/src/main/kotlin/io/reedmast/model/Machine.kt
@@ -23,7 +23,7 @@
     /**
      * The lowest token that proves, once the worker has seen it, that no earlier owner's command can arrive any more.
      */
-    var floor: Long,
+    var minimumToken: Long,
     private val facts: MachineFacts = MachineFacts(record.name),
 ) {
     val name: String get() = record.name
@@ -77,7 +77,7 @@
     var decommissionReason: DecommissionReason? = null
 
     /** Whether its return to the cloud is under way. */
-    var returning = false
+    var isReturning = false
 
     /** Since when it is marked to move to another shard. */
     var movingSince = 0L
@@ -99,13 +99,13 @@
     private val launches = HashMap<Attempt, DirectLaunch>()
 
     /** Direct calls that wait for their answer. */
-    var directCalls = 0
+    var pendingDirectCalls = 0
 
     /**
      * A token within its owner's range that this worker alone is shown, 0 if it never was; and when it last was raised.
      */
-    var raisedTo = 0L
-    var raisedAt = 0L
+    var raisedToken = 0L
+    var tokenRaisedAt = 0L
 
     /** Records that a launch of the attempt is sent to the worker directly. */
     fun recordLaunch(id: TaskId, attempt: Long, launch: DirectLaunch) {
@@ -121,7 +121,7 @@
     fun mayLaunch(id: TaskId, attempt: Long): Boolean = Attempt(id, attempt) in launches
 
     /** Records the epoch and token of the newest heartbeat: earlier direct calls are refused from then on. */
-    fun show(status: WorkerStatus) {
+    fun recordShownToken(status: WorkerStatus) {
         if (status.epoch == epoch && status.token <= seenToken) return
         epoch = status.epoch
         seenToken = maxOf(seenToken, status.token)
@@ -155,13 +155,13 @@
     }
 
     /** Services stay for long: while one is here, the machine is paid for anyway. */
-    val held: Boolean get() = services > 0
+    val runsServices: Boolean get() = services > 0
 
     /** An ordinary machine with services on it: where the next ones should go. */
     val isServiceHome: Boolean get() = services > 0 && !record.spot
 
     /** Whether work may be placed here. A machine that may not hear us gets no more of it. */
-    val usable: Boolean get() = trusted && decommissionReason == null && !returning && machineType != null &&
+    val usable: Boolean get() = trusted && decommissionReason == null && !isReturning && machineType != null &&
         unacknowledged < MAX_UNACKNOWLEDGED
 
     /**
@@ -170,7 +170,7 @@
     private val departedChunks = HashSet<Chunk>()
 
     /** Whether nothing is here, and nobody who acquires the shard would think so. */
-    val isEmptyAsStored: Boolean get() = placements.isEmpty() && departedChunks.all { it.stored }
+    val isEmptyAsStored: Boolean get() = placements.isEmpty() && departedChunks.all { it.isStored }
 
     /** Counts what the placement takes. */
     fun add(placement: Placement) {
@@ -185,7 +185,7 @@
     /** Counts the placement no more, if it is still the one of its task. */
     fun remove(placement: Placement) {
         if (!placements.remove(placement.id, placement)) return
-        departedChunks.removeIf { it.stored }
+        departedChunks.removeIf { it.isStored }
         departedChunks.add(placement.job.chunkOf(placement.task))
         usedCpus -= placement.job.spec.cpus
         usedGpus -= placement.job.spec.gpus
--- a/src/main/kotlin/io/reedmast/model/MachineDirectory.kt
+++ b/src/main/kotlin/io/reedmast/model/MachineDirectory.kt
@@ -31,7 +31,7 @@
     }
 
     /** Applies what an owner has sent of machines that are [known] to belong to some shard. */
-    fun heard(hints: List<MachineHint>, known: (String) -> Boolean) {
+    fun applyHints(hints: List<MachineHint>, known: (String) -> Boolean) {
         for (hint in hints) {
             if (known(hint.machineName)) of(hint.machineName).replace(hint.addr, hint.images)
         }
--- a/src/main/kotlin/io/reedmast/model/Placement.kt
+++ b/src/main/kotlin/io/reedmast/model/Placement.kt
@@ -43,7 +43,7 @@
     var answeredSequence = -1L
 
     /** In how many answers a launch was sent since the worker last showed the attempt. */
-    var launchesAnswered = 0
+    var launchesSentSinceSeen = 0
 
     /** Whether the worker has shown the attempt in its present epoch. */
     var seen = false
@@ -55,10 +55,10 @@
     var stopReason: StopReason? = null
 
     /** Until then it is not preempted for other work of its own team: its job had got nothing for long. */
-    var keptUntil = 0L
+    var protectedFromTeamUntil = 0L
 
     /** Until then it is not preempted at all: its job had got nothing for very long. */
-    var keptFromAllUntil = 0L
+    var protectedFromAllUntil = 0L
 
     /** Whether the worker has shown it running. */
     val running: Boolean get() = runningSince != 0L
--- a/src/main/kotlin/io/reedmast/model/ShardState.kt
+++ b/src/main/kotlin/io/reedmast/model/ShardState.kt
@@ -67,7 +67,7 @@
     val preemptedFor = HashMap<Placement, Job>()
 
     /** When machines of a zone were given up because they missed heartbeats or never came up, by zone. */
-    val silentMachinesByZone = HashMap<String, ArrayDeque<Long>>()
+    val lostMachinesByZone = HashMap<String, ArrayDeque<Long>>()
 
     /** Until then nothing is placed: what runs is not fully known. */
     var passNotBefore = 0L
@@ -94,7 +94,7 @@
     val termPrecondition: Precondition get() = Precondition(Keys.shard(index.value), term)
 
     /** The token of commands to this machine's worker. */
-    fun tokenFor(machine: Machine): Long = maxOf(token, machine.raisedTo)
+    fun tokenFor(machine: Machine): Long = maxOf(token, machine.raisedToken)
 
     /** The machine type of this name, null if the cloud does not offer it. */
     fun machineTypeOf(typeName: String): MachineType? = machineTypes.firstOrNull { it.label == typeName }
--- a/src/main/kotlin/io/reedmast/persistence/FinalRecordWriter.kt
+++ b/src/main/kotlin/io/reedmast/persistence/FinalRecordWriter.kt
@@ -59,13 +59,13 @@
     }
 
     private fun needsFinalRecord(job: Job): Boolean =
-        job.isFinished && !job.ending && shardState.jobs[job.spec.jobId] === job
+        job.isFinished && !job.isFinalRecordInFlight && shardState.jobs[job.spec.jobId] === job
 
-    private fun isDue(job: Job): Boolean = shardState.clock.now() >= job.endNotBefore &&
+    private fun isDue(job: Job): Boolean = shardState.clock.now() >= job.finalRecordNotBefore &&
         (!job.isCancelled || store.writePermitLevel() >= MIN_LEVEL_FOR_CANCELLED)
 
     private fun write(job: Job) {
-        job.ending = true
+        job.isFinalRecordInFlight = true
         writesInFlight++
         val record = EndRecord(if (job.isCancelled) JobState.CANCELLED else JobState.DONE, job.spec.taskCount)
         val priority = if (job.isCancelled) WritePriority.DEFERRED else WritePriority.URGENT
@@ -88,7 +88,7 @@
     )
 
     private fun onOutcome(outcome: CommitOutcome, job: Job, record: EndRecord) {
-        job.ending = false
+        job.isFinalRecordInFlight = false
         when (outcome) {
             is CommitOutcome.Applied -> listener.onJobEnded(job, record, outcome.revision)
 
@@ -105,7 +105,7 @@
     }
 
     private fun retryLater(job: Job, delayMs: Long) {
-        job.endNotBefore = shardState.clock.now() + delayMs
+        job.finalRecordNotBefore = shardState.clock.now() + delayMs
         waitingJobs.add(job)
     }
 
--- a/src/main/kotlin/io/reedmast/persistence/PageCommitter.kt
+++ b/src/main/kotlin/io/reedmast/persistence/PageCommitter.kt
@@ -32,7 +32,7 @@
         valueIn: (PageForm) -> Fields,
         onOutcome: (CommitOutcome) -> Unit,
     ) {
-        page.writing = true
+        page.isWriteInFlight = true
         val path = pages.pathOf(page)
         // The form and the precondition that it is the right one come from one snapshot of the gates.
         val gates = shardState.gates()
@@ -41,7 +41,7 @@
             listOf(shardState.termPrecondition, gates.precondition, Precondition(path, page.version)) + jobPreconditions
         val put = Write.Put(path, valueIn(form))
         val transaction = CasTransaction(preconditions, listOf(put), priority) { outcome ->
-            page.writing = false
+            page.isWriteInFlight = false
             if (shardState.dropped) return@CasTransaction
             if (outcome is CommitOutcome.Applied) page.recordStored(outcome.revision, form)
             onOutcome(outcome)
--- a/src/main/kotlin/io/reedmast/persistence/PageMigrationAccess.kt
+++ b/src/main/kotlin/io/reedmast/persistence/PageMigrationAccess.kt
@@ -9,14 +9,14 @@
 internal class PageMigrationAccess(private val pages: ProgressPages) : RecordAccess {
     override fun tryAcquire(path: String): Boolean {
         val page = pages.find(path) ?: return true
-        if (page.writing || page.dirtySince != 0L) return false
-        page.writing = true
+        if (page.isWriteInFlight || page.dirtySince != 0L) return false
+        page.isWriteInFlight = true
         return true
     }
 
     override fun release(path: String, version: Long?) {
         val page = pages.find(path) ?: return
-        page.writing = false
+        page.isWriteInFlight = false
         if (version == null) return
         page.version = maxOf(page.version, version)
         page.isStoredDense = pages.isWrittenDense()
--- a/src/main/kotlin/io/reedmast/persistence/PageVersionRefresh.kt
+++ b/src/main/kotlin/io/reedmast/persistence/PageVersionRefresh.kt
@@ -8,9 +8,9 @@
  * answer to this controller may have been lost. Until the store has answered, the page counts as being written.
  */
 internal fun KeyValueStore.refreshVersion(page: ProgressPage, path: String) {
-    page.writing = true
+    page.isWriteInFlight = true
     get(path) { result ->
-        page.writing = false
+        page.isWriteInFlight = false
         if (result is ReadResult.Found) page.version = maxOf(page.version, result.item.version)
     }
 }
--- a/src/main/kotlin/io/reedmast/persistence/PageWriter.kt
+++ b/src/main/kotlin/io/reedmast/persistence/PageWriter.kt
@@ -47,7 +47,7 @@
 
     /** Each job that is placed anew is a precondition, and a transaction takes only so many. */
     private fun selectPlacements(page: ProgressPage): PlacementSelection {
-        val maxJobs = shardState.limits.target.opsPerCommit * CONDITIONAL_JOBS_PER_WRITE
+        val maxJobs = shardState.limits.target.writesPerTransaction * CONDITIONAL_JOBS_PER_WRITE
         val uncommitted = page.chunks.flatMap { chunk -> chunk.placements.values.filter { !it.committed } }
         val jobs = uncommitted.mapTo(LinkedHashSet()) { it.job }.take(maxJobs)
         val (included, excluded) = uncommitted.partition { it.job in jobs }
--- a/src/main/kotlin/io/reedmast/persistence/ProgressPage.kt
+++ b/src/main/kotlin/io/reedmast/persistence/ProgressPage.kt
@@ -23,7 +23,7 @@
 internal class ProgressPage(val index: Int) : ChunkPage {
     /** The version of the stored value, 0 if there is none. */
     var version = 0L
-    override var writing = false
+    override var isWriteInFlight = false
 
     /** What is written to the page. */
     val chunks = LinkedHashSet<Chunk>()
@@ -93,7 +93,8 @@
     fun toFields(excluded: Set<Placement>, form: PageForm): Fields =
         form.toFields(chunks.filter { hasContent(it) }.map { toStored(it, excluded, form) })
 
-    private fun hasContent(chunk: Chunk) = chunk.placements.isNotEmpty() || !chunk.done.isEmpty || chunk.olderCopies > 0
+    private fun hasContent(chunk: Chunk) =
+        chunk.placements.isNotEmpty() || !chunk.done.isEmpty || chunk.supersededCopies > 0
 
     private fun toStored(chunk: Chunk, excluded: Set<Placement>, form: PageForm) = StoredChunk(
         chunk.job.spec.jobId,
--- a/src/main/kotlin/io/reedmast/persistence/ProgressPages.kt
+++ b/src/main/kotlin/io/reedmast/persistence/ProgressPages.kt
@@ -72,7 +72,7 @@
      */
     fun assignPage(chunk: Chunk): ProgressPage {
         val form = formToWrite(shardState.gates())
-        val open = pages.filter { !it.writing && it.hasRoom(chunk, capacityBytes, form) }
+        val open = pages.filter { !it.isWriteInFlight && it.hasRoom(chunk, capacityBytes, form) }
         val page = open.firstOrNull { it.pendingWrite != PendingWrite.RESULTS }
             ?: open.firstOrNull { it.dirtySince != 0L }
             ?: open.firstOrNull()
--- a/src/main/kotlin/io/reedmast/persistence/ProgressStore.kt
+++ b/src/main/kotlin/io/reedmast/persistence/ProgressStore.kt
@@ -30,7 +30,8 @@
 
     /** Whether all that was decided is stored, and nothing is on its way to be. */
     val isSettled: Boolean
-        get() = finalRecords.isSettled && pages.all.none { it.writing || it.pendingWrite != PendingWrite.RESULTS }
+        get() = finalRecords.isSettled &&
+            pages.all.none { it.isWriteInFlight || it.pendingWrite != PendingWrite.RESULTS }
 
     /**
      * Restores the progress that the listed pages hold.
@@ -68,7 +69,7 @@
     }
 
     private fun writeDuePages(now: Long) {
-        var awaitedWrites = pages.all.count { it.writing && it.isLastWriteAwaited }
+        var awaitedWrites = pages.all.count { it.isWriteInFlight && it.isLastWriteAwaited }
         for (page in duePages(now)) {
             val dirtyForMs = now - page.dirtySince
             val priority =
@@ -81,7 +82,7 @@
 
     /** The pages that may be written now, in the order in which they take the permits. */
     private fun duePages(now: Long): List<ProgressPage> = pages.all
-        .filter { it.dirtySince != 0L && !it.writing && now >= it.retryNotBefore }
+        .filter { it.dirtySince != 0L && !it.isWriteInFlight && now >= it.retryNotBefore }
         .filter { PageWritePolicy.isDue(it.pendingWrite, now - it.dirtySince) && !pages.isOverfull(it) }
         .sortedWith(compareByDescending<ProgressPage> { it.pendingWrite }.thenBy { it.dirtySince })
 
--- a/src/main/kotlin/io/reedmast/persistence/SupersededPages.kt
+++ b/src/main/kotlin/io/reedmast/persistence/SupersededPages.kt
@@ -22,7 +22,7 @@
     /** [chunk] covers tasks of which the stored value of [page] holds an older copy. */
     fun supersede(page: ProgressPage, chunk: Chunk) {
         if (!page.supersededChunks.add(chunk)) return
-        chunk.olderCopies++
+        chunk.supersededCopies++
         if (chunk.page == null) chunk.dirty = true
         shardState.changed.add(chunk.job)
     }
@@ -30,14 +30,14 @@
     /** Clears the pages all of whose content is stored in other ones. */
     fun clearReplaced() {
         for (page in pages.all) {
-            if (page.supersededChunks.isEmpty() || page.writing) continue
+            if (page.supersededChunks.isEmpty() || page.isWriteInFlight) continue
             if (page.supersededChunks.all { isReplaced(it) }) clear(page)
         }
     }
 
     private fun isReplaced(chunk: Chunk): Boolean {
         val isJobOver = shardState.jobs[chunk.job.spec.jobId] !== chunk.job
-        return isJobOver || (chunk.page != null && chunk.isInItsPage)
+        return isJobOver || (chunk.page != null && chunk.isStoredInItsPage)
     }
 
     private fun clear(page: ProgressPage) {
@@ -58,7 +58,7 @@
     }
 
     private fun onCleared(page: ProgressPage) {
-        page.supersededChunks.forEach { it.olderCopies-- }
+        page.supersededChunks.forEach { it.supersededCopies-- }
         page.supersededChunks.clear()
     }
 }
--- a/src/main/kotlin/io/reedmast/placement/MachineScore.kt
+++ b/src/main/kotlin/io/reedmast/placement/MachineScore.kt
@@ -25,12 +25,12 @@
     EMPTY_MACHINE_PENALTY_S * machine.freeCpus / maxOf(machineType.cpus, MIN_CPUS)
 
 private fun pricePenaltyS(spec: JobSpec, machine: Machine, machineType: MachineType): Double {
-    if (spec.spot && (machine.held || machine.record.spot)) return 0.0
+    if (spec.spot && (machine.runsServices || machine.record.spot)) return 0.0
     return PRICE_PENALTY_S * machine.hourlyPrice / maxOf(machineType.cpus, MIN_CPUS)
 }
 
 private fun newServiceMachinePenaltyS(spec: JobSpec, machine: Machine): Double =
-    if (spec.service && !machine.held) NEW_SERVICE_MACHINE_PENALTY_S else 0.0
+    if (spec.service && !machine.runsServices) NEW_SERVICE_MACHINE_PENALTY_S else 0.0
 
 /** Of a machine that is entirely unused; of others in proportion. */
 private const val EMPTY_MACHINE_PENALTY_S = 1.0
--- a/src/main/kotlin/io/reedmast/scheduling/OnDemandPricePolicy.kt
+++ b/src/main/kotlin/io/reedmast/scheduling/OnDemandPricePolicy.kt
@@ -10,7 +10,7 @@
 internal class OnDemandPricePolicy(private val shardState: ShardState) {
     /** Machines that services keep in use are paid for anyway, so none of them is overpriced. */
     fun isOverpriced(job: Job, machine: Machine): Boolean {
-        if (!job.spec.spot || machine.record.spot || machine.held) return false
+        if (!job.spec.spot || machine.record.spot || machine.runsServices) return false
         return machine.machineType?.let { isOverpriced(job, it) } ?: false
     }
 
--- a/src/main/kotlin/io/reedmast/scheduling/PreemptionProtection.kt
+++ b/src/main/kotlin/io/reedmast/scheduling/PreemptionProtection.kt
@@ -19,17 +19,17 @@
      */
     fun protect(placement: Placement, nowMs: Long) {
         val protectedUntil = nowMs + PROTECTION_MS + (placement.job.spec.estimateS * MS_PER_SECOND).toLong()
-        placement.keptUntil = protectedUntil
+        placement.protectedFromTeamUntil = protectedUntil
         val protectedOfTeam = protectedFromAll.getOrPut(placement.job.team) { ArrayList() }
-        protectedOfTeam.removeIf { nowMs >= it.keptFromAllUntil || it.machine.placements[it.id] !== it }
+        protectedOfTeam.removeIf { nowMs >= it.protectedFromAllUntil || it.machine.placements[it.id] !== it }
         // A few at a time: many uncharged tasks that are not preemptable would occupy the capacity of funded work.
         if (!shardState.urgency.isOverdue(placement.job) || protectedOfTeam.size >= MAX_PROTECTED_FROM_ALL) return
-        placement.keptFromAllUntil = protectedUntil
+        placement.protectedFromAllUntil = protectedUntil
         protectedOfTeam.add(placement)
     }
 
     /** Whether the task may be stopped for other work at all: funded work that cannot resume never is. */
-    fun isPreemptable(placement: Placement): Boolean = shardState.clock.now() >= placement.keptFromAllUntil &&
+    fun isPreemptable(placement: Placement): Boolean = shardState.clock.now() >= placement.protectedFromAllUntil &&
         (!placement.job.spec.priority.isFunded || placement.job.spec.resumable)
 
     /**
@@ -37,7 +37,7 @@
      * it.
      */
     fun isProtectedFrom(placement: Placement, job: Job): Boolean =
-        shardState.clock.now() < placement.keptUntil && placement.job.team == job.team
+        shardState.clock.now() < placement.protectedFromTeamUntil && placement.job.team == job.team
 
     private companion object {
         const val PROTECTION_MS = 60_000L
--- a/src/main/kotlin/io/reedmast/scheduling/Scheduler.kt
+++ b/src/main/kotlin/io/reedmast/scheduling/Scheduler.kt
@@ -50,7 +50,10 @@
 
     /** Funded work before uncharged work, and preemption for what found no machine. */
     private fun runPass(nowMs: Long) {
-        val readyJobs = shardState.jobs.values.filter { it.pendingCount > 0 && !it.ending && nowMs >= it.notBefore }
+        val readyJobs = shardState.jobs.values.filter {
+            it.pendingCount > 0 && !it.isFinalRecordInFlight &&
+                nowMs >= it.notBefore
+        }
         if (readyJobs.isEmpty()) return
         val (fundedJobs, bestEffortJobs) = readyJobs.partition { it.spec.priority.isFunded }
         val pass = startPass(nowMs)
--- a/src/main/kotlin/io/reedmast/settings/SettingsParser.kt
+++ b/src/main/kotlin/io/reedmast/settings/SettingsParser.kt
@@ -90,7 +90,7 @@
         val store = at("facts.") { facts.map("state") }
         val limits = storeLimits(store)
         val nextLimits = nextStoreLimits(store, limits)
-        if (limits.opsPerCommit < MIN_OPS_PER_COMMIT) {
+        if (limits.writesPerTransaction < MIN_OPS_PER_COMMIT) {
             throw SettingsException("facts.state.txn_ops must be at least $MIN_OPS_PER_COMMIT")
         }
         return StoreSection(limits, nextLimits)
@@ -101,7 +101,7 @@
             requestsPerS = positive(store, "rps"),
             writesPerS = positive(store, "write_rps"),
             valueBytes = bytes(positive(store, "value_kb")),
-            opsPerCommit = positive(store, "txn_ops").toInt(),
+            writesPerTransaction = positive(store, "txn_ops").toInt(),
         )
     }
 
@@ -114,7 +114,7 @@
                 requestsPerS = optionalPositive(next, "rps") ?: current.requestsPerS,
                 writesPerS = optionalPositive(next, "write_rps") ?: current.writesPerS,
                 valueBytes = optionalPositive(next, "value_kb")?.let { bytes(it) } ?: current.valueBytes,
-                opsPerCommit = optionalPositive(next, "txn_ops")?.toInt() ?: current.opsPerCommit,
+                writesPerTransaction = optionalPositive(next, "txn_ops")?.toInt() ?: current.writesPerTransaction,
             )
         }
     }
--- a/src/main/kotlin/io/reedmast/settings/StoreLimits.kt
+++ b/src/main/kotlin/io/reedmast/settings/StoreLimits.kt
@@ -8,9 +8,14 @@
  * @property valueBytes the size of one value as JSON.
  * @property opsPerCommit puts and deletes in one transaction.
  */
-data class StoreLimits(val requestsPerS: Double, val writesPerS: Double, val valueBytes: Int, val opsPerCommit: Int) {
+data class StoreLimits(
+    val requestsPerS: Double,
+    val writesPerS: Double,
+    val valueBytes: Int,
+    val writesPerTransaction: Int,
+) {
     /** How many preconditions one transaction may hold (PROTOCOL, POST /commit). */
-    val maxPreconditions: Int get() = opsPerCommit * PRECONDITIONS_PER_WRITE
+    val maxPreconditions: Int get() = writesPerTransaction * PRECONDITIONS_PER_WRITE
 
     private companion object {
         const val PRECONDITIONS_PER_WRITE = 4
--- a/src/main/kotlin/io/reedmast/shard/ShardJobs.kt
+++ b/src/main/kotlin/io/reedmast/shard/ShardJobs.kt
@@ -88,7 +88,7 @@
     /** Ends the placements of which no trace can have left this process, and stops the others on their machines. */
     fun stopAll(job: Job) {
         for (placement in job.placements().toList()) {
-            if (!placement.committed && job.chunkOf(placement.task).page?.writing != true) {
+            if (!placement.committed && job.chunkOf(placement.task).page?.isWriteInFlight != true) {
                 shardState.finish(placement, done = false)
             } else {
                 dispatcher.stop(placement, StopReason.CANCELLED)
--- a/src/main/kotlin/io/reedmast/shard/ShardMachines.kt
+++ b/src/main/kotlin/io/reedmast/shard/ShardMachines.kt
@@ -33,7 +33,7 @@
         lifecycle.onRecordedMachines(names)
         for ((record, destination) in recorded) if (!lifecycle.isGone(record.name)) sync(record, destination)
         // A machine that has left for another shard left it empty.
-        shardState.machines.values.removeIf { it.name !in names && it.placements.isEmpty() && !it.returning }
+        shardState.machines.values.removeIf { it.name !in names && it.placements.isEmpty() && !it.isReturning }
         shardState.passRequested = true
     }
 
--- a/src/main/kotlin/io/reedmast/shard/ShardOwner.kt
+++ b/src/main/kotlin/io/reedmast/shard/ShardOwner.kt
@@ -113,7 +113,7 @@
      * Restores the shard from what is stored of it, and begins to act: [pages] were listed, and [live] is at least as
      * new, after our token was stored.
      */
-    fun load(live: List<LiveJob>, pages: List<StoredItem>, usageSummary: StoredItem?) {
+    fun restore(live: List<LiveJob>, pages: List<StoredItem>, usageSummary: StoredItem?) {
         restoration.restore(live, pages, usageSummary)
         shardState.active = true
         shardState.activeAt = clock.now()
@@ -137,7 +137,7 @@
         // The token was raised for machines that move here. One that we know of already, from the same change, must
         // show it: what its old owner has sent may arrive until then.
         if (record.token > shardState.token) {
-            shardState.machines.values.forEach { if (it.sequence < 0) it.floor = record.token }
+            shardState.machines.values.forEach { if (it.sequence < 0) it.minimumToken = record.token }
         }
         shardState.token = record.token
         shardState.term = term
--- a/src/main/kotlin/io/reedmast/shard/StoredProgressListener.kt
+++ b/src/main/kotlin/io/reedmast/shard/StoredProgressListener.kt
@@ -43,7 +43,7 @@
         val job = placement.job
         when {
             !job.spec.gang -> dispatcher.launch(placement)
-            job.isWholeGangStored -> job.placements().forEach { dispatcher.launch(it) }
+            job.isCompleteGangStored -> job.placements().forEach { dispatcher.launch(it) }
         }
     }
 
--- a/src/test/kotlin/io/reedmast/kvstore/StoreStub.kt
+++ b/src/test/kotlin/io/reedmast/kvstore/StoreStub.kt
@@ -32,7 +32,8 @@
     /** Transactions that arrived, lost ones included. */
     val transactions = ArrayList<Fields>()
 
-    val limits = StoreLimits(requestsPerS = 10_000.0, writesPerS = 1_000.0, valueBytes = 8192, opsPerCommit = 16)
+    val limits =
+        StoreLimits(requestsPerS = 10_000.0, writesPerS = 1_000.0, valueBytes = 8192, writesPerTransaction = 16)
     val client: StoreClient
 
     init {
--- a/src/test/kotlin/io/reedmast/persistence/PageDivisionTest.kt
+++ b/src/test/kotlin/io/reedmast/persistence/PageDivisionTest.kt
@@ -128,13 +128,13 @@
             "${first.map { putOf(it).path }}",
         )
         assertTrue(flush().none { putOf(it).path == Keys.page(0, 0) })
-        assertFalse(job.chunkOf(0).stored)
+        assertFalse(job.chunkOf(0).isStored)
         first.forEach { it.done(CommitOutcome.Applied(11L)) }
         val cleared = flush().single { putOf(it).path == Keys.page(0, 0) }
         assertEquals(PageForm.SIZED.toFields(emptyList()), putOf(cleared).value)
         assertTrue(cleared.preconditions.any { it.path == Keys.page(0, 0) && it.version == 5L })
         cleared.done(CommitOutcome.Applied(12L))
-        assertTrue(job.chunkOf(0).stored && job.chunkOf(40).stored)
+        assertTrue(job.chunkOf(0).isStored && job.chunkOf(40).isStored)
     }
 
     @Test
--- a/src/test/kotlin/io/reedmast/sim/SimStore.kt
+++ b/src/test/kotlin/io/reedmast/sim/SimStore.kt
@@ -114,12 +114,12 @@
     private fun checkLimits(transaction: StoreTransaction) {
         val limits = world.settings.storeLimits
         if (transaction.writes.size >
-            limits.opsPerCommit
+            limits.writesPerTransaction
         ) {
             world.rules.breach("${transaction.writes.size} changes in a transaction")
         }
         if (transaction.preconditions.size >
-            limits.opsPerCommit * 4
+            limits.writesPerTransaction * 4
         ) {
             world.rules.breach("${transaction.preconditions.size} conditions in a transaction")
         }
@@ -129,7 +129,7 @@
         }
     }
 
-    private fun isTooLarge(transaction: StoreTransaction) = transaction.writes.size > limits.opsPerCommit ||
+    private fun isTooLarge(transaction: StoreTransaction) = transaction.writes.size > limits.writesPerTransaction ||
         transaction.preconditions.size > limits.maxPreconditions ||
         transaction.writes.any { it is Write.Put && it.storedSize(transaction.id) > limits.valueBytes }
 
