--- a/src/test/kotlin/io/reedmast/CountedWorkTest.kt
+++ b/src/test/kotlin/io/reedmast/CountedWorkTest.kt
@@ -50,7 +50,7 @@
         val world = World({ settings(it, cpusPerTeam, valueBytes) }, CONTROLLERS, machineTypes)
         world.capacity = machines
         repeat(machines) { world.addWorker("m", "x", isSpot(it), 0) }
-        world.nodes.forEach { it.start() }
+        world.controllers.forEach { it.start() }
         return world
     }
 
@@ -59,14 +59,14 @@
         val jobId = "wk-%06d".format(number)
         val spec = World.spec(jobId, description)
         jobs[jobId] = World.SimJob(spec, taskMs, false)
-        nodes[number % CONTROLLERS].ask(jobId, { controller, answer -> controller.submit(spec, answer) })
+        controllers[number % CONTROLLERS].ask(jobId, { controller, answer -> controller.submit(spec, answer) })
     }
 
     private fun assertNoRuleBroken(world: World) = assertEquals(emptyList<String>(), world.rules.broken)
 
     private fun assertPassesAtMost(world: World, limit: Int, period: String) {
-        for (node in world.nodes) {
-            val passes = checkNotNull(node.controller).cluster.owned().sumOf { it.scheduler.passes }
+        for (node in world.controllers) {
+            val passes = checkNotNull(node.process).cluster.owned().sumOf { it.scheduler.passes }
             assertTrue(passes <= limit, "$passes passes in $period")
         }
     }
@@ -77,7 +77,7 @@
         val world = startedWorld(machines)
         world.runUntil(20_000)
         val jobs = 240
-        val storedBefore = world.state.changes
+        val storedBefore = world.store.changes
 
         for (number in 0 until jobs) {
             world.runUntil(20_000 + number * 100L)
@@ -101,7 +101,7 @@
         }
         assertEquals(360, replicas)
         // An acceptance for each job, two more for the end of each array; pages and totals at their own rate.
-        val stored = world.state.changes - storedBefore
+        val stored = world.store.changes - storedBefore
         val perSecond = (stored - jobs - 2 * 60) / 50.0
         assertTrue(perSecond < 36, "$perSecond changes a second besides acceptances and ends")
         assertPassesAtMost(world, 10 * 70, "70 s")
@@ -118,7 +118,7 @@
         val machines = 1_600
         val world = startedWorld(machines, cpusPerTeam = 6_000.0)
         world.runUntil(30_000)
-        val storedBefore = world.state.changes
+        val storedBefore = world.store.changes
         val messagesBefore = world.messages
 
         for (number in 0 until 100) {
@@ -137,7 +137,7 @@
         assertEquals(10_000, world.jobs.values.sumOf { it.completed.size })
         assertEquals(10_000, world.rules.starts.values.sum(), "each task once")
         // An acceptance and two for the end of each job; a page holds a few dozen tasks, and is stored a few times.
-        val stored = world.state.changes - storedBefore
+        val stored = world.store.changes - storedBefore
         assertTrue(stored < 3 * 100 + 10_000 / 8, "$stored changes")
         // Idle machines report every three seconds; a busy one at three changes of each of its six tasks, and once to
         // forget.
--- a/src/test/kotlin/io/reedmast/LargeFaultTest.kt
+++ b/src/test/kotlin/io/reedmast/LargeFaultTest.kt
@@ -39,7 +39,7 @@
         try {
             Scenario(day.lines()).run()
         } catch (e: AssertionError) {
-            throw AssertionError("$name: ${e.message?.take(MOST_SHOWN)}\n${day.troubles().joinToString("\n")}", e)
+            throw AssertionError("$name: ${e.message?.take(MAX_SHOWN)}\n${day.troubles().joinToString("\n")}", e)
         }
     }
 
@@ -55,6 +55,6 @@
         const val DAYS = 8L
         const val UPGRADE_DAYS = 4L
         const val ROLLOUT_DAYS = 3L
-        const val MOST_SHOWN = 4_000
+        const val MAX_SHOWN = 4_000
     }
 }
--- a/src/test/kotlin/io/reedmast/ProductionFormatTest.kt
+++ b/src/test/kotlin/io/reedmast/ProductionFormatTest.kt
@@ -45,7 +45,7 @@
     private fun assertSameForm(name: String, written: Fields) = assertEquals(record(name), stored(written), name)
 
     @Test
-    fun `records of slices, machines and jobs`() {
+    fun `records of shards, machines and jobs`() {
         assertSameForm("slice", ShardRecord.parse(record("slice")).toFields())
         assertSameForm("hosts", MachineListPart.parse(record("hosts")).toFields())
         for (name in listOf(
@@ -61,7 +61,7 @@
     }
 
     @Test
-    fun `totals of a slice`() {
+    fun `usage summary of a shard`() {
         val totals = ShardUsageSummary.parse(ShardId(1), record("totals"))
         val usage = ChargedUsage(SIX_HOURS_MS).apply { load(totals.usage) }
         assertEquals(record("totals").map("usage"), stored(usage.toFields(listOf(TeamId(0), TeamId(3)))))
--- a/src/test/kotlin/io/reedmast/RandomizedFaultTest.kt
+++ b/src/test/kotlin/io/reedmast/RandomizedFaultTest.kt
@@ -9,7 +9,7 @@
  * Days on which troubles meet as chance has it, in the stand-in world. A day is a scenario like those of the files,
  * made from its seed, so that one which fails can be printed, cut down and kept as a file.
  *
- * All rules are checked throughout; once the troubles are over, every node answers about every job, no job is
+ * All rules are checked throughout; once the troubles are over, every controller answers about every job, no job is
  * neglected, and all that was accepted has run.
  */
 class RandomizedFaultTest {
--- a/src/test/kotlin/io/reedmast/app/SocketTest.kt
+++ b/src/test/kotlin/io/reedmast/app/SocketTest.kt
@@ -226,7 +226,7 @@
     @Test
     fun `after a gap in the watch, jobs are read anew`() {
         synchronized(this) {
-            // Accepted by another node, and no longer among the changes that are kept.
+            // Accepted by another controller, and no longer among the changes that are kept.
             revision++
             stored["j/live/0/wk-000009"] =
                 mapOf("spec" to job + ("ref" to "wk-000009"), "chunk" to 10, "at" to 1) to revision
--- a/src/test/kotlin/io/reedmast/cluster/PeerStatusesTest.kt
+++ b/src/test/kotlin/io/reedmast/cluster/PeerStatusesTest.kt
@@ -35,7 +35,7 @@
     }
 
     @Test
-    fun `a process that began after the state service was last heard confirms nothing`() {
+    fun `a process that began after the store was last heard confirms nothing`() {
         val query = statuses.query(10_000)
         statuses.applyReport(report(1, query), 10_100, KNOWN_AT)
         statuses.applyReport(report(2, query, uptimeMs = 10_100 - KNOWN_AT), 10_100, KNOWN_AT)
@@ -75,7 +75,7 @@
     }
 
     @Test
-    fun `the state service is out for all if none of those that answer hears it`() {
+    fun `the store is out for all if none of those that answer hears it`() {
         assertFalse(statuses.noneReachesStore(10_000))
         val query = statuses.query(10_000)
         statuses.applyReport(report(1, query), 10_100, KNOWN_AT)
--- a/src/test/kotlin/io/reedmast/cluster/ShardAcquisitionTest.kt
+++ b/src/test/kotlin/io/reedmast/cluster/ShardAcquisitionTest.kt
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.BeforeEach
 import org.junit.jupiter.api.Test
 
-/** A shard is this node's only while no newer record says otherwise, however late the answer to its taking is. */
+/** A shard is this controller's only while no newer record says otherwise, however late the answer to its taking is. */
 class ShardAcquisitionTest {
     private var now = 100_000L
     private val clock = object : Clock {
@@ -25,7 +25,7 @@
 
         override fun wall() = now
     }
-    private val settings = testSettings(nodes = listOf("n0", "n1"))
+    private val settings = testSettings(controllers = listOf("n0", "n1"))
     private val out = RecordingGateway()
     private val cluster =
         Cluster(settings, Tuning(), clock, out, EffectiveLimits(settings.storeLimits), {
@@ -45,7 +45,7 @@
     }
 
     @Test
-    fun `a take that was applied makes this node the owner`() {
+    fun `an acquisition that was applied makes this controller the owner`() {
         take().done(CommitOutcome.Applied(20))
         assertEquals(listOf(0), cluster.owned().map { it.index.value })
     }
@@ -62,7 +62,7 @@
         assertEquals(owner, cluster.owned().single())
     }
 
-    /** The answer is made up for after an outage of this node alone, in which another has taken the shard. */
+    /** The answer is made up for after an outage of this controller alone, in which another has taken the shard. */
     @Test
     fun `a take that is settled after another controller's is not acted on`() {
         cluster.watchResults.onClusterEvents(
--- a/src/test/kotlin/io/reedmast/cluster/WatchStalenessTest.kt
+++ b/src/test/kotlin/io/reedmast/cluster/WatchStalenessTest.kt
@@ -29,7 +29,7 @@
     }
 
     @Test
-    fun `it is told that nothing is known once it has waited for long enough`() {
+    fun `it learns that nothing is known once it has waited for long enough`() {
         ask()
         now += 1_499
         staleness.resumeWaiters()
--- a/src/test/kotlin/io/reedmast/kvstore/CommitQueueTest.kt
+++ b/src/test/kotlin/io/reedmast/kvstore/CommitQueueTest.kt
@@ -72,7 +72,7 @@
      * A page that waits here lazily takes up no placements: for as long as others kept coming, its jobs did not start.
      */
     @Test
-    fun `a lazy change is not kept waiting for ever by prompt ones`() {
+    fun `a deferred transaction is not kept waiting for ever by urgent ones`() {
         queue.offer(transaction("lazy", WritePriority.DEFERRED), refusable = false)
         val sent = ArrayList<String>()
         repeat(60) {
--- a/src/test/kotlin/io/reedmast/kvstore/EffectiveLimitsTest.kt
+++ b/src/test/kotlin/io/reedmast/kvstore/EffectiveLimitsTest.kt
@@ -35,7 +35,7 @@
     }
 
     @Test
-    fun `a refusal proves lower limits only if the service would have taken it before`() {
+    fun `a refusal proves reduced limits only if the store would have accepted it before`() {
         assertTrue(limits.exceedsOnlyReduced(transaction(puts = 1, bytes = 3000)))
         assertTrue(limits.exceedsOnlyReduced(transaction(puts = 6, bytes = 10)))
         assertTrue(limits.exceedsOnlyReduced(transaction(puts = 1, bytes = 10, conditions = 21)))
--- a/src/test/kotlin/io/reedmast/kvstore/InDoubtResolutionTest.kt
+++ b/src/test/kotlin/io/reedmast/kvstore/InDoubtResolutionTest.kt
@@ -124,7 +124,7 @@
      * changes.
      */
     @Test
-    fun `changes that share a transaction with a lease that has ended are told one by one`() {
+    fun `transactions that share a request with a lease that has ended are reported one by one`() {
         val resolution = resolution(lead, accept, end)
         resolution.reply(CommitReply.Unknown)
         resolution.reply(CommitReply.Malformed("no such lease"))
--- a/src/test/kotlin/io/reedmast/loopback/LoopbackCluster.kt
+++ b/src/test/kotlin/io/reedmast/loopback/LoopbackCluster.kt
@@ -48,8 +48,8 @@
     val runMs = 3_000L
     private val beganAt = System.nanoTime()
     private val types = listOf(MachineType("m", 16.0, 0.0, 64.0, 50.0, 0.5, 1.0, 0.3, 1.0, listOf("x")))
-    private val world = World({ testSettings(nodes = labels) }, controllers, types)
-    private val state: SimStore = world.state
+    private val world = World({ testSettings(controllers = labels) }, controllers, types)
+    private val store: SimStore = world.store
     private val server = HttpServer.create(InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 200)
     private val threads = Executors.newCachedThreadPool { Thread(it).apply { isDaemon = true } }
     private val workers = LinkedHashMap<String, LoopbackWorker>()
@@ -170,7 +170,7 @@
     }
 
     /** What the store holds. */
-    fun stored(prefix: String): List<StoredItem> = locked { state.all(prefix) }
+    fun stored(prefix: String): List<StoredItem> = locked { store.all(prefix) }
 
     // ---- the stand-in services
     // ----------------------------------------------------------------------------------------
@@ -200,16 +200,16 @@
     private fun answer(method: String, path: String, query: Map<String, String>, body: Fields): Pair<Int, Fields> =
         when {
             path == "/follow" -> follow(query)
-            path == "/kv" -> locked { state.page(query.getValue("prefix"), query["after"]) }.let { page ->
+            path == "/kv" -> locked { store.page(query.getValue("prefix"), query["after"]) }.let { page ->
                 val pairs = page.items.map { item(it) }
-                200 to mapOf("pairs" to pairs, "more" to page.more, "epoch" to locked { state.revision })
+                200 to mapOf("pairs" to pairs, "more" to page.more, "epoch" to locked { store.revision })
             }
-            path.startsWith("/kv/") -> locked { state.get(path.removePrefix("/kv/")) }?.let { 200 to item(it) }
+            path.startsWith("/kv/") -> locked { store.get(path.removePrefix("/kv/")) }?.let { 200 to item(it) }
                 ?: (404 to emptyMap())
             path == "/commit" -> locked { commit(body) }
-            path == "/leases" -> 200 to mapOf("holding" to locked { state.lease((body["lifeMs"] as Number).toLong()) })
+            path == "/leases" -> 200 to mapOf("holding" to locked { store.lease((body["lifeMs"] as Number).toLong()) })
             path.startsWith("/leases/") -> {
-                val extended = locked { state.extend(path.split('/')[2].toLong(), EXTENDED_MS) }
+                val extended = locked { store.extend(path.split('/')[2].toLong(), EXTENDED_MS) }
                 (if (extended) 200 else 404) to emptyMap()
             }
             path == "/flavors" -> 200 to mapOf("builds" to types.map { typeFields(it) })
@@ -228,7 +228,7 @@
         val prefix = query.getValue("prefix")
         val until = now() + (query["holdMs"]?.toLong() ?: 0L)
         while (true) {
-            val (revision, news) = locked { state.revision to state.since(query.getValue("after").toLong()) }
+            val (revision, news) = locked { store.revision to store.since(query.getValue("after").toLong()) }
             if (news == null) return 410 to emptyMap()
             val log = news.filter { it.path.startsWith(prefix) }
             if (log.isNotEmpty() ||
@@ -258,11 +258,11 @@
         val id =
             writes.filterIsInstance<Write.Put>().firstOrNull()?.value?.get("txn") as? String
                 ?: "delete-${++transactions}"
-        return when (val reply = state.commit(StoreTransaction(id, preconditions, writes))) {
+        return when (val reply = store.commit(StoreTransaction(id, preconditions, writes))) {
             is CommitReply.Applied -> 200 to mapOf("epoch" to reply.revision)
             is CommitReply.PreconditionFailed ->
                 409 to
-                    mapOf("failed" to reply.paths.toList(), "epoch" to state.revision)
+                    mapOf("failed" to reply.paths.toList(), "epoch" to store.revision)
             else -> 400 to mapOf("error" to "$reply")
         }
     }
--- a/src/test/kotlin/io/reedmast/persistence/DensePagesProperties.kt
+++ b/src/test/kotlin/io/reedmast/persistence/DensePagesProperties.kt
@@ -76,7 +76,7 @@
     }
 
     @Property(tries = 100, seed = "104")
-    fun `a half migrated slice reads as before, whichever of its pages have been migrated`(
+    fun `a half migrated shard reads as before, whichever of its pages have been migrated`(
         @ForAll("chunks") first: List<StoredChunk>,
         @ForAll("chunks") second: List<StoredChunk>,
         @ForAll migrated: Boolean,
--- a/src/test/kotlin/io/reedmast/rollout/EmbeddedRolloutTest.kt
+++ b/src/test/kotlin/io/reedmast/rollout/EmbeddedRolloutTest.kt
@@ -132,7 +132,7 @@
     }
 
     @Test
-    fun `records wait while the budget is needed by others, but not for ever`() {
+    fun `records wait while the permits are needed by others, but not for ever`() {
         begin(GateState.ENABLED, records = 2)
         store.permitLevel = 0.5
         val reconciler = reconciler().apply { run(10) }
--- a/src/test/kotlin/io/reedmast/rollout/GateDecisionTest.kt
+++ b/src/test/kotlin/io/reedmast/rollout/GateDecisionTest.kt
@@ -107,7 +107,7 @@
     }
 
     @Test
-    fun `enabling is on condition of every controller's key and every slice's owner`() {
+    fun `enabling is on condition of every controller's key and every shard's owner`() {
         val ready = record(base to GateState.READY).wishes(base, Target.ENABLED)
         val move = decision.plan(ready, snapshot()).also { it.moves(GateState.ENABLED, base) }.move
         assertEquals(
@@ -117,7 +117,7 @@
     }
 
     @Test
-    fun `no gate is enabled while a controller that does not count owns a slice`() {
+    fun `no gate is enabled while a controller that does not count owns a shard`() {
         val ready = record(base to GateState.READY).wishes(base, Target.ENABLED).excluding("n2", act)
         decision.plan(ready, snapshot()).waits("shard 2 is owned by n2", base)
     }
--- a/src/test/kotlin/io/reedmast/rollout/RolloutAdministrationTest.kt
+++ b/src/test/kotlin/io/reedmast/rollout/RolloutAdministrationTest.kt
@@ -104,7 +104,7 @@
     }
 
     @Test
-    fun `a controller may be stopped once it is drained and the others have all slices`() {
+    fun `a controller may be stopped once it is drained and the others have all shards`() {
         fun reasons(label: String): String {
             var readiness: Readiness? = null
             administration.readiness(label) { readiness = it }
--- a/src/test/kotlin/io/reedmast/sim/LargeDay.kt
+++ b/src/test/kotlin/io/reedmast/sim/LargeDay.kt
@@ -23,7 +23,7 @@
 
     private fun time(from: Double, to: Double) = Math.round(random.nextDouble(from, to) * 100) / 100.0
 
-    private fun node() = "n${random.nextInt(MEMBERS)}"
+    private fun controller() = "n${random.nextInt(MEMBERS)}"
 
     private fun machine() = "host-%06d".format(random.nextInt(machines))
 
@@ -89,9 +89,9 @@
 
     private fun addUpgrade(chance: Random) {
         var turn = chance.nextDouble(10.0, 25.0)
-        for (node in (0 until MEMBERS).shuffled(chance)) {
-            at(turn, "upgrade n$node")
-            at(turn + chance.nextDouble(0.5, 5.0), "start n$node")
+        for (controller in (0 until MEMBERS).shuffled(chance)) {
+            at(turn, "upgrade n$controller")
+            at(turn + chance.nextDouble(0.5, 5.0), "start n$controller")
             turn += chance.nextDouble(1.0, 12.0)
         }
         at(turn + chance.nextDouble(0.0, 20.0), "lower-limits")
@@ -134,7 +134,7 @@
     private fun trouble(from: Double) {
         val long = time(from + 5.0, LAST)
         val short = time(from + 1.0, minOf(from + 20.0, LAST))
-        val node = node()
+        val controller = controller()
         when (random.nextInt(17)) {
             0, 1 -> {
                 at(from, "late-writes ${listOf(0.1, 0.2, 0.3).random(random)}")
@@ -154,8 +154,8 @@
             6 -> at(from, "outage ${short - from}")
             7 -> at(from, "outage ${time(20.0, 60.0)}")
             8, 9 -> {
-                at(from, "crash $node")
-                at(time(from + 0.1, from + 1.0), "start $node")
+                at(from, "crash $controller")
+                at(time(from + 0.1, from + 1.0), "start $controller")
             }
 
             10 -> {
@@ -163,9 +163,9 @@
                 for (i in 0 until MEMBERS) at(time(from + 0.2, short), "start n$i")
             }
 
-            11 -> switch("cut-state $node", from, long)
-            12 -> switch("cut-workers $node", from, long)
-            13 -> at(from, "stand-still $node ${short - from}")
+            11 -> switch("cut-state $controller", from, long)
+            12 -> switch("cut-workers $controller", from, long)
+            13 -> at(from, "stand-still $controller ${short - from}")
             14 -> repeat(random.nextInt(3, 30)) { at(from, "hang ${machine()} ${short - from}") }
             15 -> repeat(random.nextInt(3, 30)) {
                 val machine = machine()
--- a/src/test/kotlin/io/reedmast/sim/OutputRecorder.kt
+++ b/src/test/kotlin/io/reedmast/sim/OutputRecorder.kt
@@ -27,16 +27,17 @@
     /** The digest of all that was recorded, in hexadecimal; nothing may be recorded after it. */
     fun result(): String = digest.digest().take(DIGEST_BYTES).joinToString("") { "%02x".format(it) }
 
-    fun record(atMs: Long, node: String, kind: String, body: Fields) = record(atMs, node, kind, Tree.writeJson(body))
+    fun record(atMs: Long, controller: String, kind: String, body: Fields) =
+        record(atMs, controller, kind, Tree.writeJson(body))
 
-    fun record(atMs: Long, node: String, message: PeerMessage) {
+    fun record(atMs: Long, controller: String, message: PeerMessage) {
         val frames = Buffer().also { PeerCodec.write(it, message) }
-        record(atMs, node, "peer", frames.readByteArray())
+        record(atMs, controller, "peer", frames.readByteArray())
     }
 
-    private fun record(atMs: Long, node: String, kind: String, body: ByteArray) {
+    private fun record(atMs: Long, controller: String, kind: String, body: ByteArray) {
         count++
-        val header = "$atMs $node $kind "
+        val header = "$atMs $controller $kind "
         digest.update(header.toByteArray())
         digest.update(body)
         digest.update(END_OF_MESSAGE)
--- a/src/test/kotlin/io/reedmast/sim/RandomDay.kt
+++ b/src/test/kotlin/io/reedmast/sim/RandomDay.kt
@@ -22,7 +22,7 @@
 
     private fun time(from: Double, to: Double) = Math.round(random.nextDouble(from, to) * 10) / 10.0
 
-    private fun node() = "n${random.nextInt(MEMBERS)}"
+    private fun controller() = "n${random.nextInt(MEMBERS)}"
 
     private fun machine() = "host-%06d".format(random.nextInt(MACHINES + 4))
 
@@ -75,7 +75,7 @@
                 0 -> at(time(from + 1.0, LAST), "abort wk-$i insist=true")
                 1 -> if (!service) at(from, "meet-end wk-$i")
             }
-            repeat(3) { at(time(from, LAST), "ask wk-$i via=${node()}") }
+            repeat(3) { at(time(from, LAST), "ask wk-$i via=${controller()}") }
         }
     }
 
@@ -95,9 +95,9 @@
             if (chance.nextInt(5) == 0) at(from + chance.nextInt(1, 30), "abort $jobId insist=true")
         }
         var turn = chance.nextDouble(8.0, 30.0)
-        for (node in (0 until MEMBERS).shuffled(chance)) {
-            at(turn, "upgrade n$node")
-            at(turn + chance.nextDouble(0.2, 6.0), "start n$node")
+        for (controller in (0 until MEMBERS).shuffled(chance)) {
+            at(turn, "upgrade n$controller")
+            at(turn + chance.nextDouble(0.2, 6.0), "start n$controller")
             turn += chance.nextDouble(0.1, 15.0)
         }
         at(turn + chance.nextDouble(0.0, if (chance.nextBoolean()) 3.0 else 25.0), "lower-limits")
@@ -116,10 +116,10 @@
             at(moment(5.0, LAST), "operator $wish ${features.random(chance)} by=${it % 2} perhaps")
         }
         repeat(chance.nextInt(1, 6)) {
-            val node = "n${chance.nextInt(MEMBERS)}"
+            val controller = "n${chance.nextInt(MEMBERS)}"
             val from = moment(8.0, LAST - 10.0)
-            at(from, "version $node ${chance.nextInt(0, 4)}")
-            at(moment(from + 0.1, from + if (chance.nextBoolean()) 0.6 else 20.0), "start $node")
+            at(from, "version $controller ${chance.nextInt(0, 4)}")
+            at(moment(from + 0.1, from + if (chance.nextBoolean()) 0.6 else 20.0), "start $controller")
         }
         if (chance.nextBoolean()) at(moment(20.0, LAST), "operator exclude n${chance.nextInt(MEMBERS)} perhaps")
         if (chance.nextBoolean()) at(moment(10.0, LAST), "operator drain n${chance.nextInt(MEMBERS)} perhaps")
@@ -167,23 +167,23 @@
         val kind = random.nextInt(6)
         if (kind > 2) return
         val from = time(15.0, 50.0)
-        val node = node()
+        val controller = controller()
         at(from, "outage ${time(10.0, 60.0)}")
         val then = time(from - 3.0, from + 8.0)
         when (kind) {
             0 -> {
-                at(then, "cut-peers $node on")
-                at(time(then + 1.0, LAST), "cut-peers $node off")
+                at(then, "cut-peers $controller on")
+                at(time(then + 1.0, LAST), "cut-peers $controller off")
             }
 
             1 -> {
-                at(then, "crash $node")
-                at(time(then + 0.1, then + 1.0), "start $node")
+                at(then, "crash $controller")
+                at(time(then + 0.1, then + 1.0), "start $controller")
             }
 
             else -> {
-                at(time(from - 8.0, from), "cut-state $node on")
-                at(time(from + 1.0, LAST), "cut-state $node off")
+                at(time(from - 8.0, from), "cut-state $controller on")
+                at(time(from + 1.0, LAST), "cut-state $controller off")
             }
         }
     }
@@ -195,30 +195,30 @@
             at(from, "$what on")
             at(until, "$what off")
         }
-        val node = node()
+        val controller = controller()
         val machine = machine()
         when (random.nextInt(24)) {
             0 -> at(from, "outage ${short - from}")
             1 -> at(from, "outage ${long - from}")
-            2 -> switch("cut-state $node", long)
+            2 -> switch("cut-state $controller", long)
             3 -> {
-                switch("cut-state $node", long)
-                switch("cut-peers $node", long)
+                switch("cut-state $controller", long)
+                switch("cut-peers $controller", long)
             }
-            4 -> switch("cut-workers $node", long)
+            4 -> switch("cut-workers $controller", long)
             5 -> {
-                at(from, "crash $node")
-                at(time(from + 0.1, from + 1.0), "start $node")
+                at(from, "crash $controller")
+                at(time(from + 0.1, from + 1.0), "start $controller")
             }
             6 -> {
-                at(from, "crash $node")
-                at(long, "start $node")
+                at(from, "crash $controller")
+                at(long, "start $controller")
             }
             7 -> {
                 at(from, "crash n0 n1 n2")
                 for (i in 0 until MEMBERS) at(time(from + 0.2, short), "start n$i")
             }
-            8 -> at(from, "stand-still $node ${short - from}")
+            8 -> at(from, "stand-still $controller ${short - from}")
             9 -> at(from, "hang $machine ${short - from}")
             10 -> switch("cut-machine $machine", long)
             11 -> switch("deafen $machine", long)
@@ -238,8 +238,8 @@
             17 -> at(from, "late-direct ${random.nextInt(2, 40)}")
 
             18 -> {
-                at(from, "lag-jobs $node ${random.nextInt(2, 60)}")
-                at(long, "lag-jobs $node 0")
+                at(from, "lag-jobs $controller ${random.nextInt(2, 60)}")
+                at(long, "lag-jobs $controller 0")
             }
 
             19 -> {
--- a/src/test/kotlin/io/reedmast/sim/RolloutRules.kt
+++ b/src/test/kotlin/io/reedmast/sim/RolloutRules.kt
@@ -50,7 +50,7 @@
      */
     private fun takesOpenCounter(value: Fields): Boolean {
         val sender = StoreMessages.transactionId(value) ?: return false
-        return counterIsOpen && world.nodes.any { it.wasOld(sender) }
+        return counterIsOpen && world.controllers.any { it.wasOld(sender) }
     }
 
     /**
@@ -58,7 +58,7 @@
      * process has read them.
      */
     fun sent(transaction: StoreTransaction) {
-        val sender = world.nodes.firstOrNull { transaction.id.startsWith("${it.label}-") } ?: return
+        val sender = world.controllers.firstOrNull { transaction.id.startsWith("${it.label}-") } ?: return
         // What is carried out late was sent by the process of then, whatever runs there now.
         if (sender.wasOld(transaction.id) || transaction.preconditions.any { it.path == Keys.ROLLOUT }) return
         transaction.writes.filterIsInstance<Write.Put>().filter { put -> conditional.any { put.path.startsWith(it) } }
@@ -92,21 +92,21 @@
 
     /** Whoever counts must be able to read what may be written from now on. */
     private fun checkAllRead(version: Int, next: RolloutRecord, what: String) {
-        for (node in world.nodes) {
-            if (node.label in next.excluded || !node.up || node.unfit != null) continue
-            val owns = node.controller?.cluster?.owned().orEmpty().isNotEmpty()
-            if (owns && node.readsUpTo < version) world.rules.breach("unreadable_for ${node.label}: $what")
+        for (controller in world.controllers) {
+            if (controller.label in next.excluded || !controller.up || controller.unfit != null) continue
+            val owns = controller.process?.cluster?.owned().orEmpty().isNotEmpty()
+            if (owns && controller.readsUpTo < version) world.rules.breach("unreadable_for ${controller.label}: $what")
         }
     }
 
     /** A process reads the pages of a shard that it has taken. */
-    fun read(node: SimNode, items: List<Pair<String, Fields>>) {
+    fun read(controller: SimController, items: List<Pair<String, Fields>>) {
         val dense =
             items.firstOrNull { (path, value) -> path.startsWith("page/") && DensePages.isDense(value) } ?: return
-        if (node.readsUpTo <
+        if (controller.readsUpTo <
             ClusterFeatures.densePages.requires.value
         ) {
-            world.rules.breach("read_too_new ${node.label} reads ${dense.first}")
+            world.rules.breach("read_too_new ${controller.label} reads ${dense.first}")
         }
     }
 
--- a/src/test/kotlin/io/reedmast/sim/RuleChecker.kt
+++ b/src/test/kotlin/io/reedmast/sim/RuleChecker.kt
@@ -21,7 +21,7 @@
     val broken = ArrayList<String>()
 
     /** What users were last told of each job. */
-    val told = HashMap<String, String>()
+    val publishedStages = HashMap<String, String>()
 
     /** How often tasks of a job have started. */
     val starts = HashMap<String, Int>()
@@ -45,7 +45,7 @@
     /** A worker has taken up a launch: the task takes room there from now on. */
     fun launched(worker: SimWorker, id: TaskId, attempt: Long) {
         heldCount.merge(id.jobId, 1, Int::plus)
-        if (!world.state.places(
+        if (!world.store.places(
                 id,
                 attempt,
                 worker.name,
@@ -136,19 +136,19 @@
         val stage = answer.job?.state?.wire ?: return
         val job = world.jobs[jobId]
         if (job == null) breach("invented $jobId")
-        val before = told[jobId]
+        val before = publishedStages[jobId]
         if (before in FINAL && stage != before) breach("went_back $jobId from $before to $stage")
         if (stage == "done" && job != null && job.completed.size < job.spec.taskCount) breach("not_done $jobId")
         if (!isStored(jobId)) breach("told_unstored $jobId: $stage")
-        told[jobId] = stage
+        publishedStages[jobId] = stage
         if (stage == "aborted" && job != null && job.abortedAt == 0L) {
             job.abortedAt = world.now()
             cancelled.add(jobId)
         }
     }
 
-    private fun isStored(jobId: String): Boolean = world.state.get(Keys.end(jobId)) != null ||
-        (0 until world.settings.shardCount).any { world.state.get(Keys.live(it, jobId)) != null }
+    private fun isStored(jobId: String): Boolean = world.store.get(Keys.end(jobId)) != null ||
+        (0 until world.settings.shardCount).any { world.store.get(Keys.live(it, jobId)) != null }
 
     // ---- what becomes of accepted jobs
     // --------------------------------------------------------------------------------
@@ -169,8 +169,9 @@
         }
     }
 
-    private fun waits(jobId: String, job: World.SimJob) = jobId in told && told[jobId] !in FINAL && !job.fails &&
-        (job.spec.service || job.completed.size < job.spec.taskCount) && (heldCount[jobId] ?: 0) == 0
+    private fun waits(jobId: String, job: World.SimJob) =
+        jobId in publishedStages && publishedStages[jobId] !in FINAL && !job.fails &&
+            (job.spec.service || job.completed.size < job.spec.taskCount) && (heldCount[jobId] ?: 0) == 0
 
     /** FreeCapacity for a task of the job, or for all of a gang, in one zone if it needs that. */
     private fun hasRoom(job: World.SimJob, room: List<Pair<SimWorker, Double>>): Boolean {
@@ -203,11 +204,11 @@
     }
 
     /** Accepted jobs that have not got what they were promised. */
-    fun unsettled(): List<String> = told.keys.sorted().mapNotNull { jobId ->
+    fun unsettled(): List<String> = publishedStages.keys.sorted().mapNotNull { jobId ->
         val job = world.jobs.getValue(jobId)
         val count = runningCount(jobId)
         when {
-            told[jobId] == "aborted" -> if (count > 0) "$jobId is cancelled and runs" else null
+            publishedStages[jobId] == "aborted" -> if (count > 0) "$jobId is cancelled and runs" else null
             job.fails || !underLimit(job) -> null
             job.spec.service -> if (count != job.spec.taskCount) "$jobId: $count of ${job.spec.taskCount} run" else null
             else ->
--- a/src/test/kotlin/io/reedmast/sim/RuleCheckerTest.kt
+++ b/src/test/kotlin/io/reedmast/sim/RuleCheckerTest.kt
@@ -27,7 +27,7 @@
     }
 
     private fun stored() {
-        world.state.commit(
+        world.store.commit(
             StoreTransaction(
                 "t",
                 listOf(Precondition(Keys.live(0, "wk-1"), 0)),
--- a/src/test/kotlin/io/reedmast/sim/Scenario.kt
+++ b/src/test/kotlin/io/reedmast/sim/Scenario.kt
@@ -22,7 +22,7 @@
 import kotlin.random.Random
 
 /**
- * Plays a day in the stand-in world. A line is `at SECONDS VERB ARGUMENTS`, in order of time; before them `nodes N`,
+ * Plays a day in the stand-in world. A line is `at SECONDS VERB ARGUMENTS`, in order of time; before them `controllers N`,
  * `value-kb N`, `next-limits VALUE_KB TXN_OPS`, `old NODES`, `versions NODE=VERSION`, `team NAME CPUS MAX`,
  * `machine-type NAME CPUS BOOT_S`, `machine TYPE ZONE [spot]`, `machines N TYPE ZONE [spot]`, `capacity N`, `seed N`,
  * `limits WRITES_PER_S PAGE_ITEMS KEPT_CHANGES`. The rules of the protocol, with those that its users added, are
@@ -33,7 +33,7 @@
         it.substringBefore('#').trim()
     }.filter { it.isNotEmpty() }.map { it.split(Regex("\\s+")) }
     private val teams = given("team").map { TeamShare(it[1], it[2].toDouble(), it[3].toDouble(), 0.0, 0.0) }
-    private val nodes = given("nodes").firstOrNull()?.get(1)?.toInt() ?: 3
+    private val controllers = given("nodes").firstOrNull()?.get(1)?.toInt() ?: 3
     private val valueBytes = ((given("value-kb").firstOrNull()?.get(1)?.toDouble() ?: 8.0) * 1024).toInt()
     private val nextLimits = given("next-limits").firstOrNull()?.let {
         StoreLimits(100.0, 50.0, (it[1].toDouble() * 1024).toInt(), it[2].toInt())
@@ -41,7 +41,7 @@
     private val machineTypes = given("machine-type").map {
         MachineType(it[1], it[2].toDouble(), 0.0, 64.0, 50.0, 0.5, 1.0, 0.3, it[3].toDouble(), listOf("x", "y"))
     }
-    val world = World(::settings, nodes, machineTypes)
+    val world = World(::settings, controllers, machineTypes)
 
     private val rolloutOperator = SimOperator(world)
     private var notedWrites = 0
@@ -51,12 +51,12 @@
 
     private fun given(word: String) = lines.filter { it[0] == word }
 
-    private fun settings(node: Int): Settings = Settings(
-        label = "n$node",
-        front = World.address(node, 8080),
-        clusterListen = World.address(node, 8081),
-        members = (0 until nodes).map { Member("n$it", World.address(it, 8081)) },
-        self = ControllerId(node),
+    private fun settings(controller: Int): Settings = Settings(
+        label = "n$controller",
+        front = World.address(controller, 8080),
+        clusterListen = World.address(controller, 8081),
+        members = (0 until controllers).map { Member("n$it", World.address(it, 8081)) },
+        self = ControllerId(controller),
         cloudAddress = "10.2.0.2:1",
         storeAddress = "10.2.0.1:1",
         zones = listOf("x", "y"),
@@ -83,11 +83,13 @@
             }
         }
         given("limits").forEach { limit(it[1].toDouble(), it[2].toInt(), it[3].toInt()) }
-        given("old").flatMap { it.drop(1) }.forEach { label -> world.nodes.first { it.label == label }.old = true }
+        given("old").flatMap {
+            it.drop(1)
+        }.forEach { label -> world.controllers.first { it.label == label }.old = true }
         given("versions").flatMap {
             it.drop(1)
         }.forEach { setVersion(it.substringBefore('='), it.substringAfter('=').toInt()) }
-        world.nodes.forEach { it.start() }
+        world.controllers.forEach { it.start() }
         given("seed").forEach { world.random = Random(it[1].toLong()) }
         checkRules()
         for (line in given("at")) {
@@ -102,12 +104,12 @@
      */
     private fun limit(writesPerS: Double, pageItems: Int, keptChanges: Int) {
         world.writesPerS = writesPerS
-        world.state.pageItems = pageItems
-        world.state.keptChanges = keptChanges
+        world.store.pageItems = pageItems
+        world.store.keptChanges = keptChanges
     }
 
     /** Version 0 is that of before formats and rollouts. */
-    private fun setVersion(label: String, version: Int) = world.nodes.first { it.label == label }.run {
+    private fun setVersion(label: String, version: Int) = world.controllers.first { it.label == label }.run {
         old = version == 0
         if (!old) newestVersion = FormatVersion(version)
     }
@@ -119,9 +121,9 @@
     }
 
     private fun pollAll(everyMs: Long) {
-        for (jobId in world.rules.told.keys.toList()) {
+        for (jobId in world.rules.publishedStages.keys.toList()) {
             world.after(world.random.nextLong(everyMs)) {
-                world.nodes.filter {
+                world.controllers.filter {
                     it.up
                 }.randomOrNull(world.random)?.ask(jobId, { c, answer -> c.poll(jobId, answer) })
             }
@@ -130,18 +132,18 @@
     }
 
     private fun plantLostJob(jobId: String) {
-        val lost = world.nodes.mapNotNull { it.controller }.flatMap { it.cluster.owned() }.any {
+        val lost = world.controllers.mapNotNull { it.process }.flatMap { it.cluster.owned() }.any {
             it.shardState.jobs.remove(jobId) !=
                 null
         }
         if (!lost) world.after(1) { plantLostJob(jobId) }
     }
 
-    /** As users do: the request is repeated, each time at another node, until it is answered or a minute is over. */
+    /** As users do: the request is repeated, each time at another controller, until it is answered or a minute is over. */
     private fun insist(jobId: String, question: (Controller, (UserAnswer) -> Unit) -> Unit, since: Long = world.now()) {
         if (world.now() - since > 60_000) return
         var answered = false
-        world.nodes.filter { it.up }.randomOrNull(world.random)?.ask(jobId, question) {
+        world.controllers.filter { it.up }.randomOrNull(world.random)?.ask(jobId, question) {
             if (it.status <
                 429
             ) {
@@ -153,7 +155,7 @@
 
     private fun act(words: List<String>) {
         val args = words.filter { '=' in it }.associate { it.substringBefore('=') to it.substringAfter('=') }
-        val node = world.nodes.filter { it.up }.let { up ->
+        val controller = world.controllers.filter { it.up }.let { up ->
             up.firstOrNull { it.label == args["via"] }
                 ?: up.firstOrNull()
         }
@@ -171,7 +173,7 @@
                     insist(words[1], { c, answer -> c.submit(spec, answer) })
                     return
                 }
-                node?.ask(words[1], { c, answer -> c.submit(spec, answer) }) { answer ->
+                controller?.ask(words[1], { c, answer -> c.submit(spec, answer) }) { answer ->
                     args["status"]?.let { assertEquals(it.toInt(), answer.status, "submission of ${words[1]}") }
                 }
             }
@@ -187,23 +189,23 @@
             "abort" -> if (args["insist"] == "true") {
                 insist(words[1], { c, answer -> c.cancel(words[1], answer) })
             } else {
-                node?.ask(words[1], { c, answer -> c.cancel(words[1], answer) })
+                controller?.ask(words[1], { c, answer -> c.cancel(words[1], answer) })
             }
 
-            // At all nodes, and once more at each, within milliseconds.
-            "abort-everywhere" -> if (words[1] in world.rules.told) {
+            // At all controllers, and once more at each, within milliseconds.
+            "abort-everywhere" -> if (words[1] in world.rules.publishedStages) {
                 repeat(2) {
-                    world.nodes.filter {
+                    world.controllers.filter {
                         it.up
                     }.forEach { asked -> asked.ask(words[1], { c, answer -> c.cancel(words[1], answer) }) }
                 }
                 insist(words[1], { c, answer -> c.cancel(words[1], answer) })
             }
 
-            // Users ask about every job that was accepted, each at some node, from now on.
+            // Users ask about every job that was accepted, each at some controller, from now on.
             "poll-all" -> pollAll((words[1].toDouble() * 1000).toLong())
 
-            "ask" -> node?.ask(words[1], { c, answer -> c.poll(words[1], answer) })
+            "ask" -> controller?.ask(words[1], { c, answer -> c.poll(words[1], answer) })
             // The job is called off, asked about and submitted again at the moment when its last task ends.
             "meet-end" -> world.atEndOf(words[1]) {
                 val spec = world.jobs.getValue(words[1]).spec
@@ -211,52 +213,53 @@
                 insist(words[1], { c, answer -> c.poll(words[1], answer) })
                 insist(words[1], { c, answer -> c.submit(spec, answer) })
             }
-            "crash" -> words.drop(1).forEach { label -> world.nodes.first { it.label == label }.crash() }
-            "start" -> words.drop(1).forEach { label -> world.nodes.first { it.label == label }.start() }
-            // The node's process ends; what is started next has the new version.
+            "crash" -> words.drop(1).forEach { label -> world.controllers.first { it.label == label }.crash() }
+            "start" -> words.drop(1).forEach { label -> world.controllers.first { it.label == label }.start() }
+            // The controller's process ends; what is started next has the new version.
             "upgrade" -> words.drop(1).forEach { label ->
-                world.nodes.first { it.label == label }.run {
+                world.controllers.first { it.label == label }.run {
                     crash()
                     old = false
                 }
             }
-            // The node's process ends; what is started next reads and writes stored forms up to this version.
+            // The controller's process ends; what is started next reads and writes stored forms up to this version.
             "version" -> {
-                world.nodes.first { it.label == words[1] }.crash()
+                world.controllers.first { it.label == words[1] }.crash()
                 setVersion(words[1], words[2].toInt())
             }
-            // What the node's deploy file wishes, from its next start on.
-            "desire" -> world.nodes.first { it.label == words[1] }.desired =
+            // What the controller's deploy file wishes, from its next start on.
+            "desire" -> world.controllers.first { it.label == words[1] }.desired =
                 args.entries.associate { FeatureName(it.key) to Target.of(it.value) }
-            "clock-error" -> world.nodes.first { it.label == words[1] }.clockErrorMs = words[2].toLong()
-            "note-writes" -> notedWrites = world.state.changes
+            "clock-error" -> world.controllers.first { it.label == words[1] }.clockErrorMs = words[2].toLong()
+            "note-writes" -> notedWrites = world.store.changes
             "operator" -> rolloutOperator.act(words.drop(1))
             // The store takes less from now on, without a word.
-            "lower-limits" -> world.state.reduced = nextLimits ?: error("no next-limits are given")
-            "outage" -> world.state.outage((words[1].toDouble() * 1000).toLong())
-            "cut-state" -> world.nodes.first { it.label == words[1] }.stateCut = words[2] == "on"
-            "cut-workers" -> world.nodes.first { it.label == words[1] }.workersCut = words[2] == "on"
-            "cut-peers" -> world.nodes.first { it.label == words[1] }.peersCut = words[2] == "on"
+            "lower-limits" -> world.store.reduced = nextLimits ?: error("no next-limits are given")
+            "outage" -> world.store.outage((words[1].toDouble() * 1000).toLong())
+            "cut-state" -> world.controllers.first { it.label == words[1] }.storeCut = words[2] == "on"
+            "cut-workers" -> world.controllers.first { it.label == words[1] }.workersCut = words[2] == "on"
+            "cut-peers" -> world.controllers.first { it.label == words[1] }.peersCut = words[2] == "on"
             "cut-machine" -> world.workers[words[1]]?.cut = words[2] == "on"
-            // Nothing passes between a zone's machines, the coming ones included, and any node.
-            "darken" -> world.darken(words[1], words[2] == "on")
-            "sicken" -> world.workers[words[1]]?.sick = words[2] == "on"
-            "deafen" -> world.workers[words[1]]?.deaf = words[2] == "on"
+            // Nothing passes between a zone's machines, the coming ones included, and any controller.
+            "darken" -> world.cutZone(words[1], words[2] == "on")
+            "sicken" -> world.workers[words[1]]?.unhealthy = words[2] == "on"
+            "deafen" -> world.workers[words[1]]?.unreachable = words[2] == "on"
             "copies" -> world.workers[words[1]]?.copiesAfterMs = (words[2].toDouble() * 1000).toLong()
-            "lag-jobs" -> world.nodes.first { it.label == words[1] }.jobsLagMs = (words[2].toDouble() * 1000).toLong()
-            "slow-state" -> world.stateSlow = words[1].toLong()
-            "spoil" -> world.state.spoil(words[1])
+            "lag-jobs" -> world.controllers.first { it.label == words[1] }.jobsLagMs =
+                (words[2].toDouble() * 1000).toLong()
+            "slow-state" -> world.storeSlowness = words[1].toLong()
+            "spoil" -> world.store.spoil(words[1])
             // Its power is gone: nobody is told.
             "kill-machine" -> world.workers[words[1]]?.vanish()
-            // It reaches no node, while direct commands reach it.
-            "mute" -> world.workers[words[1]]?.mute = words[2] == "on"
+            // It reaches no controller, while direct commands reach it.
+            "mute" -> world.workers[words[1]]?.cannotReport = words[2] == "on"
             // That share of transactions gets no answer and is carried out 2 to 12 s later, after newer ones.
             "late-writes" -> world.lateWrites = words[1].toDouble()
             // A planted fault: the owner's books lose the job as soon as it is in them.
             "plant-lost-job" -> plantLostJob(words[1])
-            "lose-answer" -> world.nodes.first { it.label == words[1] }.loseAnswerOf = words[2]
+            "lose-answer" -> world.controllers.first { it.label == words[1] }.loseAnswerOf = words[2]
             // The first part of a page cannot be read any more.
-            "spoil-chunk" -> world.state.spoilChunk(words[1])
+            "spoil-chunk" -> world.store.spoilChunk(words[1])
             // From now on the cloud says that machines of this type have only so many CPUs.
             "shrink-type" ->
                 world.machineTypes =
@@ -268,12 +271,12 @@
             "calm" -> world.calmSince = world.now()
             "lose-answers" -> world.workers[words[1]]?.answersLost = words[2] == "on"
             "hang" -> world.workers[words[1]]?.hang((words[2].toDouble() * 1000).toLong())
-            "stand-still" -> world.nodes.first {
+            "stand-still" -> world.controllers.first {
                 it.label == words[1]
             }.standStill((words[2].toDouble() * 1000).toLong())
             "repeat-direct" -> world.repeatDirectMs = (words[1].toDouble() * 1000).toLong()
-            "late-direct" -> world.nodes.forEach { it.lateDirectMs = (words[1].toDouble() * 1000).toLong() }
-            "late-commit" -> world.nodes.first { it.label == words[1] }.run {
+            "late-direct" -> world.controllers.forEach { it.lateDirectMs = (words[1].toDouble() * 1000).toLong() }
+            "late-commit" -> world.controllers.first { it.label == words[1] }.run {
                 lateCommitMs = (words[2].toDouble() * 1000).toLong()
                 lateCommitOf = words[3]
             }
@@ -286,12 +289,12 @@
     private fun expect(words: List<String>, args: Map<String, String>) {
         val at = "at ${world.now() / 1000.0} s: ${words.joinToString(" ")}"
         when (words[0]) {
-            // What every node says of a job, or the one named.
+            // What every controller says of a job, or the one named.
             "stage" -> {
-                val asked = world.nodes.filter { it.up && (args["via"] == null || it.label == args["via"]) }
+                val asked = world.controllers.filter { it.up && (args["via"] == null || it.label == args["via"]) }
                 val said = ArrayList<String>()
-                asked.forEach { node ->
-                    node.ask(words[1], { c, answer -> c.poll(words[1], answer) }) {
+                asked.forEach { controller ->
+                    controller.ask(words[1], { c, answer -> c.poll(words[1], answer) }) {
                         said.add(
                             (
                                 it.job?.state?.wire
@@ -344,22 +347,27 @@
 
             "kept" -> assertTrue(words[1] in world.workers, "$at: returned are ${world.returned}")
 
-            // No node counts the machine to any shard.
-            "unknown" -> assertTrue(world.nodes.none { it.controller?.cluster?.shardOfMachine(words[1]) != null }, at)
+            // No controller counts the machine to any shard.
+            "unknown" -> assertTrue(
+                world.controllers.none {
+                    it.process?.cluster?.shardOfMachine(words[1]) != null
+                },
+                at,
+            )
 
             "healthy" -> assertEquals(
                 words[2].toBoolean(),
-                world.nodes.first {
+                world.controllers.first {
                     it.label == words[1]
-                }.controller?.healthy(),
+                }.process?.healthy(),
                 at,
             )
 
-            // Every node answers about every job that was accepted.
+            // Every controller answers about every job that was accepted.
             "answered" -> {
                 val open = HashSet<String>()
-                for (jobId in world.rules.told.keys) {
-                    for (asked in world.nodes.filter { it.up }) {
+                for (jobId in world.rules.publishedStages.keys) {
+                    for (asked in world.controllers.filter { it.up }) {
                         open.add("$jobId by ${asked.label}")
                         asked.ask(jobId, { c, answer -> c.poll(jobId, answer) }) {
                             if (it.status ==
@@ -383,7 +391,7 @@
             // How often a shard was taken, since the first start.
             "takings" -> assertEquals(
                 words[1].toLong(),
-                FencingToken.acquisitions(TokenCounter.tokenOf(world.state.get("c/token")?.value.orEmpty())),
+                FencingToken.acquisitions(TokenCounter.tokenOf(world.store.get("c/token")?.value.orEmpty())),
                 at,
             )
 
@@ -398,24 +406,30 @@
             "form" -> assertEquals(words[2], rolloutOperator.formsOf(words[1]).sorted().joinToString("+"), at)
 
             // Its process has ended by itself, since it does not fit what is rolled out.
-            "unfit" -> assertTrue(world.nodes.first { it.label == words[1] }.unfit != null, at)
+            "unfit" -> assertTrue(world.controllers.first { it.label == words[1] }.unfit != null, at)
 
             "owns" -> assertEquals(
                 words[2].toInt(),
-                world.nodes.first { it.label == words[1] }.controller?.cluster?.owned()?.size ?: 0,
+                world.controllers.first { it.label == words[1] }.process?.cluster?.owned()?.size ?: 0,
                 at,
             )
 
             // Nothing has been stored since it was noted.
-            "no-writes" -> assertEquals(notedWrites, world.state.changes, at)
+            "no-writes" -> assertEquals(notedWrites, world.store.changes, at)
 
             // No task has ended on a machine by the worker's own lease.
             "no-lease-lost" -> assertEquals(0, world.leasesLost, at)
 
-            // One node leads, and all agree which.
+            // One controller leads, and all agree which.
             "leader" -> {
-                assertEquals(1, world.nodes.count { it.controller?.cluster?.leading == true }, at)
-                assertEquals(1, world.nodes.filter { it.up }.map { it.controller?.cluster?.leader }.distinct().size, at)
+                assertEquals(1, world.controllers.count { it.process?.cluster?.leading == true }, at)
+                assertEquals(
+                    1,
+                    world.controllers.filter {
+                        it.up
+                    }.map { it.process?.cluster?.leader }.distinct().size,
+                    at,
+                )
             }
             else -> error("unknown expectation ${words[0]}")
         }
--- a/src/test/kotlin/io/reedmast/sim/SimNode.kt
+++ b/src/test/kotlin/io/reedmast/sim/SimController.kt
@@ -17,19 +17,19 @@
 import io.reedmast.wire.UserAnswer
 
 /** One controller of the [World]; [up] and the cuts say what reaches it. */
-class SimNode(private val world: World, val index: Int) {
+class SimController(private val world: World, val index: Int) {
     val label = world.settingsOf(index).label
     var up = false
-    var stateCut = false
+    var storeCut = false
     var workersCut = false
 
-    /** Nothing passes between this node and the other controllers. */
+    /** Nothing passes between this controller and the other controllers. */
     var peersCut = false
 
     /** Sends of the next direct commands arrive this much later, and their answers are lost. */
     var lateDirectMs = 0L
 
-    /** The next transaction that writes [lateCommitOf] is applied this much later, whatever has become of the node. */
+    /** The next transaction that writes [lateCommitOf] is applied this much later, whatever has become of the controller. */
     var lateCommitMs = 0L
     var lateCommitOf = ""
 
@@ -67,7 +67,7 @@
 
     /** Why the process has ended by itself, if it has. */
     var unfit: String? = null
-    var controller: Controller? = null
+    var process: Controller? = null
 
     /** The watch on jobs answers this much later than it could. */
     var jobsLagMs = 0L
@@ -77,31 +77,31 @@
     private var loaded = false
 
     /** Until then the process stands still, while its clocks run. */
-    private var standsUntil = 0L
-    val stands: Boolean get() = world.now() < standsUntil
-    val hearsState: Boolean get() = !stateCut && world.state.up
+    private var standsStillUntil = 0L
+    val standsStill: Boolean get() = world.now() < standsStillUntil
+    val reachesStore: Boolean get() = !storeCut && world.store.up
 
     fun standStill(ms: Long) {
-        standsUntil = world.now() + ms
+        standsStillUntil = world.now() + ms
     }
 
     /** The process does [work] after [ms], or once it goes on if it stands still then. */
     fun later(ms: Long, work: () -> Unit) {
-        world.after(ms) { if (stands) world.after(standsUntil - world.now(), work) else work() }
+        world.after(ms) { if (standsStill) world.after(standsStillUntil - world.now(), work) else work() }
     }
 
     fun start() {
         up = true
         unfit = null
         life++
-        standsUntil = 0L
+        standsStillUntil = 0L
         loaded = false
         val incarnation = "$label-$life"
         if (old) oldIncarnations.add(incarnation)
         val settings = world.settingsOf(index).let { if (old) it.copy(nextStoreLimits = null) else it }
         val limits = EffectiveLimits(settings.storeLimits, settings.nextStoreLimits)
         val gateway = SimGateway(world, this, life, limits, incarnation)
-        controller =
+        process =
             Controller(settings, world.tuning, clock, gateway, limits, incarnation, RolloutOptions(registry(), desired))
         runOnce(life)
         watch(life)
@@ -121,12 +121,12 @@
     fun crash() {
         up = false
         life++
-        controller = null
+        process = null
     }
 
     private fun runOnce(of: Int) {
         if (life != of) return
-        controller?.runOnce()
+        process?.runOnce()
         recordHealth()
         later(TICK_MS) { runOnce(of) }
     }
@@ -135,16 +135,16 @@
 
     private fun recordHealth() {
         val recorder = world.recorder ?: return
-        val healthy = controller?.healthy() ?: false
+        val healthy = process?.healthy() ?: false
         if (healthy != recordedHealth) recorder.record(world.now(), label, "health", mapOf("healthy" to healthy))
         recordedHealth = healthy
     }
 
     private fun watch(of: Int) {
         if (life != of) return
-        val c = controller ?: return
-        fun again() = later(WATCH_MS * world.stateSlow) { watch(of) }
-        if (!hearsState) {
+        val c = process ?: return
+        fun again() = later(WATCH_MS * world.storeSlowness) { watch(of) }
+        if (!reachesStore) {
             again()
         } else if (loaded) {
             follow(c)
@@ -185,13 +185,13 @@
     private fun visible(path: String, value: Fields): Fields = if (old) asBeforeRollouts(path, value) else value
 
     private fun follow(c: Controller) {
-        val state = world.state
-        val news = state.since(watchedTo)
+        val store = world.store
+        val news = store.since(watchedTo)
         if (news == null) {
             loaded = false
             return
         }
-        watchedTo = state.revision
+        watchedTo = store.revision
         val clusterNews = news.filter { it.path.startsWith(Keys.CLUSTER) && isVisible(it.path) }
         c.cluster.watchResults.onClusterEvents(
             clusterNews.map {
@@ -201,18 +201,18 @@
             world.now(),
         )
         if (world.now() < jobsDue) return
-        val jobNews = state.since(jobsWatchedTo)
+        val jobNews = store.since(jobsWatchedTo)
         if (jobNews == null) {
             loaded = false
             return
         }
         jobsDue = world.now() + jobsLagMs
-        jobsWatchedTo = state.revision
+        jobsWatchedTo = store.revision
         c.cluster.watchResults.onJobEvents(
             jobNews.filter {
                 it.path.startsWith(Keys.JOBS)
             },
-            state.revision,
+            store.revision,
             world.now(),
         )
     }
@@ -223,24 +223,24 @@
         var revision = -1L
         fun page(after: String?) {
             if (life != of) return
-            if (!hearsState) {
+            if (!reachesStore) {
                 done(null, 0L)
                 return
             }
-            val page = world.state.page(prefix, after)
-            if (revision < 0) revision = world.state.revision
+            val page = world.store.page(prefix, after)
+            if (revision < 0) revision = world.store.revision
             items.addAll(page.items)
             world.rolloutRules.read(this, page.items.map { it.path to it.value })
-            if (page.more) later(PAGE_MS * world.stateSlow) { page(items.last().path) } else done(items, revision)
+            if (page.more) later(PAGE_MS * world.storeSlowness) { page(items.last().path) } else done(items, revision)
         }
         page(null)
     }
 
     fun ask(jobId: String, question: (Controller, (UserAnswer) -> Unit) -> Unit, done: (UserAnswer) -> Unit = {}) {
         val asked = life
-        val known = jobId in world.rules.told
+        val known = jobId in world.rules.publishedStages
         later(0) {
-            val c = controller?.takeIf { life == asked } ?: return@later
+            val c = process?.takeIf { life == asked } ?: return@later
             question(c) {
                 world.recorder?.record(world.now(), label, "user $jobId ${it.status} ${it.retryAfterS}", it.toFields())
                 world.rules.answered(jobId, it, known)
@@ -251,7 +251,7 @@
 
     fun receive(message: PeerMessage) {
         val receiving = life
-        later(PEER_MS) { if (life == receiving) controller?.onPeerMessage(message) }
+        later(PEER_MS) { if (life == receiving) process?.onPeerMessage(message) }
     }
 
     companion object {
--- a/src/test/kotlin/io/reedmast/sim/SimGang.kt
+++ b/src/test/kotlin/io/reedmast/sim/SimGang.kt
@@ -28,7 +28,7 @@
     private var phase = Phase.WAITING
     private var startedAt = 0L
     private var firstStopAt = 0L
-    private val told = HashSet<Int>()
+    private val publishedStages = HashSet<Int>()
 
     /** The task has its image. */
     fun ready(member: Member) {
@@ -104,13 +104,13 @@
                 }
             }
         }
-        told.add(task)
+        publishedStages.add(task)
         members[task]?.show(TaskState.SAVING)
         return true
     }
 
     private fun save(progress: Long) {
-        if (phase != Phase.STOPPING || told.size < members.size) return
+        if (phase != Phase.STOPPING || publishedStages.size < members.size) return
         phase = Phase.OVER
         job.savedMs = progress
         members.values.toList().forEach { it.exit(Cause.HALTED) }
--- a/src/test/kotlin/io/reedmast/sim/SimGateway.kt
+++ b/src/test/kotlin/io/reedmast/sim/SimGateway.kt
@@ -29,49 +29,55 @@
 import io.reedmast.wire.WorkerReplies
 import kotlin.random.Random
 
-/** All I/O of one process of a [SimNode], its life number [life]: what it gets back depends on the world's troubles. */
+/** All I/O of one process of a [SimController], its life number [life]: what it gets back depends on the world's troubles. */
 class SimGateway(
     private val world: World,
-    private val node: SimNode,
+    private val controller: SimController,
     private val life: Int,
     private val limits: EffectiveLimits,
     incarnation: String,
 ) : Gateway {
-    private val state get() = world.state
-    private val slow get() = world.stateSlow
+    private val store get() = world.store
+    private val slow get() = world.storeSlowness
     private val writeLimiter = WriteRateLimiter(world.writesPerS, world::now)
     private val queue = CommitQueue(limits.target, writeLimiter, MAX_SUBMISSIONS_QUEUED, world::now)
     private val ids = TransactionIds(incarnation)
-    private val jitter = Random(life * 31 + node.index)
+    private val jitter = Random(life * 31 + controller.index)
     private var idleCommitters = COMMITTERS
     private var waiting = false
 
     override var isAvailable = true
         private set
 
-    private val reachable: Boolean get() = node.hearsState && node.life == life
+    private val reachable: Boolean get() = controller.reachesStore && controller.life == life
 
     private fun record(kind: String, body: Fields) {
-        world.recorder?.record(world.now(), node.label, kind, body)
+        world.recorder?.record(world.now(), controller.label, kind, body)
     }
 
     private fun <T> reply(ms: Long, done: (T) -> Unit, make: () -> T) = world.after(ms) {
         // What was answered while the process stood still is as old as the answer.
-        if (node.life == life) make().let { made -> node.later(0) { if (node.life == life) done(made) } }
+        if (controller.life ==
+            life
+        ) {
+            make().let { made -> controller.later(0) { if (controller.life == life) done(made) } }
+        }
     }
 
     // ---- the store --------------------------------------------------------------------------------------------
 
     override fun commit(transaction: CasTransaction, refusable: Boolean): Boolean {
-        if (node.old && transaction.writes.any { it.path == Keys.FORMAT }) return true
-        if (!queue.offer(if (node.old) asBeforeRollouts(transaction) else transaction, refusable)) return false
+        if (controller.old && transaction.writes.any { it.path == Keys.FORMAT }) return true
+        if (!queue.offer(if (controller.old) asBeforeRollouts(transaction) else transaction, refusable)) return false
         drain()
         return true
     }
 
     private fun asBeforeRollouts(change: CasTransaction) = CasTransaction(
         change.preconditions.filter { it.path != Keys.ROLLOUT },
-        change.writes.map { if (it is Write.Put) it.copy(value = SimNode.asBeforeRollouts(it.path, it.value)) else it },
+        change.writes.map {
+            if (it is Write.Put) it.copy(value = SimController.asBeforeRollouts(it.path, it.value)) else it
+        },
         change.writePriority,
         change.done,
     )
@@ -91,9 +97,9 @@
                 is CommitQueue.Polled.Wait -> {
                     if (!waiting) {
                         waiting = true
-                        node.later(polled.forMs) {
+                        controller.later(polled.forMs) {
                             waiting = false
-                            if (node.life == life) drain()
+                            if (controller.life == life) drain()
                         }
                     }
                     return
@@ -106,8 +112,8 @@
 
     private fun resolve(resolution: InDoubtResolution) {
         when (val step = resolution.next()) {
-            is ResolutionStep.Send -> node.later(step.afterMs) {
-                if (node.life == life) {
+            is ResolutionStep.Send -> controller.later(step.afterMs) {
+                if (controller.life == life) {
                     send(step.transaction) {
                         isAvailable = it !is CommitReply.NotExecuted && it !is CommitReply.Unknown
                         if (it is CommitReply.Malformed && limits.exceedsOnlyReduced(step.transaction)) limits.reduce()
@@ -118,8 +124,8 @@
                 }
             }
 
-            is ResolutionStep.Read -> node.later(step.afterMs) {
-                if (node.life == life) {
+            is ResolutionStep.Read -> controller.later(step.afterMs) {
+                if (controller.life == life) {
                     get(step.path) {
                         resolution.read(it)
                         resolve(resolution)
@@ -147,40 +153,40 @@
 
     private fun send(transaction: StoreTransaction, done: (CommitReply) -> Unit) {
         record(transaction)
-        val late = node.lateCommitMs
-        if (late > 0L && transaction.writes.any { node.lateCommitOf in it.path }) {
-            node.lateCommitMs = 0L
+        val late = controller.lateCommitMs
+        if (late > 0L && transaction.writes.any { controller.lateCommitOf in it.path }) {
+            controller.lateCommitMs = 0L
             world.after(late) {
-                val outcome = state.commit(transaction)
+                val outcome = store.commit(transaction)
                 reply(ANSWER_MS, done) { outcome }
             }
             return
         }
-        val lost = node.loseAnswerOf
+        val lost = controller.loseAnswerOf
         if (lost != null && transaction.writes.any { lost in it.path }) {
-            node.loseAnswerOf = null
-            world.after(SEND_MS * slow) { if (reachable) state.commit(transaction) }
+            controller.loseAnswerOf = null
+            world.after(SEND_MS * slow) { if (reachable) store.commit(transaction) }
             reply(COMMIT_PATIENCE_MS, done) { CommitReply.Unknown }
             return
         }
         val chance = world.random.nextDouble()
         when {
             chance < world.lateWrites -> {
-                world.after(world.random.nextLong(LATE_FROM_MS, LATE_TO_MS)) { if (state.up) state.commit(transaction) }
+                world.after(world.random.nextLong(LATE_FROM_MS, LATE_TO_MS)) { if (store.up) store.commit(transaction) }
                 reply(COMMIT_PATIENCE_MS, done) { CommitReply.Unknown }
             }
 
             chance < world.lateWrites + world.lostAnswers -> {
-                world.after(SEND_MS * slow) { if (reachable) state.commit(transaction) }
+                world.after(SEND_MS * slow) { if (reachable) store.commit(transaction) }
                 reply(COMMIT_PATIENCE_MS, done) { CommitReply.Unknown }
             }
 
-            else -> node.later(SEND_MS * slow) {
-                if (node.life != life) return@later
-                if (node.stateCut) {
+            else -> controller.later(SEND_MS * slow) {
+                if (controller.life != life) return@later
+                if (controller.storeCut) {
                     reply(COMMIT_PATIENCE_MS, done) { CommitReply.Unknown }
                 } else {
-                    val outcome = if (state.up) state.commit(transaction) else CommitReply.NotExecuted
+                    val outcome = if (store.up) store.commit(transaction) else CommitReply.NotExecuted
                     reply(ANSWER_MS, done) { outcome }
                 }
             }
@@ -193,7 +199,7 @@
             if (!reachable) {
                 ReadResult.Failed
             } else {
-                state.get(path)?.let { ReadResult.Found(node.visible(it)) }
+                store.get(path)?.let { ReadResult.Found(controller.visible(it)) }
                     ?: ReadResult.Missing
             }
         }
@@ -201,7 +207,7 @@
 
     override fun list(prefix: String, done: (List<StoredItem>?) -> Unit) {
         record("list $prefix", emptyMap())
-        reply(LIST_MS * slow, { _: Unit -> node.list(life, prefix) { items, _ -> done(items) } }) {}
+        reply(LIST_MS * slow, { _: Unit -> controller.list(life, prefix) { items, _ -> done(items) } }) {}
     }
 
     override fun writePermitLevel(): Double = writeLimiter.permitLevel()
@@ -211,8 +217,8 @@
         reply(GET_MS, done) {
             when {
                 !reachable -> LeaseState.Unknown
-                lease == null -> LeaseState.Held(state.lease(lifeMs), true)
-                state.extend(lease, lifeMs) -> LeaseState.Held(lease, false)
+                lease == null -> LeaseState.Held(store.lease(lifeMs), true)
+                store.extend(lease, lifeMs) -> LeaseState.Held(lease, false)
                 else -> LeaseState.Lost
             }
         }
@@ -225,25 +231,27 @@
     // --------------------------------------------------------------------------------
 
     override fun broadcast(message: PeerMessage) {
-        world.nodes.filter { it.index != node.index }.forEach { send(ControllerId(it.index), message) }
+        world.controllers.filter { it.index != controller.index }.forEach { send(ControllerId(it.index), message) }
     }
 
     override fun send(peer: ControllerId, message: PeerMessage) {
-        val to = world.nodes[peer.value]
-        world.recorder?.record(world.now(), "${node.label} to ${to.label}", message)
-        if (!node.peersCut && !to.peersCut) to.receive(message)
+        val to = world.controllers[peer.value]
+        world.recorder?.record(world.now(), "${controller.label} to ${to.label}", message)
+        if (!controller.peersCut && !to.peersCut) to.receive(message)
     }
 
     override fun call(addr: String, token: Long, epoch: Long, commands: List<WorkerCommand>, done: (Reply) -> Unit) {
         world.messages++
         record("direct $addr", WorkerReplies.directCall(token, epoch, commands))
         val worker = world.workerAt(addr)
-        val late = node.lateDirectMs
-        node.lateDirectMs = 0L
+        val late = controller.lateDirectMs
+        controller.lateDirectMs = 0L
         when {
-            worker == null || node.workersCut || worker.cut -> reply(NO_ROUTE_MS, done) { Reply.NotSent("no route") }
+            worker == null || controller.workersCut || worker.cut -> reply(NO_ROUTE_MS, done) {
+                Reply.NotSent("no route")
+            }
 
-            worker.deaf -> reply(DIRECT_PATIENCE_MS, done) { Reply.Unanswered("deaf") }
+            worker.unreachable -> reply(DIRECT_PATIENCE_MS, done) { Reply.Unanswered("deaf") }
 
             late > 0L -> {
                 world.after(late) { worker.direct(token, epoch, commands) }
@@ -255,8 +263,8 @@
                 reply(DIRECT_PATIENCE_MS, done) { Reply.Unanswered("hung") }
             }
 
-            else -> node.later(DIRECT_MS) {
-                if (node.life != life) return@later
+            else -> controller.later(DIRECT_MS) {
+                if (controller.life != life) return@later
                 val answer = worker.direct(token, epoch, commands)
                 if (world.repeatDirectMs >
                     0L
@@ -270,7 +278,7 @@
 
     override fun end(reason: String) {
         record("end", emptyMap())
-        node.endUnfit(reason)
+        controller.endUnfit(reason)
     }
 
     override fun expectMachines(count: Int) = Unit
--- a/src/test/kotlin/io/reedmast/sim/SimOperator.kt
+++ b/src/test/kotlin/io/reedmast/sim/SimOperator.kt
@@ -29,8 +29,8 @@
         override fun commit(change: CasTransaction) {
             val transaction = StoreTransaction("operator-${++transactions}", change.preconditions, change.writes)
             val outcome = when (
-                val reply = if (world.state.up) {
-                    world.state.commit(
+                val reply = if (world.store.up) {
+                    world.store.commit(
                         transaction,
                     )
                 } else {
@@ -45,30 +45,30 @@
         }
 
         override fun get(path: String, done: (ReadResult) -> Unit) = done(
-            world.state.get(path)?.let {
+            world.store.get(path)?.let {
                 ReadResult.Found(it)
             } ?: ReadResult.Missing,
         )
 
         override fun list(prefix: String, done: (List<StoredItem>?) -> Unit) =
-            done(if (world.state.up) world.state.all(prefix) else null)
+            done(if (world.store.up) world.store.all(prefix) else null)
 
         override fun writePermitLevel(): Double = 1.0
     }
 
     private fun administration(): RolloutAdministration {
-        val configured = world.nodes.mapTo(HashSet()) { it.label }
+        val configured = world.controllers.mapTo(HashSet()) { it.label }
         return RolloutAdministration(
             ClusterFeatures.registry,
             configured,
-            StoredClusterRecords(world.nodes.size),
+            StoredClusterRecords(world.controllers.size),
             world::wall,
             store,
         )
     }
 
     /**
-     * `WISH FEATURE`, or `exclude`, `include`, `drain`, `undrain`, `ready` with a node; `refused=WORD` if it must be,
+     * `WISH FEATURE`, or `exclude`, `include`, `drain`, `undrain`, `ready` with a controller; `refused=WORD` if it must be,
      * for a reason with that word.
      */
     fun act(words: List<String>) {
@@ -125,8 +125,8 @@
 
     /** The forms in which pages, or the token counter, are stored. */
     fun formsOf(what: String): Set<String> = when (what) {
-        "pages" -> world.state.all("page/").mapTo(HashSet()) { if (DensePages.isDense(it.value)) "dense" else "plain" }
-        "token" -> world.state.all(Keys.TOKEN).mapTo(HashSet()) { if ("fencedToken" in it.value) "fenced" else "open" }
+        "pages" -> world.store.all("page/").mapTo(HashSet()) { if (DensePages.isDense(it.value)) "dense" else "plain" }
+        "token" -> world.store.all(Keys.TOKEN).mapTo(HashSet()) { if ("fencedToken" in it.value) "fenced" else "open" }
         else -> error("nothing has the form of $what")
     }
 }
--- a/src/test/kotlin/io/reedmast/sim/SimWorker.kt
+++ b/src/test/kotlin/io/reedmast/sim/SimWorker.kt
@@ -29,7 +29,7 @@
     private val tasks = LinkedHashMap<Pair<TaskId, Long>, Task>()
     private val images = HashSet<String>()
     private val resumed = ArrayList<() -> Unit>()
-    private var node = 0
+    private var controller = 0
     private var epoch = 1L
     private var sequence = 0L
     private var seenToken = 0L
@@ -41,22 +41,22 @@
     var hung = false
         private set
 
-    /** Nothing passes between this machine and any node. */
+    /** Nothing passes between this machine and any controller. */
     var cut = false
 
     /** Answers to reports are lost as long as this is set. */
     var answersLost = false
 
     /** Neither answers nor commands reach this machine, while its reports arrive. */
-    var deaf = false
+    var unreachable = false
 
-    /** No report of it reaches any node, while direct commands reach it. */
-    var mute = false
+    /** No report of it reaches any controller, while direct commands reach it. */
+    var cannotReport = false
 
     /** Every task fails here soon after it has started. */
-    var sick = false
+    var unhealthy = false
 
-    /** Each report comes once more, this much later, to every node; 0: none does. */
+    /** Each report comes once more, this much later, to every controller; 0: none does. */
     var copiesAfterMs = 0L
     var started = false
         private set
@@ -64,7 +64,7 @@
     fun onMachine(): List<TaskId> = if (gone) emptyList() else tasks.values.filter { it.ran }.map { it.id }
 
     /** Up, and nothing wrong with it. */
-    val alive: Boolean get() = started && !gone && !hung && !cut && !deaf && !mute && !sick
+    val alive: Boolean get() = started && !gone && !hung && !cut && !unreachable && !cannotReport && !unhealthy
 
     /** Tasks that take room here, whether they have begun to run or not. */
     fun held(): List<TaskId> = if (gone) {
@@ -162,16 +162,16 @@
         val sentIn = epoch
         reportDue = world.now() + 3_000
         val status = status()
-        val target = world.nodes[node]
+        val target = world.controllers[controller]
         if (copiesAfterMs >
             0L
         ) {
-            world.after(copiesAfterMs) { world.nodes.filter { it.up }.forEach { world.workerAnswer(it, status) } }
+            world.after(copiesAfterMs) { world.controllers.filter { it.up }.forEach { world.workerAnswer(it, status) } }
         }
         world.after(2) {
-            val reaches = target.up && !target.workersCut && !cut && !mute
+            val reaches = target.up && !target.workersCut && !cut && !cannotReport
             val answer = if (reaches) world.workerAnswer(target, status) else null
-            if (answersLost || deaf || answer == null) {
+            if (answersLost || unreachable || answer == null) {
                 world.after(if (target.up) 4_000 else 10) { next(1_000) }
             } else {
                 world.after(2) { take(answer, sentAt, sentIn) }
@@ -180,7 +180,7 @@
     }
 
     private fun next(ms: Long) {
-        node = (node + 1) % world.nodes.size
+        controller = (controller + 1) % world.controllers.size
         reportDue = world.now() + ms
         inFlight = false
     }
@@ -204,11 +204,11 @@
             }
 
             is WorkerAnswer.Elsewhere -> {
-                val to = world.nodes.indexOfFirst { it.label == answer.label }
-                if (to < 0 || to == node) {
+                val to = world.controllers.indexOfFirst { it.label == answer.label }
+                if (to < 0 || to == controller) {
                     next(1_000)
                 } else {
-                    node = to
+                    controller = to
                     reportDue = world.now() + 100
                 }
             }
@@ -300,12 +300,12 @@
         world.rules.started(this, task.id, task.attempt)
         when {
             task.id.task in job.completed && !job.spec.service -> later(1, task) { end(task, Cause.DONE) }
-            sick && job.spec.gang -> {
+            unhealthy && job.spec.gang -> {
                 gangOf(task)?.ready(GangMember(task))
                 later(200, task) { end(task, Cause.ERROR) }
             }
             job.spec.gang -> gangOf(task)?.ready(GangMember(task))
-            sick || job.fails -> later(200, task) { end(task, Cause.ERROR) }
+            unhealthy || job.fails -> later(200, task) { end(task, Cause.ERROR) }
             !job.spec.service -> later(job.runMs, task) {
                 job.complete(task.id.task)
                 end(task, Cause.DONE)
--- a/src/test/kotlin/io/reedmast/sim/TestSettings.kt
+++ b/src/test/kotlin/io/reedmast/sim/TestSettings.kt
@@ -8,9 +8,9 @@
 import io.reedmast.settings.TeamShare
 import io.reedmast.settings.WorkerRules
 
-/** Settings of controller n0 among [nodes], with one team and one zone, for tests of one class alone. */
+/** Settings of controller n0 among [controllers], with one team and one zone, for tests of one class alone. */
 fun testSettings(
-    nodes: List<String> = listOf("n0"),
+    controllers: List<String> = listOf("n0"),
     team: TeamShare = TeamShare("a", 8.0, 12.0, 0.0, 0.0),
     storeLimits: StoreLimits = StoreLimits(100.0, 50.0, 8192, 16),
     nextStoreLimits: StoreLimits? = null,
@@ -18,7 +18,7 @@
     label = "n0",
     front = World.address(0, 8080),
     clusterListen = World.address(0, 8081),
-    members = nodes.mapIndexed { i, label -> Member(label, World.address(i, 8081)) },
+    members = controllers.mapIndexed { i, label -> Member(label, World.address(i, 8081)) },
     self = ControllerId(0),
     cloudAddress = "10.2.0.2:1",
     storeAddress = "10.2.0.1:1",
--- a/src/test/kotlin/io/reedmast/sim/World.kt
+++ b/src/test/kotlin/io/reedmast/sim/World.kt
@@ -20,7 +20,7 @@
 /** A deterministic world: simulated time, a store, a cloud, workers and users, around real controllers. */
 class World(
     val settingsOf: (Int) -> Settings,
-    nodes: Int,
+    controllerCount: Int,
     var machineTypes: List<MachineType>,
     val tuning: Tuning = Tuning(),
 ) : Clock {
@@ -29,10 +29,10 @@
     private var time = 1_000L
     private var sequence = 0L
     private val events = PriorityQueue<Event>(compareBy<Event>({ it.at }, { it.sequence }))
-    val state = SimStore(this)
+    val store = SimStore(this)
     val workers = LinkedHashMap<String, SimWorker>()
     private val workersByAddr = HashMap<String, SimWorker>()
-    val nodes = (0 until nodes).map { SimNode(this, it) }
+    val controllers = (0 until controllerCount).map { SimController(this, it) }
     val jobs = HashMap<String, SimJob>()
     val rules = RuleChecker(this)
     val rolloutRules = RolloutRules(this)
@@ -47,7 +47,7 @@
     var capacity = Int.MAX_VALUE
 
     /** How many times longer the store takes than usual. */
-    var stateSlow = 1L
+    var storeSlowness = 1L
 
     /** HeartbeatHandler and direct commands that have arrived somewhere. */
     var messages = 0
@@ -61,7 +61,7 @@
     /** The share of transactions that are carried out at once and get no answer. */
     var lostAnswers = 0.0
 
-    /** How many changes a second the nodes allow themselves together; the store refuses more if it is told to. */
+    /** How many changes a second the controllers allow themselves together; the store refuses more if it is told to. */
     var writesPerS = UNLIMITED
 
     /** Since when no trouble is left. */
@@ -108,7 +108,7 @@
 
     private val unavailableZones = HashSet<String>()
 
-    fun darken(zone: String, on: Boolean) {
+    fun cutZone(zone: String, on: Boolean) {
         if (on) unavailableZones.add(zone) else unavailableZones.remove(zone)
         workers.values.filter { it.zone == zone }.forEach { it.cut = on }
     }
@@ -167,7 +167,7 @@
     companion object {
         private const val UNLIMITED = 1e9
 
-        fun address(node: Int, port: Int) = InetSocketAddress("10.0.0.${node + 1}", port)
+        fun address(controller: Int, port: Int) = InetSocketAddress("10.0.0.${controller + 1}", port)
 
         fun spec(jobId: String, args: Map<String, String>) = JobSpec(
             jobId = jobId,
@@ -193,22 +193,27 @@
         )
     }
 
-    fun workerAnswer(node: SimNode, status: WorkerStatus): WorkerAnswer? {
+    fun workerAnswer(controller: SimController, status: WorkerStatus): WorkerAnswer? {
         messages++
-        if (node.stands) {
+        if (controller.standsStill) {
             // It is read once the process goes on, and the answer finds nobody.
-            node.later(0) { node.controller?.onHeartbeat(status) }
+            controller.later(0) { controller.process?.onHeartbeat(status) }
             return null
         }
-        return node.controller?.onHeartbeat(status)?.also { record(node, status, it) }
+        return controller.process?.onHeartbeat(status)?.also { record(controller, status, it) }
     }
 
-    private fun record(node: SimNode, status: WorkerStatus, answer: WorkerAnswer) {
+    private fun record(controller: SimController, status: WorkerStatus, answer: WorkerAnswer) {
         val body = when (answer) {
             is WorkerAnswer.Commands -> WorkerReplies.heartbeatReply(answer.token, answer.commands)
             is WorkerAnswer.Elsewhere -> WorkerReplies.redirect(answer.label)
             WorkerAnswer.Unavailable -> emptyMap()
         }
-        recorder?.record(time, node.label, "worker ${status.machineName} ${status.epoch}/${status.sequence}", body)
+        recorder?.record(
+            time,
+            controller.label,
+            "worker ${status.machineName} ${status.epoch}/${status.sequence}",
+            body,
+        )
     }
 }
