--- /dev/null
+++ b/src/main/kotlin/io/reedmast/app/CloudGateway.kt
@@ -0,0 +1,120 @@
+package io.reedmast.app
+
+import com.google.common.util.concurrent.RateLimiter
+import io.reedmast.ports.Cloud
+import io.reedmast.ports.ProvisioningRequest
+import io.reedmast.ports.ProvisioningResult
+import io.reedmast.settings.Settings
+import io.reedmast.wire.HttpCaller
+import io.reedmast.wire.CloudMessages
+import io.reedmast.wire.Fields
+import io.reedmast.wire.ListedMachine
+import io.reedmast.wire.MachineType
+import io.reedmast.wire.MalformedException
+import io.reedmast.wire.Reply
+import org.slf4j.LoggerFactory
+import java.net.HttpURLConnection
+import java.util.concurrent.TimeUnit
+
+/** The cloud over the network, kept within this controller's part of the cloud's rate limit. */
+internal class CloudGateway(private val settings: Settings, private val calls: AsyncCalls) : Cloud {
+    private val log = LoggerFactory.getLogger("cloud")
+    private val pool = WorkPool("cloud", THREADS, MAX_QUEUED_CALLS)
+    private val caller = HttpCaller(CONNECT_MS, READ_MS)
+    private val rateLimiter = RateLimiter.create(settings.cloudLimits.requestsPerS / settings.members.size)
+
+    /** Sets this controller's part of the rate limit. The leader rents and lists; the others only return machines. */
+    fun shareLimit(aliveControllers: Int, leading: Boolean) {
+        val part = when {
+            aliveControllers == 1 -> 1.0
+            leading -> LEADERS_PART
+            else -> (1.0 - LEADERS_PART) / (aliveControllers - 1)
+        }
+        rateLimiter.rate = settings.cloudLimits.requestsPerS * part * SAFETY_FACTOR
+    }
+
+    override fun provision(request: ProvisioningRequest, done: (ProvisioningResult) -> Unit) {
+        val body =
+            CloudMessages.rental(request.requestName, request.typeName, request.zone, request.spot, request.count)
+        calls.call(pool, { provisioningResult(ask("POST", "/machines", body)) }, ProvisioningResult.Failed, done)
+    }
+
+    private fun provisioningResult(reply: Reply): ProvisioningResult {
+        if (reply !is Reply.Answer) return ProvisioningResult.Failed
+        return when (reply.status) {
+            HttpURLConnection.HTTP_OK ->
+                parseOrNull { ProvisioningResult.Machines(CloudMessages.rentedMachines(reply.body)) }
+                    ?: ProvisioningResult.Failed
+            HttpURLConnection.HTTP_UNAVAILABLE ->
+                if (CloudMessages.isOutOfCapacity(reply.body)) {
+                    ProvisioningResult.NoCapacity
+                } else {
+                    ProvisioningResult.Failed
+                }
+            HttpURLConnection.HTTP_BAD_REQUEST -> ProvisioningResult.NoCapacity
+            else -> ProvisioningResult.Failed
+        }
+    }
+
+    override fun returnMachines(machineNames: List<String>, done: (Boolean) -> Unit) = calls.call(
+        pool,
+        { okAnswer(ask("POST", "/machines/return", CloudMessages.returnOf(machineNames))) != null },
+        false,
+        done,
+        STALE_RETURN_MS,
+    )
+
+    override fun listMachines(done: (List<ListedMachine>?) -> Unit) = calls.call(pool, ::readAllMachines, null, done)
+
+    private fun readAllMachines(): List<ListedMachine>? {
+        val machines = ArrayList<ListedMachine>()
+        while (true) {
+            val after = machines.lastOrNull()?.let { "after=${it.name}&" }.orEmpty()
+            val answer = okAnswer(ask("GET", "/machines?${after}most=$MACHINES_PER_PAGE")) ?: return null
+            val hasMore = parseOrNull {
+                machines.addAll(CloudMessages.listedMachines(answer.body))
+                CloudMessages.hasMore(answer.body)
+            } ?: return null
+            if (!hasMore) return machines
+        }
+    }
+
+    override fun machineTypes(done: (List<MachineType>?) -> Unit) = calls.call(pool, ::readMachineTypes, null, done)
+
+    private fun readMachineTypes(): List<MachineType>? {
+        val answer = okAnswer(ask("GET", "/flavors")) ?: return null
+        return parseOrNull { MachineType.parseAll(answer.body) }
+    }
+
+    private fun okAnswer(reply: Reply): Reply.Answer? =
+        (reply as? Reply.Answer)?.takeIf { it.status == HttpURLConnection.HTTP_OK }
+
+    private fun ask(method: String, path: String, body: Fields? = null): Reply {
+        if (!rateLimiter.tryAcquire(MAX_PERMIT_WAIT_S, TimeUnit.SECONDS)) {
+            return Reply.NotSent("over this controller's part of the limit")
+        }
+        val reply = caller.call(method, settings.cloudAddress, path, body)
+        if (okAnswer(reply) == null) log.info("{} {}: {}", method, path, reply)
+        return reply
+    }
+
+    private inline fun <T> parseOrNull(parse: () -> T): T? = try {
+        parse()
+    } catch (e: MalformedException) {
+        log.error("cloud: malformed answer: {}", e.message)
+        log.debug("cloud: malformed answer", e)
+        null
+    }
+
+    private companion object {
+        const val THREADS = 2
+        const val MAX_QUEUED_CALLS = 40
+        const val CONNECT_MS = 2000
+        const val READ_MS = 6000
+        const val MAX_PERMIT_WAIT_S = 10L
+        const val MACHINES_PER_PAGE = 500
+        const val LEADERS_PART = 0.6
+        const val SAFETY_FACTOR = 0.95
+        const val STALE_RETURN_MS = 15_000L
+    }
+}
--- a/src/main/kotlin/io/reedmast/app/Controller.kt
+++ b/src/main/kotlin/io/reedmast/app/Controller.kt
@@ -88,9 +88,7 @@
             return WorkerAnswer.Elsewhere(cluster.shardOfMachine(status.machineName)?.let { cluster.ownerOf(it) })
         }
         val owner = cluster.owners[shard]
-        if (owner == null ||
-            owner.dropped
-        ) {
+        if (owner == null || owner.dropped) {
             return WorkerAnswer.Elsewhere(cluster.redirectTarget(shard, status.machineName, status.addr))
         }
         // While the shard is still being read, the answer shows the worker our token and renews its lease.
--- a/src/main/kotlin/io/reedmast/app/ControllerHandle.kt
+++ b/src/main/kotlin/io/reedmast/app/ControllerHandle.kt
@@ -8,7 +8,7 @@
 import io.reedmast.wire.WorkerStatus
 import org.slf4j.LoggerFactory
 
-/** What the threads at the door and at the watches may ask of the deciding thread. */
+/** What the threads of the HTTP server, the peers and the watches may ask of the deciding thread. */
 class ControllerHandle(
     private val eventLoop: EventLoop,
     private val controller: Controller,
@@ -35,9 +35,7 @@
         controller.runOnce()
         timings.runOnce()
         val healthy = controller.healthy()
-        if (healthy !=
-            healthyNow
-        ) {
+        if (healthy != healthyNow) {
             log.info(if (healthy) "healthy" else "not healthy: {}", controller.cluster.staleness.describe())
         }
         healthyNow = healthy
--- a/src/main/kotlin/io/reedmast/app/DirectStore.kt
+++ b/src/main/kotlin/io/reedmast/app/DirectStore.kt
@@ -1,10 +1,10 @@
 package io.reedmast.app
 
+import io.reedmast.kvstore.ListResult
 import io.reedmast.kvstore.CasTransaction
 import io.reedmast.kvstore.CommitOutcome
 import io.reedmast.kvstore.Committer
 import io.reedmast.kvstore.EffectiveLimits
-import io.reedmast.kvstore.ListResult
 import io.reedmast.kvstore.ReadResult
 import io.reedmast.kvstore.StoreClient
 import io.reedmast.kvstore.StoredItem
@@ -12,22 +12,23 @@
 import io.reedmast.rollout.RolloutStore
 import io.reedmast.settings.Settings
 import io.reedmast.wire.HttpCaller
+import org.slf4j.LoggerFactory
 import java.util.concurrent.CompletableFuture
 import java.util.concurrent.TimeUnit
 import java.util.concurrent.TimeoutException
 
 /** The store for a command that runs beside the controllers: each call answers before it returns. */
 class DirectStore(settings: Settings, incarnation: String) : RolloutStore {
+    private val log = LoggerFactory.getLogger("store")
     private val limits = EffectiveLimits(settings.storeLimits, settings.nextStoreLimits)
 
     /** It takes a controller's part of the limits for the moment that it runs. */
-    private val client =
-        StoreClient(settings.storeAddress, limits, settings.members.size, HttpCaller(CONNECT_MS, READ_MS))
+    private val client = StoreClient(settings.storeAddress, limits, settings.members.size, HttpCaller(CONNECT_MS, READ_MS))
     private val committer =
         Committer(client, limits, MAX_QUEUED, TransactionIds(incarnation)) { change, outcome -> change.done(outcome) }
 
     init {
-        NetworkGateway.startThread("commit", committer::run)
+        startThread("commit", committer::run)
     }
 
     override fun commit(change: CasTransaction) {
@@ -39,10 +40,11 @@
             refusable = false,
         )
         val outcome = try {
-            answered.get(PATIENCE_S, TimeUnit.SECONDS)
+            answered.get(TIMEOUT_S, TimeUnit.SECONDS)
         } catch (e: TimeoutException) {
+            log.debug("no answer to a transaction", e)
             CommitOutcome.Refused(
-                "the store has not answered within $PATIENCE_S s; the change may yet be made, see the status",
+                "the store has not answered within $TIMEOUT_S s; the change may yet be made, see the status",
             )
         }
         change.done(outcome)
@@ -50,8 +52,7 @@
 
     override fun get(path: String, done: (ReadResult) -> Unit) = done(client.get(path))
 
-    override fun list(prefix: String, done: (List<StoredItem>?) -> Unit) =
-        done((client.list(prefix) as? ListResult.Listing)?.items)
+    override fun list(prefix: String, done: (List<StoredItem>?) -> Unit) = done((client.list(prefix) as? ListResult.Listing)?.items)
 
     override fun writePermitLevel(): Double = client.writeLimiter.permitLevel()
 
@@ -59,6 +60,6 @@
         const val CONNECT_MS = 800
         const val READ_MS = 2_500
         const val MAX_QUEUED = 4
-        const val PATIENCE_S = 30L
+        const val TIMEOUT_S = 30L
     }
 }
--- a/src/main/kotlin/io/reedmast/app/EventLoop.kt
+++ b/src/main/kotlin/io/reedmast/app/EventLoop.kt
@@ -32,7 +32,9 @@
     /** Messages since the last tick. */
     private var messages = 0
     private var nextTick = clock.now()
-    private var served = 0
+
+    /** How often work was taken from the queues. */
+    private var polls = 0
 
     /** False if there is too much to do already. */
     fun offer(urgency: Urgency, work: () -> Unit): Boolean = enqueue(urgency, work, maxQueued)
@@ -42,12 +44,12 @@
         enqueue(Urgency.DECISION, work, Int.MAX_VALUE)
     }
 
-    private fun enqueue(urgency: Urgency, work: () -> Unit, most: Int): Boolean {
+    private fun enqueue(urgency: Urgency, work: () -> Unit, maxQueued: Int): Boolean {
         synchronized(lock) {
             messages++
             if (deciding || queued > 0 || clock.now() >= nextTick) {
                 val queue = queues[urgency.ordinal]
-                if (queue.size >= most) return false
+                if (queue.size >= maxQueued) return false
                 queue.add(work)
                 queued++
                 if (!deciding) lock.notify()
@@ -85,13 +87,13 @@
         }
     }
 
-    /** The most urgent work that waits, or null when a tick is due; the desk is the caller's until it has decided. */
+    /** The most urgent work that waits, or null when a tick is due; no other thread decides until the caller has run it. */
     private fun next(tickMs: Long, idleMs: Long): (() -> Unit)? {
         synchronized(lock) {
             while (true) {
                 val wait = nextTick - clock.now()
                 if (!deciding) {
-                    val work = waiting(wait <= 0)
+                    val work = pollQueues(wait <= 0)
                     if (work != null || wait <= 0) {
                         deciding = true
                         if (work == null) {
@@ -107,10 +109,10 @@
         }
     }
 
-    private fun waiting(runDue: Boolean): (() -> Unit)? {
+    private fun pollQueues(runDue: Boolean): (() -> Unit)? {
         if (queued == 0) return null
         // Now and then the last come first: under lasting overload no question of a user would be answered at all.
-        val order = if (++served % LAST_FIRST_EACH == 0) queues.asReversed() else queues
+        val order = if (++polls % POLLS_PER_REVERSAL == 0) queues.asReversed() else queues
         for (queue in order) {
             // A tick is a decision, and comes before those that wait.
             if (runDue && order === queues && queue !== queues[Urgency.REPORT.ordinal]) return null
@@ -122,6 +124,7 @@
     }
 
     private companion object {
-        const val LAST_FIRST_EACH = 8
+        /** Every so many polls the queues are looked through from the least urgent one. */
+        const val POLLS_PER_REVERSAL = 8
     }
 }
--- a/src/main/kotlin/io/reedmast/app/HttpApi.kt
+++ b/src/main/kotlin/io/reedmast/app/HttpApi.kt
@@ -16,6 +16,7 @@
 import org.http4k.core.Response
 import org.http4k.core.Status
 import org.http4k.server.HttpExchangeHandler
+import org.slf4j.LoggerFactory
 import java.nio.ByteBuffer
 import java.util.concurrent.CompletableFuture
 import java.util.concurrent.Semaphore
@@ -28,6 +29,7 @@
  * Submissions and polls may hold only part of the threads, so that reports of workers always find one.
  */
 class HttpApi(private val settings: Settings, private val handle: ControllerHandle, private val timings: Timings) {
+    private val log = LoggerFactory.getLogger("http")
     private val submissions = Semaphore(SUBMISSIONS_AT_ONCE)
     private val questions = Semaphore(QUESTIONS_AT_ONCE)
 
@@ -72,20 +74,24 @@
 
     private fun onHeartbeat(request: Request): Response = reading(request) { fields ->
         val status = WorkerStatus.parse(fields)
-        val answer = await(WORKER_PATIENCE_MS) { handle.onHeartbeat(status, it) }
-        when (answer) {
-            null, WorkerAnswer.Unavailable -> Response(Status.SERVICE_UNAVAILABLE)
-            is WorkerAnswer.Commands -> cbor(Status.OK, WorkerReplies.heartbeatReply(answer.token, answer.commands))
-            is WorkerAnswer.Elsewhere -> cbor(MISDIRECTED, WorkerReplies.redirect(answer.label))
+        when (val awaited = await<WorkerAnswer>(WORKER_TIMEOUT_MS) { handle.onHeartbeat(status, it) }) {
+            Awaited.Refused, Awaited.TimedOut -> Response(Status.SERVICE_UNAVAILABLE)
+            is Awaited.Answer -> workerResponse(awaited.value)
         }
     }
 
+    private fun workerResponse(answer: WorkerAnswer): Response = when (answer) {
+        WorkerAnswer.Unavailable -> Response(Status.SERVICE_UNAVAILABLE)
+        is WorkerAnswer.Commands -> cbor(Status.OK, WorkerReplies.heartbeatReply(answer.token, answer.commands))
+        is WorkerAnswer.Elsewhere -> cbor(MISDIRECTED, WorkerReplies.redirect(answer.label))
+    }
+
     private fun submit(request: Request): Response {
         if (!submissions.tryAcquire()) return busy()
         try {
             return reading(request) { fields ->
                 val spec = JobSpec.parse(fields)
-                user(await(USER_PATIENCE_MS) { handle.submit(spec, it) })
+                userResponse(await(SUBMISSION_TIMEOUT_MS) { handle.submit(spec, it) })
             }
         } finally {
             submissions.release()
@@ -97,42 +103,49 @@
         val id = if ('%' in encoded) "" else encoded
         if (!questions.tryAcquire()) return busy()
         try {
-            return timings.time("question") { user(await(QUESTION_PATIENCE_MS) { question(id, it) }) }
+            return timings.time("question") { userResponse(await(QUESTION_TIMEOUT_MS) { question(id, it) }) }
         } finally {
             questions.release()
         }
     }
 
-    private fun user(answer: UserAnswer?): Response {
-        if (answer == null) return Response(Status.GATEWAY_TIMEOUT).header("Retry-After", "1")
+    private fun userResponse(awaited: Awaited<UserAnswer>): Response {
+        if (awaited !is Awaited.Answer) return Response(Status.GATEWAY_TIMEOUT).header("Retry-After", "1")
+        val answer = awaited.value
         val response = cbor(Status(answer.status, ""), answer.toFields())
-        return if (answer.retryAfterS ==
-            null
-        ) {
-            response
-        } else {
-            response.header("Retry-After", answer.retryAfterS.toString())
-        }
+        val retryAfterS = answer.retryAfterS ?: return response
+        return response.header("Retry-After", retryAfterS.toString())
     }
 
     private fun busy() = Response(Status.TOO_MANY_REQUESTS).header("Retry-After", "1")
 
-    /** Null if the deciding thread has too much to do, or gives no answer in time. */
-    private fun <T : Any> await(scaleInDelayMs: Long, ask: ((T) -> Unit) -> Boolean): T? {
+    /** What came of a question to the deciding thread. */
+    private sealed interface Awaited<out T> {
+        data class Answer<T>(val value: T) : Awaited<T>
+
+        /** The deciding thread has too much to do already. */
+        data object Refused : Awaited<Nothing>
+
+        data object TimedOut : Awaited<Nothing>
+    }
+
+    /** Has [ask] put a question to the deciding thread, and waits up to [timeoutMs] milliseconds for its answer. */
+    private fun <T : Any> await(timeoutMs: Long, ask: ((T) -> Unit) -> Boolean): Awaited<T> {
         val future = CompletableFuture<T>()
-        if (!ask { future.complete(it) }) return null
+        if (!ask { future.complete(it) }) return Awaited.Refused
         return try {
-            future.get(scaleInDelayMs, TimeUnit.MILLISECONDS)
+            Awaited.Answer(future.get(timeoutMs, TimeUnit.MILLISECONDS))
         } catch (e: TimeoutException) {
-            null
+            log.debug("no answer within {} ms", timeoutMs, e)
+            Awaited.TimedOut
         }
     }
 
     private inline fun reading(request: Request, use: (Fields) -> Response): Response {
         val length = request.header("Content-Length")?.toLongOrNull()
-        if (length != null && length > MAX_BODY) return tooLarge()
-        val bytes = request.body.stream.readNBytes(MAX_BODY + 1)
-        if (bytes.size > MAX_BODY) return tooLarge()
+        if (length != null && length > MAX_BODY_BYTES) return tooLarge()
+        val bytes = request.body.stream.readNBytes(MAX_BODY_BYTES + 1)
+        if (bytes.size > MAX_BODY_BYTES) return tooLarge()
         return try {
             use(Tree.readCbor(bytes))
         } catch (e: MalformedException) {
@@ -149,7 +162,7 @@
         const val JOB_PREFIX = "/submissions/"
         const val ABORT = "/abort"
         val MISDIRECTED = Status(421, "Misdirected Request")
-        const val MAX_BODY = 64 * 1024
+        const val MAX_BODY_BYTES = 64 * 1024
         const val IDLE_PART = 0.85
         const val SERVED_PART = 0.9
         const val BACKLOG = 512
@@ -162,8 +175,8 @@
          * thousands of times.
          */
         const val QUESTIONS_AT_ONCE = 56
-        const val WORKER_PATIENCE_MS = 3_000L
-        const val USER_PATIENCE_MS = 4_500L
-        const val QUESTION_PATIENCE_MS = 1_900L
+        const val WORKER_TIMEOUT_MS = 3_000L
+        const val SUBMISSION_TIMEOUT_MS = 4_500L
+        const val QUESTION_TIMEOUT_MS = 1_900L
     }
 }
--- a/src/main/kotlin/io/reedmast/app/Main.kt
+++ b/src/main/kotlin/io/reedmast/app/Main.kt
@@ -135,13 +135,13 @@
             SystemClock.wall(),
             36,
         )}-${java.lang.Long.toString(System.nanoTime(), 36)}"
-        val out = NetworkGateway(settings, eventLoop, client, limits, incarnation, ::endUnfit)
+        val gateway = NetworkGateway.create(settings, eventLoop, client, limits, incarnation, ::endUnfit)
         val controller =
             Controller(
                 settings,
                 Tuning(window, protectCap, resize, totals, idle),
                 SystemClock,
-                out,
+                gateway,
                 limits,
                 incarnation,
                 rolloutOptions,
@@ -157,16 +157,16 @@
                     handle::onPeerMessage,
                 )
             val listening = peers.open()
-            NetworkGateway.startThread("peers") { peers.run(listening) }
+            startThread("peers") { peers.run(listening) }
         } catch (e: IOException) {
             unusable(
                 "cannot listen on front ${settings.front} or cluster_listen ${settings.clusterListen}: ${e.message}",
             )
         }
-        out.start()
+        gateway.start()
         Watches(client, SystemClock, handle).start()
         log.info("controller {}: listens on {}", settings.label, settings.front)
-        val deciding = NetworkGateway.startThread("event-loop") {
+        val deciding = startThread("event-loop") {
             eventLoop.run(RUN_INTERVAL_MS, IDLE_RUN_INTERVAL_MS, handle::runOnce)
         }
         val limit = rehearse
--- a/src/main/kotlin/io/reedmast/app/Watches.kt
+++ b/src/main/kotlin/io/reedmast/app/Watches.kt
@@ -1,79 +1,103 @@
 package io.reedmast.app
 
-import io.reedmast.kvstore.Keys
 import io.reedmast.kvstore.ListResult
+import io.reedmast.kvstore.Keys
 import io.reedmast.kvstore.StoreClient
+import io.reedmast.kvstore.StoredItem
+import io.reedmast.kvstore.WatchEvent
 import io.reedmast.kvstore.WatchResult
 import io.reedmast.ports.Clock
 import java.util.concurrent.ThreadLocalRandom
 
-/** The two watches on the store: on the cluster's few keys, and on the records under job ids. */
+/**
+ * The two watches on the store: on the cluster's few keys, and on the records under job ids. Each has a thread of its
+ * own, which runs until the process ends.
+ */
 class Watches(private val client: StoreClient, private val clock: Clock, private val handle: ControllerHandle) {
-    fun start() {
-        NetworkGateway.startThread("watch-cluster", ::followCluster)
-        NetworkGateway.startThread("watch-jobs", ::followJobs)
-    }
+    /**
+     * One watch.
+     *
+     * @property listedPrefix the keys that are read when the watch begins, and again after a gap
+     * @property watchedPrefix the keys whose changes are then asked for
+     * @property minIntervalMs the least time between two requests for changes
+     * @property holdMs how long the store may hold a request for changes open while there are none
+     */
+    private class Watch(
+        val listedPrefix: String,
+        val watchedPrefix: String,
+        val minIntervalMs: Long,
+        val holdMs: () -> Int,
+        val onSnapshot: (items: List<StoredItem>, revision: Long, askedAt: Long) -> Unit,
+        val onEvents: (events: List<WatchEvent>, revision: Long, askedAt: Long) -> Unit,
+    )
 
-    private fun followCluster() {
-        while (true) {
-            var askedAt = clock.now()
-            val listing = client.list(Keys.CLUSTER) as? ListResult.Listing
-            if (listing == null) {
-                pause()
-                continue
-            }
-            handle.snapshot(listing.items, listing.revision, askedAt)
-            var after = listing.revision
-            while (true) {
-                askedAt = clock.now()
-                val watched = client.watch(Keys.CLUSTER, after, HOLD_MS)
-                if (watched is WatchResult.Compacted) break
-                if (watched is WatchResult.Events) {
-                    handle.clusterEvents(watched.events, watched.revision, askedAt)
-                    after = maxOf(after, watched.revision)
-                } else {
-                    pause()
-                }
-            }
-        }
-    }
+    private val clusterWatch = Watch(
+        Keys.CLUSTER,
+        Keys.CLUSTER,
+        minIntervalMs = 0L,
+        holdMs = { CLUSTER_HOLD_MS },
+        handle::snapshot,
+        handle::clusterEvents,
+    )
 
     /**
      * Every question of a user waits for the next answer of the watch on jobs, and all that came before it share one
      * request to the store: while somebody waits, the watch asks again and again. Otherwise it waits for a change, but
      * never so long that the next question would wait for it in vain.
      */
-    private fun followJobs() {
+    private val jobsWatch = Watch(
+        Keys.LIVE,
+        Keys.JOBS,
+        minIntervalMs = JOBS_INTERVAL_MS,
+        holdMs = { if (handle.questionsWait()) 0 else JOBS_HOLD_MS },
+        handle::jobsSnapshot,
+        handle::jobEvents,
+    )
+
+    /** Starts the threads of both watches. */
+    fun start() {
+        startThread("watch-cluster") { run(clusterWatch) }
+        startThread("watch-jobs") { run(jobsWatch) }
+    }
+
+    private fun run(watch: Watch) {
         while (true) {
-            var askedAt = clock.now()
-            val listing = client.list(Keys.LIVE) as? ListResult.Listing
+            val askedAt = clock.now()
+            val listing = client.list(watch.listedPrefix) as? ListResult.Listing
             if (listing == null) {
                 pause()
                 continue
             }
-            handle.jobsSnapshot(listing.items, listing.revision, askedAt)
-            var after = listing.revision
-            while (true) {
-                val remainingMs = askedAt + JOBS_EVERY_MS - clock.now()
-                if (remainingMs > 0) Thread.sleep(remainingMs)
-                askedAt = clock.now()
-                val watched = client.watch(Keys.JOBS, after, if (handle.questionsWait()) 0 else JOBS_HOLD_MS)
-                if (watched is WatchResult.Compacted) break
-                if (watched is WatchResult.Events) {
-                    handle.jobEvents(watched.events, watched.revision, askedAt)
-                    after = maxOf(after, watched.revision)
-                } else {
-                    pause()
+            watch.onSnapshot(listing.items, listing.revision, askedAt)
+            followUntilCompacted(watch, listing.revision, askedAt)
+        }
+    }
+
+    /** Hands on the changes after [revision]; returns when the store no longer keeps those that are asked for. */
+    private fun followUntilCompacted(watch: Watch, revision: Long, listedAt: Long) {
+        var after = revision
+        var askedAt = listedAt
+        while (true) {
+            val remainingMs = askedAt + watch.minIntervalMs - clock.now()
+            if (remainingMs > 0) Thread.sleep(remainingMs)
+            askedAt = clock.now()
+            when (val result = client.watch(watch.watchedPrefix, after, watch.holdMs())) {
+                WatchResult.Compacted -> return
+                WatchResult.Failed -> pause()
+                is WatchResult.Events -> {
+                    watch.onEvents(result.events, result.revision, askedAt)
+                    after = maxOf(after, result.revision)
                 }
             }
         }
     }
 
+    /** Of random length, so that controllers that lost the store together do not come back to it together. */
     private fun pause() = Thread.sleep(PAUSE_MS + ThreadLocalRandom.current().nextLong(PAUSE_MS))
 
     private companion object {
-        const val HOLD_MS = 1_500
-        const val JOBS_EVERY_MS = 120L
+        const val CLUSTER_HOLD_MS = 1_500
+        const val JOBS_INTERVAL_MS = 120L
         const val JOBS_HOLD_MS = 800
         const val PAUSE_MS = 200L
     }
--- a/src/main/kotlin/io/reedmast/app/WorkPool.kt
+++ b/src/main/kotlin/io/reedmast/app/WorkPool.kt
@@ -8,21 +8,23 @@
 import java.util.concurrent.TimeUnit
 
 /**
- * At most [most] threads and [queued] tasks that wait for one. The thread that became idle last works next.
+ * At most [maxThreads] daemon threads and [maxQueued] tasks that wait for one; a task beyond both is refused with a
+ * [RejectedExecutionException]. The thread that became idle last works next. A thread ends after a time without work,
+ * so that a pool needs no closing.
  *
  * With a common queue each task goes to the thread that has been idle longest: dozens of threads then take turns at
  * what one could do, each with its own cold stack and its own piece of the heap.
  */
-class WorkPool(name: String, most: Int, queued: Int) :
+class WorkPool(name: String, maxThreads: Int, maxQueued: Int) :
     ThreadPoolExecutor(
         0,
-        most,
+        maxThreads,
         IDLE_S,
         TimeUnit.SECONDS,
         SynchronousQueue(),
         ThreadFactoryBuilder().setNameFormat("$name-%d").setDaemon(true).build(),
     ) {
-    private val overflow = ArrayBlockingQueue<Runnable>(queued)
+    private val overflow = ArrayBlockingQueue<Runnable>(maxQueued)
 
     init {
         setRejectedExecutionHandler { task, _ ->
--- a/src/test/kotlin/io/reedmast/app/SocketTest.kt
+++ b/src/test/kotlin/io/reedmast/app/SocketTest.kt
@@ -11,8 +11,8 @@
 import io.reedmast.ports.PeerMessage
 import io.reedmast.settings.Settings
 import io.reedmast.settings.Tuning
-import io.reedmast.wire.Fields
 import io.reedmast.wire.HttpCaller
+import io.reedmast.wire.Fields
 import io.reedmast.wire.Tree
 import org.junit.jupiter.api.AfterAll
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -88,14 +88,14 @@
         val eventLoop = EventLoop(SystemClock, 100)
         val limits = EffectiveLimits(settings.storeLimits, settings.nextStoreLimits)
         val client = StoreClient(settings.storeAddress, limits, 1, HttpCaller(500, 1000))
-        val out = NetworkGateway(settings, eventLoop, client, limits, "test") {}
+        val out = NetworkGateway.create(settings, eventLoop, client, limits, "test") {}
         val timings = Timings(SystemClock)
         val node =
             ControllerHandle(eventLoop, Controller(settings, Tuning(), SystemClock, out, limits, "test"), timings)
         HttpApi(settings, node, timings).start()
         out.start()
         Watches(client, SystemClock, node).start()
-        NetworkGateway.startThread("test-desk") { eventLoop.run(50, 50, node::runOnce) }
+        startThread("test-desk") { eventLoop.run(50, 50, node::runOnce) }
         val patience = System.nanoTime() + 10_000_000_000L
         while (call("GET", "/healthz", null).first != 200 && System.nanoTime() < patience) Thread.sleep(50)
     }
@@ -226,7 +226,7 @@
     @Test
     fun `after a gap in the watch, jobs are read anew`() {
         synchronized(this) {
-            // Accepted by another controller, and no longer among the changes that are kept.
+            // Accepted by another node, and no longer among the changes that are kept.
             revision++
             stored["j/live/0/wk-000009"] =
                 mapOf("spec" to job + ("ref" to "wk-000009"), "chunk" to 10, "at" to 1) to revision
