--- /dev/null
+++ b/src/main/kotlin/io/reedmast/app/SystemClock.kt
@@ -0,0 +1,11 @@
+package io.reedmast.app
+
+import io.reedmast.ports.Clock
+import java.util.concurrent.TimeUnit
+
+/** The clocks of this machine. */
+internal object SystemClock : Clock {
+    override fun now(): Long = TimeUnit.NANOSECONDS.toMillis(System.nanoTime())
+
+    override fun wall(): Long = System.currentTimeMillis()
+}
--- a/src/main/kotlin/io/reedmast/app/RolloutCommand.kt
+++ b/src/main/kotlin/io/reedmast/cli/RolloutCommand.kt
@@ -1,4 +1,4 @@
-package io.reedmast.app
+package io.reedmast.cli
 
 import com.github.ajalt.clikt.core.Context
 import com.github.ajalt.clikt.core.CoreCliktCommand
@@ -18,39 +18,58 @@
 import io.reedmast.rollout.Readiness
 import io.reedmast.rollout.RolloutAdministration
 import io.reedmast.rollout.RolloutStatus
+import io.reedmast.rollout.RolloutStore
 import io.reedmast.rollout.Target
 import io.reedmast.rollout.isDraining
 import io.reedmast.settings.Settings
 import java.time.Instant
 
-/** An act was refused, or a controller is not ready to be stopped. */
-private const val EXIT_REFUSED = 1
+/**
+ * Opens the store for one command, which is named by its incarnation in what it writes. Calls of the store answer
+ * before they return.
+ */
+typealias StoreOpener = (settings: Settings, incarnation: String) -> RolloutStore
 
-/** `reedmast rollout`: questions and acts of operators, carried out through the store. */
-class RolloutCommand : CoreCliktCommand("rollout") {
+/** `reedmast rollout`: questions and acts of operators, carried out through the store that [openStore] opens. */
+class RolloutCommand(openStore: StoreOpener) : CoreCliktCommand("rollout") {
     init {
         subcommands(
-            StatusCommand(),
-            WishCommand("enable", Target.ENABLED, "Enable a feature as soon as every controller understands it"),
-            WishCommand(
+            StatusCommand(openStore),
+            TargetCommand(
+                openStore,
+                "enable",
+                Target.ENABLED,
+                "Enable a feature as soon as every controller understands it",
+            ),
+            TargetCommand(
+                openStore,
                 "finalize",
                 Target.FINALIZED,
                 "Finalize a feature once all records are migrated; it cannot be taken back then",
             ),
-            WishCommand("revert", Target.DORMANT, "Take a feature back: migrated records get their old form again"),
-            ControllerCommand("exclude", "Do not count a controller that is silent") { name, act, done ->
+            TargetCommand(
+                openStore,
+                "revert",
+                Target.DORMANT,
+                "Take a feature back: migrated records get their old form again",
+            ),
+            ControllerCommand(openStore, "exclude", "Do not count a controller that is silent") { name, act, done ->
                 exclude(name, act, done)
             },
-            ControllerCommand("include", "Count an excluded controller again") { name, act, done ->
+            ControllerCommand(openStore, "include", "Count an excluded controller again") { name, act, done ->
                 include(name, act, done)
             },
-            ControllerCommand("drain", "Have a controller give its shards up before it is stopped") { name, act, done ->
+            ControllerCommand(openStore, "drain", "Have a controller give its shards up before it is stopped") {
+                    name,
+                    act,
+                    done,
+                ->
                 drain(name, act, done)
             },
-            ControllerCommand("undrain", "Have a drained controller take shards again") { name, _, done ->
+            ControllerCommand(openStore, "undrain", "Have a drained controller take shards again") { name, _, done ->
                 endDrain(name, done)
             },
-            ReadyCommand(),
+            ReadyCommand(openStore),
         )
     }
 
@@ -59,8 +78,12 @@
     override fun run() = Unit
 }
 
-/** What every command of this family has. */
-abstract class AdministrationCommand(name: String, private val helpText: String) : CoreCliktCommand(name) {
+/** What every subcommand of `reedmast rollout` has: the store, and how results are shown. */
+internal abstract class AdministrationCommand(
+    private val openStore: StoreOpener,
+    name: String,
+    private val helpText: String,
+) : CoreCliktCommand(name) {
     private val settings by requireObject<Settings>()
 
     override fun help(context: Context): String = helpText
@@ -75,13 +98,13 @@
             configured,
             records,
             System::currentTimeMillis,
-            DirectStore(settings, incarnation),
+            openStore(settings, incarnation),
         )
     }
 
     protected fun refuse(reason: String): Nothing {
         System.err.println("reedmast: $reason")
-        throw ProgramResult(EXIT_REFUSED)
+        throw ProgramResult(ExitCodes.REFUSED)
     }
 
     protected fun report(result: ActResult) = when (result) {
@@ -94,7 +117,8 @@
     }
 }
 
-private class StatusCommand : AdministrationCommand("status", "Print gates, migrations and controllers") {
+private class StatusCommand(openStore: StoreOpener) :
+    AdministrationCommand(openStore, "status", "Print gates, migrations and controllers") {
     override fun run() = administration().status { status ->
         if (status == null) refuse("the store does not answer, or its records cannot be read")
         lines(status).forEach(::println)
@@ -106,12 +130,9 @@
         val record = status.view.gates.record
         val state = status.snapshot.stateOf(feature.name, record).storedName
         val progress = status.snapshot.unitsOf(feature).mapNotNull { unit ->
-            status.view.progressOf(feature.name, unit)?.let {
-                unit.key to
-                    it.progress
-            }
+            status.view.progressOf(feature.name, unit)?.let { unit.key to it.progress }
         }
-        val migration = progress.joinToString("") { (unit, of) -> " [$unit: ${describe(of)}]" }
+        val migration = progress.joinToString("") { (unit, stored) -> " [$unit: ${describe(stored)}]" }
         "feature ${feature.name}: $state$migration" + status.waiting[feature.name]?.let { "; waits: $it" }.orEmpty()
     }
 
@@ -137,8 +158,8 @@
     }
 }
 
-private class WishCommand(name: String, private val target: Target, helpText: String) :
-    AdministrationCommand(name, helpText) {
+private class TargetCommand(openStore: StoreOpener, name: String, private val target: Target, helpText: String) :
+    AdministrationCommand(openStore, name, helpText) {
     private val feature by argument("FEATURE")
     private val by by option("--by", help = "Who asks for it").required()
     private val why by option("--why", help = "The reason, which is kept").required()
@@ -147,10 +168,11 @@
 }
 
 private class ControllerCommand(
+    openStore: StoreOpener,
     name: String,
     helpText: String,
     private val act: RolloutAdministration.(String, Act, (ActResult) -> Unit) -> Unit,
-) : AdministrationCommand(name, helpText) {
+) : AdministrationCommand(openStore, name, helpText) {
     private val controller by argument("CONTROLLER")
     private val by by option("--by", help = "Who asks for it").default("operator")
     private val why by option("--why", help = "The reason, which is kept").required()
@@ -158,8 +180,12 @@
     override fun run() = administration().act(controller, Act(by, why), ::report)
 }
 
-private class ReadyCommand :
-    AdministrationCommand("ready", "Say whether a controller may be stopped now: exit code 0, or 1 and the reasons") {
+private class ReadyCommand(openStore: StoreOpener) :
+    AdministrationCommand(
+        openStore,
+        "ready",
+        "Say whether a controller may be stopped now: exit code 0, or 1 and the reasons",
+    ) {
     private val controller by argument("CONTROLLER")
 
     override fun run() = administration().readiness(controller) { readiness ->
