--- a/src/main/kotlin/io/reedmast/app/EventLoop.kt
+++ b/src/main/kotlin/io/reedmast/app/EventLoop.kt
@@ -6,8 +6,13 @@
 
 /** What is done first when there is more to do than can be done. */
 enum class Urgency {
+    /** Heartbeats of workers, whose leases depend on the answers. */
     REPORT,
+
+    /** Results of the controller's own calls, watches and confirmations between controllers. */
     DECISION,
+
+    /** Requests of users, and what is for display only. */
     SUBMISSION,
 }
 
@@ -16,8 +21,8 @@
  * first.
  *
  * All state of the service is touched here alone. A thread that comes while nothing is being decided does its work
- * itself; otherwise the work is queued, and the deciding thread, which also ticks, does it. Handed over each time, a
- * report cost a dozen calls of the system for waking threads, which was most of its processor time.
+ * itself; otherwise the work is queued, and the deciding thread, which also runs the periodic duties, does it. Handed
+ * over each time, a heartbeat cost a dozen calls of the system for waking threads, which was most of its processor time.
  *
  * Queues for what comes from outside are bounded; results of the controller's own calls are not refused, since the
  * calls themselves are bounded.
@@ -29,17 +34,20 @@
     private var deciding = false
     private var queued = 0
 
-    /** Messages since the last tick. */
+    /** Messages since the last periodic run. */
     private var messages = 0
-    private var nextTick = clock.now()
+    private var nextRunAt = clock.now()
 
     /** How often work was taken from the queues. */
     private var polls = 0
 
-    /** False if there is too much to do already. */
+    /**
+     * Does [work], or queues it if other work is being done or waits. False if there is too much to do already: [work]
+     * is then never done.
+     */
     fun offer(urgency: Urgency, work: () -> Unit): Boolean = enqueue(urgency, work, maxQueued)
 
-    /** A result the controller has waited for. */
+    /** Does or queues [work], a result that the controller has waited for; it is never refused. */
     fun post(work: () -> Unit) {
         enqueue(Urgency.DECISION, work, Int.MAX_VALUE)
     }
@@ -47,7 +55,7 @@
     private fun enqueue(urgency: Urgency, work: () -> Unit, maxQueued: Int): Boolean {
         synchronized(lock) {
             messages++
-            if (deciding || queued > 0 || clock.now() >= nextTick) {
+            if (deciding || queued > 0 || clock.now() >= nextRunAt) {
                 val queue = queues[urgency.ordinal]
                 if (queue.size >= maxQueued) return false
                 queue.add(work)
@@ -70,40 +78,43 @@
         } finally {
             synchronized(lock) {
                 deciding = false
-                if (queued > 0 || clock.now() >= nextTick) lock.notify()
+                if (queued > 0 || clock.now() >= nextRunAt) lock.notify()
             }
         }
     }
 
     /**
-     * The body of the deciding thread: runs [runOnce] every [tickMs], or every [idleMs] while no messages come.
+     * The body of the deciding thread: runs [runOnce] every [intervalMs], or every [idleIntervalMs] while no messages come.
      *
-     * A tick costs little; forty of them a second through a quiet hour, in three processes, cost more than the work
-     * did.
+     * A run costs little; forty of them a second through a quiet hour, in three processes, cost more than the work
+     * did. Both intervals are in milliseconds; the thread ends when it is interrupted.
      */
-    fun run(tickMs: Long, idleMs: Long, runOnce: () -> Unit) {
+    fun run(intervalMs: Long, idleIntervalMs: Long, runOnce: () -> Unit) {
         while (!Thread.currentThread().isInterrupted) {
-            decide(next(tickMs, idleMs) ?: runOnce)
+            decide(next(intervalMs, idleIntervalMs) ?: runOnce)
         }
     }
 
-    /** The most urgent work that waits, or null when a tick is due; no other thread decides until the caller has run it. */
-    private fun next(tickMs: Long, idleMs: Long): (() -> Unit)? {
+    /**
+     * Waits for the most urgent work, or returns null when the periodic run is due. No other thread decides until the
+     * caller has run it.
+     */
+    private fun next(intervalMs: Long, idleIntervalMs: Long): (() -> Unit)? {
         synchronized(lock) {
             while (true) {
-                val wait = nextTick - clock.now()
+                val wait = nextRunAt - clock.now()
                 if (!deciding) {
                     val work = pollQueues(wait <= 0)
                     if (work != null || wait <= 0) {
                         deciding = true
                         if (work == null) {
-                            nextTick = clock.now() + if (messages > 0) tickMs else idleMs
+                            nextRunAt = clock.now() + if (messages > 0) intervalMs else idleIntervalMs
                             messages = 0
                         }
                         return work
                     }
                 }
-                // With a tick due, the end of what another thread decides wakes this one.
+                // With the periodic run due, the end of what another thread decides wakes this one.
                 lock.wait(maxOf(wait, 0L))
             }
         }
@@ -114,7 +125,7 @@
         // Now and then the last come first: under lasting overload no question of a user would be answered at all.
         val order = if (++polls % POLLS_PER_REVERSAL == 0) queues.asReversed() else queues
         for (queue in order) {
-            // A tick is a decision, and comes before those that wait.
+            // The periodic run is a decision, and comes before those that wait.
             if (runDue && order === queues && queue !== queues[Urgency.REPORT.ordinal]) return null
             val work = queue.poll() ?: continue
             queued--
--- a/src/main/kotlin/io/reedmast/app/Timings.kt
+++ b/src/main/kotlin/io/reedmast/app/Timings.kt
@@ -9,17 +9,17 @@
 class Timings(private val clock: Clock) {
     private val log = LoggerFactory.getLogger("timings")
     private val histograms = listOf("checkin", "submission", "question").associateWith {
-        ConcurrentHistogram(MAX_MS, DIGITS)
+        ConcurrentHistogram(MAX_MS, SIGNIFICANT_DIGITS)
     }
-    private var due = clock.now() + EVERY_MS
+    private var due = clock.now() + LOG_INTERVAL_MS
 
     /** Runs [work] and records its time under [kind]. */
     inline fun <T> time(kind: String, work: () -> T): T {
-        val begin = now()
+        val startedAt = now()
         try {
             return work()
         } finally {
-            record(kind, now() - begin)
+            record(kind, now() - startedAt)
         }
     }
 
@@ -31,27 +31,32 @@
         histograms[kind]?.recordValue(ms.coerceIn(0, MAX_MS))
     }
 
+    /** Logs and resets what was recorded, if a minute has passed since the last time. */
     fun runOnce() {
         if (clock.now() < due) return
-        due = clock.now() + EVERY_MS
+        due = clock.now() + LOG_INTERVAL_MS
         for ((kind, histogram) in histograms) {
-            val last: Histogram = histogram.copy()
+            val lastMinute: Histogram = histogram.copy()
             histogram.reset()
-            if (last.totalCount == 0L) continue
+            if (lastMinute.totalCount == 0L) continue
             log.info(
                 "{}: {} in a minute, ms p50 {} p99 {} max {}",
                 kind,
-                last.totalCount,
-                last.getValueAtPercentile(50.0),
-                last.getValueAtPercentile(99.0),
-                last.maxValue,
+                lastMinute.totalCount,
+                lastMinute.getValueAtPercentile(MEDIAN),
+                lastMinute.getValueAtPercentile(TAIL),
+                lastMinute.maxValue,
             )
         }
     }
 
     private companion object {
         const val MAX_MS = 60_000L
-        const val DIGITS = 2
-        const val EVERY_MS = 60_000L
+
+        /** Significant digits that are kept of a time. */
+        const val SIGNIFICANT_DIGITS = 2
+        const val MEDIAN = 50.0
+        const val TAIL = 99.0
+        const val LOG_INTERVAL_MS = 60_000L
     }
 }
--- a/src/main/kotlin/io/reedmast/deploy/RolloutFile.kt
+++ b/src/main/kotlin/io/reedmast/deploy/RolloutFile.kt
@@ -19,25 +19,27 @@
 import java.nio.file.Path
 
 /** The deploy file of the rollout cannot be used; the message says which part of it, and why. */
-class RolloutFileException(message: String) : Exception(message)
+class RolloutFileException(message: String, cause: Throwable? = null) : Exception(message, cause)
 
 /** The operators' file of desired features, checked against its schema and against what this binary knows. */
 object RolloutFile {
     private const val SCHEMA = "rollout.schema.json"
 
+    /** Reads [file]; throws [RolloutFileException] if it cannot be read or used. */
     fun load(file: Path, registry: FeatureRegistry): RolloutOptions {
         val text = try {
             Files.readString(file)
         } catch (e: IOException) {
-            throw RolloutFileException("cannot read rollout file $file: ${e.message}")
+            throw RolloutFileException("cannot read rollout file $file: ${e.message}", e)
         }
         return try {
             parse(text, registry)
         } catch (e: RolloutFileException) {
-            throw RolloutFileException("$file: ${e.message}")
+            throw RolloutFileException("$file: ${e.message}", e)
         }
     }
 
+    /** Reads [text] as a rollout file; throws [RolloutFileException] if it cannot be used. */
     fun parse(text: String, registry: FeatureRegistry): RolloutOptions {
         validate(text)
         val fields = Tree.readJson(text.toByteArray())
@@ -50,7 +52,7 @@
         val json = try {
             JsonParser(text).parse()
         } catch (e: JsonParseException) {
-            throw RolloutFileException("it is not JSON: ${e.message}")
+            throw RolloutFileException("it is not JSON: ${e.message}", e)
         }
         val failure = Validator.forSchema(SchemaLoader(schema()).load()).validate(json) ?: return
         throw RolloutFileException(describe(failure))
@@ -59,7 +61,7 @@
     private fun schema(): String {
         val resource =
             RolloutFile::class.java.getResourceAsStream(SCHEMA)
-                ?: throw IllegalStateException("$SCHEMA is not in this program")
+                ?: error("$SCHEMA is not in this program")
         return resource.use { it.readAllBytes().decodeToString() }
     }
 
@@ -75,19 +77,15 @@
         for ((name, target) in desired) {
             val feature = registry[name]
                 ?: throw RolloutFileException(
-                    "there is no feature $name; known are ${registry.inOrder.joinToString {
-                        it.name.value
-                    }}",
+                    "there is no feature $name; known are ${registry.inOrder.joinToString { it.name.value }}",
                 )
             if (target == Target.DORMANT) continue
             for (dependency in feature.dependsOn) {
-                val of = desired[dependency] ?: continue
-                if (of <
-                    target
-                ) {
+                val dependencyTarget = desired[dependency] ?: continue
+                if (dependencyTarget < target) {
                     throw RolloutFileException(
                         "$name cannot be ${target.storedName} while $dependency, " +
-                            "which it depends on, is ${of.storedName}",
+                            "which it depends on, is ${dependencyTarget.storedName}",
                     )
                 }
             }
--- a/src/main/kotlin/io/reedmast/peers/PeerClient.kt
+++ b/src/main/kotlin/io/reedmast/peers/PeerClient.kt
@@ -4,6 +4,7 @@
 import okio.IOException
 import okio.buffer
 import okio.sink
+import org.slf4j.LoggerFactory
 import java.net.InetSocketAddress
 import java.net.Socket
 import java.util.concurrent.TimeUnit
@@ -11,11 +12,14 @@
 /**
  * Sends messages to one other controller.
  *
- * News share a connection, which is opened anew now and then. All other messages get one of their own: a controller
+ * Status updates share a connection, which is opened anew now and then. All other messages get one of their own: a controller
  * that lost its power and came back leaves the old connection open here, and what is written to it is lost without an
  * error.
  */
 class PeerClient(private val address: InetSocketAddress) {
+    private val log = LoggerFactory.getLogger("peers")
+
+    /** An open connection and when it was opened, in nanoseconds of the steady clock. */
     private class Connection(val socket: Socket) {
         val openedAt: Long = System.nanoTime()
         val sink = socket.sink().apply { timeout().timeout(WRITE_MS, TimeUnit.MILLISECONDS) }.buffer()
@@ -24,12 +28,13 @@
 
     private var shared: Connection? = null
 
-    /** Sends [message]; false if the other controller cannot be reached now. */
+    /** Sends [message]; false if the other controller cannot be reached now. True does not mean that it arrived. */
     @Synchronized
     fun send(message: PeerMessage): Boolean = try {
         if (message is PeerMessage.ShardStatusUpdate) sendShared(message) else sendAlone(message)
         true
     } catch (e: IOException) {
+        log.debug("peer {}: a message is lost", address, e)
         false
     }
 
--- a/src/main/kotlin/io/reedmast/peers/PeerCodec.kt
+++ b/src/main/kotlin/io/reedmast/peers/PeerCodec.kt
@@ -12,18 +12,31 @@
 import okio.ByteString.Companion.encodeUtf8
 import okio.IOException
 
-/** Frames between controllers: the length, a byte for the message's type, then its fields. */
+/**
+ * The frames between controllers. All integers are big-endian.
+ *
+ * - A frame is its length in bytes (4 bytes, not counted itself), a byte for the message's type, then the fields in the
+ *   order in which they are written below, without names.
+ * - A text is its length in bytes (1 byte), then UTF-8; longer texts are cut at [MAX_TEXT_BYTES].
+ * - A status update is a sequence of entries up to the end of the frame, each with a byte for its kind; one that is too
+ *   large for a frame is sent as several messages.
+ */
 internal object PeerCodec {
-    private const val MAX_FRAME = 64 * 1024
-    private const val MAX_TEXT = 255
+    private const val MAX_FRAME_BYTES = 64 * 1024
+    private const val MAX_TEXT_BYTES = 255
+    private const val UNSIGNED_BYTE_MASK = 0xff
     private const val MAX_IMAGES = 255
+
+    /** Stands for the number of cancellations where there are too many to name. */
     private const val NO_CANCELLATION_LIST = -1
+
+    /** Stands for the age of the store's last answers where there never were any. */
     private const val NEVER_HEARD = -1L
 
-    private const val NEWS = 1
-    private const val QUERY = 2
-    private const val REPORT = 3
-    private const val TAKEOVER = 4
+    private const val STATUS_UPDATE = 1
+    private const val STATUS_QUERY = 2
+    private const val STATUS_REPORT = 3
+    private const val FAILOVER_REQUEST = 4
 
     private const val JOB_ENTRY = 1
     private const val MACHINE_ENTRY = 2
@@ -31,63 +44,64 @@
     /** Writes [message] in as many frames as it takes. */
     fun write(sink: BufferedSink, message: PeerMessage) {
         when (message) {
-            is PeerMessage.ShardStatusUpdate -> writeNews(sink, message)
-            is PeerMessage.StatusQuery -> writeQuery(sink, message)
-            is PeerMessage.StatusReport -> writeReport(sink, message)
-            is PeerMessage.FailoverRequest -> send(
+            is PeerMessage.ShardStatusUpdate -> writeStatusUpdate(sink, message)
+            is PeerMessage.StatusQuery -> writeStatusQuery(sink, message)
+            is PeerMessage.StatusReport -> writeStatusReport(sink, message)
+            is PeerMessage.FailoverRequest -> writeFrame(
                 sink,
-                Buffer().writeByte(TAKEOVER).writeInt(message.shard.value).writeLong(message.term),
+                Buffer().writeByte(FAILOVER_REQUEST).writeInt(message.shard.value).writeLong(message.term),
             )
         }
         sink.flush()
     }
 
-    private fun writeNews(sink: BufferedSink, update: PeerMessage.ShardStatusUpdate) {
-        var frame = Buffer().writeByte(NEWS)
+    private fun writeStatusUpdate(sink: BufferedSink, update: PeerMessage.ShardStatusUpdate) {
+        var frame = Buffer().writeByte(STATUS_UPDATE)
         fun add(entry: Buffer) {
-            if (frame.size + entry.size > MAX_FRAME) {
-                send(sink, frame)
-                frame = Buffer().writeByte(NEWS)
+            if (frame.size + entry.size > MAX_FRAME_BYTES) {
+                writeFrame(sink, frame)
+                frame = Buffer().writeByte(STATUS_UPDATE)
             }
             frame.write(entry, entry.size)
         }
         for (job in update.jobs) {
             add(
-                Buffer().writeByte(JOB_ENTRY).text(job.jobId).writeInt(job.done).writeInt(job.running),
+                Buffer().writeByte(JOB_ENTRY).writeText(job.jobId).writeInt(job.done).writeInt(job.running),
             )
         }
         for (hint in update.machines) add(machineEntry(hint))
-        send(sink, frame)
+        writeFrame(sink, frame)
     }
 
     private fun machineEntry(hint: MachineHint): Buffer {
         val images = hint.images.takeLast(MAX_IMAGES)
-        val entry = Buffer().writeByte(MACHINE_ENTRY).text(hint.machineName).text(hint.addr).writeByte(images.size)
-        images.forEach { (image, imageGb) -> entry.text(image).writeLong(imageGb.toRawBits()) }
+        val entry = Buffer().writeByte(MACHINE_ENTRY).writeText(hint.machineName).writeText(hint.addr)
+        entry.writeByte(images.size)
+        images.forEach { (image, imageGb) -> entry.writeText(image).writeLong(imageGb.toRawBits()) }
         return entry
     }
 
-    private fun writeQuery(sink: BufferedSink, query: PeerMessage.StatusQuery) {
-        val frame = Buffer().writeByte(QUERY)
-        send(sink, frame.writeInt(query.from.value).text(query.incarnation).writeLong(query.sequence))
+    private fun writeStatusQuery(sink: BufferedSink, query: PeerMessage.StatusQuery) {
+        val frame = Buffer().writeByte(STATUS_QUERY)
+        writeFrame(sink, frame.writeInt(query.from.value).writeText(query.incarnation).writeLong(query.sequence))
     }
 
-    private fun writeReport(sink: BufferedSink, report: PeerMessage.StatusReport) {
-        val frame = Buffer().writeByte(REPORT)
-        frame.writeInt(report.from.value).text(report.incarnation).writeLong(report.sequence)
+    private fun writeStatusReport(sink: BufferedSink, report: PeerMessage.StatusReport) {
+        val frame = Buffer().writeByte(STATUS_REPORT)
+        frame.writeInt(report.from.value).writeText(report.incarnation).writeLong(report.sequence)
         frame.writeLong(report.uptimeMs).writeLong(report.storeAgeMs ?: NEVER_HEARD)
         val cancellations = report.cancellations
         frame.writeInt(cancellations?.size ?: NO_CANCELLATION_LIST)
-        cancellations?.forEach { frame.text(it.jobId).writeLong(it.version) }
-        send(sink, frame)
+        cancellations?.forEach { frame.writeText(it.jobId).writeLong(it.version) }
+        writeFrame(sink, frame)
     }
 
-    private fun Buffer.text(text: String): Buffer {
-        val bytes = text.encodeUtf8().let { if (it.size > MAX_TEXT) it.substring(0, MAX_TEXT) else it }
+    private fun Buffer.writeText(text: String): Buffer {
+        val bytes = text.encodeUtf8().let { if (it.size > MAX_TEXT_BYTES) it.substring(0, MAX_TEXT_BYTES) else it }
         return writeByte(bytes.size).write(bytes)
     }
 
-    private fun send(sink: BufferedSink, frame: Buffer) {
+    private fun writeFrame(sink: BufferedSink, frame: Buffer) {
         sink.writeInt(frame.size.toInt())
         sink.write(frame, frame.size)
     }
@@ -95,23 +109,23 @@
     /** Reads the next frame; throws [IOException] if there is none or it makes no sense. */
     fun read(source: BufferedSource): PeerMessage {
         val size = source.readInt()
-        if (size !in 1..MAX_FRAME) throw IOException("a frame of $size bytes")
+        if (size !in 1..MAX_FRAME_BYTES) throw IOException("a frame of $size bytes")
         val frame = Buffer()
         source.readFully(frame, size.toLong())
-        return when (val type = frame.readSmall()) {
-            NEWS -> readNews(frame)
-            QUERY -> PeerMessage.StatusQuery(ControllerId(frame.readInt()), frame.readText(), frame.readLong())
-            REPORT -> readReport(frame)
-            TAKEOVER -> PeerMessage.FailoverRequest(ShardId(frame.readInt()), frame.readLong())
+        return when (val type = frame.readUnsignedByte()) {
+            STATUS_UPDATE -> readStatusUpdate(frame)
+            STATUS_QUERY -> PeerMessage.StatusQuery(ControllerId(frame.readInt()), frame.readText(), frame.readLong())
+            STATUS_REPORT -> readStatusReport(frame)
+            FAILOVER_REQUEST -> PeerMessage.FailoverRequest(ShardId(frame.readInt()), frame.readLong())
             else -> throw IOException("a message of type $type")
         }
     }
 
-    private fun readNews(frame: Buffer): PeerMessage.ShardStatusUpdate {
+    private fun readStatusUpdate(frame: Buffer): PeerMessage.ShardStatusUpdate {
         val jobs = ArrayList<JobProgress>()
         val machines = ArrayList<MachineHint>()
         while (!frame.exhausted()) {
-            when (val kind = frame.readSmall()) {
+            when (val kind = frame.readUnsignedByte()) {
                 JOB_ENTRY -> jobs.add(JobProgress(frame.readText(), frame.readInt(), frame.readInt()))
                 MACHINE_ENTRY -> machines.add(MachineHint(frame.readText(), frame.readText(), readImages(frame)))
                 else -> throw IOException("an entry of kind $kind")
@@ -120,12 +134,10 @@
         return PeerMessage.ShardStatusUpdate(jobs, machines)
     }
 
-    private fun readImages(frame: Buffer) = List(frame.readSmall()) {
-        frame.readText() to
-            Double.fromBits(frame.readLong())
-    }
+    private fun readImages(frame: Buffer): List<Pair<String, Double>> =
+        List(frame.readUnsignedByte()) { frame.readText() to Double.fromBits(frame.readLong()) }
 
-    private fun readReport(frame: Buffer): PeerMessage.StatusReport {
+    private fun readStatusReport(frame: Buffer): PeerMessage.StatusReport {
         val from = ControllerId(frame.readInt())
         val incarnation = frame.readText()
         val sequence = frame.readLong()
@@ -137,7 +149,7 @@
         return PeerMessage.StatusReport(from, incarnation, sequence, uptimeMs, storeAgeMs, cancellations)
     }
 
-    private fun Buffer.readText(): String = readUtf8(readSmall().toLong())
+    private fun Buffer.readText(): String = readUtf8(readUnsignedByte().toLong())
 
-    private fun Buffer.readSmall(): Int = readByte().toInt() and 0xff
+    private fun Buffer.readUnsignedByte(): Int = readByte().toInt() and UNSIGNED_BYTE_MASK
 }
--- a/src/main/kotlin/io/reedmast/peers/PeerServer.kt
+++ b/src/main/kotlin/io/reedmast/peers/PeerServer.kt
@@ -11,20 +11,26 @@
 import java.util.concurrent.Executor
 import java.util.concurrent.RejectedExecutionException
 
-/** Receives the messages of the other controllers, each connection on a thread of [connections]. */
+/**
+ * Receives the messages of the other controllers, each connection on a thread of [connections]. A connection is closed
+ * when [connections] has no thread for it, when nothing comes for a minute, and at the first frame that makes no sense.
+ *
+ * @param onMessage gets each message, on the connection's thread
+ */
 class PeerServer(
     private val address: InetSocketAddress,
     private val connections: Executor,
-    private val received: (PeerMessage) -> Unit,
+    private val onMessage: (PeerMessage) -> Unit,
 ) {
     private val log = LoggerFactory.getLogger("peers")
 
-    /** Opens the port; the accepting loop is [run]. */
+    /** Opens the port; throws [IOException] if it is not free. The accepting loop is [run]. */
     fun open(): ServerSocket = ServerSocket().apply {
         reuseAddress = true
         bind(address)
     }
 
+    /** Accepts connections on [server] for ever; returns never. */
     fun run(server: ServerSocket) {
         while (true) {
             val socket =
@@ -38,6 +44,7 @@
             try {
                 connections.execute { serve(socket) }
             } catch (e: RejectedExecutionException) {
+                log.debug("peer connection: no thread is free for it", e)
                 socket.close()
             }
         }
@@ -46,9 +53,9 @@
     private fun serve(socket: Socket) {
         socket.use {
             try {
-                socket.soTimeout = IDLE_MS
+                socket.soTimeout = MAX_IDLE_MS
                 val source = socket.source().buffer()
-                while (true) received(PeerCodec.read(source))
+                while (true) onMessage(PeerCodec.read(source))
             } catch (e: IOException) {
                 log.debug("peer connection: closed: {}", e.message)
             }
@@ -56,7 +63,7 @@
     }
 
     private companion object {
-        const val IDLE_MS = 60_000
+        const val MAX_IDLE_MS = 60_000
         const val ACCEPT_PAUSE_MS = 500L
     }
 }
--- a/src/main/kotlin/io/reedmast/ports/LeaseState.kt
+++ b/src/main/kotlin/io/reedmast/ports/LeaseState.kt
@@ -2,9 +2,12 @@
 
 /** A lease of this controller after an attempt to renew it, or to get a new one. */
 sealed interface LeaseState {
+    /** The lease is valid; [isNew] if this attempt created it. */
     data class Held(val lease: Long, val isNew: Boolean) : LeaseState
 
+    /** The store says that the lease has ended. */
     data object Lost : LeaseState
 
+    /** The store did not answer: the lease may or may not have been created or renewed. */
     data object Unknown : LeaseState
 }
--- a/src/main/kotlin/io/reedmast/ports/PeerMessage.kt
+++ b/src/main/kotlin/io/reedmast/ports/PeerMessage.kt
@@ -3,7 +3,7 @@
 import io.reedmast.settings.ControllerId
 import io.reedmast.settings.ShardId
 
-/** How far a job is, as its shard's owner knows it. */
+/** How far a job is, as its shard's owner knows it: how many of its tasks are [done], and how many are [running]. */
 data class JobProgress(val jobId: String, val done: Int, val running: Int)
 
 /** A job that its user has cancelled and that is not over yet, with the version of the record that says so. */
@@ -11,10 +11,10 @@
 
 /** A message between controllers. Every one of them may be lost, delayed or repeated without harm. */
 sealed interface PeerMessage {
-    /** What an owner tells of its shard's jobs, for display, and of its machines, as hints for a takeover. */
+    /** What an owner publishes of its shard's jobs, for display, and of its machines, as hints for a failover. */
     data class ShardStatusUpdate(val jobs: List<JobProgress>, val machines: List<MachineHint>) : PeerMessage
 
-    /** The owner of [shard] under [term] hears nearly none of its workers: another controller should take the shard. */
+    /** The owner of [shard] under [term] gets heartbeats of nearly none of its workers: another controller should acquire it. */
     data class FailoverRequest(val shard: ShardId, val term: Long) : PeerMessage
 
     /**
@@ -30,12 +30,12 @@
         val from: ControllerId,
         val incarnation: String,
         val sequence: Long,
-        /** How long the answering process has been running. */
+        /** How long the answering process has been running, in milliseconds. */
         val uptimeMs: Long,
-        /** How long ago it last heard the store on both watches; null if it never did. */
+        /** How many milliseconds ago it last had answers of the store on both watches; null if it never did. */
         val storeAgeMs: Long?,
         /**
-         * All cancellations it may have told a user of, as far as the jobs are not over; null if there are too many.
+         * All cancellations that it may have confirmed to a user, of jobs that are not over; null if there are too many.
          */
         val cancellations: List<Cancellation>?,
     ) : PeerMessage
--- a/src/main/kotlin/io/reedmast/ports/ProvisioningRequest.kt
+++ b/src/main/kotlin/io/reedmast/ports/ProvisioningRequest.kt
@@ -1,8 +1,12 @@
 package io.reedmast.ports
 
-import io.reedmast.wire.count
-
-/** A request to the cloud. The request name is never used for another request, by any controller. */
+/**
+ * A request to rent [count] machines.
+ *
+ * @property requestName makes repetitions idempotent: it is never used for another request, by any controller
+ * @property typeName the label of the machine type
+ * @property spot whether the cloud may take the machines back at any time
+ */
 data class ProvisioningRequest(
     val requestName: String,
     val typeName: String,
--- a/src/main/kotlin/io/reedmast/ports/ProvisioningResult.kt
+++ b/src/main/kotlin/io/reedmast/ports/ProvisioningResult.kt
@@ -1,9 +1,11 @@
 package io.reedmast.ports
 
-/** What a rental request came to. */
+/** What became of a [ProvisioningRequest]. */
 sealed interface ProvisioningResult {
+    /** The machines that were rented, by name. */
     data class Machines(val names: List<String>) : ProvisioningResult
 
+    /** The cloud has no such machines now, or refuses the request as it is. */
     data object NoCapacity : ProvisioningResult
 
     /** Nothing is known, or nothing was done: the same request may be sent again. */
