--- a/src/main/kotlin/io/reedmast/app/EventLoop.kt
+++ b/src/main/kotlin/io/reedmast/app/EventLoop.kt
@@ -22,7 +22,8 @@
  *
  * All state of the service is touched here alone. A thread that comes while nothing is being decided does its work
  * itself; otherwise the work is queued, and the deciding thread, which also runs the periodic duties, does it. Handed
- * over each time, a heartbeat cost a dozen calls of the system for waking threads, which was most of its processor time.
+ * over each time, a heartbeat cost a dozen calls of the system for waking threads, which was most of its processor
+ * time.
  *
  * Queues for what comes from outside are bounded; results of the controller's own calls are not refused, since the
  * calls themselves are bounded.
@@ -84,7 +85,8 @@
     }
 
     /**
-     * The body of the deciding thread: runs [runOnce] every [intervalMs], or every [idleIntervalMs] while no messages come.
+     * The body of the deciding thread: runs [runOnce] every [intervalMs], or every [idleIntervalMs] while no messages
+     * come.
      *
      * A run costs little; forty of them a second through a quiet hour, in three processes, cost more than the work
      * did. Both intervals are in milliseconds; the thread ends when it is interrupted.
--- a/src/main/kotlin/io/reedmast/rollout/GateDecision.kt
+++ b/src/main/kotlin/io/reedmast/rollout/GateDecision.kt
@@ -10,7 +10,7 @@
 class GateMove(val feature: Feature, val to: GateState, val why: String, val preconditions: List<Precondition>)
 
 /**
- * What follows from a picture of the cluster: at most one move, and why the other gates stay as they are although they
+ * What follows from a snapshot of the cluster: at most one move, and why the other gates stay as they are although they
  * should not.
  */
 class RolloutPlan(val move: GateMove?, val waiting: Map<FeatureName, String>)
@@ -29,12 +29,13 @@
         data object Stays : Verdict
     }
 
+    /** The first gate that can move, in the order of dependencies, and why the gates before it wait. */
     fun plan(record: RolloutRecord, snapshot: ClusterSnapshot): RolloutPlan {
         val waiting = LinkedHashMap<FeatureName, String>()
         // What is taken back is taken back from the end of the dependencies.
         for (feature in registry.inOrder) {
             if (feature.name in snapshot.externallyFinalized) continue
-            when (val verdict = Case(feature, record, snapshot).verdict()) {
+            when (val verdict = FeatureEvaluation(feature, record, snapshot).verdict()) {
                 is Verdict.Moves -> return RolloutPlan(verdict.move, waiting)
                 is Verdict.Waits -> waiting[feature.name] = verdict.reason
                 Verdict.Stays -> Unit
@@ -43,21 +44,17 @@
         return RolloutPlan(null, waiting)
     }
 
-    /** One feature in one picture. */
-    private inner class Case(
+    /** One feature in one snapshot. */
+    private inner class FeatureEvaluation(
         private val feature: Feature,
         private val record: RolloutRecord,
         private val snapshot: ClusterSnapshot,
     ) {
         private val counted = snapshot.counted(record)
         private val unfit = counted.firstOrNull { label ->
-            snapshot.present[label]?.let {
-                feature.requires !in
-                    it.versions.range
-            }
-                ?: false
+            snapshot.present[label]?.let { feature.requires !in it.versions.range } ?: false
         }
-        private val silent = counted.firstOrNull { it !in snapshot.present }
+        private val absent = counted.firstOrNull { it !in snapshot.present }
 
         fun verdict(): Verdict {
             val target = target()
@@ -66,9 +63,7 @@
                 GateState.READY -> readyNext(target)
                 GateState.ENABLED -> enabledNext(target)
                 GateState.REVERTING -> revertingNext(target)
-                GateState.FINALIZED -> if (target.wished ==
-                    Target.DORMANT
-                ) {
+                GateState.FINALIZED -> if (target.requested == Target.DORMANT) {
                     Verdict.Waits("it is finalized and stays")
                 } else {
                     Verdict.Stays
@@ -89,11 +84,11 @@
                 val range = snapshot.present[unfit]?.versions?.range
                 "$unfit has versions $range, ${feature.requires} is required"
             }
-            silent != null -> "$silent is silent"
+            absent != null -> "$absent is silent"
             else -> null
         }
 
-        private fun readyNext(target: Wanted): Verdict = when {
+        private fun readyNext(target: TargetRequest): Verdict = when {
             unfit != null -> moves(GateState.DORMANT, missing().orEmpty())
             !target.wantsEnabled -> target.orStays()
             else -> (missing() ?: dependenciesMissing(finalized = false) ?: shardInOtherHands())?.let {
@@ -119,22 +114,20 @@
             shard?.takeIf { it.owner !in counted }?.let { "shard $index is owned by ${it.owner}, which does not count" }
         }
 
-        private fun enabledNext(target: Wanted): Verdict = when (target.wished) {
+        private fun enabledNext(target: TargetRequest): Verdict = when (target.requested) {
             Target.DORMANT -> reverting(target)
             Target.FINALIZED -> finalizing(target)
             Target.ENABLED, null -> target.orStays()
         }
 
-        private fun reverting(target: Wanted): Verdict {
+        private fun reverting(target: TargetRequest): Verdict {
             val refusal = Reversal.refusal(registry, feature, record)
             return if (refusal != null) Verdict.Waits(refusal) else moves(GateState.REVERTING, target.why)
         }
 
-        private fun finalizing(target: Wanted): Verdict {
+        private fun finalizing(target: TargetRequest): Verdict {
             val reason = missing() ?: dependenciesMissing(finalized = true) ?: migrationMissing()
-            return if (reason !=
-                null
-            ) {
+            return if (reason != null) {
                 Verdict.Waits(reason)
             } else {
                 moves(GateState.FINALIZED, target.why, preconditions())
@@ -147,7 +140,7 @@
             return if (blocked == 0L) "records are still being migrated" else "$blocked records cannot be migrated"
         }
 
-        private fun revertingNext(target: Wanted): Verdict = when {
+        private fun revertingNext(target: TargetRequest): Verdict = when {
             target.wantsEnabled -> missing()?.let { Verdict.Waits(it) }
                 ?: moves(GateState.ENABLED, target.why, preconditions())
             else -> migrationMissing()?.let { Verdict.Waits(it) }
@@ -158,24 +151,26 @@
          * An operator's wish goes before the deploy files, which must agree: else the gate would move with each change
          * of the leader.
          */
-        private fun target(): Wanted {
-            record.wishes[feature.name]?.let { return Wanted(it.target, "wished by ${it.made.by}: ${it.made.why}") }
+        private fun target(): TargetRequest {
+            record.wishes[feature.name]?.let { wish ->
+                return TargetRequest(wish.target, "wished by ${wish.made.by}: ${wish.made.why}")
+            }
             val desires = counted.associateWith { snapshot.present[it]?.versions?.desired?.get(feature.name) }
             val distinct = desires.values.toSet()
             return when {
-                distinct.all { it == null } -> Wanted(null, "")
-                distinct.size == 1 -> Wanted(distinct.first(), "wished by the deploy files")
+                distinct.all { it == null } -> TargetRequest(null, "")
+                distinct.size == 1 -> TargetRequest(distinct.first(), "wished by the deploy files")
                 else -> {
                     val each = desires.entries.joinToString { "${it.key} ${it.value?.storedName ?: "nothing"}" }
-                    Wanted(null, "", "the deploy files differ: $each")
+                    TargetRequest(null, "", "the deploy files differ: $each")
                 }
             }
         }
     }
 
     /** What is wished of a gate, and for what reason; [contradiction] if the wishes do not agree. */
-    private class Wanted(val wished: Target?, val why: String, val contradiction: String? = null) {
-        val wantsEnabled get() = wished == Target.ENABLED || wished == Target.FINALIZED
+    private class TargetRequest(val requested: Target?, val why: String, val contradiction: String? = null) {
+        val wantsEnabled get() = requested == Target.ENABLED || requested == Target.FINALIZED
 
         fun orStays(): Verdict = contradiction?.let { Verdict.Waits(it) } ?: Verdict.Stays
     }
--- /dev/null
+++ b/src/main/kotlin/io/reedmast/rollout/MemberVersions.kt
@@ -0,0 +1,63 @@
+package io.reedmast.rollout
+
+import io.reedmast.wire.Fields
+import io.reedmast.wire.MalformedException
+import io.reedmast.wire.asFields
+import io.reedmast.wire.count
+import io.reedmast.wire.optionalCount
+
+/**
+ * What a controller publishes of itself in its membership key.
+ *
+ * @property desired what its deploy file wishes of each feature
+ * @property incarnation the process, for acts that concern one process only; null in keys of earlier versions
+ * @property drained whether it has released all its shards, and acquires none
+ */
+data class MemberVersions(
+    val range: VersionRange,
+    val desired: Map<FeatureName, Target>,
+    val incarnation: String?,
+    val drained: Boolean,
+) {
+    /** The fields that are added to the membership key. */
+    fun toFields(): Fields = buildMap {
+        put(OLDEST, range.oldest.value.toLong())
+        put(NEWEST, range.newest.value.toLong())
+        if (desired.isNotEmpty()) put(DESIRED, desired.entries.associate { it.key.value to it.value.storedName })
+        if (incarnation != null) put(INCARNATION, incarnation)
+        if (drained) put(DRAINED, true)
+    }
+
+    companion object {
+        private const val OLDEST = "oldest"
+        private const val NEWEST = "newest"
+        private const val DESIRED = "desired"
+        private const val INCARNATION = "incarnation"
+        private const val DRAINED = "drained"
+
+        /**
+         * Reads a membership key; throws [MalformedException] if it makes no sense. [legacyVersion] is the one that the
+         * key names in the form of earlier versions, which had no range.
+         */
+        fun parse(fields: Fields, legacyVersion: FormatVersion): MemberVersions {
+            val newest =
+                fields.optionalCount(NEWEST)
+                    ?: return MemberVersions(VersionRange(FormatVersion.NONE, legacyVersion), emptyMap(), null, false)
+            val oldest = fields.count(OLDEST)
+            if (oldest > newest) throw MalformedException("oldest is above newest")
+            val desired = fields[DESIRED]?.let { asFields(it) }.orEmpty()
+            return MemberVersions(
+                VersionRange(FormatVersion(oldest.toInt()), FormatVersion(newest.toInt())),
+                desired.entries.associate {
+                    FeatureName(it.key) to
+                        Target.of(it.value as? String ?: throw MalformedException("desired names no target"))
+                },
+                fields[INCARNATION] as? String,
+                fields[DRAINED] == true,
+            )
+        }
+    }
+}
+
+/** A membership key that is there now, with the version of the key. */
+data class PresentMember(val versions: MemberVersions, val keyVersion: Long)
--- a/src/main/kotlin/io/reedmast/rollout/MigrationReconciler.kt
+++ b/src/main/kotlin/io/reedmast/rollout/MigrationReconciler.kt
@@ -102,10 +102,10 @@
             val direction = Direction.of(gate.state) ?: return@firstNotNullOfOrNull null
             if (now() < (retryAt[feature.name] ?: 0L)) return@firstNotNullOfOrNull null
             val stored = view.progressOf(feature.name, unit)
-            val known = stored?.progress?.takeIf { it.generation == gate.generation && it.direction == direction }
-            if (known?.complete == true) return@firstNotNullOfOrNull null
-            val from = known?.let { resumed(it) } ?: MigrationProgress(direction, gate.generation)
-            Pass(feature, migration, gates, fence, from).apply { progressVersion = stored?.version ?: 0L }
+            val resumable = stored?.progress?.takeIf { it.generation == gate.generation && it.direction == direction }
+            if (resumable?.complete == true) return@firstNotNullOfOrNull null
+            val startingProgress = resumable?.let { resumed(it) } ?: MigrationProgress(direction, gate.generation)
+            Pass(feature, migration, gates, fence, startingProgress).apply { progressVersion = stored?.version ?: 0L }
         }
 
     /** A pass from the beginning counts anew what it cannot migrate. */
@@ -117,103 +117,101 @@
         is MigrationUnit.Shard -> migration.scope == MigrationScope.SHARD
     }
 
-    private fun list(of: Pass) {
+    private fun list(current: Pass) {
         busy = true
-        store.list(of.migration.prefix((unit as? MigrationUnit.Shard)?.index ?: 0)) { items ->
+        store.list(current.migration.prefix((unit as? MigrationUnit.Shard)?.index ?: 0)) { items ->
             busy = false
-            if (items !=
-                null
-            ) {
-                of.keys = items.mapTo(ArrayDeque()) { it.path }.apply { removeIf { it <= of.progress.after } }
+            if (items != null) {
+                current.keys = items.mapTo(ArrayDeque()) { it.path }.apply { removeIf { it <= current.progress.after } }
             }
         }
     }
 
-    private fun next(of: Pass, keys: ArrayDeque<String>) {
+    private fun next(current: Pass, keys: ArrayDeque<String>) {
         val path = keys.peek()
         if (path == null) {
-            finish(of)
+            finish(current)
             return
         }
-        if (of.sinceSaved >= SAVE_EVERY) {
-            save(of, of.progress)
+        if (current.sinceSaved >= SAVE_EVERY) {
+            save(current, current.progress)
             return
         }
         busy = true
         store.get(path) { fetched ->
             busy = false
             when (fetched) {
-                is ReadResult.Found -> migrate(of, fetched.item)
-                ReadResult.Missing -> done(of, path) { it }
+                is ReadResult.Found -> migrate(current, fetched.item)
+                ReadResult.Missing -> recordDone(current, path) { it }
                 ReadResult.Failed -> Unit
             }
         }
     }
 
-    private fun migrate(of: Pass, item: StoredItem) {
+    private fun migrate(current: Pass, item: StoredItem) {
         val record = StoreMessages.withoutTransactionId(item.value)
-        val wanted = try {
-            if (of.progress.direction == Direction.FORWARD) of.migration.forward(record) else of.migration.back(record)
+        val targetForm = try {
+            when (current.progress.direction) {
+                Direction.FORWARD -> current.migration.forward(record)
+                Direction.BACK -> current.migration.back(record)
+            }
         } catch (e: MalformedException) {
             log.error(
                 "feature {}: record {} cannot be read and is left as it is: {}",
-                of.feature.name,
+                current.feature.name,
                 item.path,
                 e.message,
             )
-            done(of, item.path) { it.copy(unreadable = it.unreadable + 1) }
+            recordDone(current, item.path) { it.copy(unreadable = it.unreadable + 1) }
             return
         }
         when {
-            wanted == record -> done(of, item.path) { it }
-            Tree.jsonSize(wanted) + TRANSACTION_ID_BYTES > valueBytes() -> done(of, item.path) {
-                it.copy(
-                    oversized =
-                    it.oversized + 1,
-                )
-            }
+            targetForm == record -> recordDone(current, item.path) { it }
+            Tree.jsonSize(targetForm) + TRANSACTION_ID_BYTES > valueBytes() ->
+                recordDone(current, item.path) { it.copy(oversized = it.oversized + 1) }
             !isAffordable() -> due = now() + AFTER_REFUSAL_MS
-            access.tryAcquire(item.path) -> write(of, item, wanted)
+            access.tryAcquire(item.path) -> write(current, item, targetForm)
         }
     }
 
-    private fun write(of: Pass, item: StoredItem, wanted: Fields) {
+    private fun write(current: Pass, item: StoredItem, targetForm: Fields) {
         busy = true
         overdueAt = now() + pace.lateMs
-        val preconditions = listOf(of.fence, of.gates.precondition, Precondition(item.path, item.version)).distinct()
+        val unchanged = Precondition(item.path, item.version)
+        val preconditions = listOf(current.fence, current.gates.precondition, unchanged).distinct()
         store.commit(
-            CasTransaction(preconditions, listOf(Write.Put(item.path, wanted)), WritePriority.DEFERRED) { outcome ->
+            CasTransaction(preconditions, listOf(Write.Put(item.path, targetForm)), WritePriority.DEFERRED) { outcome ->
                 busy = false
                 access.release(item.path, (outcome as? CommitOutcome.Applied)?.revision)
                 when (outcome) {
-                    is CommitOutcome.Applied -> done(of, item.path) { it.copy(migrated = it.migrated + 1) }
+                    is CommitOutcome.Applied -> recordDone(current, item.path) { it.copy(migrated = it.migrated + 1) }
 
                     // The record has moved on, and is read again; or the gates or the fence have, and the pass is over.
                     is CommitOutcome.Conflict -> Unit
 
-                    is CommitOutcome.Refused -> done(of, item.path) { it.copy(oversized = it.oversized + 1) }
+                    is CommitOutcome.Refused -> recordDone(current, item.path) { it.copy(oversized = it.oversized + 1) }
                 }
             },
         )
     }
 
-    private fun done(of: Pass, path: String, count: (MigrationProgress) -> MigrationProgress) {
-        of.keys?.remove(path)
-        of.progress = count(of.progress).copy(after = path)
-        of.sinceSaved++
+    private fun recordDone(current: Pass, path: String, count: (MigrationProgress) -> MigrationProgress) {
+        current.keys?.remove(path)
+        current.progress = count(current.progress).copy(after = path)
+        current.sinceSaved++
     }
 
     /** A pass that left records as they were has not reached its end: the next one looks at all of them again. */
-    private fun finish(of: Pass) {
-        val blocked = of.progress.unreadable + of.progress.oversized > 0
-        val ended = if (blocked) of.progress.copy(after = "") else of.progress.copy(complete = true)
-        save(of, ended) {
+    private fun finish(current: Pass) {
+        val blocked = current.progress.unreadable + current.progress.oversized > 0
+        val ended = if (blocked) current.progress.copy(after = "") else current.progress.copy(complete = true)
+        save(current, ended) {
             pass = null
             if (blocked) {
-                retryAt[of.feature.name] = now() + RETRY_BLOCKED_MS
+                retryAt[current.feature.name] = now() + RETRY_BLOCKED_MS
                 log.error(
                     "feature {}: {} unreadable and {} oversized records of {} are left",
-                    of.feature.name,
+                    current.feature.name,
                     ended.unreadable,
                     ended.oversized,
                     unit.key,
@@ -221,7 +219,7 @@
             } else {
                 log.info(
                     "feature {}: {} records of {} migrated {}",
-                    of.feature.name,
+                    current.feature.name,
                     ended.migrated,
                     unit.key,
                     ended.direction.storedName,
@@ -230,10 +228,11 @@
         }
     }
 
-    private fun save(of: Pass, progress: MigrationProgress, then: () -> Unit = {}) {
+    private fun save(current: Pass, progress: MigrationProgress, then: () -> Unit = {}) {
         busy = true
-        val path = Keys.migration(of.feature.name.value, unit.key)
-        val preconditions = listOf(of.fence, of.gates.precondition, Precondition(path, of.progressVersion))
+        val path = Keys.migration(current.feature.name.value, unit.key)
+        val unchanged = Precondition(path, current.progressVersion)
+        val preconditions = listOf(current.fence, current.gates.precondition, unchanged)
         store.commit(
             CasTransaction(
                 preconditions,
@@ -242,8 +241,8 @@
             ) { outcome ->
                 busy = false
                 if (outcome is CommitOutcome.Applied) {
-                    of.progressVersion = outcome.revision
-                    of.sinceSaved = 0
+                    current.progressVersion = outcome.revision
+                    current.sinceSaved = 0
                     then()
                 } else {
                     // Somebody else has come further, or the answer to our own was lost: what is stored is read by the
--- a/src/main/kotlin/io/reedmast/rollout/RolloutAdministration.kt
+++ b/src/main/kotlin/io/reedmast/rollout/RolloutAdministration.kt
@@ -47,6 +47,7 @@
     private val wall: () -> Long,
     private val store: RolloutStore,
 ) {
+    /** Reads the state of the rollout; [done] gets null if the store does not answer or a record cannot be read. */
     fun status(done: (RolloutStatus?) -> Unit) = read { status, _ -> done(status) }
 
     /** Records that [feature] is to come to [target]; the leader moves its gate as soon as that is possible. */
@@ -90,9 +91,7 @@
     /** [label] counts again. */
     fun include(label: String, act: Act, done: (ActResult) -> Unit) = change(done) { status ->
         val record = status.view.gates.record
-        if (label !in
-            record.excluded
-        ) {
+        if (label !in record.excluded) {
             refused("$label is not excluded")
         } else {
             Planned.Put(record.including(label, made(act)), emptyList())
@@ -103,13 +102,13 @@
     fun drain(label: String, act: Act, done: (ActResult) -> Unit) = change(done) { status ->
         val incarnation = status.snapshot.present[label]?.versions?.incarnation
         val others = status.snapshot.counted(status.view.gates.record) - label
-        val silent = others.firstOrNull { it !in status.snapshot.present }
+        val absent = others.firstOrNull { it !in status.snapshot.present }
         val draining = others.firstOrNull { status.isDraining(it) }
         when {
             label !in configured -> refused("there is no controller $label")
             incarnation == null -> refused("$label is silent, or of a version that cannot be drained")
             others.isEmpty() -> refused("$label is the last controller that counts")
-            silent != null -> refused("$silent is silent; its shards would come to fewer controllers still")
+            absent != null -> refused("$absent is silent; its shards would come to fewer controllers still")
             draining != null -> refused("$draining is being drained; one at a time")
             else -> Planned.Drain(label, DrainOrder(incarnation, made(act)), status.view.drainOf(label)?.version ?: 0L)
         }
--- a/src/main/kotlin/io/reedmast/rollout/RolloutCoordinator.kt
+++ b/src/main/kotlin/io/reedmast/rollout/RolloutCoordinator.kt
@@ -15,7 +15,7 @@
  * their membership keys and the shards must be as they were seen. A leader who has been replaced, or has seen too
  * little, therefore moves nothing.
  *
- * @param mostGuards how many conditions a transaction takes
+ * @param maxPreconditions how many conditions a transaction takes
  * @param reread reads the record of the rollout again
  */
 class RolloutCoordinator(
@@ -29,14 +29,14 @@
 ) {
     private val log = LoggerFactory.getLogger("rollout")
     private val decision = GateDecision(registry)
-    private var said: Map<FeatureName, String> = emptyMap()
+    private var loggedReasons: Map<FeatureName, String> = emptyMap()
     private var storing = false
 
     /** Why gates stay as they are although somebody wishes otherwise. */
-    val waiting: Map<FeatureName, String> get() = said
+    val waiting: Map<FeatureName, String> get() = loggedReasons
 
     /**
-     * Called regularly while this controller leads, hears the state store and is admitted; [leaderVersion] is the
+     * Called regularly while this controller leads, hears the store and is admitted; [leaderVersion] is the
      * version of its key.
      */
     fun runOnce(leaderVersion: Long, snapshot: ClusterSnapshot) {
@@ -49,25 +49,16 @@
 
     private fun report(waiting: Map<FeatureName, String>) {
         for ((feature, reason) in waiting) {
-            if (said[feature] !=
-                reason
-            ) {
-                log.info("feature {}: waits, {}", feature, reason)
-            }
+            if (loggedReasons[feature] != reason) log.info("feature {}: waits, {}", feature, reason)
         }
-        said = waiting
+        loggedReasons = waiting
     }
 
     private fun store(move: GateMove, gates: GateSnapshot, leaderVersion: Long) {
         val preconditions = listOf(Precondition(Keys.LEADER, leaderVersion), gates.precondition) + move.preconditions
         if (preconditions.size > maxPreconditions) {
-            report(
-                said +
-                    (
-                        move.feature.name to
-                            "${preconditions.size} conditions are needed, a transaction takes $maxPreconditions"
-                        ),
-            )
+            val reason = "${preconditions.size} conditions are needed, a transaction takes $maxPreconditions"
+            report(loggedReasons + (move.feature.name to reason))
             return
         }
         storing = true
@@ -112,11 +103,7 @@
             ) { outcome ->
                 storing = false
                 if (outcome is CommitOutcome.Applied) {
-                    view.applyRecord(
-                        Keys.ROLLOUT,
-                        included.toFields(),
-                        outcome.revision,
-                    )
+                    view.applyRecord(Keys.ROLLOUT, included.toFields(), outcome.revision)
                 } else {
                     reread()
                 }
--- a/src/main/kotlin/io/reedmast/rollout/RolloutStore.kt
+++ b/src/main/kotlin/io/reedmast/rollout/RolloutStore.kt
@@ -5,14 +5,16 @@
 import io.reedmast.kvstore.StoredItem
 
 /**
- * The state store as the rollout needs it: conditional changes, and reads of the newest values.
+ * The store as the rollout needs it: conditional changes, and reads of the newest values.
  *
  * Results come later, on the thread that calls the rollout's classes. A change whose answer was lost is reported only
  * once it is certain whether it was applied.
  */
 interface RolloutStore {
+    /** Stores [change], whose own callback gets the outcome. */
     fun commit(change: CasTransaction)
 
+    /** Reads the key [path]; [done] gets [ReadResult.Failed] if the store did not answer. */
     fun get(path: String, done: (ReadResult) -> Unit)
 
     /** All records whose keys begin with [prefix], in key order; null if they could not be read. */
--- a/src/main/kotlin/io/reedmast/rollout/RolloutView.kt
+++ b/src/main/kotlin/io/reedmast/rollout/RolloutView.kt
@@ -35,7 +35,7 @@
     private val present = HashMap<String, PresentMember>()
     private val progress = HashMap<Pair<FeatureName, MigrationUnit>, StoredProgress>()
     private val drains = HashMap<String, StoredDrain>()
-    private var seenVersion = 0L
+    private var appliedVersion = 0L
 
     /**
      * The gates as last read. While the record cannot be read they are those of before, whose version no write can
@@ -64,7 +64,7 @@
         present.clear()
         progress.clear()
         drains.clear()
-        seenVersion = 0L
+        appliedVersion = 0L
         accept(GateSnapshot.NONE)
     }
 
@@ -79,8 +79,8 @@
     }
 
     private fun applyRolloutRecord(value: Fields?, version: Long) {
-        if (version <= seenVersion) return
-        seenVersion = version
+        if (version <= appliedVersion) return
+        appliedVersion = version
         try {
             accept(if (value == null) GateSnapshot.NONE else GateSnapshot(RolloutRecord.parse(value), version))
         } catch (e: MalformedException) {
@@ -109,22 +109,16 @@
         val unit = unitOf(name.substringAfterLast('/')) ?: return
         val known = progress[feature to unit]
         if (known != null && known.version >= version) return
-        if (value ==
-            null
-        ) {
+        if (value == null) {
             progress.remove(feature to unit)
         } else {
-            progress[feature to unit] =
-                StoredProgress(MigrationProgress.parse(value), version)
+            progress[feature to unit] = StoredProgress(MigrationProgress.parse(value), version)
         }
     }
 
-    private fun unitOf(key: String): MigrationUnit? = if (key ==
-        MigrationUnit.Cluster.key
-    ) {
-        MigrationUnit.Cluster
-    } else {
-        key.toIntOrNull()?.let { MigrationUnit.Shard(it) }
+    private fun unitOf(key: String): MigrationUnit? {
+        if (key == MigrationUnit.Cluster.key) return MigrationUnit.Cluster
+        return key.toIntOrNull()?.let { MigrationUnit.Shard(it) }
     }
 
     private fun applyDrain(label: String, value: Fields?, version: Long) {
@@ -140,9 +134,7 @@
             configured,
             present.toMap(),
             shards,
-            progress.mapValues {
-                it.value.progress
-            },
+            progress.mapValues { it.value.progress },
             externallyFinalized,
         )
 
