--- a/src/main/kotlin/io/reedmast/app/Controller.kt
+++ b/src/main/kotlin/io/reedmast/app/Controller.kt
@@ -20,11 +20,13 @@
 
 /** The answer to a worker's report. */
 sealed interface WorkerAnswer {
+    /** What the worker is to do, under this fencing token. */
     data class Commands(val token: Long, val commands: List<WorkerCommand>) : WorkerAnswer
 
     /** Another controller answers this worker; null: nobody is known to. */
     data class Elsewhere(val label: String?) : WorkerAnswer
 
+    /** This controller must not answer workers now: they go on as they are and ask again. */
     data object Unavailable : WorkerAnswer
 }
 
@@ -78,6 +80,10 @@
         }
     }
 
+    /**
+     * Handles the heartbeat of any worker: of one of this controller, of another one or of one that is not yet
+     * assigned.
+     */
     fun onHeartbeat(status: WorkerStatus): WorkerAnswer {
         cluster.onWorkerContact()
         if (!cluster.mayAcknowledgeHeartbeats()) return WorkerAnswer.Unavailable
@@ -100,12 +106,16 @@
         return WorkerAnswer.Commands(owner.tokenFor(status.machineName), commands)
     }
 
+    /** Accepts or refuses a job; [answer] may be called before this returns, or later on the event loop. */
     fun submit(spec: JobSpec, answer: (UserAnswer) -> Unit) = jobs.submit(spec, answer)
 
+    /** Answers how far a job is, as [submit] does. */
     fun poll(jobId: String, answer: (UserAnswer) -> Unit) = jobs.poll(jobId, answer)
 
+    /** Cancels a job; it answers as [submit] does, and says that the job is cancelled only once that is stored. */
     fun cancel(jobId: String, answer: (UserAnswer) -> Unit) = jobs.cancel(jobId, answer)
 
+    /** Takes up a message of another controller. */
     fun onPeerMessage(message: PeerMessage) = cluster.onPeerMessage(message)
 
     /**
--- a/src/main/kotlin/io/reedmast/app/ControllerHandle.kt
+++ b/src/main/kotlin/io/reedmast/app/ControllerHandle.kt
@@ -19,6 +19,7 @@
     @Volatile
     private var healthyNow = false
 
+    /** Whether the load balancer should send users here, as of the last periodic run; callable on any thread. */
     fun healthy(): Boolean = healthyNow
 
     @Volatile
@@ -31,6 +32,7 @@
         waiting = controller.cluster.staleness.hasWaiters
     }
 
+    /** The periodic run, on the event loop: all duties, then what other threads may read of them. */
     fun runOnce() {
         controller.runOnce()
         timings.runOnce()
@@ -42,20 +44,24 @@
         updateQuestionsWaiting()
     }
 
+    /** Has a heartbeat handled; false if there is too much to do, and [answer] is then never called. */
     fun onHeartbeat(status: WorkerStatus, answer: (WorkerAnswer) -> Unit): Boolean = eventLoop.offer(Urgency.REPORT) {
         answer(controller.onHeartbeat(status))
     }
 
+    /** Has a submission handled; false if there is too much to do, and [answer] is then never called. */
     fun submit(spec: JobSpec, answer: (UserAnswer) -> Unit): Boolean = eventLoop.offer(Urgency.SUBMISSION) {
         controller.submit(spec, answer)
         updateQuestionsWaiting()
     }
 
+    /** Has a poll answered; false if there is too much to do, and [answer] is then never called. */
     fun poll(jobId: String, answer: (UserAnswer) -> Unit): Boolean = eventLoop.offer(Urgency.SUBMISSION) {
         controller.poll(jobId, answer)
         updateQuestionsWaiting()
     }
 
+    /** Has a job cancelled; false if there is too much to do, and [answer] is then never called. */
     fun cancel(jobId: String, answer: (UserAnswer) -> Unit): Boolean = eventLoop.offer(Urgency.SUBMISSION) {
         controller.cancel(jobId, answer)
         updateQuestionsWaiting()
@@ -70,18 +76,24 @@
         eventLoop.offer(urgency) { controller.onPeerMessage(message) }
     }
 
+    /**
+     * All of the cluster's keys, as read at [revision] by a request made at [askedAt] in milliseconds of steady time.
+     */
     fun snapshot(items: List<StoredItem>, revision: Long, askedAt: Long) = eventLoop.post {
         controller.cluster.watchResults.onClusterSnapshot(items, revision, askedAt)
     }
 
+    /** Changes of the cluster's keys up to [revision], by a request made at [askedAt]. */
     fun clusterEvents(events: List<WatchEvent>, revision: Long, askedAt: Long) = eventLoop.post {
         controller.cluster.watchResults.onClusterEvents(events, revision, askedAt)
     }
 
+    /** All live jobs, as read at [revision] by a request made at [askedAt]. */
     fun jobsSnapshot(items: List<StoredItem>, revision: Long, askedAt: Long) = eventLoop.post {
         controller.cluster.watchResults.onJobsSnapshot(items, revision, askedAt)
     }
 
+    /** Changes of job records up to [revision], by a request made at [askedAt]. */
     fun jobEvents(events: List<WatchEvent>, revision: Long, askedAt: Long) = eventLoop.post {
         controller.cluster.watchResults.onJobEvents(events, revision, askedAt)
         updateQuestionsWaiting()
--- a/src/main/kotlin/io/reedmast/app/HttpApi.kt
+++ b/src/main/kotlin/io/reedmast/app/HttpApi.kt
@@ -56,6 +56,7 @@
     private inline fun only(allowed: Method, method: Method, handle: () -> Response): Response =
         if (method == allowed) handle() else Response(Status.METHOD_NOT_ALLOWED).header("Allow", allowed.name)
 
+    /** Opens the port and serves it until the process ends; throws [java.io.IOException] if it is not free. */
     fun start() {
         // Read once by the JDK's server when its classes load.
         System.setProperty("sun.net.httpserver.nodelay", "true")
--- a/src/main/kotlin/io/reedmast/peers/PeerClient.kt
+++ b/src/main/kotlin/io/reedmast/peers/PeerClient.kt
@@ -13,8 +13,8 @@
  * Sends messages to one other controller.
  *
  * Status updates share a connection, which is opened anew now and then. All other messages get one of their own: a
- * controller that lost its power and came back leaves the old connection open here, and what is written to it is lost without an
- * error.
+ * controller that lost its power and came back leaves the old connection open here, and what is written to it is lost
+ * without an error.
  */
 class PeerClient(private val address: InetSocketAddress) {
     private val log = LoggerFactory.getLogger("peers")
--- a/src/main/kotlin/io/reedmast/ports/KeyValueStore.kt
+++ b/src/main/kotlin/io/reedmast/ports/KeyValueStore.kt
@@ -25,8 +25,8 @@
     fun list(prefix: String, done: (List<StoredItem>?) -> Unit)
 
     /**
-     * Extends [lease], or asks for a new one of [lifeMs] milliseconds if it is null; [done] gets [LeaseState.Unknown] if
-     * the store did not answer.
+     * Extends [lease], or asks for a new one of [lifeMs] milliseconds if it is null; [done] gets [LeaseState.Unknown]
+     * if the store did not answer.
      */
     fun extendLease(lease: Long?, lifeMs: Long, done: (LeaseState) -> Unit)
 }
--- a/src/main/kotlin/io/reedmast/ports/PeerMessage.kt
+++ b/src/main/kotlin/io/reedmast/ports/PeerMessage.kt
@@ -14,7 +14,10 @@
     /** What an owner publishes of its shard's jobs, for display, and of its machines, as hints for a failover. */
     data class ShardStatusUpdate(val jobs: List<JobProgress>, val machines: List<MachineHint>) : PeerMessage
 
-    /** The owner of [shard] under [term] gets heartbeats of nearly none of its workers: another controller should acquire it. */
+    /**
+     * The owner of [shard] under [term] gets heartbeats of nearly none of its workers: another controller should
+     * acquire it.
+     */
     data class FailoverRequest(val shard: ShardId, val term: Long) : PeerMessage
 
     /**
@@ -35,7 +38,8 @@
         /** How many milliseconds ago it last had answers of the store on both watches; null if it never did. */
         val storeAgeMs: Long?,
         /**
-         * All cancellations that it may have confirmed to a user, of jobs that are not over; null if there are too many.
+         * All cancellations that it may have confirmed to a user, of jobs that are not over; null if there are too
+         * many.
          */
         val cancellations: List<Cancellation>?,
     ) : PeerMessage
--- a/src/main/kotlin/io/reedmast/ports/ProcessControl.kt
+++ b/src/main/kotlin/io/reedmast/ports/ProcessControl.kt
@@ -3,8 +3,8 @@
 /** What decisions ask of the process that they run in. */
 interface ProcessControl {
     /**
-     * Tells that [aliveControllers] share the rate limits of the store and the cloud. With [leading] this controller gets
-     * the leader's part of the cloud's limit, which is the larger one.
+     * Tells that [aliveControllers] share the rate limits of the store and the cloud. With [leading] this controller
+     * gets the leader's part of the cloud's limit, which is the larger one.
      */
     fun shareLimits(aliveControllers: Int, leading: Boolean)
 
--- a/src/main/kotlin/io/reedmast/ports/WorkerTransport.kt
+++ b/src/main/kotlin/io/reedmast/ports/WorkerTransport.kt
@@ -6,8 +6,9 @@
 /** Direct calls to workers; each answers later, on the deciding thread. */
 interface WorkerTransport {
     /**
-     * Sends [commands] to the worker at [addr], which refuses them if it knows a higher fencing [token] or is in another
-     * [epoch]. [done] gets [Reply.Unanswered] if the worker may have carried them out without an answer coming back.
+     * Sends [commands] to the worker at [addr], which refuses them if it knows a higher fencing [token] or is in
+     * another [epoch]. [done] gets [Reply.Unanswered] if the worker may have carried them out without an answer coming
+     * back.
      */
     fun call(addr: String, token: Long, epoch: Long, commands: List<WorkerCommand>, done: (Reply) -> Unit)
 }
--- a/src/main/kotlin/io/reedmast/rollout/Feature.kt
+++ b/src/main/kotlin/io/reedmast/rollout/Feature.kt
@@ -54,8 +54,10 @@
     /** The common beginning of the keys of the records; [shard] is ignored for [MigrationScope.CLUSTER]. */
     fun prefix(shard: Int): String
 
+    /** The new form of [record]. */
     fun forward(record: Fields): Fields
 
+    /** The old form of [record]. */
     fun back(record: Fields): Fields
 }
 
--- a/src/main/kotlin/io/reedmast/rollout/MigrationProgress.kt
+++ b/src/main/kotlin/io/reedmast/rollout/MigrationProgress.kt
@@ -42,6 +42,7 @@
     val oversized: Long = 0,
     val complete: Boolean = false,
 ) {
+    /** As it is stored. */
     fun toFields(): Fields = mapOf(
         "direction" to direction.storedName,
         "generation" to generation,
--- a/src/main/kotlin/io/reedmast/rollout/RolloutAdministration.kt
+++ b/src/main/kotlin/io/reedmast/rollout/RolloutAdministration.kt
@@ -12,6 +12,7 @@
 
 /** What became of an operator's act. */
 sealed interface ActResult {
+    /** The change is stored. */
     data object Done : ActResult
 
     /** Nothing was changed, and why. */
@@ -29,8 +30,10 @@
  * rollout's.
  */
 interface ClusterRecords {
+    /** The owners of all shards, by index; null for a shard that nobody has acquired yet. */
     fun shardOwners(items: List<StoredItem>): List<ShardOwnership?>
 
+    /** The features that records of their own finalize. */
     fun externallyFinalized(items: List<StoredItem>): Set<FeatureName>
 }
 
@@ -224,8 +227,10 @@
 
 /** Whether a controller may be stopped now. */
 sealed interface Readiness {
+    /** It may be stopped now. */
     data object Ready : Readiness
 
+    /** Stopping it would do harm, for each of [reasons]. */
     data class NotReady(val reasons: List<String>) : Readiness
 
     companion object {
--- a/src/main/kotlin/io/reedmast/rollout/RolloutRecord.kt
+++ b/src/main/kotlin/io/reedmast/rollout/RolloutRecord.kt
@@ -114,6 +114,7 @@
     val excluded: Map<String, Provenance> = emptyMap(),
     val history: List<HistoryEntry> = emptyList(),
 ) {
+    /** The state of the gate of [feature]; one without a gate is dormant. */
     fun stateOf(feature: FeatureName): GateState = gates[feature]?.state ?: GateState.DORMANT
 
     /** The least version that a process needs to read all that is stored, or may be stored at any moment. */
@@ -133,12 +134,15 @@
         ).noting("${feature.name} ${state.storedName}", made)
     }
 
+    /** With an operator's [target] for [feature]. */
     fun wishing(feature: FeatureName, target: Target, made: Provenance): RolloutRecord =
         copy(wishes = wishes + (feature to Wish(target, made))).noting("$feature wished ${target.storedName}", made)
 
+    /** With the controller [label] not counted. */
     fun excluding(label: String, made: Provenance): RolloutRecord =
         copy(excluded = excluded + (label to made)).noting("$label excluded", made)
 
+    /** With the controller [label] counted again. */
     fun including(label: String, made: Provenance): RolloutRecord =
         copy(excluded = excluded - label).noting("$label included", made)
 
--- a/src/main/kotlin/io/reedmast/rollout/RolloutView.kt
+++ b/src/main/kotlin/io/reedmast/rollout/RolloutView.kt
@@ -53,8 +53,10 @@
 
     val members: Map<String, PresentMember> get() = present
 
+    /** The stored progress of a migration; null if there is none. */
     fun progressOf(feature: FeatureName, unit: MigrationUnit): StoredProgress? = progress[feature to unit]
 
+    /** The drain order for the controller [label]; null if there is none. */
     fun drainOf(label: String): StoredDrain? = drains[label]
 
     val drainOrders: Map<String, StoredDrain> get() = drains
