--- a/src/main/kotlin/io/reedmast/app/CloudGateway.kt
+++ b/src/main/kotlin/io/reedmast/app/CloudGateway.kt
@@ -5,9 +5,9 @@
 import io.reedmast.ports.ProvisioningRequest
 import io.reedmast.ports.ProvisioningResult
 import io.reedmast.settings.Settings
-import io.reedmast.wire.HttpCaller
 import io.reedmast.wire.CloudMessages
 import io.reedmast.wire.Fields
+import io.reedmast.wire.HttpCaller
 import io.reedmast.wire.ListedMachine
 import io.reedmast.wire.MachineType
 import io.reedmast.wire.MalformedException
--- a/src/main/kotlin/io/reedmast/app/DirectStore.kt
+++ b/src/main/kotlin/io/reedmast/app/DirectStore.kt
@@ -1,10 +1,10 @@
 package io.reedmast.app
 
-import io.reedmast.kvstore.ListResult
 import io.reedmast.kvstore.CasTransaction
 import io.reedmast.kvstore.CommitOutcome
 import io.reedmast.kvstore.Committer
 import io.reedmast.kvstore.EffectiveLimits
+import io.reedmast.kvstore.ListResult
 import io.reedmast.kvstore.ReadResult
 import io.reedmast.kvstore.StoreClient
 import io.reedmast.kvstore.StoredItem
@@ -23,7 +23,8 @@
     private val limits = EffectiveLimits(settings.storeLimits, settings.nextStoreLimits)
 
     /** It takes a controller's part of the limits for the moment that it runs. */
-    private val client = StoreClient(settings.storeAddress, limits, settings.members.size, HttpCaller(CONNECT_MS, READ_MS))
+    private val client =
+        StoreClient(settings.storeAddress, limits, settings.members.size, HttpCaller(CONNECT_MS, READ_MS))
     private val committer =
         Committer(client, limits, MAX_QUEUED, TransactionIds(incarnation)) { change, outcome -> change.done(outcome) }
 
@@ -52,7 +53,8 @@
 
     override fun get(path: String, done: (ReadResult) -> Unit) = done(client.get(path))
 
-    override fun list(prefix: String, done: (List<StoredItem>?) -> Unit) = done((client.list(prefix) as? ListResult.Listing)?.items)
+    override fun list(prefix: String, done: (List<StoredItem>?) -> Unit) =
+        done((client.list(prefix) as? ListResult.Listing)?.items)
 
     override fun writePermitLevel(): Double = client.writeLimiter.permitLevel()
 
--- a/src/main/kotlin/io/reedmast/app/StoreGateway.kt
+++ b/src/main/kotlin/io/reedmast/app/StoreGateway.kt
@@ -1,11 +1,11 @@
 package io.reedmast.app
 
-import io.reedmast.kvstore.LeaseExtension
-import io.reedmast.kvstore.LeaseGrant
-import io.reedmast.kvstore.ListResult
 import io.reedmast.kvstore.CasTransaction
 import io.reedmast.kvstore.Committer
 import io.reedmast.kvstore.EffectiveLimits
+import io.reedmast.kvstore.LeaseExtension
+import io.reedmast.kvstore.LeaseGrant
+import io.reedmast.kvstore.ListResult
 import io.reedmast.kvstore.ReadResult
 import io.reedmast.kvstore.StoreClient
 import io.reedmast.kvstore.StoredItem
--- a/src/main/kotlin/io/reedmast/app/Watches.kt
+++ b/src/main/kotlin/io/reedmast/app/Watches.kt
@@ -1,7 +1,7 @@
 package io.reedmast.app
 
-import io.reedmast.kvstore.ListResult
 import io.reedmast.kvstore.Keys
+import io.reedmast.kvstore.ListResult
 import io.reedmast.kvstore.StoreClient
 import io.reedmast.kvstore.StoredItem
 import io.reedmast.kvstore.WatchEvent
--- a/src/test/kotlin/io/reedmast/app/SocketTest.kt
+++ b/src/test/kotlin/io/reedmast/app/SocketTest.kt
@@ -11,8 +11,8 @@
 import io.reedmast.ports.PeerMessage
 import io.reedmast.settings.Settings
 import io.reedmast.settings.Tuning
-import io.reedmast.wire.HttpCaller
 import io.reedmast.wire.Fields
+import io.reedmast.wire.HttpCaller
 import io.reedmast.wire.Tree
 import org.junit.jupiter.api.AfterAll
 import org.junit.jupiter.api.Assertions.assertEquals
