--- a/src/main/kotlin/io/reedmast/app/CloudGateway.kt
+++ b/src/main/kotlin/io/reedmast/app/CloudGateway.kt
@@ -68,14 +68,21 @@
 
     private fun readAllMachines(): List<ListedMachine>? {
         val machines = ArrayList<ListedMachine>()
-        while (true) {
-            val after = machines.lastOrNull()?.let { "after=${it.name}&" }.orEmpty()
-            val answer = okAnswer(ask("GET", "/machines?${after}most=$MACHINES_PER_PAGE")) ?: return null
-            val hasMore = parseOrNull {
-                machines.addAll(CloudMessages.listedMachines(answer.body))
-                CloudMessages.hasMore(answer.body)
-            } ?: return null
-            if (!hasMore) return machines
+        do {
+            val page = readPage(machines.lastOrNull()) ?: return null
+            machines.addAll(page.machines)
+        } while (page.hasMore)
+        return machines
+    }
+
+    /** One page of the list of machines, and whether there are more after it. */
+    private class MachinePage(val machines: List<ListedMachine>, val hasMore: Boolean)
+
+    private fun readPage(last: ListedMachine?): MachinePage? {
+        val after = last?.let { "after=${it.name}&" }.orEmpty()
+        val answer = okAnswer(ask("GET", "/machines?${after}most=$MACHINES_PER_PAGE")) ?: return null
+        return parseOrNull {
+            MachinePage(CloudMessages.listedMachines(answer.body), CloudMessages.hasMore(answer.body))
         }
     }
 
--- a/src/main/kotlin/io/reedmast/app/Controller.kt
+++ b/src/main/kotlin/io/reedmast/app/Controller.kt
@@ -11,7 +11,9 @@
 import io.reedmast.requests.JobRequestHandler
 import io.reedmast.rollout.RolloutOptions
 import io.reedmast.settings.Settings
+import io.reedmast.settings.ShardId
 import io.reedmast.settings.Tuning
+import io.reedmast.shard.ShardOwner
 import io.reedmast.wire.JobSpec
 import io.reedmast.wire.MachineType
 import io.reedmast.wire.UserAnswer
@@ -88,17 +90,32 @@
         cluster.onWorkerContact()
         if (!cluster.mayAcknowledgeHeartbeats()) return WorkerAnswer.Unavailable
         val shard = cluster.shardOfMachine(status.machineName)
-        if (shard == null) {
-            if (!cluster.leading) return WorkerAnswer.Elsewhere(cluster.leader)
-            autoscaler.onUnassignedWorker(status)
-            return WorkerAnswer.Elsewhere(cluster.shardOfMachine(status.machineName)?.let { cluster.ownerOf(it) })
-        }
+        return if (shard == null) answerUnassigned(status) else answerMember(shard, status)
+    }
+
+    /** The answer to a worker whose machine belongs to no shard: the leader considers it. */
+    private fun answerUnassigned(status: WorkerStatus): WorkerAnswer {
+        if (!cluster.leading) return WorkerAnswer.Elsewhere(cluster.leader)
+        autoscaler.onUnassignedWorker(status)
+        return WorkerAnswer.Elsewhere(cluster.shardOfMachine(status.machineName)?.let { cluster.ownerOf(it) })
+    }
+
+    /** The answer to a worker whose machine belongs to [shard]. */
+    private fun answerMember(shard: ShardId, status: WorkerStatus): WorkerAnswer {
         val owner = cluster.owners[shard]
-        if (owner == null || owner.dropped) {
-            return WorkerAnswer.Elsewhere(cluster.redirectTarget(shard, status.machineName, status.addr))
+        return when {
+            owner == null || owner.dropped -> {
+                WorkerAnswer.Elsewhere(cluster.redirectTarget(shard, status.machineName, status.addr))
+            }
+
+            // While the shard is still being read, the answer shows the worker our token and renews its lease.
+            !owner.active -> WorkerAnswer.Commands(cluster.records[shard.value]?.record?.token ?: 0L, emptyList())
+
+            else -> answerOf(owner, status)
         }
-        // While the shard is still being read, the answer shows the worker our token and renews its lease.
-        if (!owner.active) return WorkerAnswer.Commands(cluster.records[shard.value]?.record?.token ?: 0L, emptyList())
+    }
+
+    private fun answerOf(owner: ShardOwner, status: WorkerStatus): WorkerAnswer {
         val commands = owner.onHeartbeat(status)
         // The worker would drop our answer and stay here until its lease is over: it must look for the shard's new
         // owner.
--- a/src/main/kotlin/io/reedmast/app/ControllerHandle.kt
+++ b/src/main/kotlin/io/reedmast/app/ControllerHandle.kt
@@ -1,7 +1,5 @@
 package io.reedmast.app
 
-import io.reedmast.kvstore.StoredItem
-import io.reedmast.kvstore.WatchEvent
 import io.reedmast.ports.PeerMessage
 import io.reedmast.wire.JobSpec
 import io.reedmast.wire.UserAnswer
@@ -22,6 +20,9 @@
     /** Whether the load balancer should send users here, as of the last periodic run; callable on any thread. */
     fun healthy(): Boolean = healthyNow
 
+    /** Takes what the watches on the store deliver. */
+    val watchSink = WatchSink(eventLoop, controller.cluster.watchResults, ::updateQuestionsWaiting)
+
     @Volatile
     private var waiting = false
 
@@ -45,24 +46,25 @@
     }
 
     /** Has a heartbeat handled; false if there is too much to do, and [answer] is then never called. */
-    fun onHeartbeat(status: WorkerStatus, answer: (WorkerAnswer) -> Unit): Boolean = eventLoop.offer(Urgency.REPORT) {
-        answer(controller.onHeartbeat(status))
-    }
+    fun onHeartbeat(status: WorkerStatus, answer: (WorkerAnswer) -> Unit): Boolean =
+        eventLoop.offer(Urgency.HEARTBEAT) {
+            answer(controller.onHeartbeat(status))
+        }
 
     /** Has a submission handled; false if there is too much to do, and [answer] is then never called. */
-    fun submit(spec: JobSpec, answer: (UserAnswer) -> Unit): Boolean = eventLoop.offer(Urgency.SUBMISSION) {
+    fun submit(spec: JobSpec, answer: (UserAnswer) -> Unit): Boolean = eventLoop.offer(Urgency.USER_REQUEST) {
         controller.submit(spec, answer)
         updateQuestionsWaiting()
     }
 
     /** Has a poll answered; false if there is too much to do, and [answer] is then never called. */
-    fun poll(jobId: String, answer: (UserAnswer) -> Unit): Boolean = eventLoop.offer(Urgency.SUBMISSION) {
+    fun poll(jobId: String, answer: (UserAnswer) -> Unit): Boolean = eventLoop.offer(Urgency.USER_REQUEST) {
         controller.poll(jobId, answer)
         updateQuestionsWaiting()
     }
 
     /** Has a job cancelled; false if there is too much to do, and [answer] is then never called. */
-    fun cancel(jobId: String, answer: (UserAnswer) -> Unit): Boolean = eventLoop.offer(Urgency.SUBMISSION) {
+    fun cancel(jobId: String, answer: (UserAnswer) -> Unit): Boolean = eventLoop.offer(Urgency.USER_REQUEST) {
         controller.cancel(jobId, answer)
         updateQuestionsWaiting()
     }
@@ -72,30 +74,7 @@
      * controllers confirm to each other must not, or many questions would end all work in an outage.
      */
     fun onPeerMessage(message: PeerMessage) {
-        val urgency = if (message is PeerMessage.ShardStatusUpdate) Urgency.SUBMISSION else Urgency.DECISION
+        val urgency = if (message is PeerMessage.ShardStatusUpdate) Urgency.USER_REQUEST else Urgency.DECISION
         eventLoop.offer(urgency) { controller.onPeerMessage(message) }
     }
-
-    /**
-     * All of the cluster's keys, as read at [revision] by a request made at [askedAt] in milliseconds of steady time.
-     */
-    fun snapshot(items: List<StoredItem>, revision: Long, askedAt: Long) = eventLoop.post {
-        controller.cluster.watchResults.onClusterSnapshot(items, revision, askedAt)
-    }
-
-    /** Changes of the cluster's keys up to [revision], by a request made at [askedAt]. */
-    fun clusterEvents(events: List<WatchEvent>, revision: Long, askedAt: Long) = eventLoop.post {
-        controller.cluster.watchResults.onClusterEvents(events, revision, askedAt)
-    }
-
-    /** All live jobs, as read at [revision] by a request made at [askedAt]. */
-    fun jobsSnapshot(items: List<StoredItem>, revision: Long, askedAt: Long) = eventLoop.post {
-        controller.cluster.watchResults.onJobsSnapshot(items, revision, askedAt)
-    }
-
-    /** Changes of job records up to [revision], by a request made at [askedAt]. */
-    fun jobEvents(events: List<WatchEvent>, revision: Long, askedAt: Long) = eventLoop.post {
-        controller.cluster.watchResults.onJobEvents(events, revision, askedAt)
-        updateQuestionsWaiting()
-    }
 }
--- a/src/main/kotlin/io/reedmast/app/ControllerProcess.kt
+++ b/src/main/kotlin/io/reedmast/app/ControllerProcess.kt
@@ -28,7 +28,7 @@
         StoreClient(settings.storeAddress, limits, settings.members.size, HttpCaller(STORE_CONNECT_MS, STORE_READ_MS))
     private val incarnation = incarnationOf(settings.label)
     private val gateway =
-        NetworkGateway.create(settings, eventLoop, storeClient, limits, incarnation, ::endUnfit)
+        NetworkGateway.create(settings, eventLoop, StoreAccess(storeClient, limits, incarnation), ::endUnfit)
     private val controller =
         Controller(settings, options.tuning, SystemClock, gateway, limits, incarnation, options.rollout)
     private val timings = Timings(SystemClock)
--- a/src/main/kotlin/io/reedmast/app/EventLoop.kt
+++ b/src/main/kotlin/io/reedmast/app/EventLoop.kt
@@ -7,13 +7,13 @@
 /** What is done first when there is more to do than can be done. */
 enum class Urgency {
     /** Heartbeats of workers, whose leases depend on the answers. */
-    REPORT,
+    HEARTBEAT,
 
     /** Results of the controller's own calls, watches and confirmations between controllers. */
     DECISION,
 
     /** Requests of users, and what is for display only. */
-    SUBMISSION,
+    USER_REQUEST,
 }
 
 /**
@@ -53,21 +53,33 @@
         enqueue(Urgency.DECISION, work, Int.MAX_VALUE)
     }
 
+    /** What becomes of work that a thread brings. */
+    private enum class Admission { DO_NOW, QUEUED, REFUSED }
+
     private fun enqueue(urgency: Urgency, work: () -> Unit, maxQueued: Int): Boolean {
-        synchronized(lock) {
-            messages++
-            if (deciding || queued > 0 || clock.now() >= nextRunAt) {
-                val queue = queues[urgency.ordinal]
-                if (queue.size >= maxQueued) return false
+        val admission = synchronized(lock) { admit(queues[urgency.ordinal], work, maxQueued) }
+        if (admission == Admission.DO_NOW) decide(work)
+        return admission != Admission.REFUSED
+    }
+
+    private fun admit(queue: ArrayDeque<() -> Unit>, work: () -> Unit, maxQueued: Int): Admission {
+        messages++
+        val isIdle = !deciding && queued == 0 && clock.now() < nextRunAt
+        return when {
+            isIdle -> {
+                deciding = true
+                Admission.DO_NOW
+            }
+
+            queue.size >= maxQueued -> Admission.REFUSED
+
+            else -> {
                 queue.add(work)
                 queued++
                 if (!deciding) lock.notify()
-                return true
+                Admission.QUEUED
             }
-            deciding = true
         }
-        decide(work)
-        return true
     }
 
     private fun decide(work: () -> Unit) {
@@ -124,16 +136,18 @@
 
     private fun pollQueues(runDue: Boolean): (() -> Unit)? {
         if (queued == 0) return null
-        // Now and then the last come first: under lasting overload no question of a user would be answered at all.
-        val order = if (++polls % POLLS_PER_REVERSAL == 0) queues.asReversed() else queues
-        for (queue in order) {
+        val candidates = when {
+            // Now and then the last come first: under lasting overload no question of a user would be answered at all.
+            ++polls % POLLS_PER_REVERSAL == 0 -> queues.asReversed()
+
             // The periodic run is a decision, and comes before those that wait.
-            if (runDue && order === queues && queue !== queues[Urgency.REPORT.ordinal]) return null
-            val work = queue.poll() ?: continue
-            queued--
-            return work
+            runDue -> listOf(queues[Urgency.HEARTBEAT.ordinal])
+
+            else -> queues
         }
-        return null
+        val work = candidates.firstNotNullOfOrNull { it.poll() } ?: return null
+        queued--
+        return work
     }
 
     private companion object {
--- a/src/main/kotlin/io/reedmast/app/HttpApi.kt
+++ b/src/main/kotlin/io/reedmast/app/HttpApi.kt
@@ -2,10 +2,10 @@
 
 import com.sun.net.httpserver.HttpServer
 import io.reedmast.settings.Settings
+import io.reedmast.wire.BodyCodec
 import io.reedmast.wire.Fields
 import io.reedmast.wire.JobSpec
 import io.reedmast.wire.MalformedException
-import io.reedmast.wire.Tree
 import io.reedmast.wire.UserAnswer
 import io.reedmast.wire.WorkerReplies
 import io.reedmast.wire.WorkerStatus
@@ -143,21 +143,26 @@
     }
 
     private inline fun reading(request: Request, use: (Fields) -> Response): Response {
-        val length = request.header("Content-Length")?.toLongOrNull()
-        if (length != null && length > MAX_BODY_BYTES) return tooLarge()
-        val bytes = request.body.stream.readNBytes(MAX_BODY_BYTES + 1)
-        if (bytes.size > MAX_BODY_BYTES) return tooLarge()
+        val bytes = bodyOf(request) ?: return tooLarge()
         return try {
-            use(Tree.readCbor(bytes))
+            use(BodyCodec.readCbor(bytes))
         } catch (e: MalformedException) {
             cbor(Status.BAD_REQUEST, UserAnswer(Status.BAD_REQUEST.code, error = e.message).toFields())
         }
     }
 
+    /** The body of [request], null if it is larger than any message may be. */
+    private fun bodyOf(request: Request): ByteArray? {
+        val length = request.header("Content-Length")?.toLongOrNull()
+        if (length != null && length > MAX_BODY_BYTES) return null
+        return request.body.stream.readNBytes(MAX_BODY_BYTES + 1).takeIf { it.size <= MAX_BODY_BYTES }
+    }
+
     private fun tooLarge() = Response(Status.REQUEST_ENTITY_TOO_LARGE).header("Connection", "close")
 
-    private fun cbor(status: Status, fields: Fields): Response =
-        Response(status).header("Content-Type", "application/cbor").body(Body(ByteBuffer.wrap(Tree.writeCbor(fields))))
+    private fun cbor(status: Status, fields: Fields): Response = Response(
+        status,
+    ).header("Content-Type", "application/cbor").body(Body(ByteBuffer.wrap(BodyCodec.writeCbor(fields))))
 
     private companion object {
         const val JOB_PREFIX = "/submissions/"
--- a/src/main/kotlin/io/reedmast/app/Main.kt
+++ b/src/main/kotlin/io/reedmast/app/Main.kt
@@ -28,10 +28,16 @@
     val command = Reedmast { ControllerProcess(it).run() }.subcommands(RolloutCommand(::DirectStore))
     try {
         command.parse(args)
+    } catch (e: UsageError) {
+        print(command.getFormattedHelp(e), e.printError)
+        exitProcess(ExitCodes.USAGE)
     } catch (e: CliktError) {
-        val text = command.getFormattedHelp(e)
-        // The core of Clikt neither exits nor tells its two streams apart by itself.
-        if (text != null) if (e.printError) System.err.println(text) else println(text)
-        exitProcess(if (e is UsageError) ExitCodes.USAGE else e.statusCode)
+        print(command.getFormattedHelp(e), e.printError)
+        exitProcess(e.statusCode)
     }
 }
+
+/** The core of Clikt neither exits nor tells its two streams apart by itself. */
+private fun print(text: String?, isError: Boolean) {
+    if (text != null) (if (isError) System.err else System.out).println(text)
+}
--- a/src/main/kotlin/io/reedmast/app/NetworkGateway.kt
+++ b/src/main/kotlin/io/reedmast/app/NetworkGateway.kt
@@ -9,6 +9,13 @@
 import io.reedmast.ports.WorkerTransport
 import io.reedmast.settings.Settings
 
+/**
+ * What a process needs to reach the store.
+ *
+ * @property incarnation names this process in the ids of its transactions; never used by another one
+ */
+class StoreAccess(val client: StoreClient, val limits: EffectiveLimits, val incarnation: String)
+
 /**
  * All ports over the network, joined from one adapter a port.
  *
@@ -42,22 +49,20 @@
 
     companion object {
         /**
-         * Builds the adapters for the controller that [settings] describe; results go to [eventLoop]. [incarnation]
-         * names this process in transaction ids, and [onEnd] ends the process.
+         * Builds the adapters for the controller that [settings] describe; results go to [eventLoop], and [onEnd] ends
+         * the process.
          */
         fun create(
             settings: Settings,
             eventLoop: EventLoop,
-            client: StoreClient,
-            limits: EffectiveLimits,
-            incarnation: String,
+            storeAccess: StoreAccess,
             onEnd: (reason: String) -> Unit,
         ): NetworkGateway {
             val calls = AsyncCalls(eventLoop)
             return NetworkGateway(
-                client,
+                storeAccess.client,
                 onEnd,
-                StoreGateway(client, calls, eventLoop, limits, settings.members.size, incarnation),
+                StoreGateway(storeAccess, calls, eventLoop, settings.members.size),
                 CloudGateway(settings, calls),
                 WorkerGateway(settings.maxConnections, calls),
                 PeerGateway(settings, calls),
--- a/src/main/kotlin/io/reedmast/app/StoreGateway.kt
+++ b/src/main/kotlin/io/reedmast/app/StoreGateway.kt
@@ -7,7 +7,6 @@
 import io.reedmast.kvstore.LeaseGrant
 import io.reedmast.kvstore.ListResult
 import io.reedmast.kvstore.ReadResult
-import io.reedmast.kvstore.StoreClient
 import io.reedmast.kvstore.StoredItem
 import io.reedmast.kvstore.TransactionIds
 import io.reedmast.ports.KeyValueStore
@@ -18,17 +17,18 @@
  * leases have a pool each, so that slow reads never hold up the renewal of the controller's lease.
  */
 internal class StoreGateway(
-    private val client: StoreClient,
+    access: StoreAccess,
     private val calls: AsyncCalls,
     eventLoop: EventLoop,
-    limits: EffectiveLimits,
     controllers: Int,
-    incarnation: String,
 ) : KeyValueStore {
-    private val committer =
-        Committer(client, limits, maxQueued(limits, controllers), TransactionIds(incarnation)) { change, outcome ->
-            eventLoop.post { change.done(outcome) }
-        }
+    private val client = access.client
+    private val committer = Committer(
+        client,
+        access.limits,
+        maxQueued(access.limits, controllers),
+        TransactionIds(access.incarnation),
+    ) { transaction, outcome -> eventLoop.post { transaction.done(outcome) } }
     private val reads = WorkPool("read", READ_THREADS, MAX_QUEUED_READS)
     private val leases = WorkPool("lease", LEASE_THREADS, MAX_QUEUED_LEASE_CALLS)
 
--- a/src/main/kotlin/io/reedmast/app/Watches.kt
+++ b/src/main/kotlin/io/reedmast/app/Watches.kt
@@ -36,8 +36,8 @@
         Keys.CLUSTER,
         minIntervalMs = 0L,
         holdMs = { CLUSTER_HOLD_MS },
-        handle::snapshot,
-        handle::clusterEvents,
+        handle.watchSink::snapshot,
+        handle.watchSink::clusterEvents,
     )
 
     /**
@@ -50,8 +50,8 @@
         Keys.JOBS,
         minIntervalMs = JOBS_INTERVAL_MS,
         holdMs = { if (handle.questionsWait()) 0 else JOBS_HOLD_MS },
-        handle::jobsSnapshot,
-        handle::jobEvents,
+        handle.watchSink::jobsSnapshot,
+        handle.watchSink::jobEvents,
     )
 
     /** Starts the threads of both watches. */
--- a/src/main/kotlin/io/reedmast/autoscaling/ArrivalRates.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/ArrivalRates.kt
@@ -13,7 +13,7 @@
     fun serviceCpus(now: Long, seconds: Double): Double {
         val arrivals = shardState.jobArrivals.services.dropBefore(now - SERVICES_WINDOW_MS)
         // With the last service gone, nothing says that more will come.
-        if (arrivals.isEmpty() || shardState.jobs.values.none { it.spec.service || it.spec.gang }) return 0.0
+        if (arrivals.isEmpty() || shardState.jobs.values.none { it.spec.isService || it.spec.isGang }) return 0.0
         val windowPart = seconds * MS_PER_S / SERVICES_WINDOW_MS
         val mean = arrivals.sumOf { it.cpus } * windowPart
         return mean + SERVICES_DEVIATIONS * sqrt(sumOfSquares(arrivals) * windowPart)
--- a/src/main/kotlin/io/reedmast/autoscaling/DemandCalculation.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/DemandCalculation.kt
@@ -28,7 +28,7 @@
 
     private fun waitingJobs(): List<Job> = shardState.jobs.values
         .filter { it.pendingCount > 0 && !it.isFinalRecordInFlight && !shardState.urgency.isSuspectedFaulty(it) }
-        .sortedWith(compareBy({ !it.spec.service }, { it.spec.priority }, { shardState.urgency.deadlineMs(it) }))
+        .sortedWith(compareBy({ !it.spec.isService }, { it.spec.priority }, { shardState.urgency.deadlineMs(it) }))
 
     private fun demandOf(job: Job): List<Demand> {
         val startable = startableTasks(job)
@@ -37,7 +37,7 @@
         val tasks = tasksToProvision(job, startable, allowedZones)
         return when {
             tasks <= 0 || allowedZones?.isEmpty() == true -> emptyList()
-            job.spec.gang && job.spec.spread -> demandOfSpreadGang(job)
+            job.spec.isGang && job.spec.spread -> demandOfSpreadGang(job)
             else -> listOf(demandFor(job, tasks, zones.zoneToRequest(job, allowedZones)))
         }
     }
--- a/src/main/kotlin/io/reedmast/autoscaling/DemandZones.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/DemandZones.kt
@@ -14,7 +14,7 @@
     /** The zones in which new capacity for the job is of use, which may be none; null if nothing limits them. */
     fun allowedZonesFor(job: Job): Set<String>? {
         val leftOpen = openZones(job, all)
-        if (leftOpen != null || !job.spec.gang) return leftOpen
+        if (leftOpen != null || !job.spec.isGang) return leftOpen
         return zoneForGang(job)?.let { setOf(it) }
     }
 
@@ -35,7 +35,7 @@
      * CPUs, then the others in turn, since the cloud may have nothing left in one.
      */
     private fun zoneForGang(job: Job): String? {
-        if (!job.spec.gang || !job.spec.oneZone || job.spec.zone != null) return job.spec.zone
+        if (!job.spec.isGang || !job.spec.oneZone || job.spec.zone != null) return job.spec.zone
         val zones = byFreeCpus()
         if (zones.isEmpty()) return null
         val zonesTried = (shardState.clock.now() - job.waitsSince) / TIME_PER_ZONE_MS
--- a/src/main/kotlin/io/reedmast/autoscaling/DrainCandidates.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/DrainCandidates.kt
@@ -26,7 +26,7 @@
     }
 
     private fun isDrainable(machine: Machine, now: Long): Boolean = machine.usable && machine.noticeUntil == 0L &&
-        machine.placements.values.none { now - it.madeAt < JUST_PLACED_MS || it.job.spec.gang }
+        machine.placements.values.none { now - it.madeAt < JUST_PLACED_MS || it.job.spec.isGang }
 
     /**
      * Whether the machine's work fits into what is left of [freeCpus] without it. With less on the others, the work of
@@ -42,7 +42,7 @@
         val spec = placement.job.spec
         val ranS = if (placement.running) (now - placement.runningSince) / MS_PER_S else 0.0
         val lostS = when {
-            spec.service -> SERVICE_RESTART_S
+            spec.isService -> SERVICE_RESTART_S
             spec.estimateS - ranS < ScaleInPolicy.ENDS_SOON_S -> 0.0
             spec.resumable -> spec.saveS
             else -> ranS
--- a/src/main/kotlin/io/reedmast/autoscaling/ShardUsageSummary.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/ShardUsageSummary.kt
@@ -1,8 +1,8 @@
 package io.reedmast.autoscaling
 
 import io.reedmast.settings.ShardId
+import io.reedmast.wire.BodyCodec
 import io.reedmast.wire.Fields
-import io.reedmast.wire.Tree
 import io.reedmast.wire.amount
 import io.reedmast.wire.count
 import io.reedmast.wire.list
@@ -51,7 +51,7 @@
     /** The summary with as much left out, machines before demand, as it takes to fit into [maxBytes] once stored. */
     fun within(maxBytes: Int): ShardUsageSummary {
         var summary = this
-        while (Tree.jsonSize(summary.toFields()) > maxBytes) summary = summary.shortened() ?: return summary
+        while (BodyCodec.jsonSize(summary.toFields()) > maxBytes) summary = summary.shortened() ?: return summary
         return summary
     }
 
--- a/src/main/kotlin/io/reedmast/cluster/MachineListPart.kt
+++ b/src/main/kotlin/io/reedmast/cluster/MachineListPart.kt
@@ -2,9 +2,9 @@
 
 import io.reedmast.model.MachineRecord
 import io.reedmast.settings.ShardId
+import io.reedmast.wire.BodyCodec
 import io.reedmast.wire.Fields
 import io.reedmast.wire.MalformedException
-import io.reedmast.wire.Tree
 import io.reedmast.wire.flag
 import io.reedmast.wire.list
 import io.reedmast.wire.map
@@ -37,13 +37,13 @@
     )
 
     /** Whether it fits into a value of [valueBytes] and leaves room for marks of transfers. */
-    fun fits(valueBytes: Int): Boolean = Tree.jsonSize(toFields()) <= valueBytes * MAX_FILL_BEFORE_TRANSFERS
+    fun fits(valueBytes: Int): Boolean = BodyCodec.jsonSize(toFields()) <= valueBytes * MAX_FILL_BEFORE_TRANSFERS
 
     /**
      * Whether the store takes it as a value of at most [valueBytes], with its marks of transfers; one that an earlier
      * version stored may be too large until it has been divided.
      */
-    fun isStorable(valueBytes: Int): Boolean = Tree.jsonSize(toFields()) <= valueBytes * MAX_FILL
+    fun isStorable(valueBytes: Int): Boolean = BodyCodec.jsonSize(toFields()) <= valueBytes * MAX_FILL
 
     /** Without the machines called [names]. */
     fun without(names: Set<String>) = MachineListPart(records.filter { it.name !in names }, transfers - names)
--- a/src/main/kotlin/io/reedmast/commands/CommandDispatcher.kt
+++ b/src/main/kotlin/io/reedmast/commands/CommandDispatcher.kt
@@ -47,7 +47,7 @@
         val isFirstStop = placement.stopReason == null
         stopOne(placement, reason)
         // Whatever stopped the first task of a gang has stopped all.
-        if (!isFirstStop || !placement.job.spec.gang) return
+        if (!isFirstStop || !placement.job.spec.isGang) return
         val otherTasks = placement.job.placements().filter { it.stopReason == null }.toList()
         otherTasks.forEach { stopOne(it, reason) }
     }
--- a/src/main/kotlin/io/reedmast/deploy/RolloutFile.kt
+++ b/src/main/kotlin/io/reedmast/deploy/RolloutFile.kt
@@ -10,8 +10,8 @@
 import io.reedmast.rollout.MigrationPace
 import io.reedmast.rollout.RolloutOptions
 import io.reedmast.rollout.Target
+import io.reedmast.wire.BodyCodec
 import io.reedmast.wire.Fields
-import io.reedmast.wire.Tree
 import io.reedmast.wire.map
 import io.reedmast.wire.optionalAmount
 import java.io.IOException
@@ -42,7 +42,7 @@
     /** Reads [text] as a rollout file; throws [RolloutFileException] if it cannot be used. */
     fun parse(text: String, registry: FeatureRegistry): RolloutOptions {
         validate(text)
-        val fields = Tree.readJson(text.toByteArray())
+        val fields = BodyCodec.readJson(text.toByteArray())
         val desired = fields.map("features").entries.associate { FeatureName(it.key) to Target.of(it.value.toString()) }
         check(desired, registry)
         return RolloutOptions(registry, desired, pace(fields))
--- a/src/main/kotlin/io/reedmast/gangs/GangCoordinator.kt
+++ b/src/main/kotlin/io/reedmast/gangs/GangCoordinator.kt
@@ -5,7 +5,7 @@
 import io.reedmast.model.Placement
 import io.reedmast.model.ShardState
 import io.reedmast.model.StopReason
-import io.reedmast.wire.Cause
+import io.reedmast.wire.TaskEndCause
 import org.slf4j.LoggerFactory
 
 /**
@@ -45,19 +45,19 @@
         !placement.committed && placement.job.chunkOf(placement.task).page?.isWriteInFlight != true
 
     /** A task of a gang has ended on its machine, for the reason that its worker reported. */
-    fun onTaskEnded(placement: Placement, cause: Cause) {
+    fun onTaskEnded(placement: Placement, cause: TaskEndCause) {
         val job = placement.job
         when (cause) {
-            Cause.DONE -> complete(job)
+            TaskEndCause.DONE -> complete(job)
 
             // An orderly stop that began before this owner knew of it: the others must be stopped in time, with grace
             // to save.
-            Cause.HALTED -> {
+            TaskEndCause.HALTED -> {
                 stopRemainingTasks(job, StopReason.DRAINED)
                 shardState.finish(placement, done = false)
             }
 
-            Cause.ALONE -> {
+            TaskEndCause.GANG_TIMED_OUT -> {
                 backOff(job, placement.attempt)
                 shardState.finish(placement, done = false)
             }
@@ -97,7 +97,7 @@
 
     /** The shard has just been read from the store. What is stored of a gang may be a part of it. */
     fun onRestored(job: Job) {
-        if (!job.spec.gang) return
+        if (!job.spec.isGang) return
         when {
             job.doneCount > 0 -> complete(job)
             job.placedCount > 0 && !isPlacedAsOneAttempt(job) -> shardState.incompleteGangs.add(job)
@@ -114,7 +114,7 @@
      * back: its other tasks are about to stop.
      */
     fun mayLaunch(placement: Placement): Boolean {
-        if (!placement.job.spec.gang) return true
+        if (!placement.job.spec.isGang) return true
         if (!placement.job.isCompleteGangStored) return false
         val hasStarted = placement.job.placements().any { it.running }
         if (hasStarted) shardState.incompleteGangs.add(placement.job)
--- a/src/main/kotlin/io/reedmast/gangs/GangReservations.kt
+++ b/src/main/kotlin/io/reedmast/gangs/GangReservations.kt
@@ -38,7 +38,7 @@
 
     /** Whether the machine is reserved for a gang other than [job]. */
     fun isReservedForOther(job: Job, machine: Machine): Boolean {
-        if (!job.spec.gang && machine in reservedForExpectedGangs) return true
+        if (!job.spec.isGang && machine in reservedForExpectedGangs) return true
         val gang = gangsByMachine[machine] ?: return false
         return gang !== job
     }
--- a/src/main/kotlin/io/reedmast/gangs/ReservationSelection.kt
+++ b/src/main/kotlin/io/reedmast/gangs/ReservationSelection.kt
@@ -48,7 +48,7 @@
 
 /** How many tasks of this shape fit once arrays on the machine have ended. */
 internal fun tasksOnceArraysEnd(spec: JobSpec, machine: Machine): Int {
-    val arrayTasks = machine.placements.values.filter { !it.job.spec.service && !it.job.spec.gang }
+    val arrayTasks = machine.placements.values.filter { !it.job.spec.isService && !it.job.spec.isGang }
     val freeOnceEnded = FreeResources(
         machine.freeCpus + arrayTasks.sumOf { it.job.spec.cpus },
         machine.freeGpus + arrayTasks.sumOf { it.job.spec.gpus },
--- a/src/main/kotlin/io/reedmast/heartbeats/FailureTracker.kt
+++ b/src/main/kotlin/io/reedmast/heartbeats/FailureTracker.kt
@@ -42,7 +42,7 @@
     /** Several tasks of a gang fail together where the gang has a mistake: that says no more than one failure does. */
     private fun countsAsFailure(placement: Placement): Boolean {
         val job = placement.job
-        val isFirstOfAttempt = !job.spec.gang || job.lastFailedAttempt != placement.attempt
+        val isFirstOfAttempt = !job.spec.isGang || job.lastFailedAttempt != placement.attempt
         job.lastFailedAttempt = placement.attempt
         return isFirstOfAttempt
     }
--- a/src/main/kotlin/io/reedmast/heartbeats/MissingTask.kt
+++ b/src/main/kotlin/io/reedmast/heartbeats/MissingTask.kt
@@ -60,7 +60,7 @@
         private fun isRestartable(placement: Placement): Boolean {
             val machine = placement.machine
             return placement.stopReason == null && machine.usable && machine.noticeUntil == 0L &&
-                !placement.job.spec.gang
+                !placement.job.spec.isGang
         }
     }
 }
--- a/src/main/kotlin/io/reedmast/heartbeats/ReportedTaskHandler.kt
+++ b/src/main/kotlin/io/reedmast/heartbeats/ReportedTaskHandler.kt
@@ -3,7 +3,7 @@
 import io.reedmast.commands.CommandDispatcher
 import io.reedmast.model.Placement
 import io.reedmast.model.StopReason
-import io.reedmast.wire.Cause
+import io.reedmast.wire.TaskEndCause
 import io.reedmast.wire.TaskState
 import io.reedmast.wire.TaskStatus
 import io.reedmast.wire.WorkerCommand
@@ -21,13 +21,13 @@
             TaskState.RUNNING, TaskState.SAVING -> recordRunning(placement, now)
 
             TaskState.ENDED -> {
-                taskEnds.onEnded(placement, reported.cause ?: Cause.ERROR, now)
+                taskEnds.onEnded(placement, reported.cause ?: TaskEndCause.ERROR, now)
                 return emptyList()
             }
         }
         val isSaving = reported.state == TaskState.SAVING
         // An owner before us has begun to stop the gang: its other tasks must be stopped in time, or nothing is saved.
-        if (placement.job.spec.gang && isSaving) dispatcher.stop(placement, StopReason.DRAINED)
+        if (placement.job.spec.isGang && isSaving) dispatcher.stop(placement, StopReason.DRAINED)
         return if (isStopDue(placement, isSaving)) listOf(dispatcher.stopCommand(placement)) else emptyList()
     }
 
--- a/src/main/kotlin/io/reedmast/heartbeats/TaskEndHandler.kt
+++ b/src/main/kotlin/io/reedmast/heartbeats/TaskEndHandler.kt
@@ -4,7 +4,7 @@
 import io.reedmast.model.Job
 import io.reedmast.model.Placement
 import io.reedmast.model.ShardState
-import io.reedmast.wire.Cause
+import io.reedmast.wire.TaskEndCause
 import org.slf4j.LoggerFactory
 
 /** The end of a task on its machine: by its cause, when its job may be tried again, and whose fault a failure is. */
@@ -13,33 +13,33 @@
     private val failures = FailureTracker(shardState)
 
     /** The worker reports that the attempt of [placement] has ended, which is the evidence that finishes it. */
-    fun onEnded(placement: Placement, cause: Cause, now: Long) {
+    fun onEnded(placement: Placement, cause: TaskEndCause, now: Long) {
         val job = placement.job
         logUnexpectedEnd(placement, cause)
         when (cause) {
-            Cause.DONE -> {
+            TaskEndCause.DONE -> {
                 placement.machine.recordImage(job.spec.image, job.spec.imageGb)
                 failures.recordSuccess(placement, now)
             }
 
-            Cause.ERROR -> failures.recordFailure(placement, now)
+            TaskEndCause.ERROR -> failures.recordFailure(placement, now)
 
-            Cause.NO_ROOM, Cause.BUSY -> delayRetry(job, now + RETRY_AFTER_REFUSAL_MS)
+            TaskEndCause.NO_ROOM, TaskEndCause.BUSY -> delayRetry(job, now + RETRY_AFTER_REFUSAL_MS)
 
-            Cause.UNKNOWN -> delayRetry(job, now + RETRY_OF_UNKNOWN_JOB_MS)
+            TaskEndCause.UNKNOWN -> delayRetry(job, now + RETRY_OF_UNKNOWN_JOB_MS)
 
-            Cause.HALTED, Cause.PEERS, Cause.ALONE -> {}
+            TaskEndCause.HALTED, TaskEndCause.PEER_LOST, TaskEndCause.GANG_TIMED_OUT -> {}
         }
-        if (job.spec.gang) {
+        if (job.spec.isGang) {
             gangs.onTaskEnded(placement, cause)
         } else {
             // A service has no end that counts as its result: a replica that ended is placed anew.
-            shardState.finish(placement, done = cause == Cause.DONE && !job.spec.service)
+            shardState.finish(placement, done = cause == TaskEndCause.DONE && !job.spec.isService)
         }
     }
 
-    private fun logUnexpectedEnd(placement: Placement, cause: Cause) {
-        val isExpected = cause == Cause.DONE || (cause == Cause.HALTED && placement.stopReason != null)
+    private fun logUnexpectedEnd(placement: Placement, cause: TaskEndCause) {
+        val isExpected = cause == TaskEndCause.DONE || (cause == TaskEndCause.HALTED && placement.stopReason != null)
         if (isExpected) return
         log.info(
             "task {} attempt {}: ended on {}: {}",
--- a/src/main/kotlin/io/reedmast/kvstore/StoreClient.kt
+++ b/src/main/kotlin/io/reedmast/kvstore/StoreClient.kt
@@ -83,7 +83,7 @@
 
     /** Sends a transaction once; the permits for its writes have been acquired from the [writeLimiter]. */
     fun commit(transaction: StoreTransaction): CommitReply {
-        val conditions = transaction.preconditions.map { StoreMessages.condition(it.path, it.version) }
+        val conditions = transaction.preconditions.map { StoreMessages.precondition(it.path, it.version) }
         val body = StoreMessages.transaction(conditions, transaction.writes.map { encoded(it, transaction.id) })
         return when (val reply = call("POST", "/commit", body)) {
             is Reply.NotSent -> CommitReply.NotExecuted
--- a/src/main/kotlin/io/reedmast/kvstore/TransactionBatch.kt
+++ b/src/main/kotlin/io/reedmast/kvstore/TransactionBatch.kt
@@ -1,7 +1,7 @@
 package io.reedmast.kvstore
 
 import io.reedmast.settings.StoreLimits
-import io.reedmast.wire.Tree
+import io.reedmast.wire.BodyCodec
 
 /** Transactions that can be sent together, as far as [limits] and their keys allow. */
 internal class TransactionBatch(private val limits: StoreLimits) {
@@ -45,7 +45,7 @@
         transaction.writes.sumOf { sizeOf(it) } + transaction.preconditions.size * PRECONDITION_BYTES
 
     private fun sizeOf(write: Write): Int = when (write) {
-        is Write.Put -> Tree.jsonSize(write.value) + write.path.length
+        is Write.Put -> BodyCodec.jsonSize(write.value) + write.path.length
         is Write.Delete -> write.path.length
     }
 
--- a/src/main/kotlin/io/reedmast/kvstore/Write.kt
+++ b/src/main/kotlin/io/reedmast/kvstore/Write.kt
@@ -1,8 +1,8 @@
 package io.reedmast.kvstore
 
+import io.reedmast.wire.BodyCodec
 import io.reedmast.wire.Fields
 import io.reedmast.wire.StoreMessages
-import io.reedmast.wire.Tree
 
 /** One write of a transaction. */
 sealed interface Write {
@@ -12,7 +12,7 @@
     /** Stores [value]; the key is deleted when [lease] ends, if there is one. */
     data class Put(override val path: String, val value: Fields, val lease: Long? = null) : Write {
         /** The bytes that the store counts for the value, with the id of its transaction. */
-        fun storedSize(transactionId: String): Int = Tree.jsonSize(StoreMessages.stored(value, transactionId))
+        fun storedSize(transactionId: String): Int = BodyCodec.jsonSize(StoreMessages.stored(value, transactionId))
     }
 
     /** Deletes the key. */
--- a/src/main/kotlin/io/reedmast/machines/MachineDrainer.kt
+++ b/src/main/kotlin/io/reedmast/machines/MachineDrainer.kt
@@ -25,7 +25,7 @@
     /** Ends by its estimate within seconds, and is not past the estimate by much: then it says nothing any more. */
     private fun endsSoon(placement: Placement, now: Long): Boolean {
         val spec = placement.job.spec
-        if (spec.service || !placement.running) return false
+        if (spec.isService || !placement.running) return false
         return endsWithin(placement, ScaleInPolicy.ENDS_SOON_S, now) &&
             elapsedS(placement, now) < spec.estimateS + ScaleInPolicy.ENDS_SOON_S
     }
@@ -39,7 +39,7 @@
     private fun isStopDue(placement: Placement, remainingS: Double, now: Long): Boolean {
         val spec = placement.job.spec
         return when {
-            spec.service || !placement.running -> true
+            spec.isService || !placement.running -> true
             // What can save runs on until it just has the time for that.
             spec.resumable -> remainingS < spec.saveS + SAVE_SLACK_S
             else -> remainingS < 0.0 || !endsWithin(placement, remainingS - END_SLACK_S, now)
--- a/src/main/kotlin/io/reedmast/model/Job.kt
+++ b/src/main/kotlin/io/reedmast/model/Job.kt
@@ -55,7 +55,8 @@
     val pendingCount: Int get() = if (isCancelled) 0 else spec.taskCount - doneCount - placedCount
 
     /** Whether the job is over and its end may be stored: a service is over only when it is cancelled. */
-    val isFinished: Boolean get() = placedCount == 0 && (isCancelled || (!spec.service && doneCount == spec.taskCount))
+    val isFinished: Boolean get() = placedCount == 0 &&
+        (isCancelled || (!spec.isService && doneCount == spec.taskCount))
 
     /** Machines on which attempts of this job failed, and how many failed in a row. */
     val failedOn = HashSet<Machine>()
--- a/src/main/kotlin/io/reedmast/model/JobArrivals.kt
+++ b/src/main/kotlin/io/reedmast/model/JobArrivals.kt
@@ -25,10 +25,10 @@
 
     /** Records a job of which the owner learns at [now]; [isRestored] if an earlier owner had accepted it. */
     fun record(spec: JobSpec, now: Long, isRestored: Boolean) {
-        if (spec.gang) gangs.addLast(GangArrival(now, spec))
+        if (spec.isGang) gangs.addLast(GangArrival(now, spec))
         if (isRestored) return
         val cpus = spec.cpus * spec.taskCount
-        if (spec.service || spec.gang) {
+        if (spec.isService || spec.isGang) {
             services.addLast(JobArrival(now, cpus))
         } else {
             arrays.addLast(JobArrival(now, cpus * spec.estimateS))
--- a/src/main/kotlin/io/reedmast/model/JobUrgency.kt
+++ b/src/main/kotlin/io/reedmast/model/JobUrgency.kt
@@ -47,7 +47,7 @@
 
     /** Since when the job lacks what it must not lack for long; in the future if it does not. */
     fun starvingSince(job: Job): Long = when {
-        job.spec.service -> job.waitsSince
+        job.spec.isService -> job.waitsSince
         job.placedCount == 0 -> job.idleSince
         else -> Long.MAX_VALUE
     }
@@ -68,14 +68,14 @@
     fun underservedForMs(job: Job): Long {
         if (job.pendingCount <= 0 || isSuspectedFaulty(job)) return 0L
         return when {
-            job.spec.service -> clock.now() - job.waitsSince
+            job.spec.isService -> clock.now() - job.waitsSince
             job.placedCount == 0 -> clock.now() - job.underservedSince
             else -> 0L
         }
     }
 
     /** Whether the job is judged by how soon it starts: a service, a gang, or one of a class with such an objective. */
-    fun isLatencySensitive(job: Job): Boolean = job.spec.service || job.spec.gang ||
+    fun isLatencySensitive(job: Job): Boolean = job.spec.isService || job.spec.isGang ||
         settings.objectives.any { it.kind == OBJECTIVE_WAIT && it.jobClass == job.spec.jobClass }
 
     /** It failed on several machines in a row: the job has a mistake, and the machines have not. */
--- a/src/main/kotlin/io/reedmast/model/Machine.kt
+++ b/src/main/kotlin/io/reedmast/model/Machine.kt
@@ -179,7 +179,7 @@
         usedCpus += placement.job.spec.cpus
         usedGpus += placement.job.spec.gpus
         usedMemoryGb += placement.job.spec.memoryGb
-        if (placement.job.spec.service) services++
+        if (placement.job.spec.isService) services++
     }
 
     /** Counts the placement no more, if it is still the one of its task. */
@@ -190,7 +190,7 @@
         usedCpus -= placement.job.spec.cpus
         usedGpus -= placement.job.spec.gpus
         usedMemoryGb -= placement.job.spec.memoryGb
-        if (placement.job.spec.service) services--
+        if (placement.job.spec.isService) services--
         if (placements.isEmpty()) {
             // Sums of decimals drift; an empty machine is exactly empty.
             usedCpus = 0.0
--- a/src/main/kotlin/io/reedmast/model/ShardState.kt
+++ b/src/main/kotlin/io/reedmast/model/ShardState.kt
@@ -118,7 +118,7 @@
             job.idleSince = clock.now()
             if (hasRun(placement, done)) job.underservedSince = clock.now()
         }
-        if (job.spec.gang && !done && job.placedCount > 0) incompleteGangs.add(job)
+        if (job.spec.isGang && !done && job.placedCount > 0) incompleteGangs.add(job)
         markDirty(job.chunkOf(placement.task))
         quota.remove(job)
         if (placement.machine.placements.isEmpty()) placement.machine.emptySince = clock.now()
--- a/src/main/kotlin/io/reedmast/persistence/PageForm.kt
+++ b/src/main/kotlin/io/reedmast/persistence/PageForm.kt
@@ -8,7 +8,7 @@
 /**
  * The record formats of [ProgressPage]. All are read at any time; which one is written depends on the rollout.
  *
- * Sizes are in bytes, as the store counts them: see [io.reedmast.wire.Tree.jsonSize].
+ * Sizes are in bytes, as the store counts them: see [io.reedmast.wire.BodyCodec.jsonSize].
  */
 enum class PageForm(private val bytesPerChunk: Int, private val bytesPerPlacement: Int) {
     /** Chunks do not say how many tasks they cover: it is the chunk size in the job's record. */
--- a/src/main/kotlin/io/reedmast/persistence/PageReader.kt
+++ b/src/main/kotlin/io/reedmast/persistence/PageReader.kt
@@ -3,8 +3,8 @@
 import io.reedmast.kvstore.StoredItem
 import io.reedmast.model.Job
 import io.reedmast.model.ShardState
+import io.reedmast.wire.BodyCodec
 import io.reedmast.wire.MalformedException
-import io.reedmast.wire.Tree
 import org.slf4j.LoggerFactory
 import java.util.BitSet
 
@@ -42,7 +42,7 @@
         page.isStoredDense = DensePages.isDense(item.value)
         val chunks = chunksOf(item)
         val mustBeDivided = isDividedOtherwise(chunks) || isOverfull(page, chunks) ||
-            Tree.jsonSize(item.value) > shardState.limits.allowed.valueBytes
+            BodyCodec.jsonSize(item.value) > shardState.limits.allowed.valueBytes
         for (chunk in chunks) loadChunk(chunk, page, mustBeDivided)
     }
 
--- a/src/main/kotlin/io/reedmast/placement/MachineScore.kt
+++ b/src/main/kotlin/io/reedmast/placement/MachineScore.kt
@@ -30,7 +30,7 @@
 }
 
 private fun newServiceMachinePenaltyS(spec: JobSpec, machine: Machine): Double =
-    if (spec.service && !machine.runsServices) NEW_SERVICE_MACHINE_PENALTY_S else 0.0
+    if (spec.isService && !machine.runsServices) NEW_SERVICE_MACHINE_PENALTY_S else 0.0
 
 /** Of a machine that is entirely unused; of others in proportion. */
 private const val EMPTY_MACHINE_PENALTY_S = 1.0
--- a/src/main/kotlin/io/reedmast/placement/ZoneRules.kt
+++ b/src/main/kotlin/io/reedmast/placement/ZoneRules.kt
@@ -32,7 +32,7 @@
 
 /** Whether the zones of the cloud can never hold the whole gang by its own rules, however much capacity there is. */
 fun zoneRulesNeverHold(spec: JobSpec, zones: Set<String>): Boolean {
-    if (!spec.gang || !spec.spread) return false
+    if (!spec.isGang || !spec.spread) return false
     val usableZones = if (spec.oneZone || spec.zone != null) 1 else zones.size
     return usableZones > 0 && maxGangTasksInOneZone(spec).toLong() * usableZones < spec.taskCount
 }
--- a/src/main/kotlin/io/reedmast/rollout/MigrationReconciler.kt
+++ b/src/main/kotlin/io/reedmast/rollout/MigrationReconciler.kt
@@ -8,10 +8,10 @@
 import io.reedmast.kvstore.StoredItem
 import io.reedmast.kvstore.Write
 import io.reedmast.kvstore.WritePriority
+import io.reedmast.wire.BodyCodec
 import io.reedmast.wire.Fields
 import io.reedmast.wire.MalformedException
 import io.reedmast.wire.StoreMessages
-import io.reedmast.wire.Tree
 import org.slf4j.LoggerFactory
 import java.util.ArrayDeque
 
@@ -167,7 +167,7 @@
         }
         when {
             targetForm == record -> recordDone(current, item.path) { it }
-            Tree.jsonSize(targetForm) + TRANSACTION_ID_BYTES > valueBytes() ->
+            BodyCodec.jsonSize(targetForm) + TRANSACTION_ID_BYTES > valueBytes() ->
                 recordDone(current, item.path) { it.copy(oversized = it.oversized + 1) }
             !isAffordable() -> due = now() + AFTER_REFUSAL_MS
             access.tryAcquire(item.path) -> write(current, item, targetForm)
--- a/src/main/kotlin/io/reedmast/rollout/RolloutRecord.kt
+++ b/src/main/kotlin/io/reedmast/rollout/RolloutRecord.kt
@@ -1,8 +1,8 @@
 package io.reedmast.rollout
 
+import io.reedmast.wire.BodyCodec
 import io.reedmast.wire.Fields
 import io.reedmast.wire.MalformedException
-import io.reedmast.wire.Tree
 import io.reedmast.wire.asFields
 import io.reedmast.wire.count
 import io.reedmast.wire.map
@@ -152,7 +152,7 @@
     /** As it is stored: with as much of the history as leaves it small enough for the smallest values. */
     fun toFields(): Fields {
         var kept = history
-        while (kept.isNotEmpty() && Tree.jsonSize(fieldsWith(kept)) > LARGEST_WITH_HISTORY) kept = kept.drop(1)
+        while (kept.isNotEmpty() && BodyCodec.jsonSize(fieldsWith(kept)) > LARGEST_WITH_HISTORY) kept = kept.drop(1)
         return fieldsWith(kept)
     }
 
--- a/src/main/kotlin/io/reedmast/scheduling/JobPlacer.kt
+++ b/src/main/kotlin/io/reedmast/scheduling/JobPlacer.kt
@@ -20,7 +20,7 @@
     /** True if something was placed and the job may have another task to place. */
     fun placeNext(job: Job, pass: SchedulingPass): Boolean {
         if (job.pendingCount <= 0 || shardState.quota.remainingTasks(job) < 1) return false
-        val isPlaced = if (job.spec.gang) placeGang(job, pass) else placeTask(job, pass)
+        val isPlaced = if (job.spec.isGang) placeGang(job, pass) else placeTask(job, pass)
         if (isPlaced) pass.recordPlaced(job)
         return isPlaced
     }
@@ -44,7 +44,7 @@
 
     /** Reservations for gangs hold off neither services nor jobs that have got nothing for long. */
     private fun machinesOpenTo(job: Job, urgency: Urgency, machines: List<Machine>): List<Machine> {
-        val ignoresReservations = job.spec.service || urgency.ignoresFailuresAndReservations || reservations.isEmpty
+        val ignoresReservations = job.spec.isService || urgency.ignoresFailuresAndReservations || reservations.isEmpty
         return if (ignoresReservations) machines else machines.filter { !reservations.isReservedForOther(job, it) }
     }
 
--- a/src/main/kotlin/io/reedmast/scheduling/PreemptionCandidates.kt
+++ b/src/main/kotlin/io/reedmast/scheduling/PreemptionCandidates.kt
@@ -40,7 +40,7 @@
 
     /** When the protected minimum began. A gang does not work before all of it runs. */
     private fun protectedSince(placement: Placement): Long {
-        if (!placement.job.spec.gang) return placement.madeAt
+        if (!placement.job.spec.isGang) return placement.madeAt
         return placement.job.placements().maxOf { if (it.running) it.runningSince else shardState.clock.now() }
     }
 
--- a/src/main/kotlin/io/reedmast/scheduling/Preemptor.kt
+++ b/src/main/kotlin/io/reedmast/scheduling/Preemptor.kt
@@ -62,7 +62,7 @@
     private fun preemptAfterMs(job: Job): Long {
         val heartbeatIntervalMs = shardState.settings.workers.reportS * MS_PER_SECOND
         return when {
-            job.spec.gang -> GANG_WAIT_MS
+            job.spec.isGang -> GANG_WAIT_MS
             shardState.urgency.isLatencySensitive(job) -> heartbeatIntervalMs.toLong()
             else -> (heartbeatIntervalMs * ARRAY_WAIT_HEARTBEATS).toLong()
         }
@@ -75,7 +75,7 @@
             shardState.fairShare.ratio(job.team, wallMs),
         )
         val preempting = PreemptingJob(job, request, wallMs)
-        if (job.spec.gang) preemptForGang(preempting) else preemptForTasks(preempting, machines)
+        if (job.spec.isGang) preemptForGang(preempting) else preemptForTasks(preempting, machines)
     }
 
     private fun preemptForTasks(preempting: PreemptingJob, machines: List<Machine>) {
--- a/src/main/kotlin/io/reedmast/scheduling/QueueOrder.kt
+++ b/src/main/kotlin/io/reedmast/scheduling/QueueOrder.kt
@@ -10,7 +10,7 @@
 internal fun queueOrder(shardState: ShardState): Comparator<Job> = compareBy(
     { it.spec.priority },
     { !shardState.urgency.isUnderserved(it) },
-    { !it.spec.gang },
+    { !it.spec.isGang },
     { shardState.urgency.deadlineMs(it) },
 )
 
--- a/src/main/kotlin/io/reedmast/scheduling/Scheduler.kt
+++ b/src/main/kotlin/io/reedmast/scheduling/Scheduler.kt
@@ -93,7 +93,7 @@
      */
     private fun placeWaitingGangs(fundedJobs: List<Job>, pass: SchedulingPass) {
         val waitingGangs = fundedJobs
-            .filter { it.spec.gang && pass.nowMs - it.waitsSince > PassTimer.PASS_INTERVAL_MS }
+            .filter { it.spec.isGang && pass.nowMs - it.waitsSince > PassTimer.PASS_INTERVAL_MS }
             .filter {
                 shardState.allowsWholeGang(it) &&
                     shardState.quota.isWithinGuarantee(it.team, it.spec, it.spec.taskCount)
--- a/src/main/kotlin/io/reedmast/settings/Settings.kt
+++ b/src/main/kotlin/io/reedmast/settings/Settings.kt
@@ -1,8 +1,8 @@
 package io.reedmast.settings
 
+import io.reedmast.wire.BodyCodec
 import io.reedmast.wire.Fields
 import io.reedmast.wire.MalformedException
-import io.reedmast.wire.Tree
 import java.io.IOException
 import java.net.InetSocketAddress
 import java.nio.file.Files
@@ -59,7 +59,7 @@
         }
 
         private fun readJson(file: Path, bytes: ByteArray): Fields = try {
-            Tree.readJson(bytes)
+            BodyCodec.readJson(bytes)
         } catch (e: MalformedException) {
             throw SettingsException("$file is not a JSON map: ${e.message}", e)
         }
--- a/src/main/kotlin/io/reedmast/shard/StoredProgressListener.kt
+++ b/src/main/kotlin/io/reedmast/shard/StoredProgressListener.kt
@@ -42,7 +42,7 @@
     private fun launch(placement: Placement) {
         val job = placement.job
         when {
-            !job.spec.gang -> dispatcher.launch(placement)
+            !job.spec.isGang -> dispatcher.launch(placement)
             job.isCompleteGangStored -> job.placements().forEach { dispatcher.launch(it) }
         }
     }
--- a/src/main/kotlin/io/reedmast/wire/Tree.kt
+++ b/src/main/kotlin/io/reedmast/wire/BodyCodec.kt
@@ -16,7 +16,7 @@
  * Only Jackson's streaming layer is used. Binding to classes would load several hundred classes at start, and a
  * controller's start-up time is part of every failover.
  */
-object Tree {
+object BodyCodec {
     private const val MAX_DEPTH = 16
     private const val INITIAL_BUFFER_BYTES = 256
     private val cbor: CBORFactory = CBORFactory()
--- a/src/main/kotlin/io/reedmast/wire/HttpCaller.kt
+++ b/src/main/kotlin/io/reedmast/wire/HttpCaller.kt
@@ -44,7 +44,7 @@
 
     /** A POST without a body still announces a length, of 0. */
     private fun requestBytes(method: String, body: Fields?): ByteArray? = when {
-        body != null -> Tree.writeCbor(body)
+        body != null -> BodyCodec.writeCbor(body)
         method == "POST" -> NO_BYTES
         else -> null
     }
@@ -83,7 +83,7 @@
             connection.disconnect()
             return Reply.TooLarge
         }
-        return Reply.Answer(status, if (bytes.isEmpty()) emptyMap() else Tree.readCbor(bytes))
+        return Reply.Answer(status, if (bytes.isEmpty()) emptyMap() else BodyCodec.readCbor(bytes))
     }
 
     private companion object {
--- a/src/main/kotlin/io/reedmast/wire/JobSpec.kt
+++ b/src/main/kotlin/io/reedmast/wire/JobSpec.kt
@@ -40,10 +40,10 @@
     val deadlineS: Double?,
 ) {
     /** Whether its tasks run until it is cancelled. */
-    val service: Boolean get() = shape == JobShape.SERVICE
+    val isService: Boolean get() = shape == JobShape.SERVICE
 
     /** Whether its tasks run at the same time or not at all. */
-    val gang: Boolean get() = shape == JobShape.GANG
+    val isGang: Boolean get() = shape == JobShape.GANG
 
     /** Whether a task that is stopped can go on from its last checkpoint. */
     val resumable: Boolean get() = checkpointS > 0.0
--- a/src/main/kotlin/io/reedmast/wire/StoreMessages.kt
+++ b/src/main/kotlin/io/reedmast/wire/StoreMessages.kt
@@ -6,7 +6,7 @@
     private const val TRANSACTION = "txn"
 
     /** The condition that a key has this version; 0: that it does not exist. */
-    fun condition(key: String, version: Long): Fields = mapOf("path" to key, "stamp" to version)
+    fun precondition(key: String, version: Long): Fields = mapOf("path" to key, "stamp" to version)
 
     /** A write that stores [value]; the key is deleted when [lease] ends, if there is one. */
     fun put(key: String, value: Fields, lease: Long?, transactionId: String): Fields {
--- a/src/main/kotlin/io/reedmast/wire/Cause.kt
+++ b/src/main/kotlin/io/reedmast/wire/TaskEndCause.kt
@@ -1,7 +1,7 @@
 package io.reedmast.wire
 
 /** Why a task ended, as far as the difference matters to a controller; [wire] is the name in messages. */
-enum class Cause(val wire: String) {
+enum class TaskEndCause(val wire: String) {
     /** It completed. */
     DONE("done"),
 
@@ -21,8 +21,8 @@
     UNKNOWN("unknown"),
 
     /** Another task of the gang is gone. */
-    PEERS("peers"),
+    PEER_LOST("peers"),
 
     /** The gang was not complete in time. */
-    ALONE("alone"),
+    GANG_TIMED_OUT("alone"),
 }
--- a/src/main/kotlin/io/reedmast/wire/TaskState.kt
+++ b/src/main/kotlin/io/reedmast/wire/TaskState.kt
@@ -12,6 +12,6 @@
     /** It was stopped and saves its progress. */
     SAVING("saving"),
 
-    /** It is over, see [Cause]. */
+    /** It is over, see [TaskEndCause]. */
     ENDED("ended"),
 }
--- a/src/main/kotlin/io/reedmast/wire/TaskStatus.kt
+++ b/src/main/kotlin/io/reedmast/wire/TaskStatus.kt
@@ -1,7 +1,7 @@
 package io.reedmast.wire
 
 /** What a worker reports of one attempt at a task; [cause] is null unless the attempt has ended. */
-data class TaskStatus(val id: TaskId, val attempt: Long, val state: TaskState, val cause: Cause?) {
+data class TaskStatus(val id: TaskId, val attempt: Long, val state: TaskState, val cause: TaskEndCause?) {
     companion object {
         /** Reads one task of a heartbeat; throws [MalformedException] if it is not valid. */
         internal fun parse(fields: Fields): TaskStatus {
@@ -19,6 +19,6 @@
         private fun state(name: String) = TaskState.entries.firstOrNull { it.wire == name } ?: TaskState.FETCHING
 
         /** An unknown cause still means that the attempt is over without a result. */
-        private fun cause(name: String?) = Cause.entries.firstOrNull { it.wire == name } ?: Cause.ERROR
+        private fun cause(name: String?) = TaskEndCause.entries.firstOrNull { it.wire == name } ?: TaskEndCause.ERROR
     }
 }
--- a/src/test/kotlin/io/reedmast/CountedWorkTest.kt
+++ b/src/test/kotlin/io/reedmast/CountedWorkTest.kt
@@ -12,8 +12,8 @@
 import io.reedmast.settings.TeamShare
 import io.reedmast.settings.WorkerRules
 import io.reedmast.sim.World
+import io.reedmast.wire.BodyCodec
 import io.reedmast.wire.MachineType
-import io.reedmast.wire.Tree
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
@@ -97,7 +97,7 @@
         val arraysDone = world.jobs.values.count { it.completed.size == it.spec.taskCount }
         assertEquals(60, arraysDone, "arrays that are over")
         val replicas = world.workers.values.sumOf { worker ->
-            worker.onMachine().count { world.jobs.getValue(it.jobId).spec.service }
+            worker.onMachine().count { world.jobs.getValue(it.jobId).spec.isService }
         }
         assertEquals(360, replicas)
         // An acceptance for each job, two more for the end of each array; pages and totals at their own rate.
@@ -165,10 +165,10 @@
 
         val first = MachineListPart.EMPTY.with(records, 1024)
 
-        val isBelowLimit = Tree.jsonSize(first.toFields()) <= 1024
+        val isBelowLimit = BodyCodec.jsonSize(first.toFields()) <= 1024
         assertTrue(isBelowLimit && first.records.size in 20..199, "${first.records.size} machines")
         assertEquals(first, first.with(records.take(10), 1024))
-        val read = MachineListPart.parse(Tree.readCbor(Tree.writeCbor(first.toFields())))
+        val read = MachineListPart.parse(BodyCodec.readCbor(BodyCodec.writeCbor(first.toFields())))
         assertEquals(first, read.copy(records = first.records))
     }
 
--- a/src/test/kotlin/io/reedmast/ProductionFormatTest.kt
+++ b/src/test/kotlin/io/reedmast/ProductionFormatTest.kt
@@ -16,9 +16,9 @@
 import io.reedmast.persistence.StoredChunk
 import io.reedmast.settings.ShardId
 import io.reedmast.settings.TeamId
+import io.reedmast.wire.BodyCodec
 import io.reedmast.wire.Fields
 import io.reedmast.wire.JobShape
-import io.reedmast.wire.Tree
 import io.reedmast.wire.map
 import io.reedmast.wire.maps
 import io.reedmast.wire.text
@@ -35,12 +35,12 @@
  * meant them, and written again form for form: while both versions serve, each reads what the other has stored.
  */
 class ProductionFormatTest {
-    private val records = Tree.readJson(Files.readAllBytes(Path.of("src/test/resources/production/records.json")))
+    private val records = BodyCodec.readJson(Files.readAllBytes(Path.of("src/test/resources/production/records.json")))
 
     private fun record(name: String): Fields = records.map(name)
 
     /** As it comes back from the store. */
-    private fun stored(fields: Fields): Fields = Tree.readCbor(Tree.writeCbor(fields))
+    private fun stored(fields: Fields): Fields = BodyCodec.readCbor(BodyCodec.writeCbor(fields))
 
     private fun assertSameForm(name: String, written: Fields) = assertEquals(record(name), stored(written), name)
 
--- a/src/test/kotlin/io/reedmast/app/SocketTest.kt
+++ b/src/test/kotlin/io/reedmast/app/SocketTest.kt
@@ -11,9 +11,9 @@
 import io.reedmast.ports.PeerMessage
 import io.reedmast.settings.Settings
 import io.reedmast.settings.Tuning
+import io.reedmast.wire.BodyCodec
 import io.reedmast.wire.Fields
 import io.reedmast.wire.HttpCaller
-import io.reedmast.wire.Tree
 import org.junit.jupiter.api.AfterAll
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
@@ -68,14 +68,14 @@
                 exchange.requestMethod,
                 path,
                 exchange.requestURI.query.orEmpty(),
-                if (body.isEmpty()) emptyMap() else Tree.readCbor(body),
+                if (body.isEmpty()) emptyMap() else BodyCodec.readCbor(body),
             )
             if (path == "/commit" && loseAnswerOf?.let { it in String(body) } == true) {
                 loseAnswerOf = null
                 exchange.close()
                 return@createContext
             }
-            val bytes = Tree.writeCbor(answer)
+            val bytes = BodyCodec.writeCbor(answer)
             exchange.sendResponseHeaders(status, bytes.size.toLong())
             exchange.responseBody.use { it.write(bytes) }
         }
@@ -84,11 +84,11 @@
         val text = Files.readString(Path.of("deploy/rehearsal.json"))
             .replace("18391", front.toString()).replace("18392", freePort().toString())
             .replace("18393", backend.address.port.toString()).replace("18394", backend.address.port.toString())
-        val settings = Settings.parse(Tree.readJson(text.toByteArray()))
+        val settings = Settings.parse(BodyCodec.readJson(text.toByteArray()))
         val eventLoop = EventLoop(SystemClock, 100)
         val limits = EffectiveLimits(settings.storeLimits, settings.nextStoreLimits)
         val client = StoreClient(settings.storeAddress, limits, 1, HttpCaller(500, 1000))
-        val out = NetworkGateway.create(settings, eventLoop, client, limits, "test") {}
+        val out = NetworkGateway.create(settings, eventLoop, StoreAccess(client, limits, "test")) {}
         val timings = Timings(SystemClock)
         val node =
             ControllerHandle(eventLoop, Controller(settings, Tuning(), SystemClock, out, limits, "test"), timings)
@@ -203,7 +203,7 @@
         "guessS" to 5, "markS" to 0, "stowS" to 0,
     )
 
-    private fun submit(fields: Fields) = call("POST", "/submissions", Tree.writeCbor(fields))
+    private fun submit(fields: Fields) = call("POST", "/submissions", BodyCodec.writeCbor(fields))
 
     @Test
     fun `a job is accepted once, known from then on, and stays cancelled`() {
@@ -211,9 +211,9 @@
         assertEquals(200, submit(job).first)
         assertEquals(200, call("GET", "/submissions/wk-000001", null).first)
         val isCancelled = call("POST", "/submissions/wk-000001/abort", ByteArray(0))
-        assertEquals("aborted", Tree.readCbor(isCancelled.second)["stage"])
-        assertEquals("aborted", Tree.readCbor(submit(job).second)["stage"])
-        assertEquals("aborted", Tree.readCbor(call("GET", "/submissions/wk-000001", null).second)["stage"])
+        assertEquals("aborted", BodyCodec.readCbor(isCancelled.second)["stage"])
+        assertEquals("aborted", BodyCodec.readCbor(submit(job).second)["stage"])
+        assertEquals("aborted", BodyCodec.readCbor(call("GET", "/submissions/wk-000001", null).second)["stage"])
     }
 
     @Test
@@ -248,7 +248,7 @@
             400 to { call("POST", "/submissions", "hello".toByteArray()).first },
             400 to { submit(job - "cpus").first },
             400 to { submit(job - "oneZone").first },
-            400 to { call("POST", "/checkin", Tree.writeCbor(mapOf("host" to 1))).first },
+            400 to { call("POST", "/checkin", BodyCodec.writeCbor(mapOf("host" to 1))).first },
             422 to { submit(job + ("ref" to "wk-000002") + ("crew" to "strangers")).first },
             422 to { submit(job + ("ref" to "wk-000002") + ("cpus" to 3)).first },
             422 to { submit(job + ("ref" to "wk-000002") + ("memGb" to 9)).first },
--- a/src/test/kotlin/io/reedmast/jobs/JobIndexTest.kt
+++ b/src/test/kotlin/io/reedmast/jobs/JobIndexTest.kt
@@ -4,9 +4,9 @@
 import io.reedmast.kvstore.WatchEvent
 import io.reedmast.sim.World
 import io.reedmast.sim.testSettings
+import io.reedmast.wire.BodyCodec
 import io.reedmast.wire.Fields
 import io.reedmast.wire.JobState
-import io.reedmast.wire.Tree
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertNotNull
 import org.junit.jupiter.api.Assertions.assertNull
@@ -22,7 +22,7 @@
 
     private fun record(isCancelled: Boolean = false): Fields {
         val record = LiveRecord(World.spec(JOB_ID, emptyMap()), chunkSize = 10, acceptedAtMs = 0, isCancelled)
-        return Tree.readCbor(Tree.writeCbor(record.toFields()))
+        return BodyCodec.readCbor(BodyCodec.writeCbor(record.toFields()))
     }
 
     private fun accepted(version: Long) = WatchEvent(LIVE_PATH, record(), version)
--- a/src/test/kotlin/io/reedmast/kvstore/StoreStub.kt
+++ b/src/test/kotlin/io/reedmast/kvstore/StoreStub.kt
@@ -3,9 +3,9 @@
 import com.sun.net.httpserver.HttpExchange
 import com.sun.net.httpserver.HttpServer
 import io.reedmast.settings.StoreLimits
+import io.reedmast.wire.BodyCodec
 import io.reedmast.wire.Fields
 import io.reedmast.wire.HttpCaller
-import io.reedmast.wire.Tree
 import java.net.InetAddress
 import java.net.InetSocketAddress
 import java.util.TreeMap
@@ -61,7 +61,7 @@
     /** Another client stores [value], whatever is there. */
     @Synchronized
     fun store(path: String, value: Fields): Long {
-        entries[path] = Entry(Tree.readCbor(Tree.writeCbor(value)), ++revision)
+        entries[path] = Entry(BodyCodec.readCbor(BodyCodec.writeCbor(value)), ++revision)
         return revision
     }
 
@@ -74,11 +74,11 @@
         val (status, answer) = if (path ==
             "/commit"
         ) {
-            commit(Tree.readCbor(body)) ?: return exchange.close()
+            commit(BodyCodec.readCbor(body)) ?: return exchange.close()
         } else {
             read(path, exchange.requestURI.query)
         }
-        val bytes = Tree.writeCbor(answer)
+        val bytes = BodyCodec.writeCbor(answer)
         exchange.sendResponseHeaders(status, bytes.size.toLong())
         exchange.responseBody.use { it.write(bytes) }
     }
--- a/src/test/kotlin/io/reedmast/loopback/LoopbackCluster.kt
+++ b/src/test/kotlin/io/reedmast/loopback/LoopbackCluster.kt
@@ -11,12 +11,12 @@
 import io.reedmast.sim.SimStore
 import io.reedmast.sim.World
 import io.reedmast.sim.testSettings
+import io.reedmast.wire.BodyCodec
 import io.reedmast.wire.Fields
 import io.reedmast.wire.HttpCaller
 import io.reedmast.wire.JobSpec
 import io.reedmast.wire.MachineType
 import io.reedmast.wire.Reply
-import io.reedmast.wire.Tree
 import io.reedmast.wire.asFields
 import java.net.InetAddress
 import java.net.InetSocketAddress
@@ -93,7 +93,7 @@
                 "cloud" to mapOf("rps" to 20.0, "list_lag_s" to 0.5),
             ),
         )
-        return directory.resolve("${labels[controller]}.json").also { Files.write(it, Tree.writeJson(fields)) }
+        return directory.resolve("${labels[controller]}.json").also { Files.write(it, BodyCodec.writeJson(fields)) }
     }
 
     private fun address() = "127.0.0.1:${server.address.port}"
@@ -145,7 +145,7 @@
 
     /** Submits as users do: at the next controller, until one accepts. */
     fun submit(spec: JobSpec): Boolean {
-        if (spec.service) synchronized(services) { services.add(spec.jobId) }
+        if (spec.isService) synchronized(services) { services.add(spec.jobId) }
         repeat(SUBMISSIONS) { attempt ->
             val reply = caller.call("POST", fronts[attempt % fronts.size], "/submissions", spec.toFields())
             if (reply is Reply.Answer && (reply.status == 201 || reply.status == 200)) return true
@@ -181,13 +181,13 @@
     }
 
     private fun serve(exchange: HttpExchange) {
-        val body = exchange.requestBody.readAllBytes().let { if (it.isEmpty()) emptyMap() else Tree.readCbor(it) }
+        val body = exchange.requestBody.readAllBytes().let { if (it.isEmpty()) emptyMap() else BodyCodec.readCbor(it) }
         val query = exchange.requestURI.query.orEmpty().split('&').filter { '=' in it }.associate {
             it.substringBefore('=') to
                 it.substringAfter('=')
         }
         val (status, answer) = answer(exchange.requestMethod, exchange.requestURI.path, query, body)
-        val bytes = Tree.writeCbor(answer)
+        val bytes = BodyCodec.writeCbor(answer)
         try {
             exchange.sendResponseHeaders(status, bytes.size.toLong())
             exchange.responseBody.use { it.write(bytes) }
--- a/src/test/kotlin/io/reedmast/loopback/LoopbackWorker.kt
+++ b/src/test/kotlin/io/reedmast/loopback/LoopbackWorker.kt
@@ -2,10 +2,10 @@
 
 import com.sun.net.httpserver.HttpExchange
 import com.sun.net.httpserver.HttpServer
+import io.reedmast.wire.BodyCodec
 import io.reedmast.wire.Fields
 import io.reedmast.wire.HttpCaller
 import io.reedmast.wire.Reply
-import io.reedmast.wire.Tree
 import java.net.InetAddress
 import java.net.InetSocketAddress
 import java.util.concurrent.Executors
@@ -142,7 +142,7 @@
     }
 
     private fun direct(exchange: HttpExchange) {
-        val body = Tree.readCbor(exchange.requestBody.readAllBytes())
+        val body = BodyCodec.readCbor(exchange.requestBody.readAllBytes())
         val (status, answer) = synchronized(this) {
             val given = (body["baton"] as? Number)?.toLong() ?: -1L
             if (given < token || (body["tenure"] as? Number)?.toLong() != epoch) {
@@ -153,7 +153,7 @@
                 200 to report()
             }
         }
-        val bytes = Tree.writeCbor(answer)
+        val bytes = BodyCodec.writeCbor(answer)
         exchange.sendResponseHeaders(status, bytes.size.toLong())
         exchange.responseBody.use { it.write(bytes) }
     }
--- a/src/test/kotlin/io/reedmast/persistence/DensePagesProperties.kt
+++ b/src/test/kotlin/io/reedmast/persistence/DensePagesProperties.kt
@@ -8,9 +8,9 @@
 import io.reedmast.model.Placement
 import io.reedmast.settings.TeamId
 import io.reedmast.sim.World
+import io.reedmast.wire.BodyCodec
 import io.reedmast.wire.Fields
 import io.reedmast.wire.MalformedException
-import io.reedmast.wire.Tree
 import net.jqwik.api.Arbitraries
 import net.jqwik.api.Arbitrary
 import net.jqwik.api.Combinators
@@ -26,7 +26,7 @@
 /** The steps between the forms of pages: nothing is lost either way, and every half-migrated state reads the same. */
 class DensePagesProperties {
     /** As it comes back from the store. */
-    private fun stored(fields: Fields): Fields = Tree.readCbor(Tree.writeCbor(fields))
+    private fun stored(fields: Fields): Fields = BodyCodec.readCbor(BodyCodec.writeCbor(fields))
 
     private fun plain(chunks: List<StoredChunk>): Fields = stored(PageForm.SIZED.toFields(chunks))
 
--- a/src/test/kotlin/io/reedmast/rollout/RolloutAdministrationTest.kt
+++ b/src/test/kotlin/io/reedmast/rollout/RolloutAdministrationTest.kt
@@ -151,7 +151,7 @@
                     made,
                 ).wishing(feature.name, Target.ENABLED, made).moved(feature, GateState.READY, made)
         }
-        val size = io.reedmast.wire.Tree.jsonSize(record.toFields())
+        val size = io.reedmast.wire.BodyCodec.jsonSize(record.toFields())
         assertTrue(size < 2_000, "$size")
     }
 }
--- a/src/test/kotlin/io/reedmast/settings/SettingsTest.kt
+++ b/src/test/kotlin/io/reedmast/settings/SettingsTest.kt
@@ -1,6 +1,6 @@
 package io.reedmast.settings
 
-import io.reedmast.wire.Tree
+import io.reedmast.wire.BodyCodec
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertThrows
 import org.junit.jupiter.api.Assertions.assertTrue
@@ -11,7 +11,7 @@
 class SettingsTest {
     private val good = Files.readString(Path.of("deploy/rehearsal.json"))
 
-    private fun parse(text: String) = Settings.parse(Tree.readJson(text.toByteArray()))
+    private fun parse(text: String) = Settings.parse(BodyCodec.readJson(text.toByteArray()))
 
     private fun complaint(text: String): String = assertThrows(SettingsException::class.java) {
         parse(text)
--- a/src/test/kotlin/io/reedmast/sim/OutputRecorder.kt
+++ b/src/test/kotlin/io/reedmast/sim/OutputRecorder.kt
@@ -2,8 +2,8 @@
 
 import io.reedmast.peers.PeerCodec
 import io.reedmast.ports.PeerMessage
+import io.reedmast.wire.BodyCodec
 import io.reedmast.wire.Fields
-import io.reedmast.wire.Tree
 import okio.Buffer
 import java.security.MessageDigest
 
@@ -28,7 +28,7 @@
     fun result(): String = digest.digest().take(DIGEST_BYTES).joinToString("") { "%02x".format(it) }
 
     fun record(atMs: Long, controller: String, kind: String, body: Fields) =
-        record(atMs, controller, kind, Tree.writeJson(body))
+        record(atMs, controller, kind, BodyCodec.writeJson(body))
 
     fun record(atMs: Long, controller: String, message: PeerMessage) {
         val frames = Buffer().also { PeerCodec.write(it, message) }
--- a/src/test/kotlin/io/reedmast/sim/RuleChecker.kt
+++ b/src/test/kotlin/io/reedmast/sim/RuleChecker.kt
@@ -72,7 +72,7 @@
 
     /** A gang has one attempt at a time: the old one must be gone everywhere before the next begins anywhere. */
     private fun checkOneAttempt(id: TaskId, attempt: Long) {
-        if (!world.jobs.getValue(id.jobId).spec.gang) return
+        if (!world.jobs.getValue(id.jobId).spec.isGang) return
         val before = gangAttempts.put(id.jobId, attempt)
         if (before != null && before != attempt &&
             runningCount(id.jobId) > 1
@@ -171,12 +171,12 @@
 
     private fun waits(jobId: String, job: World.SimJob) =
         jobId in publishedStages && publishedStages[jobId] !in FINAL && !job.fails &&
-            (job.spec.service || job.completed.size < job.spec.taskCount) && (heldCount[jobId] ?: 0) == 0
+            (job.spec.isService || job.completed.size < job.spec.taskCount) && (heldCount[jobId] ?: 0) == 0
 
     /** FreeCapacity for a task of the job, or for all of a gang, in one zone if it needs that. */
     private fun hasRoom(job: World.SimJob, room: List<Pair<SimWorker, Double>>): Boolean {
         val fitting = room.filter { (worker, cpus) -> fits(job, worker, cpus) }
-        if (!job.spec.gang) return fitting.isNotEmpty()
+        if (!job.spec.isGang) return fitting.isNotEmpty()
         val places = fitting.groupBy({ (worker, _) -> if (job.spec.oneZone) worker.zone else "" }, { (_, cpus) ->
             (
                 (
@@ -200,7 +200,7 @@
             val spec = world.jobs[jobId]?.spec
             if (spec?.teamName == job.spec.teamName) count * spec.cpus else 0.0
         }
-        return used + job.spec.cpus * (if (job.spec.gang) job.spec.taskCount else 1) <= limit + SLACK
+        return used + job.spec.cpus * (if (job.spec.isGang) job.spec.taskCount else 1) <= limit + SLACK
     }
 
     /** Accepted jobs that have not got what they were promised. */
@@ -210,7 +210,13 @@
         when {
             publishedStages[jobId] == "aborted" -> if (count > 0) "$jobId is cancelled and runs" else null
             job.fails || !underLimit(job) -> null
-            job.spec.service -> if (count != job.spec.taskCount) "$jobId: $count of ${job.spec.taskCount} run" else null
+            job.spec.isService -> if (count !=
+                job.spec.taskCount
+            ) {
+                "$jobId: $count of ${job.spec.taskCount} run"
+            } else {
+                null
+            }
             else ->
                 if (job.completed.size <
                     job.spec.taskCount
--- a/src/test/kotlin/io/reedmast/sim/SimGang.kt
+++ b/src/test/kotlin/io/reedmast/sim/SimGang.kt
@@ -1,6 +1,6 @@
 package io.reedmast.sim
 
-import io.reedmast.wire.Cause
+import io.reedmast.wire.TaskEndCause
 import io.reedmast.wire.TaskState
 
 /**
@@ -19,7 +19,7 @@
         fun show(state: TaskState)
 
         /** The task exits by itself. */
-        fun exit(cause: Cause)
+        fun exit(cause: TaskEndCause)
     }
 
     private enum class Phase { WAITING, RUNNING, STOPPING, BROKEN, OVER }
@@ -36,11 +36,11 @@
         member.show(TaskState.WAITING)
         if (phase != Phase.WAITING) {
             // It has come too late for the attempt, and waits in vain.
-            exitLater(member, world.settings.workers.gangWaitS, Cause.ALONE)
+            exitLater(member, world.settings.workers.gangWaitS, TaskEndCause.GANG_TIMED_OUT)
         } else if (members.size == job.spec.taskCount) {
             begin()
         } else {
-            exitLater(member, world.settings.workers.gangWaitS, Cause.ALONE) { phase == Phase.WAITING }
+            exitLater(member, world.settings.workers.gangWaitS, TaskEndCause.GANG_TIMED_OUT) { phase == Phase.WAITING }
         }
     }
 
@@ -49,7 +49,7 @@
         startedAt = world.now()
         members.values.forEach { it.show(TaskState.RUNNING) }
         if (job.fails) {
-            world.after(FAILS_AFTER_MS) { members.values.toList().forEach { it.exit(Cause.ERROR) } }
+            world.after(FAILS_AFTER_MS) { members.values.toList().forEach { it.exit(TaskEndCause.ERROR) } }
             return
         }
         world.after(maxOf(1L, job.runMs - job.savedMs)) { if (phase == Phase.RUNNING) complete() }
@@ -59,7 +59,7 @@
         phase = Phase.OVER
         val all = members.values.toList()
         all.forEach { job.complete(it.task) }
-        all.forEach { it.exit(Cause.DONE) }
+        all.forEach { it.exit(TaskEndCause.DONE) }
     }
 
     /** A task has disappeared, or its machine hangs. */
@@ -80,10 +80,10 @@
             job.savedMs = maxOf(job.savedMs, progressMs() / mark * mark)
         }
         phase = Phase.BROKEN
-        members.values.toList().forEach { exitLater(it, world.settings.workers.gangPeerS, Cause.PEERS) }
+        members.values.toList().forEach { exitLater(it, world.settings.workers.gangPeerS, TaskEndCause.PEER_LOST) }
     }
 
-    private fun exitLater(member: Member, seconds: Double, cause: Cause, still: () -> Boolean = { true }) {
+    private fun exitLater(member: Member, seconds: Double, cause: TaskEndCause, still: () -> Boolean = { true }) {
         world.after((seconds * 1000).toLong()) { if (members[member.task] === member && still()) member.exit(cause) }
     }
 
@@ -98,7 +98,7 @@
             val patience = world.settings.workers.gangPeerS
             world.after(maxOf((job.spec.saveS * 1000).toLong(), (patience * 1000).toLong() / 2)) { save(progress) }
             members.values.toList().forEach {
-                exitLater(it, patience + job.spec.saveS, Cause.PEERS) {
+                exitLater(it, patience + job.spec.saveS, TaskEndCause.PEER_LOST) {
                     phase ==
                         Phase.STOPPING
                 }
@@ -113,7 +113,7 @@
         if (phase != Phase.STOPPING || publishedStages.size < members.size) return
         phase = Phase.OVER
         job.savedMs = progress
-        members.values.toList().forEach { it.exit(Cause.HALTED) }
+        members.values.toList().forEach { it.exit(TaskEndCause.HALTED) }
     }
 
     private companion object {
--- a/src/test/kotlin/io/reedmast/sim/SimGateway.kt
+++ b/src/test/kotlin/io/reedmast/sim/SimGateway.kt
@@ -141,7 +141,7 @@
     }
 
     private fun record(transaction: StoreTransaction) {
-        val conditions = transaction.preconditions.map { StoreMessages.condition(it.path, it.version) }
+        val conditions = transaction.preconditions.map { StoreMessages.precondition(it.path, it.version) }
         val writes = transaction.writes.map {
             when (it) {
                 is Write.Put -> StoreMessages.put(it.path, it.value, it.lease, transaction.id)
--- a/src/test/kotlin/io/reedmast/sim/SimStore.kt
+++ b/src/test/kotlin/io/reedmast/sim/SimStore.kt
@@ -9,10 +9,10 @@
 import io.reedmast.kvstore.Write
 import io.reedmast.persistence.PageForm
 import io.reedmast.settings.StoreLimits
+import io.reedmast.wire.BodyCodec
 import io.reedmast.wire.Fields
 import io.reedmast.wire.StoreMessages
 import io.reedmast.wire.TaskId
-import io.reedmast.wire.Tree
 import io.reedmast.wire.maps
 import java.util.TreeMap
 
@@ -90,7 +90,7 @@
     /** Puts applied, by the first part of their keys. */
     val putsByKind = HashMap<String, Int>()
 
-    /** The form of [Tree] values as another version, or nobody, would write them. */
+    /** The form of [BodyCodec] values as another version, or nobody, would write them. */
     fun spoil(path: String) {
         revision++
         entries[path] = Entry(mapOf("form" to 0L), revision, null)
@@ -124,7 +124,7 @@
             world.rules.breach("${transaction.preconditions.size} conditions in a transaction")
         }
         transaction.writes.filterIsInstance<Write.Put>().forEach {
-            val size = Tree.jsonSize(StoreMessages.stored(it.value, transaction.id))
+            val size = BodyCodec.jsonSize(StoreMessages.stored(it.value, transaction.id))
             if (size > limits.valueBytes) world.rules.breach("${it.path} holds $size bytes")
         }
     }
@@ -199,7 +199,7 @@
 
     private fun put(write: Write.Put, transactionId: String) {
         // Through the wire and back, as the real service would give it.
-        val value = Tree.readCbor(Tree.writeCbor(StoreMessages.stored(write.value, transactionId)))
+        val value = BodyCodec.readCbor(BodyCodec.writeCbor(StoreMessages.stored(write.value, transactionId)))
         entries[write.path] = Entry(value, revision, write.lease)
         recordPage(write.path, value)
         putsByKind.merge(write.path.substringBefore('/'), 1, Int::plus)
--- a/src/test/kotlin/io/reedmast/sim/SimWorker.kt
+++ b/src/test/kotlin/io/reedmast/sim/SimWorker.kt
@@ -1,9 +1,9 @@
 package io.reedmast.sim
 
 import io.reedmast.app.WorkerAnswer
-import io.reedmast.wire.Cause
 import io.reedmast.wire.MachineType
 import io.reedmast.wire.Reply
+import io.reedmast.wire.TaskEndCause
 import io.reedmast.wire.TaskId
 import io.reedmast.wire.TaskState
 import io.reedmast.wire.TaskStatus
@@ -21,7 +21,7 @@
 ) {
     private class Task(val id: TaskId, val attempt: Long) {
         var state = TaskState.FETCHING
-        var cause: Cause? = null
+        var cause: TaskEndCause? = null
         val ran: Boolean get() = state != TaskState.FETCHING && state != TaskState.ENDED
     }
 
@@ -250,12 +250,12 @@
 
     private fun stop(task: Task, graceS: Double) {
         if (task.ran && gangOf(task)?.stops(task.id.task, graceS) == true) return
-        end(task, Cause.HALTED)
+        end(task, TaskEndCause.HALTED)
     }
 
     /** The attempt that the task belongs to, if its job is a gang. */
     private fun gangOf(task: Task): SimGang? {
-        val job = world.jobs[task.id.jobId]?.takeIf { it.spec.gang } ?: return null
+        val job = world.jobs[task.id.jobId]?.takeIf { it.spec.isGang } ?: return null
         return job.gangs.getOrPut(task.attempt) { SimGang(world, job) }
     }
 
@@ -268,7 +268,7 @@
             changed()
         }
 
-        override fun exit(cause: Cause) = later(0, of) { end(of, cause) }
+        override fun exit(cause: TaskEndCause) = later(0, of) { end(of, cause) }
     }
 
     private fun launch(command: WorkerCommand.StartTask) {
@@ -278,14 +278,14 @@
         tasks[command.id to command.attempt] = task
         changed()
         if (busy || job == null) {
-            refuse(task, if (busy) Cause.BUSY else Cause.UNKNOWN)
+            refuse(task, if (busy) TaskEndCause.BUSY else TaskEndCause.UNKNOWN)
             return
         }
         val used = tasks.values.filter {
             it.state != TaskState.ENDED
         }.sumOf { world.jobs.getValue(it.id.jobId).spec.cpus }
         if (used > machineType.cpus + 1e-6) {
-            refuse(task, Cause.NO_ROOM)
+            refuse(task, TaskEndCause.NO_ROOM)
             return
         }
         world.rules.launched(this, command.id, command.attempt)
@@ -299,16 +299,16 @@
         changed()
         world.rules.started(this, task.id, task.attempt)
         when {
-            task.id.task in job.completed && !job.spec.service -> later(1, task) { end(task, Cause.DONE) }
-            unhealthy && job.spec.gang -> {
+            task.id.task in job.completed && !job.spec.isService -> later(1, task) { end(task, TaskEndCause.DONE) }
+            unhealthy && job.spec.isGang -> {
                 gangOf(task)?.ready(GangMember(task))
-                later(200, task) { end(task, Cause.ERROR) }
+                later(200, task) { end(task, TaskEndCause.ERROR) }
             }
-            job.spec.gang -> gangOf(task)?.ready(GangMember(task))
-            unhealthy || job.fails -> later(200, task) { end(task, Cause.ERROR) }
-            !job.spec.service -> later(job.runMs, task) {
+            job.spec.isGang -> gangOf(task)?.ready(GangMember(task))
+            unhealthy || job.fails -> later(200, task) { end(task, TaskEndCause.ERROR) }
+            !job.spec.isService -> later(job.runMs, task) {
                 job.complete(task.id.task)
-                end(task, Cause.DONE)
+                end(task, TaskEndCause.DONE)
             }
         }
     }
@@ -321,14 +321,14 @@
         }
     }
 
-    private fun end(task: Task, cause: Cause) {
+    private fun end(task: Task, cause: TaskEndCause) {
         world.rules.left(this, task.id, task.ran)
         refuse(task, cause)
         gangOf(task)?.lost(task.id.task)
     }
 
     /** The task ends before it has taken any room. */
-    private fun refuse(task: Task, cause: Cause) {
+    private fun refuse(task: Task, cause: TaskEndCause) {
         task.state = TaskState.ENDED
         task.cause = cause
         changed()
--- a/src/test/kotlin/io/reedmast/wire/WireTest.kt
+++ b/src/test/kotlin/io/reedmast/wire/WireTest.kt
@@ -16,7 +16,7 @@
             "dueS" to null,
         )
 
-    private fun parse(fields: Map<String, Any?>) = JobSpec.parse(Tree.readCbor(Tree.writeCbor(fields)))
+    private fun parse(fields: Map<String, Any?>) = JobSpec.parse(BodyCodec.readCbor(BodyCodec.writeCbor(fields)))
 
     @Test
     fun `integers are read where decimals are usual, and null is as good as omitted`() {
@@ -33,7 +33,7 @@
     fun `any width of float and form of length is read`() {
         // {"a": 1.5 (half), "b": 1.5 (single), "c": [_ 1]} with an indefinite map.
         val bytes = HexFormat.of().parseHex("bf" + "6161" + "f93e00" + "6162" + "fa3fc00000" + "6163" + "9f01ff" + "ff")
-        val fields = Tree.readCbor(bytes)
+        val fields = BodyCodec.readCbor(bytes)
         assertEquals(1.5, fields.amount("a"))
         assertEquals(1.5, fields.amount("b"))
         assertEquals(listOf(1L), fields["c"])
@@ -95,7 +95,7 @@
             byteArrayOf(0xa0.toByte(), 0xa0.toByte()),
             "{}".toByteArray(),
         )) {
-            assertThrows(MalformedException::class.java) { Tree.readCbor(bytes) }
+            assertThrows(MalformedException::class.java) { BodyCodec.readCbor(bytes) }
         }
     }
 
