--- a/src/main/kotlin/io/reedmast/autoscaling/Pricing.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/Pricing.kt
@@ -13,6 +13,7 @@
     gpus: Double,
     memoryGb: Double,
 ): Boolean {
+    /** Hourly price of one task on a full machine; the highest value if none fits or there is no such price. */
     fun pricePerTask(type: MachineType, hourlyPrice: Double?): Double {
         val tasksPerMachine = type.holds(cpus, gpus, memoryGb)
         return if (hourlyPrice == null || tasksPerMachine < 1) Double.MAX_VALUE else hourlyPrice / tasksPerMachine
--- a/src/main/kotlin/io/reedmast/persistence/PlainPages.kt
+++ b/src/main/kotlin/io/reedmast/persistence/PlainPages.kt
@@ -8,6 +8,7 @@
 internal object PlainPages {
     private const val CHUNKS = "chunks"
 
+    /** A page with [chunks] in the plain form. */
     fun toFields(chunks: List<StoredChunk>): Fields = mapOf(CHUNKS to chunks.map { it.toFields() })
 
     /**
--- /dev/null
+++ b/src/main/kotlin/io/reedmast/rollout/DrainOrder.kt
@@ -0,0 +1,18 @@
+package io.reedmast.rollout
+
+import io.reedmast.wire.Fields
+import io.reedmast.wire.map
+import io.reedmast.wire.text
+
+/** An operator's order that one process give its shards up before it is stopped. */
+data class DrainOrder(val incarnation: String, val made: Provenance) {
+    /** The stored form. */
+    fun toFields(): Fields = mapOf("incarnation" to incarnation, "made" to made.toFields())
+
+    companion object {
+        fun parse(fields: Fields) = DrainOrder(fields.text("incarnation"), Provenance.parse(fields.map("made")))
+    }
+}
+
+/** A drain order as stored, with the version of its key. */
+data class StoredDrain(val order: DrainOrder, val version: Long)
--- a/src/main/kotlin/io/reedmast/rollout/MigrationReconciler.kt
+++ b/src/main/kotlin/io/reedmast/rollout/MigrationReconciler.kt
@@ -15,28 +15,6 @@
 import org.slf4j.LoggerFactory
 import java.util.ArrayDeque
 
-/** Keeps a migration's writes apart from those of whoever else writes the records. */
-interface RecordAccess {
-    /** False while another write of the record is on its way: it is asked again later. */
-    fun tryAcquire(path: String): Boolean
-
-    /** The migration has done with the record; [version] is its new one if it was written. */
-    fun release(path: String, version: Long?)
-}
-
-/** How fast records are migrated. */
-data class MigrationPace(
-    /** The least time between two records. */
-    val everyMs: Long = 100L,
-    /** Nothing is migrated while less than this part of a second's worth of changes is left. */
-    val leastFullness: Double = 0.7,
-    /**
-     * A record goes all the same once this time has passed without one: where there is never much left, migrations must
-     * end too.
-     */
-    val lateMs: Long = 5_000L,
-)
-
 /**
  * Brings the records of one [unit] to the form that the gates want, one record at a time.
  *
--- /dev/null
+++ b/src/main/kotlin/io/reedmast/rollout/Readiness.kt
@@ -0,0 +1,36 @@
+package io.reedmast.rollout
+
+/** Whether a controller may be stopped now. */
+sealed interface Readiness {
+    /** It may be stopped now. */
+    data object Ready : Readiness
+
+    /** Stopping it would do harm, for each of [reasons]. */
+    data class NotReady(val reasons: List<String>) : Readiness
+
+    companion object {
+        /**
+         * A controller may be stopped when it has given its shards up, which it does only after all that it decided has
+         * been stored, and the others hold all shards.
+         */
+        fun of(label: String, status: RolloutStatus): Readiness {
+            val snapshot = status.snapshot
+            val others = snapshot.counted(status.view.gates.record) - label
+            val reasons = ArrayList<String>()
+            if (label !in snapshot.configured) reasons.add("there is no controller $label")
+            others.filter { it !in snapshot.present }.forEach { reasons.add("$it is silent") }
+            others.filter { status.isDraining(it) }.forEach { reasons.add("$it is being drained") }
+            snapshot.shards.forEachIndexed { index, shard ->
+                when (shard?.owner) {
+                    null -> reasons.add("shard $index has no owner")
+                    label -> reasons.add("$label owns shard $index; drain it first")
+                    !in snapshot.present -> reasons.add("shard $index is owned by ${shard.owner}, which is silent")
+                }
+            }
+            if (label in snapshot.present && snapshot.present[label]?.versions?.drained != true) {
+                reasons.add("$label has not said that it is drained")
+            }
+            return if (reasons.isEmpty()) Readiness.Ready else Readiness.NotReady(reasons)
+        }
+    }
+}
--- a/src/main/kotlin/io/reedmast/rollout/RolloutAdministration.kt
+++ b/src/main/kotlin/io/reedmast/rollout/RolloutAdministration.kt
@@ -10,33 +10,6 @@
 import io.reedmast.wire.Fields
 import io.reedmast.wire.MalformedException
 
-/** What became of an operator's act. */
-sealed interface ActResult {
-    /** The change is stored. */
-    data object Done : ActResult
-
-    /** Nothing was changed, and why. */
-    data class Refused(val reason: String) : ActResult
-}
-
-/** An operator, and the reason that he gives. */
-data class Act(val by: String, val why: String)
-
-/** The cluster as an operator sees it; [waiting] says why gates stay as they are although somebody wishes otherwise. */
-class RolloutStatus(val view: RolloutView, val snapshot: ClusterSnapshot, val waiting: Map<FeatureName, String>)
-
-/**
- * Reads shards' owners and features with records of their own from the cluster's keys, whose forms are not the
- * rollout's.
- */
-interface ClusterRecords {
-    /** The owners of all shards, by index; null for a shard that nobody has acquired yet. */
-    fun shardOwners(items: List<StoredItem>): List<ShardOwnership?>
-
-    /** The features that records of their own finalize. */
-    fun externallyFinalized(items: List<StoredItem>): Set<FeatureName>
-}
-
 /**
  * The acts of operators: wishes, exclusions, drains, and questions about them.
  *
@@ -218,44 +191,3 @@
         const val OPERATOR = ""
     }
 }
-
-/** Whether the process that runs as [label] now is to give its shards up. */
-fun RolloutStatus.isDraining(label: String): Boolean {
-    val incarnation = snapshot.present[label]?.versions?.incarnation ?: return false
-    return view.drainOf(label)?.order?.incarnation == incarnation
-}
-
-/** Whether a controller may be stopped now. */
-sealed interface Readiness {
-    /** It may be stopped now. */
-    data object Ready : Readiness
-
-    /** Stopping it would do harm, for each of [reasons]. */
-    data class NotReady(val reasons: List<String>) : Readiness
-
-    companion object {
-        /**
-         * A controller may be stopped when it has given its shards up, which it does only after all that it decided has
-         * been stored, and the others hold all shards.
-         */
-        fun of(label: String, status: RolloutStatus): Readiness {
-            val snapshot = status.snapshot
-            val others = snapshot.counted(status.view.gates.record) - label
-            val reasons = ArrayList<String>()
-            if (label !in snapshot.configured) reasons.add("there is no controller $label")
-            others.filter { it !in snapshot.present }.forEach { reasons.add("$it is silent") }
-            others.filter { status.isDraining(it) }.forEach { reasons.add("$it is being drained") }
-            snapshot.shards.forEachIndexed { index, shard ->
-                when (shard?.owner) {
-                    null -> reasons.add("shard $index has no owner")
-                    label -> reasons.add("$label owns shard $index; drain it first")
-                    !in snapshot.present -> reasons.add("shard $index is owned by ${shard.owner}, which is silent")
-                }
-            }
-            if (label in snapshot.present && snapshot.present[label]?.versions?.drained != true) {
-                reasons.add("$label has not said that it is drained")
-            }
-            return if (reasons.isEmpty()) Readiness.Ready else Readiness.NotReady(reasons)
-        }
-    }
-}
--- a/src/main/kotlin/io/reedmast/rollout/RolloutCoordinator.kt
+++ b/src/main/kotlin/io/reedmast/rollout/RolloutCoordinator.kt
@@ -70,24 +70,24 @@
                 WritePriority.URGENT,
             ) { outcome ->
                 storing = false
-                when (outcome) {
-                    is CommitOutcome.Applied -> {
-                        log.info("feature {}: {}, since {}", move.feature.name, move.to.storedName, move.why)
-                        view.applyRecord(Keys.ROLLOUT, moved.toFields(), outcome.revision)
-                    }
-
-                    is CommitOutcome.Conflict -> reread()
-
-                    is CommitOutcome.Refused -> log.error(
-                        "feature {}: the store refused its transition: {}",
-                        move.feature.name,
-                        outcome.reason,
-                    )
-                }
+                onMoveResolved(move, moved, outcome)
             },
         )
     }
 
+    private fun onMoveResolved(move: GateMove, moved: RolloutRecord, outcome: CommitOutcome) = when (outcome) {
+        is CommitOutcome.Applied -> {
+            log.info("feature {}: {}, since {}", move.feature.name, move.to.storedName, move.why)
+            view.applyRecord(Keys.ROLLOUT, moved.toFields(), outcome.revision)
+        }
+
+        is CommitOutcome.Conflict -> reread()
+
+        is CommitOutcome.Refused -> {
+            log.error("feature {}: the store refused its transition: {}", move.feature.name, outcome.reason)
+        }
+    }
+
     /** This process was excluded and its versions fit: it counts again from the moment that this is stored. */
     fun rejoin() {
         if (storing) return
--- a/src/main/kotlin/io/reedmast/rollout/RolloutRecord.kt
+++ b/src/main/kotlin/io/reedmast/rollout/RolloutRecord.kt
@@ -48,6 +48,7 @@
 
 /** Who changed something, when by the time of day, and for what reason. */
 data class Provenance(val by: String, val atMs: Long, val why: String) {
+    /** The stored form. */
     fun toFields(): Fields = mapOf("by" to by, "at" to atMs, "why" to why)
 
     companion object {
@@ -68,6 +69,7 @@
  *   under
  */
 data class Gate(val state: GateState, val requires: FormatVersion, val generation: Long, val moved: Provenance) {
+    /** The stored form. */
     fun toFields(): Fields = mapOf(
         "state" to state.storedName,
         "requires" to requires.value.toLong(),
@@ -87,6 +89,7 @@
 
 /** What an operator wishes a gate to come to; it goes before what the deploy files say. */
 data class Wish(val target: Target, val made: Provenance) {
+    /** The stored form. */
     fun toFields(): Fields = mapOf("target" to target.storedName, "made" to made.toFields())
 
     companion object {
@@ -96,6 +99,7 @@
 
 /** One line of the rollout's history. */
 data class HistoryEntry(val what: String, val made: Provenance) {
+    /** The stored form. */
     fun toFields(): Fields = mapOf("what" to what, "made" to made.toFields())
 
     companion object {
@@ -150,6 +154,8 @@
         copy(history = (history + HistoryEntry(what, made)).takeLast(LONGEST_HISTORY))
 
     /** As it is stored: with as much of the history as leaves it small enough for the smallest values. */
+
+    /** The stored form. */
     fun toFields(): Fields {
         var kept = history
         while (kept.isNotEmpty() && BodyCodec.jsonSize(fieldsWith(kept)) > LARGEST_WITH_HISTORY) kept = kept.drop(1)
--- a/src/main/kotlin/io/reedmast/rollout/RolloutView.kt
+++ b/src/main/kotlin/io/reedmast/rollout/RolloutView.kt
@@ -3,26 +3,9 @@
 import io.reedmast.kvstore.Keys
 import io.reedmast.wire.Fields
 import io.reedmast.wire.MalformedException
-import io.reedmast.wire.map
 import io.reedmast.wire.optionalCount
-import io.reedmast.wire.text
 import org.slf4j.LoggerFactory
 
-/** Progress of a migration as stored, with the version of its key. */
-data class StoredProgress(val progress: MigrationProgress, val version: Long)
-
-/** An operator's order that one process give its shards up before it is stopped. */
-data class DrainOrder(val incarnation: String, val made: Provenance) {
-    fun toFields(): Fields = mapOf("incarnation" to incarnation, "made" to made.toFields())
-
-    companion object {
-        fun parse(fields: Fields) = DrainOrder(fields.text("incarnation"), Provenance.parse(fields.map("made")))
-    }
-}
-
-/** A drain order as stored, with the version of its key. */
-data class StoredDrain(val order: DrainOrder, val version: Long)
-
 /**
  * What one process knows of the rollout: the stored record, what controllers publish of themselves, and the progress of
  * migrations.
