--- /dev/null
+++ b/src/test/kotlin/io/reedmast/persistence/PageWritePolicyTest.kt
@@ -0,0 +1,51 @@
+package io.reedmast.persistence
+
+import io.reedmast.kvstore.WritePriority
+import io.reedmast.model.PendingWrite
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertFalse
+import org.junit.jupiter.api.Assertions.assertNull
+import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.api.Test
+
+/** Which pages may be written with the permits that are left, and in which order of priority. */
+class PageWritePolicyTest {
+    private fun placements(pendingWrite: PendingWrite, permitLevel: Double, awaitedWrites: Int) =
+        PageWritePolicy.priorityOf(pendingWrite, dirtyForMs = 0, permitLevel, awaitedWrites)
+
+    private fun results(dirtyForMs: Long, permitLevel: Double) =
+        PageWritePolicy.priorityOf(PendingWrite.RESULTS, dirtyForMs, permitLevel, awaitedWrites = 0)
+
+    @Test
+    fun `results wait for those that follow, placements do not`() {
+        assertFalse(PageWritePolicy.isDue(PendingWrite.RESULTS, dirtyForMs = 699))
+        assertTrue(PageWritePolicy.isDue(PendingWrite.RESULTS, dirtyForMs = 700))
+        assertTrue(PageWritePolicy.isDue(PendingWrite.ARRAY_PLACEMENTS, dirtyForMs = 0))
+        assertTrue(PageWritePolicy.isDue(PendingWrite.URGENT_PLACEMENTS, dirtyForMs = 0))
+    }
+
+    @Test
+    fun `the last permits are left to acceptances`() {
+        PendingWrite.entries.forEach {
+            assertNull(PageWritePolicy.priorityOf(it, dirtyForMs = 60_000, permitLevel = 0.25, awaitedWrites = 0))
+        }
+        assertEquals(WritePriority.URGENT, placements(PendingWrite.ARRAY_PLACEMENTS, 0.26, awaitedWrites = 0))
+    }
+
+    @Test
+    fun `results are deferred writes that need room, until they are overdue`() {
+        assertNull(results(dirtyForMs = 700, permitLevel = 0.65))
+        assertEquals(WritePriority.DEFERRED, results(dirtyForMs = 700, permitLevel = 0.66))
+        assertEquals(WritePriority.URGENT, results(dirtyForMs = 8_000, permitLevel = 0.26))
+    }
+
+    @Test
+    fun `the fewer permits are left, the fewer pages of arrays are written side by side`() {
+        assertEquals(WritePriority.URGENT, placements(PendingWrite.ARRAY_PLACEMENTS, 0.5, awaitedWrites = 1))
+        assertNull(placements(PendingWrite.ARRAY_PLACEMENTS, 0.5, awaitedWrites = 2))
+        assertEquals(WritePriority.URGENT, placements(PendingWrite.URGENT_PLACEMENTS, 0.5, awaitedWrites = 4))
+        assertNull(placements(PendingWrite.URGENT_PLACEMENTS, 0.5, awaitedWrites = 5))
+        assertEquals(WritePriority.URGENT, placements(PendingWrite.ARRAY_PLACEMENTS, 0.81, awaitedWrites = 7))
+        assertNull(placements(PendingWrite.ARRAY_PLACEMENTS, 0.81, awaitedWrites = 8))
+    }
+}
