--- a/src/main/kotlin/io/reedmast/app/CloudGateway.kt
+++ b/src/main/kotlin/io/reedmast/app/CloudGateway.kt
@@ -2,8 +2,10 @@
 
 import com.google.common.util.concurrent.RateLimiter
 import io.reedmast.ports.Cloud
+import io.reedmast.ports.CloudListing
 import io.reedmast.ports.ProvisioningRequest
 import io.reedmast.ports.ProvisioningResult
+import io.reedmast.ports.ReturnResult
 import io.reedmast.settings.Settings
 import io.reedmast.wire.CloudMessages
 import io.reedmast.wire.Fields
@@ -56,23 +58,24 @@
         }
     }
 
-    override fun returnMachines(machineNames: List<String>, done: (Boolean) -> Unit) = calls.call(
-        pool,
-        { okAnswer(ask("POST", "/machines/return", CloudMessages.returnOf(machineNames))) != null },
-        false,
-        done,
-        STALE_RETURN_MS,
-    )
+    override fun returnMachines(machineNames: List<String>, done: (ReturnResult) -> Unit) =
+        calls.call(pool, { returnResult(machineNames) }, ReturnResult.UNCONFIRMED, done, STALE_RETURN_MS)
 
-    override fun listMachines(done: (List<ListedMachine>?) -> Unit) = calls.call(pool, ::readAllMachines, null, done)
+    private fun returnResult(machineNames: List<String>): ReturnResult {
+        val reply = ask("POST", "/machines/return", CloudMessages.returnOf(machineNames))
+        return if (okAnswer(reply) == null) ReturnResult.UNCONFIRMED else ReturnResult.CONFIRMED
+    }
+
+    override fun listMachines(done: (CloudListing<ListedMachine>) -> Unit) =
+        calls.call(pool, ::readAllMachines, CloudListing.Unavailable, done)
 
-    private fun readAllMachines(): List<ListedMachine>? {
+    private fun readAllMachines(): CloudListing<ListedMachine> {
         val machines = ArrayList<ListedMachine>()
         do {
-            val page = readPage(machines.lastOrNull()) ?: return null
+            val page = readPage(machines.lastOrNull()) ?: return CloudListing.Unavailable
             machines.addAll(page.machines)
         } while (page.hasMore)
-        return machines
+        return CloudListing.Complete(machines)
     }
 
     /** One page of the list of machines, and whether there are more after it. */
@@ -86,11 +89,12 @@
         }
     }
 
-    override fun machineTypes(done: (List<MachineType>?) -> Unit) = calls.call(pool, ::readMachineTypes, null, done)
+    override fun machineTypes(done: (CloudListing<MachineType>) -> Unit) =
+        calls.call(pool, ::readMachineTypes, CloudListing.Unavailable, done)
 
-    private fun readMachineTypes(): List<MachineType>? {
-        val answer = okAnswer(ask("GET", "/flavors")) ?: return null
-        return parseOrNull { MachineType.parseAll(answer.body) }
+    private fun readMachineTypes(): CloudListing<MachineType> {
+        val answer = okAnswer(ask("GET", "/flavors")) ?: return CloudListing.Unavailable
+        return parseOrNull { CloudListing.Complete(MachineType.parseAll(answer.body)) } ?: CloudListing.Unavailable
     }
 
     private fun okAnswer(reply: Reply): Reply.Answer? =
--- a/src/main/kotlin/io/reedmast/app/Controller.kt
+++ b/src/main/kotlin/io/reedmast/app/Controller.kt
@@ -6,6 +6,7 @@
 import io.reedmast.kvstore.EffectiveLimits
 import io.reedmast.model.FencingToken
 import io.reedmast.ports.Clock
+import io.reedmast.ports.CloudListing
 import io.reedmast.ports.Gateway
 import io.reedmast.ports.PeerMessage
 import io.reedmast.requests.JobRequestHandler
@@ -70,18 +71,25 @@
         val now = clock.now()
         if (machineTypesAsked || now < machineTypesDue) return
         machineTypesAsked = true
-        gateway.machineTypes { found ->
+        gateway.machineTypes { listing ->
             machineTypesAsked = false
-            if (found == null || found.isEmpty()) {
-                machineTypesDue = clock.now() + MACHINE_TYPES_RETRY_MS
-            } else {
-                machineTypesDue = clock.now() + MACHINE_TYPES_EVERY_MS
-                machineTypes = found.associateBy { it.label }
-                cluster.owned().forEach { it.machineTypesChanged() }
+            when (listing) {
+                is CloudListing.Complete -> onMachineTypes(listing.items)
+                CloudListing.Unavailable -> machineTypesDue = clock.now() + MACHINE_TYPES_RETRY_MS
             }
         }
     }
 
+    private fun onMachineTypes(listed: List<MachineType>) {
+        if (listed.isEmpty()) {
+            machineTypesDue = clock.now() + MACHINE_TYPES_RETRY_MS
+            return
+        }
+        machineTypesDue = clock.now() + MACHINE_TYPES_EVERY_MS
+        machineTypes = listed.associateBy { it.label }
+        cluster.owned().forEach { it.machineTypesChanged() }
+    }
+
     /**
      * Handles the heartbeat of any worker: of one of this controller, of another one or of one that is not yet
      * assigned.
--- a/src/main/kotlin/io/reedmast/autoscaling/AbandonedMachines.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/AbandonedMachines.kt
@@ -2,6 +2,7 @@
 
 import io.reedmast.ports.Clock
 import io.reedmast.ports.Cloud
+import io.reedmast.ports.ReturnResult
 import io.reedmast.settings.Settings
 import io.reedmast.wire.ListedMachine
 import io.reedmast.wire.MachineType
@@ -63,9 +64,9 @@
     private fun returnMachines(machineNames: List<String>) {
         log.info("machines {}: belong to no shard and send no heartbeats, returned", machineNames)
         returning.addAll(machineNames)
-        cloud.returnMachines(machineNames) { confirmed ->
+        cloud.returnMachines(machineNames) { result ->
             returning.removeAll(machineNames.toSet())
-            if (confirmed) machineNames.forEach { unassignedSince.remove(it) }
+            if (result == ReturnResult.CONFIRMED) machineNames.forEach { unassignedSince.remove(it) }
         }
     }
 
--- a/src/main/kotlin/io/reedmast/autoscaling/Autoscaler.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/Autoscaler.kt
@@ -4,6 +4,7 @@
 import io.reedmast.kvstore.StoredItem
 import io.reedmast.kvstore.UnreadableRecordLog
 import io.reedmast.ports.Clock
+import io.reedmast.ports.CloudListing
 import io.reedmast.ports.Gateway
 import io.reedmast.settings.Settings
 import io.reedmast.settings.ShardId
@@ -66,9 +67,9 @@
         if (now < listDueAt || listingMachines) return
         listingMachines = true
         listDueAt = now + maxOf(MIN_LIST_INTERVAL_MS, (settings.cloudLimits.listLagS * MS_PER_S).toLong())
-        gateway.listMachines { machines ->
+        gateway.listMachines { listing ->
             listingMachines = false
-            if (machines != null && fleet.leading) abandonedMachines.onMachineList(machines)
+            if (listing is CloudListing.Complete && fleet.leading) abandonedMachines.onMachineList(listing.items)
         }
     }
 
--- a/src/main/kotlin/io/reedmast/commands/TokenAnnouncer.kt
+++ b/src/main/kotlin/io/reedmast/commands/TokenAnnouncer.kt
@@ -3,6 +3,7 @@
 import io.reedmast.model.Machine
 import io.reedmast.model.ShardState
 import io.reedmast.ports.Cloud
+import io.reedmast.ports.CloudListing
 import io.reedmast.ports.WorkerTransport
 import io.reedmast.wire.ListedMachine
 import io.reedmast.wire.Reply
@@ -43,9 +44,9 @@
         }
         isListing = true
         listDue = now + LIST_EVERY_MS
-        cloud.listMachines { listed ->
+        cloud.listMachines { listing ->
             isListing = false
-            if (!shardState.dropped) listed.orEmpty().forEach { announce(it) }
+            if (listing is CloudListing.Complete && !shardState.dropped) listing.items.forEach { announce(it) }
         }
     }
 
--- a/src/main/kotlin/io/reedmast/machines/MachineReturner.kt
+++ b/src/main/kotlin/io/reedmast/machines/MachineReturner.kt
@@ -3,6 +3,7 @@
 import io.reedmast.model.Machine
 import io.reedmast.model.ShardState
 import io.reedmast.ports.Cloud
+import io.reedmast.ports.ReturnResult
 import org.slf4j.LoggerFactory
 
 /**
@@ -57,15 +58,19 @@
         val batch = pending.take(MAX_MACHINES_PER_RETURN)
         pending.removeAll(batch.toSet())
         isReturnInFlight = true
-        cloud.returnMachines(batch.map { it.name }) { confirmed ->
+        cloud.returnMachines(batch.map { it.name }) { result ->
             isReturnInFlight = false
-            if (!shardState.dropped) onAnswer(batch, confirmed)
+            if (!shardState.dropped) onAnswer(batch, result)
         }
     }
 
     /** A return that was not confirmed is tried again while the machine is still to go. */
-    private fun onAnswer(batch: List<Machine>, confirmed: Boolean) =
-        batch.forEach { if (confirmed) onGone(it) else it.isReturning = false }
+    private fun onAnswer(batch: List<Machine>, result: ReturnResult) = batch.forEach {
+        when (result) {
+            ReturnResult.CONFIRMED -> onGone(it)
+            ReturnResult.UNCONFIRMED -> it.isReturning = false
+        }
+    }
 
     /** The cloud has confirmed that the machine and all that was on it are gone. */
     private fun onGone(machine: Machine) {
--- a/src/main/kotlin/io/reedmast/ports/Cloud.kt
+++ b/src/main/kotlin/io/reedmast/ports/Cloud.kt
@@ -11,15 +11,12 @@
      */
     fun provision(request: ProvisioningRequest, done: (ProvisioningResult) -> Unit)
 
-    /**
-     * Returns machines; [done] gets true only if the cloud has confirmed that they are gone, and false also if the call
-     * was not made or its answer was lost.
-     */
-    fun returnMachines(machineNames: List<String>, done: (Boolean) -> Unit)
+    /** Returns machines; they are gone only if [done] gets [ReturnResult.CONFIRMED]. */
+    fun returnMachines(machineNames: List<String>, done: (ReturnResult) -> Unit)
 
-    /** Lists all rented machines; [done] gets null if the list could not be read. */
-    fun listMachines(done: (List<ListedMachine>?) -> Unit)
+    /** Lists all rented machines. */
+    fun listMachines(done: (CloudListing<ListedMachine>) -> Unit)
 
-    /** Reads which types of machines there are; [done] gets null if they could not be read. */
-    fun machineTypes(done: (List<MachineType>?) -> Unit)
+    /** Reads which types of machines there are. */
+    fun machineTypes(done: (CloudListing<MachineType>) -> Unit)
 }
--- a/src/test/kotlin/io/reedmast/sim/RecordingGateway.kt
+++ b/src/test/kotlin/io/reedmast/sim/RecordingGateway.kt
@@ -3,11 +3,13 @@
 import io.reedmast.kvstore.CasTransaction
 import io.reedmast.kvstore.ReadResult
 import io.reedmast.kvstore.StoredItem
+import io.reedmast.ports.CloudListing
 import io.reedmast.ports.Gateway
 import io.reedmast.ports.LeaseState
 import io.reedmast.ports.PeerMessage
 import io.reedmast.ports.ProvisioningRequest
 import io.reedmast.ports.ProvisioningResult
+import io.reedmast.ports.ReturnResult
 import io.reedmast.settings.ControllerId
 import io.reedmast.wire.ListedMachine
 import io.reedmast.wire.MachineType
@@ -38,11 +40,11 @@
 
     override fun provision(request: ProvisioningRequest, done: (ProvisioningResult) -> Unit) = Unit
 
-    override fun returnMachines(machineNames: List<String>, done: (Boolean) -> Unit) = Unit
+    override fun returnMachines(machineNames: List<String>, done: (ReturnResult) -> Unit) = Unit
 
-    override fun listMachines(done: (List<ListedMachine>?) -> Unit) = Unit
+    override fun listMachines(done: (CloudListing<ListedMachine>) -> Unit) = Unit
 
-    override fun machineTypes(done: (List<MachineType>?) -> Unit) = Unit
+    override fun machineTypes(done: (CloudListing<MachineType>) -> Unit) = Unit
 
     override fun extendLease(lease: Long?, lifeMs: Long, done: (LeaseState) -> Unit) = Unit
 
--- a/src/test/kotlin/io/reedmast/sim/SimGateway.kt
+++ b/src/test/kotlin/io/reedmast/sim/SimGateway.kt
@@ -13,11 +13,13 @@
 import io.reedmast.kvstore.TransactionIds
 import io.reedmast.kvstore.Write
 import io.reedmast.kvstore.WriteRateLimiter
+import io.reedmast.ports.CloudListing
 import io.reedmast.ports.Gateway
 import io.reedmast.ports.LeaseState
 import io.reedmast.ports.PeerMessage
 import io.reedmast.ports.ProvisioningRequest
 import io.reedmast.ports.ProvisioningResult
+import io.reedmast.ports.ReturnResult
 import io.reedmast.settings.ControllerId
 import io.reedmast.wire.CloudMessages
 import io.reedmast.wire.Fields
@@ -57,10 +59,9 @@
 
     private fun <T> reply(ms: Long, done: (T) -> Unit, make: () -> T) = world.after(ms) {
         // What was answered while the process stood still is as old as the answer.
-        if (controller.life ==
-            life
-        ) {
-            make().let { made -> controller.later(0) { if (controller.life == life) done(made) } }
+        if (controller.life == life) {
+            val made = make()
+            controller.later(0) { if (controller.life == life) done(made) }
         }
     }
 
@@ -294,26 +295,27 @@
         reply(CLOUD_MS, done) { world.provision(request) }
     }
 
-    override fun returnMachines(machineNames: List<String>, done: (Boolean) -> Unit) {
+    override fun returnMachines(machineNames: List<String>, done: (ReturnResult) -> Unit) {
         record("return", CloudMessages.returnOf(machineNames))
         world.after(CLOUD_MS) {
-            val confirmed = world.returnMachines(machineNames)
-            reply(1, done) { confirmed }
+            val result = world.returnMachines(machineNames)
+            reply(1, done) { result }
         }
     }
 
-    override fun listMachines(done: (List<ListedMachine>?) -> Unit) {
+    override fun listMachines(done: (CloudListing<ListedMachine>) -> Unit) {
         record("machines", emptyMap())
         reply(CLOUD_MS, done) {
-            world.workers.values.map {
+            val machines = world.workers.values.map {
                 ListedMachine(it.name, it.addr, it.machineType.label, it.zone, it.spot, "running", 0.0)
             }
+            CloudListing.Complete(machines)
         }
     }
 
-    override fun machineTypes(done: (List<MachineType>?) -> Unit) {
+    override fun machineTypes(done: (CloudListing<MachineType>) -> Unit) {
         record("flavors", emptyMap())
-        reply(TYPES_MS, done) { world.machineTypes }
+        reply(TYPES_MS, done) { CloudListing.Complete(world.machineTypes) }
     }
 
     private companion object {
--- a/src/test/kotlin/io/reedmast/sim/World.kt
+++ b/src/test/kotlin/io/reedmast/sim/World.kt
@@ -4,6 +4,7 @@
 import io.reedmast.ports.Clock
 import io.reedmast.ports.ProvisioningRequest
 import io.reedmast.ports.ProvisioningResult
+import io.reedmast.ports.ReturnResult
 import io.reedmast.settings.Settings
 import io.reedmast.settings.Tuning
 import io.reedmast.wire.JobShape
@@ -151,15 +152,15 @@
         return if (names.isEmpty()) ProvisioningResult.NoCapacity else ProvisioningResult.Machines(names)
     }
 
-    /** Takes machines back; false if the cloud does not answer. */
-    fun returnMachines(machineNames: List<String>): Boolean {
-        if (cloudOut) return false
+    /** Takes machines back, unless the cloud does not answer. */
+    fun returnMachines(machineNames: List<String>): ReturnResult {
+        if (cloudOut) return ReturnResult.UNCONFIRMED
         for (name in machineNames) {
             val worker = workers.remove(name) ?: continue
             returned.add(name)
             worker.vanish()
         }
-        return true
+        return ReturnResult.CONFIRMED
     }
 
     private fun bootMs(typeName: String) = (machineTypes.first { it.label == typeName }.bootS * 1000).toLong()
