--- a/src/main/kotlin/io/reedmast/app/DirectStore.kt
+++ b/src/main/kotlin/io/reedmast/app/DirectStore.kt
@@ -7,7 +7,6 @@
 import io.reedmast.kvstore.ListResult
 import io.reedmast.kvstore.ReadResult
 import io.reedmast.kvstore.StoreClient
-import io.reedmast.kvstore.StoredItem
 import io.reedmast.kvstore.TransactionIds
 import io.reedmast.rollout.RolloutStore
 import io.reedmast.settings.Settings
@@ -53,8 +52,7 @@
 
     override fun get(path: String, done: (ReadResult) -> Unit) = done(client.get(path))
 
-    override fun list(prefix: String, done: (List<StoredItem>?) -> Unit) =
-        done((client.list(prefix) as? ListResult.Listing)?.items)
+    override fun list(prefix: String, done: (ListResult) -> Unit) = done(client.list(prefix))
 
     override fun writePermitLevel(): Double = client.writeLimiter.permitLevel()
 
--- a/src/main/kotlin/io/reedmast/app/StoreGateway.kt
+++ b/src/main/kotlin/io/reedmast/app/StoreGateway.kt
@@ -7,7 +7,6 @@
 import io.reedmast.kvstore.LeaseGrant
 import io.reedmast.kvstore.ListResult
 import io.reedmast.kvstore.ReadResult
-import io.reedmast.kvstore.StoredItem
 import io.reedmast.kvstore.TransactionIds
 import io.reedmast.ports.KeyValueStore
 import io.reedmast.ports.LeaseState
@@ -45,8 +44,8 @@
     override fun get(path: String, done: (ReadResult) -> Unit) =
         calls.call(reads, { client.get(path) }, ReadResult.Failed, done)
 
-    override fun list(prefix: String, done: (List<StoredItem>?) -> Unit) =
-        calls.call(reads, { (client.list(prefix) as? ListResult.Listing)?.items }, null, done)
+    override fun list(prefix: String, done: (ListResult) -> Unit) =
+        calls.call(reads, { client.list(prefix) }, ListResult.Failed, done)
 
     override fun writePermitLevel(): Double = client.writeLimiter.permitLevel()
 
--- a/src/main/kotlin/io/reedmast/autoscaling/Autoscaler.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/Autoscaler.kt
@@ -1,6 +1,7 @@
 package io.reedmast.autoscaling
 
 import io.reedmast.kvstore.Keys
+import io.reedmast.kvstore.ListResult
 import io.reedmast.kvstore.StoredItem
 import io.reedmast.kvstore.UnreadableRecordLog
 import io.reedmast.ports.Clock
@@ -77,9 +78,11 @@
         if (readingSummaries || now < summariesDueAt || machineTypes().isEmpty()) return
         readingSummaries = true
         summariesDueAt = now + READ_SUMMARIES_MS
-        gateway.list(Keys.USAGE_SUMMARIES) { items ->
+        gateway.list(Keys.USAGE_SUMMARIES) { result ->
             readingSummaries = false
-            if (items != null && fleet.leading && fleet.isCurrent()) scale(items.mapNotNull { parse(it) })
+            if (result is ListResult.Listing && fleet.leading && fleet.isCurrent()) {
+                scale(result.items.mapNotNull { parse(it) })
+            }
         }
     }
 
--- a/src/main/kotlin/io/reedmast/cli/RolloutCommand.kt
+++ b/src/main/kotlin/io/reedmast/cli/RolloutCommand.kt
@@ -19,6 +19,7 @@
 import io.reedmast.rollout.RolloutAdministration
 import io.reedmast.rollout.RolloutStatus
 import io.reedmast.rollout.RolloutStore
+import io.reedmast.rollout.StatusResult
 import io.reedmast.rollout.Target
 import io.reedmast.rollout.isDraining
 import io.reedmast.settings.Settings
@@ -119,9 +120,11 @@
 
 private class StatusCommand(openStore: StoreOpener) :
     AdministrationCommand(openStore, "status", "Print gates, migrations and controllers") {
-    override fun run() = administration().status { status ->
-        if (status == null) refuse("the store does not answer, or its records cannot be read")
-        lines(status).forEach(::println)
+    override fun run() = administration().status { result ->
+        when (result) {
+            is StatusResult.Known -> lines(result.status).forEach(::println)
+            is StatusResult.Unknown -> refuse("the store does not answer, or its records cannot be read")
+        }
     }
 
     private fun lines(status: RolloutStatus): List<String> = gates(status) + controllers(status) + history(status)
--- a/src/main/kotlin/io/reedmast/cluster/RolloutStoreAdapter.kt
+++ b/src/main/kotlin/io/reedmast/cluster/RolloutStoreAdapter.kt
@@ -1,8 +1,8 @@
 package io.reedmast.cluster
 
 import io.reedmast.kvstore.CasTransaction
+import io.reedmast.kvstore.ListResult
 import io.reedmast.kvstore.ReadResult
-import io.reedmast.kvstore.StoredItem
 import io.reedmast.ports.KeyValueStore
 import io.reedmast.rollout.RolloutStore
 
@@ -14,7 +14,7 @@
 
     override fun get(path: String, done: (ReadResult) -> Unit) = store.get(path, done)
 
-    override fun list(prefix: String, done: (List<StoredItem>?) -> Unit) = store.list(prefix, done)
+    override fun list(prefix: String, done: (ListResult) -> Unit) = store.list(prefix, done)
 
     override fun writePermitLevel(): Double = store.writePermitLevel()
 }
--- a/src/main/kotlin/io/reedmast/cluster/ShardRestorer.kt
+++ b/src/main/kotlin/io/reedmast/cluster/ShardRestorer.kt
@@ -2,8 +2,8 @@
 
 import io.reedmast.jobs.JobIndex
 import io.reedmast.kvstore.Keys
+import io.reedmast.kvstore.ListResult
 import io.reedmast.kvstore.ReadResult
-import io.reedmast.kvstore.StoredItem
 import io.reedmast.ports.Clock
 import io.reedmast.ports.KeyValueStore
 import io.reedmast.shard.ShardOwner
@@ -22,8 +22,8 @@
 
     /** What has been read of the state of [owner]'s shard so far. */
     private class StoredState(val owner: ShardOwner, val readSince: Long) {
-        /** The shard's progress pages; null until they have been read. */
-        var pages: List<StoredItem>? = null
+        /** The shard's progress pages. */
+        var pages: ListResult = ListResult.Failed
 
         /** The shard's usage summary, which need not exist. */
         var usageSummary: ReadResult = ReadResult.Failed
@@ -47,21 +47,22 @@
     private fun onRead(state: StoredState) {
         if (--state.openReads > 0) return
         // A page may name a job that the watch has not shown yet: without the wait its tasks would run twice.
-        staleness.awaitJobsBarrier { jobsKnown -> finish(state, state.pages.takeIf { jobsKnown }) }
+        staleness.awaitJobsBarrier { jobsKnown -> finish(state, jobsKnown) }
     }
 
-    private fun finish(state: StoredState, pages: List<StoredItem>?) {
+    private fun finish(state: StoredState, jobsKnown: Boolean) {
         val owner = state.owner
+        val pages = state.pages
         val usageSummary = state.usageSummary
         attempts.end(owner.index)
         if (owner.dropped) return
-        if (pages == null || usageSummary is ReadResult.Failed) {
+        if (!jobsKnown || pages !is ListResult.Listing || usageSummary is ReadResult.Failed) {
             log.info("shard {}: could not be restored, will be retried", owner.index.value)
             owners.drop(owner.index)
             attempts.retrySoon(owner.index)
             return
         }
-        owner.restore(jobs.liveOf(owner.index), pages, (usageSummary as? ReadResult.Found)?.item)
+        owner.restore(jobs.liveOf(owner.index), pages.items, (usageSummary as? ReadResult.Found)?.item)
         log.info("shard {}: restored in {} ms", owner.index.value, clock.now() - state.readSince)
     }
 }
--- a/src/main/kotlin/io/reedmast/ports/KeyValueStore.kt
+++ b/src/main/kotlin/io/reedmast/ports/KeyValueStore.kt
@@ -1,8 +1,8 @@
 package io.reedmast.ports
 
 import io.reedmast.kvstore.CasTransaction
+import io.reedmast.kvstore.ListResult
 import io.reedmast.kvstore.ReadResult
-import io.reedmast.kvstore.StoredItem
 
 /** The key-value store as decisions use it; each call answers later, on the deciding thread. */
 interface KeyValueStore {
@@ -21,8 +21,8 @@
     /** Reads the key [path]; [done] gets [ReadResult.Failed] if the store did not answer. */
     fun get(path: String, done: (ReadResult) -> Unit)
 
-    /** Reads all keys that begin with [prefix]; [done] gets null if they could not be read. */
-    fun list(prefix: String, done: (List<StoredItem>?) -> Unit)
+    /** Reads all keys that begin with [prefix]; [done] gets [ListResult.Failed] if the store did not answer. */
+    fun list(prefix: String, done: (ListResult) -> Unit)
 
     /**
      * Extends [lease], or asks for a new one of [lifeMs] milliseconds if it is null; [done] gets [LeaseState.Unknown]
--- a/src/main/kotlin/io/reedmast/rollout/MigrationReconciler.kt
+++ b/src/main/kotlin/io/reedmast/rollout/MigrationReconciler.kt
@@ -3,6 +3,7 @@
 import io.reedmast.kvstore.CasTransaction
 import io.reedmast.kvstore.CommitOutcome
 import io.reedmast.kvstore.Keys
+import io.reedmast.kvstore.ListResult
 import io.reedmast.kvstore.Precondition
 import io.reedmast.kvstore.ReadResult
 import io.reedmast.kvstore.StoredItem
@@ -97,10 +98,12 @@
 
     private fun list(current: Pass) {
         busy = true
-        store.list(current.migration.prefix((unit as? MigrationUnit.Shard)?.index ?: 0)) { items ->
+        store.list(current.migration.prefix((unit as? MigrationUnit.Shard)?.index ?: 0)) { result ->
             busy = false
-            if (items != null) {
-                current.keys = items.mapTo(ArrayDeque()) { it.path }.apply { removeIf { it <= current.progress.after } }
+            if (result is ListResult.Listing) {
+                current.keys = result.items
+                    .map { it.path }
+                    .filterTo(ArrayDeque()) { it > current.progress.after }
             }
         }
     }
--- a/src/main/kotlin/io/reedmast/rollout/RolloutAdministration.kt
+++ b/src/main/kotlin/io/reedmast/rollout/RolloutAdministration.kt
@@ -3,6 +3,7 @@
 import io.reedmast.kvstore.CasTransaction
 import io.reedmast.kvstore.CommitOutcome
 import io.reedmast.kvstore.Keys
+import io.reedmast.kvstore.ListResult
 import io.reedmast.kvstore.Precondition
 import io.reedmast.kvstore.StoredItem
 import io.reedmast.kvstore.Write
@@ -23,8 +24,8 @@
     private val wall: () -> Long,
     private val store: RolloutStore,
 ) {
-    /** Reads the state of the rollout; [done] gets null if the store does not answer or a record cannot be read. */
-    fun status(done: (RolloutStatus?) -> Unit) = read { status, _ -> done(status) }
+    /** Reads the state of the rollout. */
+    fun status(done: (StatusResult) -> Unit) = store.list(Keys.CLUSTER) { done(statusOf(it)) }
 
     /** Records that [feature] is to come to [target]; the leader moves its gate as soon as that is possible. */
     fun wish(feature: FeatureName, target: Target, act: Act, done: (ActResult) -> Unit) = change(done) { status ->
@@ -97,8 +98,12 @@
     }
 
     /** Whether [label] may be stopped now without harm. */
-    fun readiness(label: String, done: (Readiness) -> Unit) = read { status, failure ->
-        done(if (status == null) Readiness.NotReady(listOf(failure)) else Readiness.of(label, status))
+    fun readiness(label: String, done: (Readiness) -> Unit) = status { result ->
+        val readiness = when (result) {
+            is StatusResult.Known -> Readiness.of(label, result.status)
+            is StatusResult.Unknown -> Readiness.NotReady(listOf(result.reason))
+        }
+        done(readiness)
     }
 
     private fun made(act: Act) = Provenance.of(act.by, wall(), act.why)
@@ -116,15 +121,12 @@
 
     private fun refused(reason: String): Planned = Planned.Refused(reason)
 
-    private fun read(done: (RolloutStatus?, String) -> Unit) = store.list(Keys.CLUSTER) { items ->
-        if (items == null) {
-            done(null, "the store does not answer")
-            return@list
-        }
-        try {
-            done(statusOf(items), "")
+    private fun statusOf(result: ListResult): StatusResult = when (result) {
+        ListResult.Failed -> StatusResult.Unknown("the store does not answer")
+        is ListResult.Listing -> try {
+            StatusResult.Known(statusOf(result.items))
         } catch (e: MalformedException) {
-            done(null, "a record of the cluster cannot be read: ${e.message}")
+            StatusResult.Unknown("a record of the cluster cannot be read: ${e.message}")
         }
     }
 
@@ -135,11 +137,14 @@
         return RolloutStatus(view, snapshot, GateDecision(registry).plan(view.gates.record, snapshot).waiting)
     }
 
-    private fun change(done: (ActResult) -> Unit, plan: (RolloutStatus) -> Planned) = read { status, failure ->
-        if (status == null) {
-            done(ActResult.Refused(failure))
-            return@read
+    private fun change(done: (ActResult) -> Unit, plan: (RolloutStatus) -> Planned) = status { result ->
+        when (result) {
+            is StatusResult.Known -> change(result.status, done, plan)
+            is StatusResult.Unknown -> done(ActResult.Refused(result.reason))
         }
+    }
+
+    private fun change(status: RolloutStatus, done: (ActResult) -> Unit, plan: (RolloutStatus) -> Planned) {
         val gates = status.view.gates
         when (val admission = status.view.admission) {
             is Admission.Withheld -> done(ActResult.Refused(admission.reason))
--- a/src/main/kotlin/io/reedmast/rollout/RolloutStore.kt
+++ b/src/main/kotlin/io/reedmast/rollout/RolloutStore.kt
@@ -1,8 +1,8 @@
 package io.reedmast.rollout
 
 import io.reedmast.kvstore.CasTransaction
+import io.reedmast.kvstore.ListResult
 import io.reedmast.kvstore.ReadResult
-import io.reedmast.kvstore.StoredItem
 
 /**
  * The store as the rollout needs it: conditional changes, and reads of the newest values.
@@ -17,8 +17,8 @@
     /** Reads the key [path]; [done] gets [ReadResult.Failed] if the store did not answer. */
     fun get(path: String, done: (ReadResult) -> Unit)
 
-    /** All records whose keys begin with [prefix], in key order; null if they could not be read. */
-    fun list(prefix: String, done: (List<StoredItem>?) -> Unit)
+    /** All records whose keys begin with [prefix], in key order. */
+    fun list(prefix: String, done: (ListResult) -> Unit)
 
     /** How much of the budget of changes is left, as a part of a second's worth. */
     fun writePermitLevel(): Double
--- a/src/test/kotlin/io/reedmast/rollout/MapStore.kt
+++ b/src/test/kotlin/io/reedmast/rollout/MapStore.kt
@@ -2,6 +2,7 @@
 
 import io.reedmast.kvstore.CasTransaction
 import io.reedmast.kvstore.CommitOutcome
+import io.reedmast.kvstore.ListResult
 import io.reedmast.kvstore.ReadResult
 import io.reedmast.kvstore.StoredItem
 import io.reedmast.kvstore.Write
@@ -45,11 +46,10 @@
         done(items[path]?.let { ReadResult.Found(it) } ?: ReadResult.Missing)
     }
 
-    override fun list(prefix: String, done: (List<StoredItem>?) -> Unit) = done(
-        items.tailMap(prefix).values.takeWhile {
-            it.path.startsWith(prefix)
-        },
-    )
+    override fun list(prefix: String, done: (ListResult) -> Unit) {
+        val listed = items.tailMap(prefix).values.takeWhile { it.path.startsWith(prefix) }
+        done(ListResult.Listing(listed, revision))
+    }
 
     override fun writePermitLevel() = permitLevel
 }
--- a/src/test/kotlin/io/reedmast/sim/RecordingGateway.kt
+++ b/src/test/kotlin/io/reedmast/sim/RecordingGateway.kt
@@ -1,8 +1,8 @@
 package io.reedmast.sim
 
 import io.reedmast.kvstore.CasTransaction
+import io.reedmast.kvstore.ListResult
 import io.reedmast.kvstore.ReadResult
-import io.reedmast.kvstore.StoredItem
 import io.reedmast.ports.CloudListing
 import io.reedmast.ports.Gateway
 import io.reedmast.ports.LeaseState
@@ -28,7 +28,7 @@
 
     override fun get(path: String, done: (ReadResult) -> Unit) = Unit
 
-    override fun list(prefix: String, done: (List<StoredItem>?) -> Unit) = Unit
+    override fun list(prefix: String, done: (ListResult) -> Unit) = Unit
 
     override fun broadcast(message: PeerMessage) = Unit
 
--- a/src/test/kotlin/io/reedmast/sim/SimController.kt
+++ b/src/test/kotlin/io/reedmast/sim/SimController.kt
@@ -4,6 +4,7 @@
 import io.reedmast.cluster.ClusterFeatures
 import io.reedmast.kvstore.EffectiveLimits
 import io.reedmast.kvstore.Keys
+import io.reedmast.kvstore.ListResult
 import io.reedmast.kvstore.StoredItem
 import io.reedmast.ports.Clock
 import io.reedmast.ports.PeerMessage
@@ -157,21 +158,19 @@
     /** Reads all keys, as a process does when it starts and when the changes that it asks for are no longer kept. */
     private fun load(of: Int, c: Controller, done: () -> Unit) {
         val askedAt = world.now()
-        list(of, Keys.CLUSTER) { cluster, clusterRevision ->
+        list(of, Keys.CLUSTER) { cluster ->
             val jobsAskedAt = world.now()
-            list(of, Keys.LIVE) { jobs, jobsRevision ->
-                if (cluster != null && jobs != null) {
+            list(of, Keys.LIVE) { jobs ->
+                if (cluster is ListResult.Listing && jobs is ListResult.Listing) {
                     loaded = true
-                    watchedTo = clusterRevision
-                    jobsWatchedTo = jobsRevision
+                    watchedTo = cluster.revision
+                    jobsWatchedTo = jobs.revision
                     c.cluster.watchResults.onClusterSnapshot(
-                        cluster.filter {
-                            isVisible(it.path)
-                        }.map(::visible),
-                        clusterRevision,
+                        cluster.items.filter { isVisible(it.path) }.map(::visible),
+                        cluster.revision,
                         askedAt,
                     )
-                    c.cluster.watchResults.onJobsSnapshot(jobs, jobsRevision, jobsAskedAt)
+                    c.cluster.watchResults.onJobsSnapshot(jobs.items, jobs.revision, jobsAskedAt)
                 }
                 done()
             }
@@ -217,21 +216,25 @@
         )
     }
 
-    /** Reads the keys with [prefix] page by page, each at its own moment; null if the store is lost meanwhile. */
-    fun list(of: Int, prefix: String, done: (List<StoredItem>?, Long) -> Unit) {
+    /** Reads the keys with [prefix] page by page, each at its own moment; fails if the store is lost meanwhile. */
+    fun list(of: Int, prefix: String, done: (ListResult) -> Unit) {
         val items = ArrayList<StoredItem>()
         var revision = -1L
         fun page(after: String?) {
             if (life != of) return
             if (!reachesStore) {
-                done(null, 0L)
+                done(ListResult.Failed)
                 return
             }
             val page = world.store.page(prefix, after)
             if (revision < 0) revision = world.store.revision
             items.addAll(page.items)
             world.rolloutRules.read(this, page.items.map { it.path to it.value })
-            if (page.more) later(PAGE_MS * world.storeSlowness) { page(items.last().path) } else done(items, revision)
+            if (page.more) {
+                later(PAGE_MS * world.storeSlowness) { page(items.last().path) }
+            } else {
+                done(ListResult.Listing(items, revision))
+            }
         }
         page(null)
     }
--- a/src/test/kotlin/io/reedmast/sim/SimGateway.kt
+++ b/src/test/kotlin/io/reedmast/sim/SimGateway.kt
@@ -6,10 +6,10 @@
 import io.reedmast.kvstore.EffectiveLimits
 import io.reedmast.kvstore.InDoubtResolution
 import io.reedmast.kvstore.Keys
+import io.reedmast.kvstore.ListResult
 import io.reedmast.kvstore.ReadResult
 import io.reedmast.kvstore.ResolutionStep
 import io.reedmast.kvstore.StoreTransaction
-import io.reedmast.kvstore.StoredItem
 import io.reedmast.kvstore.TransactionIds
 import io.reedmast.kvstore.Write
 import io.reedmast.kvstore.WriteRateLimiter
@@ -206,9 +206,9 @@
         }
     }
 
-    override fun list(prefix: String, done: (List<StoredItem>?) -> Unit) {
+    override fun list(prefix: String, done: (ListResult) -> Unit) {
         record("list $prefix", emptyMap())
-        reply(LIST_MS * slow, { _: Unit -> controller.list(life, prefix) { items, _ -> done(items) } }) {}
+        reply(LIST_MS * slow, { _: Unit -> controller.list(life, prefix, done) }) {}
     }
 
     override fun writePermitLevel(): Double = writeLimiter.permitLevel()
--- a/src/test/kotlin/io/reedmast/sim/SimOperator.kt
+++ b/src/test/kotlin/io/reedmast/sim/SimOperator.kt
@@ -6,9 +6,9 @@
 import io.reedmast.kvstore.CommitOutcome
 import io.reedmast.kvstore.CommitReply
 import io.reedmast.kvstore.Keys
+import io.reedmast.kvstore.ListResult
 import io.reedmast.kvstore.ReadResult
 import io.reedmast.kvstore.StoreTransaction
-import io.reedmast.kvstore.StoredItem
 import io.reedmast.persistence.DensePages
 import io.reedmast.rollout.Act
 import io.reedmast.rollout.ActResult
@@ -17,6 +17,7 @@
 import io.reedmast.rollout.RolloutAdministration
 import io.reedmast.rollout.RolloutStatus
 import io.reedmast.rollout.RolloutStore
+import io.reedmast.rollout.StatusResult
 import io.reedmast.rollout.Target
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
@@ -50,8 +51,10 @@
             } ?: ReadResult.Missing,
         )
 
-        override fun list(prefix: String, done: (List<StoredItem>?) -> Unit) =
-            done(if (world.store.up) world.store.all(prefix) else null)
+        override fun list(prefix: String, done: (ListResult) -> Unit) {
+            val store = world.store
+            done(if (store.up) ListResult.Listing(store.all(prefix), store.revision) else ListResult.Failed)
+        }
 
         override fun writePermitLevel(): Double = 1.0
     }
@@ -107,7 +110,7 @@
 
     private fun status(): RolloutStatus {
         var status: RolloutStatus? = null
-        administration().status { status = it }
+        administration().status { status = (it as? StatusResult.Known)?.status }
         return status ?: error("no status")
     }
 
