--- a/src/main/kotlin/io/reedmast/autoscaling/DemandEstimator.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/DemandEstimator.kt
@@ -22,7 +22,7 @@
     }
 
     private fun isExpected(machine: Machine, justAcquired: Boolean): Boolean {
-        if (machine.trusted || machine.decommissionReason != null || machine.machineType == null) return false
+        if (machine.isStateKnown || machine.decommissionReason != null || machine.machineType == null) return false
         return justAcquired || !machine.everReported
     }
 
--- a/src/main/kotlin/io/reedmast/autoscaling/ScaleInPolicy.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/ScaleInPolicy.kt
@@ -79,7 +79,7 @@
         !machine.everReported && now - machine.firstSeenAt > JUST_PROVISIONED_MS
 
     private fun isIdle(machine: Machine, now: Long): Boolean =
-        machine.trusted && now - machine.emptySince > MIN_IDLE_TO_MOVE_MS
+        machine.isStateKnown && now - machine.emptySince > MIN_IDLE_TO_MOVE_MS
 
     companion object {
         /** Work that has this long to go, by its owner's estimate, is let end on a machine that is to move. */
--- a/src/main/kotlin/io/reedmast/autoscaling/ZoneAvailability.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/ZoneAvailability.kt
@@ -21,7 +21,7 @@
         shardState.machines.values.count { it.record.zone == zone && isReachable(it, now) }
 
     private fun isReachable(machine: Machine, now: Long): Boolean =
-        machine.trusted && now - machine.lastHeartbeatAt <= shardState.heartbeatLateMs
+        machine.isStateKnown && now - machine.lastHeartbeatAt <= shardState.heartbeatLateMs
 
     private companion object {
         const val SILENCE_COUNTS_MS = 45_000L
--- a/src/main/kotlin/io/reedmast/cluster/PeerMessageHandler.kt
+++ b/src/main/kotlin/io/reedmast/cluster/PeerMessageHandler.kt
@@ -30,15 +30,15 @@
 
         is PeerMessage.FailoverRequest -> failover.onFailoverRequest(message)
 
-        is PeerMessage.StatusQuery -> peers.send(message.from, reportFor(message))
+        is PeerMessage.ControllerStatusQuery -> peers.send(message.from, reportFor(message))
 
-        is PeerMessage.StatusReport -> {
+        is PeerMessage.ControllerStatusReport -> {
             message.cancellations?.forEach { jobs.applyCancellation(it) }
             peerStatuses.applyReport(message, clock.now(), staleness.observedThrough)
         }
     }
 
-    private fun reportFor(query: PeerMessage.StatusQuery) = PeerMessage.StatusReport(
+    private fun reportFor(query: PeerMessage.ControllerStatusQuery) = PeerMessage.ControllerStatusReport(
         from = settings.self,
         incarnation = query.incarnation,
         sequence = query.sequence,
--- a/src/main/kotlin/io/reedmast/cluster/PeerStatuses.kt
+++ b/src/main/kotlin/io/reedmast/cluster/PeerStatuses.kt
@@ -41,16 +41,16 @@
     private var sequence = 0L
 
     /** A query to be sent to every other controller now. */
-    fun query(now: Long): PeerMessage.StatusQuery {
+    fun query(now: Long): PeerMessage.ControllerStatusQuery {
         askedAtBySequence[++sequence] = now
-        return PeerMessage.StatusQuery(self, incarnation, sequence)
+        return PeerMessage.ControllerStatusQuery(self, incarnation, sequence)
     }
 
     /**
      * Applies a report that came at [now], and whose cancellations have been recorded already. [observedThrough] is the
      * time up to which everything stored is known here.
      */
-    fun applyReport(report: PeerMessage.StatusReport, now: Long, observedThrough: Long?) {
+    fun applyReport(report: PeerMessage.ControllerStatusReport, now: Long, observedThrough: Long?) {
         val peer = peers[report.from] ?: return
         // A late copy, or the answer to a query of this controller's earlier process, names no query of ours.
         if (report.incarnation != incarnation) return
@@ -62,7 +62,7 @@
     }
 
     /** Whether the reporting process was running at [time] whatever the drift of the two clocks. */
-    private fun wasRunningAt(time: Long?, report: PeerMessage.StatusReport, now: Long): Boolean {
+    private fun wasRunningAt(time: Long?, report: PeerMessage.ControllerStatusReport, now: Long): Boolean {
         val latestStart = now - (report.uptimeMs * (1 - CLOCK_DRIFT)).toLong()
         return time != null && latestStart < time
     }
--- a/src/main/kotlin/io/reedmast/commands/CommandDispatcher.kt
+++ b/src/main/kotlin/io/reedmast/commands/CommandDispatcher.kt
@@ -38,7 +38,7 @@
 
     /** Queues the launch of a stored placement, unless it is not known what is on its machine. */
     fun launch(placement: Placement) {
-        if (!placement.machine.trusted) return
+        if (!placement.machine.isStateKnown) return
         queue.add(placement.machine, WorkerCommand.StartTask(placement.id, placement.attempt))
     }
 
@@ -65,7 +65,7 @@
                 reason,
             )
         }
-        if (placement.committed && machine.trusted && placement.launchEpoch == machine.epoch) {
+        if (placement.committed && machine.isStateKnown && placement.launchEpoch == machine.epoch) {
             queue.add(machine, stopCommand(placement))
         }
     }
--- a/src/main/kotlin/io/reedmast/commands/DirectCallPolicy.kt
+++ b/src/main/kotlin/io/reedmast/commands/DirectCallPolicy.kt
@@ -6,7 +6,7 @@
 /** Decides whether a machine's worker may be called directly now. */
 internal class DirectCallPolicy(private val shardState: ShardState) {
     /** Whether commands may be sent to [machine]; what is not sent now goes out with the answers to its heartbeats. */
-    fun mayCall(machine: Machine): Boolean = machine.trusted &&
+    fun mayCall(machine: Machine): Boolean = machine.isStateKnown &&
         machine.pendingDirectCalls < MAX_DIRECT_CALLS &&
         shardState.isCurrent() &&
         !seemsUnreachable(machine)
--- a/src/main/kotlin/io/reedmast/commands/TokenAnnouncer.kt
+++ b/src/main/kotlin/io/reedmast/commands/TokenAnnouncer.kt
@@ -30,7 +30,7 @@
     fun begin() {
         listDue = shardState.clock.now() + FIRST_LIST_AFTER_MS
         for (machine in shardState.machines.values.toList()) {
-            if (machine.trusted || machine.decommissionReason != null) continue
+            if (machine.isStateKnown || machine.decommissionReason != null) continue
             machine.addr?.let { announce(machine, it) }
         }
     }
@@ -51,7 +51,7 @@
     }
 
     private fun lacksToken(machine: Machine) =
-        !machine.trusted && machine.decommissionReason == null && machine.placements.isNotEmpty()
+        !machine.isStateKnown && machine.decommissionReason == null && machine.placements.isNotEmpty()
 
     private fun announce(listed: ListedMachine) {
         val machine = shardState.machines[listed.name] ?: return
--- a/src/main/kotlin/io/reedmast/heartbeats/StatusEvaluator.kt
+++ b/src/main/kotlin/io/reedmast/heartbeats/StatusEvaluator.kt
@@ -32,7 +32,7 @@
             StatusEvidence.OUTDATED -> {}
 
             StatusEvidence.HIGHER_TOKEN_SEEN -> {
-                machine.trusted = false
+                machine.isStateKnown = false
                 renewToken()
             }
 
@@ -95,9 +95,9 @@
     private fun recordContact(machine: Machine, now: Long) {
         machine.lastHeartbeatAt = now
         machine.everReported = true
-        if (machine.trusted) return
-        machine.trusted = true
-        machine.trustedAt = now
+        if (machine.isStateKnown) return
+        machine.isStateKnown = true
+        machine.stateKnownSince = now
         machine.unacknowledged = 0
         shardState.passRequested = true
     }
--- a/src/main/kotlin/io/reedmast/machines/IdleMachineDetector.kt
+++ b/src/main/kotlin/io/reedmast/machines/IdleMachineDetector.kt
@@ -11,10 +11,10 @@
      * controller last was unable to decide.
      */
     fun isIdle(machine: Machine, headroom: ScaleInPolicy.Headroom, observationGapUntil: Long, now: Long): Boolean {
-        if (machine.placements.isNotEmpty() || !machine.trusted) return false
+        if (machine.placements.isNotEmpty() || !machine.isStateKnown) return false
         // A machine that has just booted has been empty for all of its boot: it was returned before anything could be
         // placed.
-        if (now - machine.trustedAt < JUST_UP_MS) return false
+        if (now - machine.stateKnownSince < JUST_UP_MS) return false
         val delayMs = scaleInPolicy.scaleInDelayMs(machine)
         // While this controller heard nothing from the store, nothing could be placed there.
         val emptySince = maxOf(machine.emptySince, observationGapUntil)
--- a/src/main/kotlin/io/reedmast/model/Machine.kt
+++ b/src/main/kotlin/io/reedmast/model/Machine.kt
@@ -40,10 +40,10 @@
     // ---- heartbeats -------------------------------------------------------------------------------------------------
 
     /** Whether the newest heartbeat came under this owner's token: only then is it known what is on the machine. */
-    var trusted = false
+    var isStateKnown = false
 
-    /** Since when it is [trusted]: before, nothing could be placed here. */
-    var trustedAt = 0L
+    /** Since when [isStateKnown] is true: before, nothing could be placed here. */
+    var stateKnownSince = 0L
 
     /** Epoch and sequence of the newest heartbeat, -1 before the first one. */
     var epoch = 0L
@@ -161,7 +161,7 @@
     val isServiceHome: Boolean get() = services > 0 && !record.spot
 
     /** Whether work may be placed here. A machine that may not hear us gets no more of it. */
-    val usable: Boolean get() = trusted && decommissionReason == null && !isReturning && machineType != null &&
+    val usable: Boolean get() = isStateKnown && decommissionReason == null && !isReturning && machineType != null &&
         unacknowledged < MAX_UNACKNOWLEDGED
 
     /**
--- a/src/main/kotlin/io/reedmast/peers/PeerCodec.kt
+++ b/src/main/kotlin/io/reedmast/peers/PeerCodec.kt
@@ -45,8 +45,8 @@
     fun write(sink: BufferedSink, message: PeerMessage) {
         when (message) {
             is PeerMessage.ShardStatusUpdate -> writeStatusUpdate(sink, message)
-            is PeerMessage.StatusQuery -> writeStatusQuery(sink, message)
-            is PeerMessage.StatusReport -> writeStatusReport(sink, message)
+            is PeerMessage.ControllerStatusQuery -> writeControllerStatusQuery(sink, message)
+            is PeerMessage.ControllerStatusReport -> writeControllerStatusReport(sink, message)
             is PeerMessage.FailoverRequest -> writeFrame(
                 sink,
                 Buffer().writeByte(FAILOVER_REQUEST).writeInt(message.shard.value).writeLong(message.term),
@@ -81,12 +81,12 @@
         return entry
     }
 
-    private fun writeStatusQuery(sink: BufferedSink, query: PeerMessage.StatusQuery) {
+    private fun writeControllerStatusQuery(sink: BufferedSink, query: PeerMessage.ControllerStatusQuery) {
         val frame = Buffer().writeByte(STATUS_QUERY)
         writeFrame(sink, frame.writeInt(query.from.value).writeText(query.incarnation).writeLong(query.sequence))
     }
 
-    private fun writeStatusReport(sink: BufferedSink, report: PeerMessage.StatusReport) {
+    private fun writeControllerStatusReport(sink: BufferedSink, report: PeerMessage.ControllerStatusReport) {
         val frame = Buffer().writeByte(STATUS_REPORT)
         frame.writeInt(report.from.value).writeText(report.incarnation).writeLong(report.sequence)
         frame.writeLong(report.uptimeMs).writeLong(report.storeAgeMs ?: NEVER_HEARD)
@@ -114,8 +114,12 @@
         source.readFully(frame, size.toLong())
         return when (val type = frame.readUnsignedByte()) {
             STATUS_UPDATE -> readStatusUpdate(frame)
-            STATUS_QUERY -> PeerMessage.StatusQuery(ControllerId(frame.readInt()), frame.readText(), frame.readLong())
-            STATUS_REPORT -> readStatusReport(frame)
+            STATUS_QUERY -> PeerMessage.ControllerStatusQuery(
+                ControllerId(frame.readInt()),
+                frame.readText(),
+                frame.readLong(),
+            )
+            STATUS_REPORT -> readControllerStatusReport(frame)
             FAILOVER_REQUEST -> PeerMessage.FailoverRequest(ShardId(frame.readInt()), frame.readLong())
             else -> throw IOException("a message of type $type")
         }
@@ -137,7 +141,7 @@
     private fun readImages(frame: Buffer): List<Pair<String, Double>> =
         List(frame.readUnsignedByte()) { frame.readText() to Double.fromBits(frame.readLong()) }
 
-    private fun readStatusReport(frame: Buffer): PeerMessage.StatusReport {
+    private fun readControllerStatusReport(frame: Buffer): PeerMessage.ControllerStatusReport {
         val from = ControllerId(frame.readInt())
         val incarnation = frame.readText()
         val sequence = frame.readLong()
@@ -146,7 +150,7 @@
         val count = frame.readInt()
         if (count > PeerMessage.MAX_CANCELLATIONS) throw IOException("$count cancellations")
         val cancellations = if (count < 0) null else List(count) { Cancellation(frame.readText(), frame.readLong()) }
-        return PeerMessage.StatusReport(from, incarnation, sequence, uptimeMs, storeAgeMs, cancellations)
+        return PeerMessage.ControllerStatusReport(from, incarnation, sequence, uptimeMs, storeAgeMs, cancellations)
     }
 
     private fun Buffer.readText(): String = readUtf8(readUnsignedByte().toLong())
--- a/src/main/kotlin/io/reedmast/ports/PeerMessage.kt
+++ b/src/main/kotlin/io/reedmast/ports/PeerMessage.kt
@@ -21,15 +21,15 @@
     data class FailoverRequest(val shard: ShardId, val term: Long) : PeerMessage
 
     /**
-     * Asks for a [StatusReport].
+     * Asks for a [ControllerStatusReport].
      *
      * [incarnation] is of the asking process and never used again, so that an answer to an earlier process is told
      * apart.
      */
-    data class StatusQuery(val from: ControllerId, val incarnation: String, val sequence: Long) : PeerMessage
+    data class ControllerStatusQuery(val from: ControllerId, val incarnation: String, val sequence: Long) : PeerMessage
 
     /** The answer of controller [from] to the query with this [incarnation] and [sequence]. */
-    data class StatusReport(
+    data class ControllerStatusReport(
         val from: ControllerId,
         val incarnation: String,
         val sequence: Long,
@@ -45,7 +45,7 @@
     ) : PeerMessage
 
     companion object {
-        /** The most cancellations that a [StatusReport] names, well within one frame. */
+        /** The most cancellations that a [ControllerStatusReport] names, well within one frame. */
         const val MAX_CANCELLATIONS = 2_000
     }
 }
--- a/src/test/kotlin/io/reedmast/cluster/PeerStatusesTest.kt
+++ b/src/test/kotlin/io/reedmast/cluster/PeerStatusesTest.kt
@@ -15,12 +15,19 @@
 
     private fun report(
         from: Int,
-        query: PeerMessage.StatusQuery,
+        query: PeerMessage.ControllerStatusQuery,
         uptimeMs: Long = 1_000_000,
         incarnation: String = query.incarnation,
         storeAgeMs: Long? = 10_000,
         cancellations: List<Cancellation>? = emptyList(),
-    ) = PeerMessage.StatusReport(ControllerId(from), incarnation, query.sequence, uptimeMs, storeAgeMs, cancellations)
+    ) = PeerMessage.ControllerStatusReport(
+        ControllerId(from),
+        incarnation,
+        query.sequence,
+        uptimeMs,
+        storeAgeMs,
+        cancellations,
+    )
 
     @Test
     fun `all others must have answered, and the earliest query counts`() {
--- a/src/test/kotlin/io/reedmast/commands/CommandDispatcherTest.kt
+++ b/src/test/kotlin/io/reedmast/commands/CommandDispatcherTest.kt
@@ -31,7 +31,7 @@
     private val dispatcher = CommandDispatcher(shardState, out, out) { _, _ -> }
     private val machine = Machine(MachineRecord("host-1", "m", "x", false), machineType, 0, 0).apply {
         addr = "10.1.0.1:9000"
-        trusted = true
+        isStateKnown = true
         epoch = 1
         lastHeartbeatAt = 10_000L
     }
--- a/src/test/kotlin/io/reedmast/peers/PeerClientTest.kt
+++ b/src/test/kotlin/io/reedmast/peers/PeerClientTest.kt
@@ -25,7 +25,7 @@
             assertTrue(client.send(PeerMessage.ShardStatusUpdate(emptyList(), emptyList())))
             // Nobody reads from it any more.
             server.accept().use {
-                val query = PeerMessage.StatusQuery(ControllerId(1), "n1-1", 1)
+                val query = PeerMessage.ControllerStatusQuery(ControllerId(1), "n1-1", 1)
                 assertTrue(client.send(query))
                 server.soTimeout = 2_000
                 server.accept().use { second -> assertEquals(query, PeerCodec.read(second.source().buffer())) }
--- a/src/test/kotlin/io/reedmast/peers/PeerCodecTest.kt
+++ b/src/test/kotlin/io/reedmast/peers/PeerCodecTest.kt
@@ -20,12 +20,12 @@
 
     @Test
     fun `messages of every type come through`() {
-        val query = PeerMessage.StatusQuery(ControllerId(2), "n2-abc-1", 7)
+        val query = PeerMessage.ControllerStatusQuery(ControllerId(2), "n2-abc-1", 7)
         val full = (0 until PeerMessage.MAX_CANCELLATIONS).map {
             Cancellation("wk-%018d".format(it), Long.MAX_VALUE - it)
         }
         val reports = listOf(full, emptyList(), null).map {
-            PeerMessage.StatusReport(ControllerId(0), "n2-abc-1", 7, 123_456, 0, it)
+            PeerMessage.ControllerStatusReport(ControllerId(0), "n2-abc-1", 7, 123_456, 0, it)
         }
         val others = listOf(query, PeerMessage.FailoverRequest(ShardId(1), Long.MAX_VALUE))
         for (message in reports + reports[1].copy(storeAgeMs = null) + others) assertEquals(message, through(message))
--- a/src/test/kotlin/io/reedmast/scheduling/CandidateMachinesTest.kt
+++ b/src/test/kotlin/io/reedmast/scheduling/CandidateMachinesTest.kt
@@ -7,7 +7,7 @@
 
 class CandidateMachinesTest {
     private fun heard(name: String, atMs: Long): Machine = machine(name).apply {
-        trusted = true
+        isStateKnown = true
         lastHeartbeatAt = atMs
     }
 
@@ -26,7 +26,7 @@
     @Test
     fun `machines that the cloud takes back, or whose content is not known, are left out`() {
         val noticed = heard("host-0", 9_000L).apply { noticeUntil = 20_000L }
-        val unknown = heard("host-1", 9_000L).apply { trusted = false }
+        val unknown = heard("host-1", 9_000L).apply { isStateKnown = false }
         val machines = listOf(noticed, unknown)
         assertEquals(emptyList<Machine>(), candidateMachines(machines, heartbeatLateMs = 4_000L, nowMs = 10_000L))
     }
--- a/src/test/kotlin/io/reedmast/sim/SimStore.kt
+++ b/src/test/kotlin/io/reedmast/sim/SimStore.kt
@@ -185,14 +185,14 @@
             if (other.startsWith("${Keys.MACHINES}$shard/") || "form" in entry.value) continue
             MachineListPart.parse(entry.value).records.filter {
                 it.name in machineNames
-            }.forEach { world.rules.breach("in_two_slices ${it.name}: $path and $other") }
+            }.forEach { world.rules.breach("in_two_shards ${it.name}: $path and $other") }
         }
         for ((page, attempts) in placed) {
             if (page.startsWith("page/$shard/")) continue
             val of = page.removePrefix("page/").substringBefore('/').toInt()
             attempts.filter { it.third in machineNames && Keys.live(of, it.first.jobId) in entries }
                 .forEach {
-                    world.rules.breach("moved_while_placed ${it.third} to slice $shard, ${it.first} of slice $of")
+                    world.rules.breach("moved_while_placed ${it.third} to shard $shard, ${it.first} of shard $of")
                 }
         }
     }
