--- a/src/main/kotlin/io/reedmast/app/Controller.kt
+++ b/src/main/kotlin/io/reedmast/app/Controller.kt
@@ -127,7 +127,7 @@
         val commands = owner.onHeartbeat(status)
         // The worker would drop our answer and stay here until its lease is over: it must look for the shard's new
         // owner.
-        if (status.token > FencingToken.last(owner.token)) return WorkerAnswer.Elsewhere(null)
+        if (status.token > FencingToken.lastOfRange(owner.token)) return WorkerAnswer.Elsewhere(null)
         return WorkerAnswer.Commands(owner.tokenFor(status.machineName), commands)
     }
 
--- a/src/main/kotlin/io/reedmast/autoscaling/ArrivalRates.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/ArrivalRates.kt
@@ -15,7 +15,7 @@
         // With the last service gone, nothing says that more will come.
         if (arrivals.isEmpty() || shardState.jobs.values.none { it.spec.isService || it.spec.isGang }) return 0.0
         val windowPart = seconds * MS_PER_S / SERVICES_WINDOW_MS
-        val mean = arrivals.sumOf { it.cpus } * windowPart
+        val mean = arrivals.sumOf { it.demand } * windowPart
         return mean + SERVICES_DEVIATIONS * sqrt(sumOfSquares(arrivals) * windowPart)
     }
 
@@ -25,15 +25,15 @@
      */
     fun arrayCpuSecondsPerS(): Double {
         val arrivals = shardState.jobArrivals.arrays.dropBefore(shardState.clock.now() - ARRAYS_WINDOW_MS)
-        val inWindow = arrivals.sumOf { it.cpus } - ARRAYS_DEVIATIONS * sqrt(sumOfSquares(arrivals))
+        val inWindow = arrivals.sumOf { it.demand } - ARRAYS_DEVIATIONS * sqrt(sumOfSquares(arrivals))
         return maxOf(0.0, inWindow) * MS_PER_S / ARRAYS_WINDOW_MS
     }
 
-    private fun sumOfSquares(arrivals: Collection<JobArrival>): Double = arrivals.sumOf { it.cpus * it.cpus }
+    private fun sumOfSquares(arrivals: Collection<JobArrival>): Double = arrivals.sumOf { it.demand * it.demand }
 
     /** Removes the arrivals before [startMs], which are the first ones. */
     private fun ArrayDeque<JobArrival>.dropBefore(startMs: Long) = apply {
-        while (isNotEmpty() && first().at < startMs) removeFirst()
+        while (isNotEmpty() && first().arrivedAt < startMs) removeFirst()
     }
 
     private companion object {
--- a/src/main/kotlin/io/reedmast/autoscaling/DemandZones.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/DemandZones.kt
@@ -38,7 +38,7 @@
         if (!job.spec.isGang || !job.spec.oneZone || job.spec.zone != null) return job.spec.zone
         val zones = byFreeCpus()
         if (zones.isEmpty()) return null
-        val zonesTried = (shardState.clock.now() - job.waitsSince) / TIME_PER_ZONE_MS
+        val zonesTried = (shardState.clock.now() - job.waitingSince) / TIME_PER_ZONE_MS
         return zones[(zonesTried % zones.size).toInt()]
     }
 
--- a/src/main/kotlin/io/reedmast/autoscaling/DrainCandidates.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/DrainCandidates.kt
@@ -25,8 +25,8 @@
             .map { it.name }
     }
 
-    private fun isDrainable(machine: Machine, now: Long): Boolean = machine.usable && machine.noticeUntil == 0L &&
-        machine.placements.values.none { now - it.madeAt < JUST_PLACED_MS || it.job.spec.isGang }
+    private fun isDrainable(machine: Machine, now: Long): Boolean = machine.usable && machine.reclaimAt == 0L &&
+        machine.placements.values.none { now - it.createdAt < JUST_PLACED_MS || it.job.spec.isGang }
 
     /**
      * Whether the machine's work fits into what is left of [freeCpus] without it. With less on the others, the work of
--- a/src/main/kotlin/io/reedmast/autoscaling/UsageSummaryWriter.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/UsageSummaryWriter.kt
@@ -78,7 +78,7 @@
     private fun lowestRatio(): Double {
         val wallMs = shardState.clock.wall()
         val waitingTeams = shardState.jobs.values.filter { it.pendingCount > 0 }.mapTo(HashSet()) { it.team }
-        return waitingTeams.minOfOrNull { shardState.fairShare.ratio(it, wallMs) } ?: 0.0
+        return waitingTeams.minOfOrNull { shardState.fairShare.usageRatio(it, wallMs) } ?: 0.0
     }
 
     /** Into how many buckets each team's charged usage may be split: all of it may take a third of the value. */
--- a/src/main/kotlin/io/reedmast/cluster/Cluster.kt
+++ b/src/main/kotlin/io/reedmast/cluster/Cluster.kt
@@ -63,7 +63,7 @@
         limits,
         departedMachines,
         { owners[it]?.syncMachines() },
-        machineDirectory::forget,
+        machineDirectory::remove,
     )
 
     private val tables =
--- a/src/main/kotlin/io/reedmast/cluster/ShardAcquirer.kt
+++ b/src/main/kotlin/io/reedmast/cluster/ShardAcquirer.kt
@@ -40,7 +40,8 @@
         logReason(shard, reason)
         if (attempts.isInProgress(shard) || pending != null) return
         attempts.begin(shard)
-        val acquisition = PendingAcquisition(shard, ShardRecord(settings.label, FencingToken.after(shards.token)))
+        val acquisition =
+            PendingAcquisition(shard, ShardRecord(settings.label, FencingToken.firstOfNextRange(shards.token)))
         pending = acquisition
         commit(acquisition)
     }
--- a/src/main/kotlin/io/reedmast/cluster/ShardRestorer.kt
+++ b/src/main/kotlin/io/reedmast/cluster/ShardRestorer.kt
@@ -62,7 +62,7 @@
             attempts.retrySoon(owner.index)
             return
         }
-        owner.restore(jobs.liveOf(owner.index), pages.items, (usageSummary as? ReadResult.Found)?.item)
+        owner.restore(jobs.liveJobsOf(owner.index), pages.items, (usageSummary as? ReadResult.Found)?.item)
         log.info("shard {}: restored in {} ms", owner.index.value, clock.now() - state.readSince)
     }
 }
--- a/src/main/kotlin/io/reedmast/cluster/TokenRenewal.kt
+++ b/src/main/kotlin/io/reedmast/cluster/TokenRenewal.kt
@@ -18,7 +18,7 @@
     tokenVersion: Long,
     gates: GateSnapshot,
 ) {
-    private val renewed = owner.record.copy(token = FencingToken.after(aboveToken))
+    private val renewed = owner.record.copy(token = FencingToken.firstOfNextRange(aboveToken))
     private val counter = TokenCounter.moveTo(renewed.token, tokenVersion, gates)
 
     /** That the token counter and the gates have not changed. */
--- a/src/main/kotlin/io/reedmast/cluster/UnreachableOwnerDetector.kt
+++ b/src/main/kotlin/io/reedmast/cluster/UnreachableOwnerDetector.kt
@@ -32,7 +32,7 @@
      * that does not answer. Null if the worker must look for another controller by itself.
      */
     fun redirectTarget(shard: ShardId, machineName: String, addr: String): String? {
-        val facts = machineDirectory.of(machineName)
+        val facts = machineDirectory.factsOf(machineName)
         // A new machine reports to any controller first: with a shard that grows fast, most of its workers are new
         // ones.
         val isKnown = facts.addr == addr
--- a/src/main/kotlin/io/reedmast/cluster/WatchResultHandler.kt
+++ b/src/main/kotlin/io/reedmast/cluster/WatchResultHandler.kt
@@ -59,14 +59,14 @@
      * read was begun at [askedAt].
      */
     fun onJobsSnapshot(items: List<StoredItem>, revision: Long, askedAt: Long) {
-        jobs.load(items, revision)
+        jobs.applyListing(items, revision)
         if (!staleness.jobsLoaded) log.info("jobs: read from the store, {} unfinished", items.size)
         staleness.onJobsObserved(askedAt)
     }
 
     /** All changes to jobs up to [revision], from a watch request sent at [askedAt]. */
     fun onJobEvents(events: List<WatchEvent>, revision: Long, askedAt: Long) {
-        jobs.follow(events, revision)
+        jobs.applyWatchEvents(events, revision)
         staleness.onJobsObserved(askedAt)
     }
 
--- a/src/main/kotlin/io/reedmast/cluster/WorkerAddresses.kt
+++ b/src/main/kotlin/io/reedmast/cluster/WorkerAddresses.kt
@@ -7,5 +7,5 @@
 internal class WorkerAddresses(private val machines: MachineTable, private val machineDirectory: MachineDirectory) {
     /** The addresses of the shard's machines that have ever been up, as far as they are known here. */
     fun of(shard: ShardId): List<String> =
-        machines.machinesOf(shard).mapNotNull { machineDirectory.of(it.name).addr }.toList()
+        machines.machinesOf(shard).mapNotNull { machineDirectory.factsOf(it.name).addr }.toList()
 }
--- a/src/main/kotlin/io/reedmast/commands/CommandDispatcher.kt
+++ b/src/main/kotlin/io/reedmast/commands/CommandDispatcher.kt
@@ -120,11 +120,11 @@
     }
 
     private fun onReply(machine: Machine, launches: List<WorkerCommand.StartTask>, reply: Reply) {
-        if (reply is Reply.NotSent) launches.forEach { machine.recordNotSent(it.id, it.attempt) }
+        if (reply is Reply.NotSent) launches.forEach { machine.recordLaunchNotSent(it.id, it.attempt) }
         if (reply is Reply.Answer) {
             replies.onReply(machine, reply)
         } else {
-            machine.callUnansweredAt = shardState.clock.now()
+            machine.unansweredDirectCallAt = shardState.clock.now()
         }
     }
 
--- a/src/main/kotlin/io/reedmast/commands/DirectCallPolicy.kt
+++ b/src/main/kotlin/io/reedmast/commands/DirectCallPolicy.kt
@@ -16,7 +16,7 @@
      * heartbeat, or its heartbeat is late. A few dozen hung machines would otherwise hold up the commands to all
      * others.
      */
-    private fun seemsUnreachable(machine: Machine) = machine.callUnansweredAt >= machine.lastHeartbeatAt ||
+    private fun seemsUnreachable(machine: Machine) = machine.unansweredDirectCallAt >= machine.lastHeartbeatAt ||
         shardState.clock.now() - machine.lastHeartbeatAt > shardState.heartbeatLateMs
 
     private companion object {
--- a/src/main/kotlin/io/reedmast/gangs/GangCoordinator.kt
+++ b/src/main/kotlin/io/reedmast/gangs/GangCoordinator.kt
@@ -92,7 +92,7 @@
         job.lastTimedOutAttempt = attempt
         val retryDelayMs = gangRetryDelayMs(job.timedOutAttempts)
         job.timedOutAttempts++
-        job.notBefore = maxOf(job.notBefore, shardState.clock.now() + retryDelayMs)
+        job.placementNotBefore = maxOf(job.placementNotBefore, shardState.clock.now() + retryDelayMs)
     }
 
     /** The shard has just been read from the store. What is stored of a gang may be a part of it. */
--- a/src/main/kotlin/io/reedmast/heartbeats/FailureTracker.kt
+++ b/src/main/kotlin/io/reedmast/heartbeats/FailureTracker.kt
@@ -18,7 +18,7 @@
     fun recordSuccess(placement: Placement, now: Long) {
         val job = placement.job
         placement.machine.failedJobs.clear()
-        job.failures = 0
+        job.consecutiveFailures = 0
         job.hasSucceeded = true
         job.failedOn.forEach { decommissionIfUnhealthy(it, now) }
     }
@@ -31,7 +31,7 @@
         machine.failedJobs.add(job.spec.jobId)
         // Several tasks that fail together on one machine say no more of the job than one does: counted each,
         // they made an unhealthy machine look like a job with a mistake, and the machine was kept.
-        if (job.failedOn.add(machine)) job.failures++
+        if (job.failedOn.add(machine)) job.consecutiveFailures++
         if (shardState.urgency.isSuspectedFaulty(job)) {
             holdBackFaultyJob(job, now)
         } else {
@@ -51,8 +51,8 @@
     private fun holdBackFaultyJob(job: Job, now: Long) {
         job.failedOn.forEach { it.failedJobs.remove(job.spec.jobId) }
         job.failedOn.clear()
-        val doublings = minOf(MAX_DOUBLINGS, job.failures / FAILURES_PER_DOUBLING)
-        job.notBefore = now + minOf(MAX_RETRY_MS, FIRST_RETRY_MS shl doublings)
+        val doublings = minOf(MAX_DOUBLINGS, job.consecutiveFailures / FAILURES_PER_DOUBLING)
+        job.placementNotBefore = now + minOf(MAX_RETRY_MS, FIRST_RETRY_MS shl doublings)
     }
 
     private fun decommissionIfUnhealthy(machine: Machine, now: Long) {
--- a/src/main/kotlin/io/reedmast/heartbeats/HeartbeatHandler.kt
+++ b/src/main/kotlin/io/reedmast/heartbeats/HeartbeatHandler.kt
@@ -60,7 +60,7 @@
         val isAnswerLost = source == StatusSource.HEARTBEAT && isLaunchIgnored(missing)
         missing.flatMapTo(commands) { missingTasks.onMissing(it, status, source) }
         // Counted last: for what is missing now, the machine is as usable as it was before this status.
-        if (isAnswerLost) machine.unacknowledged++
+        if (isAnswerLost) machine.unacknowledgedAnswers++
         return commands
     }
 
@@ -70,5 +70,5 @@
 
     /** Whether an earlier answer carried the launch of a task that is still missing: it seems not to have arrived. */
     private fun isLaunchIgnored(missing: List<Placement>) =
-        missing.any { it.launchesSentSinceSeen > 0 } && shardState.isCurrent()
+        missing.any { it.launchesSentSinceReported > 0 } && shardState.isCurrent()
 }
--- a/src/main/kotlin/io/reedmast/heartbeats/MissingTask.kt
+++ b/src/main/kotlin/io/reedmast/heartbeats/MissingTask.kt
@@ -48,7 +48,7 @@
          */
         fun of(placement: Placement, status: WorkerStatus, source: StatusSource, highestOwnToken: Long): MissingTask {
             val machine = placement.machine
-            val mayLaunchLate = machine.mayLaunch(placement.id, placement.attempt)
+            val mayLaunchLate = machine.mayStillLaunch(placement.id, placement.attempt)
             val wasSent = placement.launchEpoch != 0L
             return when {
                 // A later epoch: everything of the earlier one was killed, and its launches are refused.
@@ -64,7 +64,7 @@
 
                 mayLaunchLate -> if (machine.pendingDirectCalls > 0) DIRECT_CALL_PENDING else STOPPED_BEFORE_LATE_LAUNCH
 
-                wasSent && status.sequence <= placement.answeredSequence -> ANSWER_PENDING
+                wasSent && status.sequence <= placement.launchSequence -> ANSWER_PENDING
 
                 else -> STOPPED
             }
@@ -72,7 +72,7 @@
 
         private fun isRestartable(placement: Placement): Boolean {
             val machine = placement.machine
-            return placement.stopReason == null && machine.usable && machine.noticeUntil == 0L &&
+            return placement.stopReason == null && machine.usable && machine.reclaimAt == 0L &&
                 !placement.job.spec.isGang
         }
     }
--- a/src/main/kotlin/io/reedmast/heartbeats/MissingTaskHandler.kt
+++ b/src/main/kotlin/io/reedmast/heartbeats/MissingTaskHandler.kt
@@ -19,7 +19,7 @@
 
     /** Does what [status] lets happen next with [placement], and returns the commands for the answer. */
     fun onMissing(placement: Placement, status: WorkerStatus, source: StatusSource): List<WorkerCommand> =
-        when (MissingTask.of(placement, status, source, FencingToken.last(shardState.token))) {
+        when (MissingTask.of(placement, status, source, FencingToken.lastOfRange(shardState.token))) {
             MissingTask.LOST -> {
                 logLost(placement)
                 shardState.finish(placement, done = false)
@@ -62,8 +62,8 @@
 
     private fun launch(placement: Placement, status: WorkerStatus): WorkerCommand {
         placement.launchEpoch = placement.machine.epoch
-        placement.answeredSequence = status.sequence
-        placement.launchesSentSinceSeen++
+        placement.launchSequence = status.sequence
+        placement.launchesSentSinceReported++
         return WorkerCommand.StartTask(placement.id, placement.attempt)
     }
 }
--- a/src/main/kotlin/io/reedmast/heartbeats/ReportedTaskHandler.kt
+++ b/src/main/kotlin/io/reedmast/heartbeats/ReportedTaskHandler.kt
@@ -32,11 +32,11 @@
     }
 
     private fun recordSeen(placement: Placement) {
-        placement.seen = true
+        placement.isReported = true
         placement.launchEpoch = placement.machine.epoch
-        if (placement.launchesSentSinceSeen > 0) {
-            placement.launchesSentSinceSeen = 0
-            placement.machine.unacknowledged = 0
+        if (placement.launchesSentSinceReported > 0) {
+            placement.launchesSentSinceReported = 0
+            placement.machine.unacknowledgedAnswers = 0
         }
     }
 
--- a/src/main/kotlin/io/reedmast/heartbeats/StatusEvaluator.kt
+++ b/src/main/kotlin/io/reedmast/heartbeats/StatusEvaluator.kt
@@ -37,7 +37,7 @@
                 renewToken()
             }
 
-            StatusEvidence.OWN_TOKEN_NOT_SEEN -> if (isAnswered) machine.unacknowledged++
+            StatusEvidence.OWN_TOKEN_NOT_SEEN -> if (isAnswered) machine.unacknowledgedAnswers++
 
             StatusEvidence.CURRENT -> recordContact(machine, now)
         }
@@ -47,7 +47,7 @@
     private fun evidenceOf(machine: Machine, status: WorkerStatus) = when {
         !machine.isNewer(status) -> StatusEvidence.OUTDATED
         isTokenOfAnsweringShard(machine, status) -> StatusEvidence.CURRENT
-        status.token > FencingToken.last(shardState.token) -> StatusEvidence.HIGHER_TOKEN_SEEN
+        status.token > FencingToken.lastOfRange(shardState.token) -> StatusEvidence.HIGHER_TOKEN_SEEN
         status.token < machine.minimumToken -> StatusEvidence.OWN_TOKEN_NOT_SEEN
         else -> StatusEvidence.CURRENT
     }
@@ -58,12 +58,12 @@
      */
     private fun isTokenOfAnsweringShard(machine: Machine, status: WorkerStatus) =
         machine.recordConflict == RecordConflict.ANSWERED_ELSEWHERE &&
-            status.token > FencingToken.last(shardState.token)
+            status.token > FencingToken.lastOfRange(shardState.token)
 
     private fun recordMachineState(machine: Machine, status: WorkerStatus, now: Long) {
         if (status.epoch > machine.epoch && machine.everReported) onEpochLost(machine, now)
         machine.addr = status.addr
-        machine.recordShownToken(status)
+        machine.recordReportedToken(status)
         machine.sequence = status.sequence
         recordNotice(machine, status.noticeS, now)
     }
@@ -76,9 +76,9 @@
      */
     private fun onEpochLost(machine: Machine, now: Long) {
         val wasAnsweredLately = now - machine.answeredAt < leaseMs / 2
-        val wasAnsweredThroughout = now - machine.regularSince > leaseMs * MIN_ANSWERED_PART_OF_LEASE
+        val wasAnsweredThroughout = now - machine.regularHeartbeatsSince > leaseMs * MIN_ANSWERED_PART_OF_LEASE
         if (wasAnsweredLately && wasAnsweredThroughout) {
-            machine.unacknowledged = maxOf(machine.unacknowledged, Machine.UNREACHABLE_AFTER)
+            machine.unacknowledgedAnswers = maxOf(machine.unacknowledgedAnswers, Machine.UNREACHABLE_AFTER_ANSWERS)
             log.info("machine {}: its lease expired although its heartbeats were answered", machine.name)
         }
     }
@@ -86,18 +86,18 @@
     /** Records in how many seconds the cloud takes the machine back; null if it has given no notice. */
     private fun recordNotice(machine: Machine, noticeS: Double?, now: Long) {
         if (noticeS == null) {
-            machine.noticeUntil = 0L
+            machine.reclaimAt = 0L
             return
         }
-        if (machine.noticeUntil == 0L) {
+        if (machine.reclaimAt == 0L) {
             log.info("machine {}: the cloud takes it back in {} s", machine.name, noticeS)
         }
-        machine.noticeUntil = now + (noticeS * MS_PER_S).toLong()
+        machine.reclaimAt = now + (noticeS * MS_PER_S).toLong()
     }
 
     /** The heartbeat is answered now. A gap of half a lease interrupts the regular answers. */
     private fun recordAnswer(machine: Machine, now: Long) {
-        if (now - machine.answeredAt > leaseMs / 2) machine.regularSince = now
+        if (now - machine.answeredAt > leaseMs / 2) machine.regularHeartbeatsSince = now
         machine.answeredAt = now
     }
 
@@ -108,8 +108,8 @@
         if (machine.isStateKnown) return
         machine.isStateKnown = true
         machine.stateKnownSince = now
-        machine.unacknowledged = 0
-        shardState.passRequested = true
+        machine.unacknowledgedAnswers = 0
+        shardState.schedulingPassRequested = true
     }
 
     private companion object {
--- a/src/main/kotlin/io/reedmast/heartbeats/TaskEndHandler.kt
+++ b/src/main/kotlin/io/reedmast/heartbeats/TaskEndHandler.kt
@@ -51,7 +51,7 @@
     }
 
     private fun delayRetry(job: Job, notBefore: Long) {
-        job.notBefore = maxOf(job.notBefore, notBefore)
+        job.placementNotBefore = maxOf(job.placementNotBefore, notBefore)
     }
 
     private companion object {
--- a/src/main/kotlin/io/reedmast/heartbeats/UnknownTaskHandler.kt
+++ b/src/main/kotlin/io/reedmast/heartbeats/UnknownTaskHandler.kt
@@ -57,7 +57,7 @@
     /** Once forgotten, the attempt would start again if its launch came late; and its result must be stored first. */
     private fun forget(machine: Machine, reported: TaskStatus, job: Job?): WorkerCommand? {
         if (job != null && !isResultStored(job, reported.id)) return null
-        if (machine.mayLaunch(reported.id, reported.attempt)) {
+        if (machine.mayStillLaunch(reported.id, reported.attempt)) {
             raiseToken(machine)
             return null
         }
@@ -79,7 +79,7 @@
         val now = shardState.clock.now()
         if (machine.pendingDirectCalls > 0 || now - machine.tokenRaisedAt < minMsBetweenRaises) return
         val raised = shardState.tokenFor(machine) + 1
-        if (raised > FencingToken.last(shardState.token)) return
+        if (raised > FencingToken.lastOfRange(shardState.token)) return
         machine.raisedToken = raised
         machine.tokenRaisedAt = now
     }
--- a/src/main/kotlin/io/reedmast/jobs/EndedJobs.kt
+++ b/src/main/kotlin/io/reedmast/jobs/EndedJobs.kt
@@ -11,16 +11,16 @@
  * jobs end meanwhile, since the watch may still show the record as it was before.
  */
 class EndedJobs {
-    private val ends = Caffeine.newBuilder().maximumSize(MAX_ENDS).executor(Runnable::run).build<String, EndRecord>()
+    private val ends = Caffeine.newBuilder().maximumSize(MAX_ENDS).executor(Runnable::run).build<String, FinalRecord>()
 
     /** Revisions at which live records were removed here, by job, as long as the watch has not shown as much. */
     private val removedHere = HashMap<String, Long>()
 
     /** The job's final state; null if it is not over, or its end is not known here any more. */
-    operator fun get(jobId: String): EndRecord? = ends.getIfPresent(jobId)
+    operator fun get(jobId: String): FinalRecord? = ends.getIfPresent(jobId)
 
     /** Records a final state that the store holds. */
-    fun record(jobId: String, end: EndRecord) = ends.put(jobId, end)
+    fun record(jobId: String, end: FinalRecord) = ends.put(jobId, end)
 
     /** A transaction of this controller has removed the live record at [revision], which the watch has not shown. */
     internal fun recordRemoval(jobId: String, revision: Long) {
--- a/src/main/kotlin/io/reedmast/jobs/EndRecord.kt
+++ b/src/main/kotlin/io/reedmast/jobs/FinalRecord.kt
@@ -6,13 +6,13 @@
 import io.reedmast.wire.count
 
 /** The record of a job that is over, kept for good. */
-class EndRecord(val state: JobState, val taskCount: Int) {
+class FinalRecord(val state: JobState, val taskCount: Int) {
     /** The stored form. */
     fun toFields(): Fields = mapOf("state" to state.wire, "tasks" to taskCount)
 
     companion object {
         /** Reads the stored form; throws [MalformedException] for anything else. */
-        fun parse(fields: Fields) = EndRecord(
+        fun parse(fields: Fields) = FinalRecord(
             JobState.entries.firstOrNull { it.isFinal && it.wire == fields["state"] }
                 ?: throw MalformedException("state is unknown"),
             fields.count("tasks").toInt(),
--- a/src/main/kotlin/io/reedmast/jobs/JobIndex.kt
+++ b/src/main/kotlin/io/reedmast/jobs/JobIndex.kt
@@ -17,7 +17,7 @@
  * Every controller has it, so that a question about a job need not be read from the store one by one: with hundreds of
  * users asking, those reads were more than the service takes.
  *
- * Records reach the index in three ways that overtake each other: complete readings ([load]), the watch ([follow]), and
+ * Records reach the index in three ways that overtake each other: complete readings ([applyListing]), the watch ([applyWatchEvents]), and
  * this controller's own transactions and reads ([applyRecord]), which may be ahead of the watch or, where an answer was
  * lost, seconds behind it. A job is in one of these states:
  *
@@ -61,10 +61,10 @@
     private var observedRevision = 0L
 
     /** The unfinished job of this id, if there is one. */
-    fun live(jobId: String): LiveJob? = live[jobId]
+    fun liveJob(jobId: String): LiveJob? = live[jobId]
 
     /** The unfinished jobs of the shard. */
-    fun liveOf(shard: ShardId): List<LiveJob> = live.values.filter { it.shard == shard }
+    fun liveJobsOf(shard: ShardId): List<LiveJob> = live.values.filter { it.shard == shard }
 
     /** Whether the job is there, and nothing else can be said of it. */
     fun isUnreadable(jobId: String): Boolean = jobId in unreadableLive
@@ -72,7 +72,7 @@
     // ---- records ----------------------------------------------------------------------------------------------------
 
     /** Applies a complete reading; [revision] is what it is at least as new as. */
-    fun load(items: List<StoredItem>, revision: Long) {
+    fun applyListing(items: List<StoredItem>, revision: Long) {
         recordObserved(revision)
         val listed = items.mapTo(HashSet()) { jobIdOf(it.path) }
         val missing = live.filter { (jobId, job) -> jobId !in listed && job.version <= revision }.keys.toList()
@@ -82,7 +82,7 @@
     }
 
     /** Applies what the watch shows: all changes up to [revision]. */
-    fun follow(events: List<WatchEvent>, revision: Long) {
+    fun applyWatchEvents(events: List<WatchEvent>, revision: Long) {
         events.forEach { accept(it.path, it.value, it.version) }
         recordObserved(revision)
     }
@@ -114,7 +114,7 @@
     private fun accept(path: String, value: Fields?, version: Long) {
         try {
             when {
-                path.startsWith(Keys.ENDS) -> value?.let { ended.record(jobIdOf(path), EndRecord.parse(it)) }
+                path.startsWith(Keys.ENDS) -> value?.let { ended.record(jobIdOf(path), FinalRecord.parse(it)) }
                 !path.startsWith(Keys.LIVE) -> Unit
                 value == null -> remove(jobIdOf(path), version)
                 else -> acceptLive(path, value, version)
--- a/src/main/kotlin/io/reedmast/machines/ContestedMachineHandler.kt
+++ b/src/main/kotlin/io/reedmast/machines/ContestedMachineHandler.kt
@@ -17,7 +17,7 @@
 
     /** Whether this owner has nothing on [machine] and is to leave it to the others. */
     fun isReleasable(machine: Machine, now: Long): Boolean {
-        val isFree = machine.placements.isEmpty() && machine.pendingDirectCalls == 0 && machine.isEmptyAsStored
+        val isFree = machine.placements.isEmpty() && machine.pendingDirectCalls == 0 && machine.isDurablyEmpty
         // The others leave first: of several owners without work there, the one that answers the worker keeps it.
         val delayMs = if (machine.recordConflict == RecordConflict.ANSWERED_HERE) OTHERS_FIRST_MS else 0L
         return isFree && !machine.isReturning && now - machine.conflictSince >= delayMs
--- a/src/main/kotlin/io/reedmast/machines/MachineDrainer.kt
+++ b/src/main/kotlin/io/reedmast/machines/MachineDrainer.kt
@@ -18,7 +18,7 @@
     fun drainForTransfer(machine: Machine, now: Long) {
         // Marked as idle, and given work before the mark was known here: that is not stopped a moment after it was
         // placed.
-        if (machine.placements.values.any { it.madeAt > machine.movingSince - JUST_PLACED_MS }) return
+        if (machine.placements.values.any { it.createdAt > machine.markedForTransferAt - JUST_PLACED_MS }) return
         stopAll(machine.placements.values.filter { !endsSoon(it, now) })
     }
 
--- a/src/main/kotlin/io/reedmast/machines/MachineLifecycle.kt
+++ b/src/main/kotlin/io/reedmast/machines/MachineLifecycle.kt
@@ -60,7 +60,7 @@
         decideContested(now)
         for (machine in shardState.machines.values.filter { !it.isContested }) {
             if (isBootOverdue(machine, now)) decommissionNotBooted(machine, now)
-            if (machine.noticeUntil != 0L) onNotice(machine, now)
+            if (machine.reclaimAt != 0L) onNotice(machine, now)
             when (machine.decommissionReason) {
                 null -> decommissionIfIdle(machine, headroom, now)
 
@@ -104,9 +104,9 @@
 
     /** The cloud has announced that it takes the machine back. */
     private fun onNotice(machine: Machine, now: Long) {
-        drainer.drainForNotice(machine, machine.noticeUntil, now)
+        drainer.drainForNotice(machine, machine.reclaimAt, now)
         val isLate = now - machine.lastHeartbeatAt > shardState.heartbeatLateMs
-        val isTimeUp = machine.noticeUntil in 1..now
+        val isTimeUp = machine.reclaimAt in 1..now
         if (!isTimeUp || !isLate || machine.decommissionReason != null) return
         log.info("machine {}: taken back by the cloud as announced, decommissioned", machine.name)
         machine.decommissionReason = DecommissionReason.MISSED_HEARTBEATS
@@ -149,7 +149,7 @@
     private fun prepareTransfer(machine: Machine, now: Long): Boolean {
         val isFree = machine.placements.isEmpty() && machine.pendingDirectCalls == 0
         if (!isFree) drainer.drainForTransfer(machine, now)
-        val isTransferable = isFree && machine.isEmptyAsStored
+        val isTransferable = isFree && machine.isDurablyEmpty
         val isLongSilent = now - machine.lastHeartbeatAt > silentDetector.silentAfterMs * 2
         if (machine.everReported && isLongSilent) {
             machine.decommissionReason = DecommissionReason.MISSED_HEARTBEATS
--- a/src/main/kotlin/io/reedmast/machines/UnreachableMachineDetector.kt
+++ b/src/main/kotlin/io/reedmast/machines/UnreachableMachineDetector.kt
@@ -12,7 +12,8 @@
     /** Several at once would rather be this controller's own answers that get lost: then all are counted anew. */
     fun decommissionUnreachable() {
         val unreachable = shardState.machines.values.filter {
-            it.unacknowledged >= Machine.UNREACHABLE_AFTER && it.decommissionReason == null && !it.isContested
+            it.unacknowledgedAnswers >= Machine.UNREACHABLE_AFTER_ANSWERS && it.decommissionReason == null &&
+                !it.isContested
         }
         if (unreachable.isEmpty()) return
         if (unreachable.size > maxOf(MAX_UNREACHABLE, shardState.machines.size / MIN_MACHINES_PER_UNREACHABLE)) {
@@ -21,7 +22,7 @@
                 shardState.index.value,
                 unreachable.size,
             )
-            unreachable.forEach { it.unacknowledged = 0 }
+            unreachable.forEach { it.unacknowledgedAnswers = 0 }
         } else {
             unreachable.forEach { decommission(it) }
         }
--- a/src/main/kotlin/io/reedmast/model/ChargedUsage.kt
+++ b/src/main/kotlin/io/reedmast/model/ChargedUsage.kt
@@ -24,7 +24,7 @@
     }
 
     /** Machine seconds charged to [team] within the window; the oldest bucket counts by the part still inside. */
-    fun within(team: TeamId, nowMs: Long): Double {
+    fun chargedInWindow(team: TeamId, nowMs: Long): Double {
         val buckets = charged[team] ?: return 0.0
         val windowStart = nowMs - windowMs
         buckets.headMap(Math.floorDiv(windowStart, bucketMs)).clear()
--- a/src/main/kotlin/io/reedmast/model/FairShare.kt
+++ b/src/main/kotlin/io/reedmast/model/FairShare.kt
@@ -32,7 +32,7 @@
         for (team in teams) if (rates[team.value] > 0) usage.charge(team, rates[team.value] * seconds, wall)
     }
 
-    private fun isCharged(placement: Placement) = placement.seen && placement.job.spec.priority.isFunded
+    private fun isCharged(placement: Placement) = placement.isReported && placement.job.spec.priority.isFunded
 
     /** The largest share of the machine, in that machine's CPUs, so that machines of different sizes add up. */
     private fun chargedCpus(spec: JobSpec, type: MachineType): Double {
@@ -48,13 +48,13 @@
      * Charged use over the window that ends at [wallMs], against what the team is allocated for it: the team with the
      * smallest ratio comes first. A team that is allocated nothing comes last.
      */
-    fun ratio(team: TeamId, wallMs: Long): Double {
+    fun usageRatio(team: TeamId, wallMs: Long): Double {
         val share = settings.teams[team.value]
         val allocated = if (share.cpus > 0) share.cpus else share.gpus
         if (allocated <= 0.0) return Double.MAX_VALUE
         // What runs now counts for the next minute too, so that a burst of decisions sees its own effect.
         val soon = quota.usedCpus(team) * LOOKAHEAD_S
-        return (usage.within(team, wallMs) + soon) / (allocated * tuning.windowS)
+        return (usage.chargedInWindow(team, wallMs) + soon) / (allocated * tuning.windowS)
     }
 
     private companion object {
--- a/src/main/kotlin/io/reedmast/model/FencingToken.kt
+++ b/src/main/kotlin/io/reedmast/model/FencingToken.kt
@@ -10,14 +10,14 @@
     private const val RANGE = 1L shl 20
 
     /** The first token of the range after the one that [token] belongs to. */
-    fun after(token: Long): Long = (acquisitions(token) + 1) * RANGE
+    fun firstOfNextRange(token: Long): Long = (acquisitionCount(token) + 1) * RANGE
 
     /** The last one of the range that begins with [first]. */
-    fun last(first: Long): Long = first + RANGE - 1
+    fun lastOfRange(first: Long): Long = first + RANGE - 1
 
     /**
      * How many ranges were given up to this one. Records of an earlier form counted acquisitions alone, below a range's
      * size.
      */
-    fun acquisitions(token: Long): Long = if (token < RANGE) token else token / RANGE
+    fun acquisitionCount(token: Long): Long = if (token < RANGE) token else token / RANGE
 }
--- a/src/main/kotlin/io/reedmast/model/Job.kt
+++ b/src/main/kotlin/io/reedmast/model/Job.kt
@@ -60,22 +60,22 @@
 
     /** Machines on which attempts of this job failed, and how many failed in a row. */
     val failedOn = HashSet<Machine>()
-    var failures = 0
+    var consecutiveFailures = 0
 
     /** Whether a task of it has completed: then it is no mistake of the job's where one fails. */
     var hasSucceeded = false
 
     /** Until then no task of it is placed: a failure is not repeated at once. */
-    var notBefore = 0L
+    var placementNotBefore = 0L
 
     /** How many placements of other jobs are being preempted for it. */
-    var preempting = 0
+    var pendingPreemptions = 0
 
     /** Since when, without a break, tasks of it have waited for a machine. */
-    var waitsSince = 0L
+    var waitingSince = 0L
 
     /** Since when none of its tasks has had a machine. */
-    var idleSince = 0L
+    var unplacedSince = 0L
 
     /** Since when none of its tasks has run for longer than a moment. */
     var underservedSince = 0L
@@ -96,8 +96,8 @@
 
     /** Counts every wait of the job from [since] on. */
     fun restartWaiting(since: Long) {
-        waitsSince = since
-        idleSince = since
+        waitingSince = since
+        unplacedSince = since
         underservedSince = since
     }
 
@@ -155,9 +155,9 @@
     fun recordLost(placement: Placement) {
         if (placement.running) runningCount--
         placement.runningSince = 0L
-        placement.seen = false
+        placement.isReported = false
         placement.launchEpoch = 0L
-        placement.launchesSentSinceSeen = 0
+        placement.launchesSentSinceReported = 0
     }
 
     /** The worker shows that the attempt runs, at the latest since [now]. */
--- a/src/main/kotlin/io/reedmast/model/JobArrivals.kt
+++ b/src/main/kotlin/io/reedmast/model/JobArrivals.kt
@@ -2,11 +2,11 @@
 
 import io.reedmast.wire.JobSpec
 
-/** A job that was accepted at [at], and how much of something it takes: see [JobArrivals]. */
-class JobArrival(val at: Long, val cpus: Double)
+/** A job that was accepted at [arrivedAt], and how much of something it takes: see [JobArrivals]. */
+class JobArrival(val arrivedAt: Long, val demand: Double)
 
-/** A gang that was accepted at [at]. */
-class GangArrival(val at: Long, val spec: JobSpec)
+/** A gang that was accepted at [arrivedAt]. */
+class GangArrival(val arrivedAt: Long, val spec: JobSpec)
 
 /**
  * The jobs that came to a shard lately, oldest first, from which it is estimated what will come next.
@@ -17,7 +17,7 @@
     /** Services and gangs accepted since the shard was acquired, with the CPUs that they take. */
     val services = ArrayDeque<JobArrival>()
 
-    /** Arrays accepted since the shard was acquired: of these, [JobArrival.cpus] is their work in CPU seconds. */
+    /** Arrays accepted since the shard was acquired: of these, [JobArrival.demand] is their work in CPU seconds. */
     val arrays = ArrayDeque<JobArrival>()
 
     /** Gangs, those that were restored with the shard among them. */
--- a/src/main/kotlin/io/reedmast/model/JobUrgency.kt
+++ b/src/main/kotlin/io/reedmast/model/JobUrgency.kt
@@ -7,15 +7,15 @@
  * How pressing a job is by its deadline and by how long it has got nothing.
  *
  * There are two kinds of waits. A job is *starving* by the time since none of its tasks had a machine
- * ([Job.idleSince]), and *underserved* by the time since none of them has run for longer than a moment
+ * ([Job.unplacedSince]), and *underserved* by the time since none of them has run for longer than a moment
  * ([Job.underservedSince]): one whose tasks are preempted again and again as soon as they start is underserved, and
- * never starving. For a service both are the time for which it has lacked replicas ([Job.waitsSince]).
+ * never starving. For a service both are the time for which it has lacked replicas ([Job.waitingSince]).
  *
  * | waited for | starving | underserved |
  * | --- | --- | --- |
  * | 30 s | [isNearlyStarving] | |
  * | 60 s | [isStarving] | [isUnderserved] |
- * | 120 s | | [isOverdue] |
+ * | 120 s | | [isSeverelyUnderserved] |
  */
 class JobUrgency(private val settings: Settings, private val clock: Clock) {
     /** Wall time at which the job should be over; without a deadline and an objective, when it was accepted. */
@@ -47,8 +47,8 @@
 
     /** Since when the job lacks what it must not lack for long; in the future if it does not. */
     fun starvingSince(job: Job): Long = when {
-        job.spec.isService -> job.waitsSince
-        job.placedCount == 0 -> job.idleSince
+        job.spec.isService -> job.waitingSince
+        job.placedCount == 0 -> job.unplacedSince
         else -> Long.MAX_VALUE
     }
 
@@ -59,7 +59,7 @@
     fun isUnderserved(job: Job): Boolean = underservedForMs(job) > STARVING_MS
 
     /** As [isUnderserved], for so long that its next task is not preempted for any other work. */
-    fun isOverdue(job: Job): Boolean = underservedForMs(job) > OVERDUE_MS
+    fun isSeverelyUnderserved(job: Job): Boolean = underservedForMs(job) > OVERDUE_MS
 
     /**
      * How long a job that waits has got nothing that lasted, a service: lacked replicas; 0 if it does not wait for
@@ -68,7 +68,7 @@
     fun underservedForMs(job: Job): Long {
         if (job.pendingCount <= 0 || isSuspectedFaulty(job)) return 0L
         return when {
-            job.spec.isService -> clock.now() - job.waitsSince
+            job.spec.isService -> clock.now() - job.waitingSince
             job.placedCount == 0 -> clock.now() - job.underservedSince
             else -> 0L
         }
@@ -79,7 +79,7 @@
         settings.objectives.any { it.kind == OBJECTIVE_WAIT && it.jobClass == job.spec.jobClass }
 
     /** It failed on several machines in a row: the job has a mistake, and the machines have not. */
-    fun isSuspectedFaulty(job: Job): Boolean = job.failures >= FAILURES_OF_FAULTY_JOB
+    fun isSuspectedFaulty(job: Job): Boolean = job.consecutiveFailures >= FAILURES_OF_FAULTY_JOB
 
     private companion object {
         const val MS_PER_S = 1000
--- a/src/main/kotlin/io/reedmast/model/Machine.kt
+++ b/src/main/kotlin/io/reedmast/model/Machine.kt
@@ -62,17 +62,17 @@
     var everReported = false
 
     /** Heartbeats answered since the worker last showed that an answer had reached it. */
-    var unacknowledged = 0
+    var unacknowledgedAnswers = 0
 
     /** When the last heartbeat came that we answered, and since when they have come with no long gap. */
     var answeredAt = 0L
-    var regularSince = 0L
+    var regularHeartbeatsSince = 0L
 
     /** When a direct command last went unanswered: no more are sent before the next heartbeat. */
-    var callUnansweredAt = 0L
+    var unansweredDirectCallAt = 0L
 
     /** Until when a spot machine that the cloud wants back stays up; 0 without such a notice. */
-    var noticeUntil = 0L
+    var reclaimAt = 0L
 
     // ---- lifecycle --------------------------------------------------------------------------------------------------
 
@@ -83,7 +83,7 @@
     var isReturning = false
 
     /** Since when it is marked to move to another shard. */
-    var movingSince = 0L
+    var markedForTransferAt = 0L
 
     /** Since when nothing has been placed on it. */
     var emptySince = firstSeenAt
@@ -113,7 +113,7 @@
         conflictSince = now
         firstSeenAt = now
         lastHeartbeatAt = now
-        unacknowledged = 0
+        unacknowledgedAnswers = 0
     }
 
     // ---- direct commands --------------------------------------------------------------------------------------------
@@ -141,15 +141,15 @@
     }
 
     /** The call of that launch did not leave: no connection was made. */
-    fun recordNotSent(id: TaskId, attempt: Long) {
+    fun recordLaunchNotSent(id: TaskId, attempt: Long) {
         launches.remove(Attempt(id, attempt))
     }
 
     /** Whether a direct launch of this attempt, or a copy of one that was carried out, may still run here. */
-    fun mayLaunch(id: TaskId, attempt: Long): Boolean = Attempt(id, attempt) in launches
+    fun mayStillLaunch(id: TaskId, attempt: Long): Boolean = Attempt(id, attempt) in launches
 
     /** Records the epoch and token of the newest heartbeat: earlier direct calls are refused from then on. */
-    fun recordShownToken(status: WorkerStatus) {
+    fun recordReportedToken(status: WorkerStatus) {
         if (status.epoch == epoch && status.token <= seenToken) return
         epoch = status.epoch
         seenToken = maxOf(seenToken, status.token)
@@ -186,11 +186,11 @@
     val runsServices: Boolean get() = services > 0
 
     /** An ordinary machine with services on it: where the next ones should go. */
-    val isServiceHome: Boolean get() = services > 0 && !record.spot
+    val isPreferredForServices: Boolean get() = services > 0 && !record.spot
 
     /** Whether work may be placed here. A machine that may not hear us gets no more of it. */
     val usable: Boolean get() = isStateKnown && decommissionReason == null && !isReturning && machineType != null &&
-        unacknowledged < MAX_UNACKNOWLEDGED && !isContested
+        unacknowledgedAnswers < MAX_UNACKNOWLEDGED && !isContested
 
     /**
      * Parts of jobs that have left the machine since they were last stored: a stored page may still name it for them.
@@ -198,7 +198,7 @@
     private val departedChunks = HashSet<Chunk>()
 
     /** Whether nothing is here, and nobody who acquires the shard would think so. */
-    val isEmptyAsStored: Boolean get() = placements.isEmpty() && departedChunks.all { it.isStored }
+    val isDurablyEmpty: Boolean get() = placements.isEmpty() && departedChunks.all { it.isStored }
 
     /** Counts what the placement takes. */
     fun add(placement: Placement) {
@@ -244,6 +244,6 @@
         private const val MAX_UNACKNOWLEDGED = 3
 
         /** From which on the machine is replaced. */
-        const val UNREACHABLE_AFTER = 5
+        const val UNREACHABLE_AFTER_ANSWERS = 5
     }
 }
--- a/src/main/kotlin/io/reedmast/model/MachineDirectory.kt
+++ b/src/main/kotlin/io/reedmast/model/MachineDirectory.kt
@@ -11,10 +11,10 @@
     private val factsByMachine = HashMap<String, MachineFacts>()
 
     /** What is known of the machine, now and later on: the owner records there what its heartbeats show. */
-    fun of(machineName: String): MachineFacts = factsByMachine.getOrPut(machineName) { MachineFacts(machineName) }
+    fun factsOf(machineName: String): MachineFacts = factsByMachine.getOrPut(machineName) { MachineFacts(machineName) }
 
     /** The machine is gone. */
-    fun forget(machineName: String) {
+    fun remove(machineName: String) {
         factsByMachine.remove(machineName)
     }
 
@@ -33,7 +33,7 @@
     /** Applies what an owner has sent of machines that are [known] to belong to some shard. */
     fun applyHints(hints: List<MachineHint>, known: (String) -> Boolean) {
         for (hint in hints) {
-            if (known(hint.machineName)) of(hint.machineName).replace(hint.addr, hint.images)
+            if (known(hint.machineName)) factsOf(hint.machineName).replace(hint.addr, hint.images)
         }
     }
 }
--- a/src/main/kotlin/io/reedmast/model/Placement.kt
+++ b/src/main/kotlin/io/reedmast/model/Placement.kt
@@ -22,15 +22,15 @@
  *
  * Quota, zone rules and free capacity count every placement, whatever is known of it.
  *
- * The steps of a placement: decided ([madeAt]), stored ([committed]), launched ([launchEpoch], [answeredSequence]),
- * shown by the worker ([seen]), [running], and gone ([ShardState.finish]). A [stopReason] may come at any step. Where
+ * The steps of a placement: decided ([createdAt]), stored ([committed]), launched ([launchEpoch], [launchSequence]),
+ * shown by the worker ([isReported]), [running], and gone ([ShardState.finish]). A [stopReason] may come at any step. Where
  * the worker has lost its state, the placement is merely stored again ([Job.recordLost]).
  *
  * @property task the task's number in its job.
  * @property attempt the attempt's number, different for each attempt at the task.
- * @property madeAt when the decision was made, or when the placement was restored.
+ * @property createdAt when the decision was made, or when the placement was restored.
  */
-class Placement(val job: Job, val task: Int, val attempt: Long, val machine: Machine, val madeAt: Long) {
+class Placement(val job: Job, val task: Int, val attempt: Long, val machine: Machine, val createdAt: Long) {
     val id = TaskId(job.spec.jobId, task)
 
     /** Whether the store holds it: nothing is launched before. */
@@ -40,13 +40,13 @@
     var launchEpoch = 0L
 
     /** The sequence of the heartbeat in whose answer a launch was last sent. */
-    var answeredSequence = -1L
+    var launchSequence = -1L
 
     /** In how many answers a launch was sent since the worker last showed the attempt. */
-    var launchesSentSinceSeen = 0
+    var launchesSentSinceReported = 0
 
     /** Whether the worker has shown the attempt in its present epoch. */
-    var seen = false
+    var isReported = false
 
     /** Since when it runs, as its worker shows it; 0 while it does not. */
     var runningSince = 0L
--- a/src/main/kotlin/io/reedmast/model/ShardState.kt
+++ b/src/main/kotlin/io/reedmast/model/ShardState.kt
@@ -70,16 +70,16 @@
     val lostMachinesByZone = HashMap<String, ArrayDeque<Long>>()
 
     /** Until then nothing is placed: what runs is not fully known. */
-    var passNotBefore = 0L
+    var schedulingPassNotBefore = 0L
 
     /** Gangs that have lost a task, what is left of which is to be stopped. */
     val incompleteGangs = LinkedHashSet<Job>()
 
     /** Something has changed that may let waiting work start. */
-    var passRequested = false
+    var schedulingPassRequested = false
 
     /** Jobs to look at when storing: what is stored of them, or whether they are over, may have changed. */
-    val changed = LinkedHashSet<Job>()
+    val changedJobs = LinkedHashSet<Job>()
 
     /** The jobs that came lately. */
     val jobArrivals = JobArrivals()
@@ -111,18 +111,18 @@
     /** There is evidence that the attempt is over; [done] if it completed its task. */
     fun finish(placement: Placement, done: Boolean) {
         val job = placement.job
-        if (job.pendingCount == 0) job.waitsSince = clock.now()
-        preemptedFor.remove(placement)?.let { it.preempting-- }
+        if (job.pendingCount == 0) job.waitingSince = clock.now()
+        preemptedFor.remove(placement)?.let { it.pendingPreemptions-- }
         job.remove(placement, done)
         if (job.placedCount == 0) {
-            job.idleSince = clock.now()
+            job.unplacedSince = clock.now()
             if (hasRun(placement, done)) job.underservedSince = clock.now()
         }
         if (job.spec.isGang && !done && job.placedCount > 0) incompleteGangs.add(job)
         markDirty(job.chunkOf(placement.task))
         quota.remove(job)
         if (placement.machine.placements.isEmpty()) placement.machine.emptySince = clock.now()
-        passRequested = true
+        schedulingPassRequested = true
     }
 
     /** Whether the attempt ran long enough to count as service of its job: one that was stopped at once does not. */
@@ -133,7 +133,7 @@
     fun markDirty(chunk: Chunk) {
         chunk.dirty = true
         chunk.page?.markDirty(clock.now())
-        changed.add(chunk.job)
+        changedJobs.add(chunk.job)
     }
 
     private companion object {
--- a/src/main/kotlin/io/reedmast/model/TeamQuota.kt
+++ b/src/main/kotlin/io/reedmast/model/TeamQuota.kt
@@ -37,7 +37,7 @@
     }
 
     /** Whether the team's placements take more CPUs than it is guaranteed. */
-    fun isBeyondGuarantee(team: TeamId): Boolean =
+    fun exceedsGuarantee(team: TeamId): Boolean =
         usedCpus[team.value] > settings.teams[team.value].cpus + Machine.EPSILON
 
     /** How many more tasks of the job the team's limit allows. */
--- a/src/main/kotlin/io/reedmast/persistence/ConflictHandler.kt
+++ b/src/main/kotlin/io/reedmast/persistence/ConflictHandler.kt
@@ -42,7 +42,7 @@
         for (path in failedPaths) {
             val jobId = jobIdOf(path) ?: continue
             withdrawPlacements(jobId, written)
-            shardState.jobs[jobId]?.let { it.notBefore = shardState.clock.now() + READ_JOB_DELAY_MS }
+            shardState.jobs[jobId]?.let { it.placementNotBefore = shardState.clock.now() + READ_JOB_DELAY_MS }
             readJobRecord(path)
         }
     }
--- a/src/main/kotlin/io/reedmast/persistence/FinalRecordWriter.kt
+++ b/src/main/kotlin/io/reedmast/persistence/FinalRecordWriter.kt
@@ -1,6 +1,6 @@
 package io.reedmast.persistence
 
-import io.reedmast.jobs.EndRecord
+import io.reedmast.jobs.FinalRecord
 import io.reedmast.kvstore.CasTransaction
 import io.reedmast.kvstore.CommitOutcome
 import io.reedmast.kvstore.Keys
@@ -67,7 +67,7 @@
     private fun write(job: Job) {
         job.isFinalRecordInFlight = true
         writesInFlight++
-        val record = EndRecord(if (job.isCancelled) JobState.CANCELLED else JobState.DONE, job.spec.taskCount)
+        val record = FinalRecord(if (job.isCancelled) JobState.CANCELLED else JobState.DONE, job.spec.taskCount)
         val priority = if (job.isCancelled) WritePriority.DEFERRED else WritePriority.URGENT
         val transaction = CasTransaction(preconditionsOf(job), writesOf(job, record), priority) { outcome ->
             writesInFlight--
@@ -82,12 +82,12 @@
         Precondition(Keys.end(job.spec.jobId), NOT_STORED),
     )
 
-    private fun writesOf(job: Job, record: EndRecord) = listOf(
+    private fun writesOf(job: Job, record: FinalRecord) = listOf(
         Write.Put(Keys.end(job.spec.jobId), record.toFields()),
         Write.Delete(Keys.live(shard, job.spec.jobId)),
     )
 
-    private fun onOutcome(outcome: CommitOutcome, job: Job, record: EndRecord) {
+    private fun onOutcome(outcome: CommitOutcome, job: Job, record: FinalRecord) {
         job.isFinalRecordInFlight = false
         when (outcome) {
             is CommitOutcome.Applied -> listener.onJobEnded(job, record, outcome.revision)
--- a/src/main/kotlin/io/reedmast/persistence/PageReader.kt
+++ b/src/main/kotlin/io/reedmast/persistence/PageReader.kt
@@ -92,7 +92,7 @@
         }
         restoreResults(job, stored)
         restorePlacements(job, stored, tasks)
-        shardState.changed.add(job)
+        shardState.changedJobs.add(job)
     }
 
     /** What is done stays done, whichever copy says so. */
@@ -117,7 +117,7 @@
     private fun onUnreadable(path: String, e: MalformedException) {
         log.error("shard {}: record {} cannot be read: {}", shardState.index.value, path, e.message)
         val waitMs = shardState.settings.workers.leaseS * LEASES_UNTIL_UNKNOWN_WORK_IS_GONE * MS_PER_S
-        shardState.passNotBefore = shardState.clock.now() + waitMs.toLong()
+        shardState.schedulingPassNotBefore = shardState.clock.now() + waitMs.toLong()
     }
 
     private companion object {
--- a/src/main/kotlin/io/reedmast/persistence/PageWriter.kt
+++ b/src/main/kotlin/io/reedmast/persistence/PageWriter.kt
@@ -85,7 +85,7 @@
         page.retryNotBefore = shardState.clock.now() + REWRITE_DELAY_MS
         scheduleRewrite(page)
         for (placement in written) {
-            placement.job.notBefore = shardState.clock.now() + REFUSED_JOB_DELAY_MS
+            placement.job.placementNotBefore = shardState.clock.now() + REFUSED_JOB_DELAY_MS
             shardState.finish(placement, done = false)
         }
     }
--- a/src/main/kotlin/io/reedmast/persistence/ProgressListener.kt
+++ b/src/main/kotlin/io/reedmast/persistence/ProgressListener.kt
@@ -1,6 +1,6 @@
 package io.reedmast.persistence
 
-import io.reedmast.jobs.EndRecord
+import io.reedmast.jobs.FinalRecord
 import io.reedmast.kvstore.StoredItem
 import io.reedmast.model.Job
 import io.reedmast.model.Placement
@@ -25,5 +25,5 @@
     fun onJobRecordChanged(path: String, item: StoredItem?)
 
     /** The job's final record [end] is stored, as [revision], and the record of the unfinished job is deleted. */
-    fun onJobEnded(job: Job, end: EndRecord, revision: Long)
+    fun onJobEnded(job: Job, end: FinalRecord, revision: Long)
 }
--- a/src/main/kotlin/io/reedmast/persistence/ProgressStore.kt
+++ b/src/main/kotlin/io/reedmast/persistence/ProgressStore.kt
@@ -52,11 +52,11 @@
     }
 
     private fun requestWritesOfChangedJobs(now: Long) {
-        for (job in shardState.changed) {
+        for (job in shardState.changedJobs) {
             val isKnown = shardState.jobs[job.spec.jobId] === job
             if (isKnown) requestWrites(job, now)
         }
-        shardState.changed.clear()
+        shardState.changedJobs.clear()
     }
 
     private fun requestWrites(job: Job, now: Long) {
--- a/src/main/kotlin/io/reedmast/persistence/SupersededPages.kt
+++ b/src/main/kotlin/io/reedmast/persistence/SupersededPages.kt
@@ -24,7 +24,7 @@
         if (!page.supersededChunks.add(chunk)) return
         chunk.supersededCopies++
         if (chunk.page == null) chunk.dirty = true
-        shardState.changed.add(chunk.job)
+        shardState.changedJobs.add(chunk.job)
     }
 
     /** Clears the pages all of whose content is stored in other ones. */
--- a/src/main/kotlin/io/reedmast/placement/MachineFilters.kt
+++ b/src/main/kotlin/io/reedmast/placement/MachineFilters.kt
@@ -27,7 +27,7 @@
 
 /** Work other than services leaves headroom on machines with services, unless it is late. */
 internal fun leavesServiceHeadroom(request: TaskRequest, machine: Machine): Boolean =
-    request.job.spec.isService || request.urgency.ignoresCost || !machine.isServiceHome ||
+    request.job.spec.isService || request.urgency.ignoresCost || !machine.isPreferredForServices ||
         request.serviceHeadroom.allows(request.job.spec.cpus)
 
 /** A job does not go back to where it failed, unless it is starving. */
--- a/src/main/kotlin/io/reedmast/requests/JobLookup.kt
+++ b/src/main/kotlin/io/reedmast/requests/JobLookup.kt
@@ -1,7 +1,7 @@
 package io.reedmast.requests
 
 import io.reedmast.cluster.Cluster
-import io.reedmast.jobs.EndRecord
+import io.reedmast.jobs.FinalRecord
 import io.reedmast.kvstore.Keys
 import io.reedmast.kvstore.ReadResult
 import io.reedmast.ports.KeyValueStore
@@ -29,7 +29,7 @@
     }
 
     private fun findInIndex(jobId: String, isUpToDate: Boolean, onResult: (JobLookupResult) -> Unit) {
-        val job = jobs.live(jobId)
+        val job = jobs.liveJob(jobId)
         val end = jobs.ended[jobId]
         when {
             !isUpToDate -> onResult(JobLookupResult.Unavailable)
@@ -50,7 +50,7 @@
     }
 
     private fun parseEnd(jobId: String, found: ReadResult.Found): JobLookupResult = try {
-        val end = EndRecord.parse(found.item.value)
+        val end = FinalRecord.parse(found.item.value)
         jobs.ended.record(jobId, end)
         JobLookupResult.Ended(end)
     } catch (e: MalformedException) {
--- a/src/main/kotlin/io/reedmast/requests/JobLookupResult.kt
+++ b/src/main/kotlin/io/reedmast/requests/JobLookupResult.kt
@@ -1,6 +1,6 @@
 package io.reedmast.requests
 
-import io.reedmast.jobs.EndRecord
+import io.reedmast.jobs.FinalRecord
 import io.reedmast.jobs.LiveJob
 
 /** What this controller knows of a job that a user asks for. */
@@ -9,7 +9,7 @@
     data class Unfinished(val job: LiveJob) : JobLookupResult
 
     /** The job is over, and will stay so. */
-    data class Ended(val end: EndRecord) : JobLookupResult
+    data class Ended(val end: FinalRecord) : JobLookupResult
 
     /** Nobody has submitted such a job. */
     data object Unknown : JobLookupResult
--- a/src/main/kotlin/io/reedmast/requests/JobRequestHandler.kt
+++ b/src/main/kotlin/io/reedmast/requests/JobRequestHandler.kt
@@ -47,7 +47,7 @@
             end != null -> answer(UserAnswers.ended(spec.jobId, end))
 
             // Before anything that could refuse it: an accepted job's submission may be repeated at any time.
-            jobs.live(spec.jobId) != null -> poll(spec.jobId, answer)
+            jobs.liveJob(spec.jobId) != null -> poll(spec.jobId, answer)
 
             else -> submitUnknown(spec, answer)
         }
--- a/src/main/kotlin/io/reedmast/requests/UserAnswers.kt
+++ b/src/main/kotlin/io/reedmast/requests/UserAnswers.kt
@@ -1,6 +1,6 @@
 package io.reedmast.requests
 
-import io.reedmast.jobs.EndRecord
+import io.reedmast.jobs.FinalRecord
 import io.reedmast.jobs.LiveJob
 import io.reedmast.wire.JobState
 import io.reedmast.wire.JobStatus
@@ -21,13 +21,13 @@
     fun accepted(jobId: String) = UserAnswer(CREATED, JobStatus(jobId, JobState.QUEUED))
 
     /** The job is over. */
-    fun ended(jobId: String, end: EndRecord): UserAnswer {
+    fun ended(jobId: String, end: FinalRecord): UserAnswer {
         val done = if (end.state == JobState.DONE) end.taskCount else 0
         return UserAnswer(OK, JobStatus(jobId, end.state, done, running = 0))
     }
 
     /** The job is cancelled, though tasks of it may still be stopping. */
-    fun cancelled(jobId: String) = ended(jobId, EndRecord(JobState.CANCELLED, 0))
+    fun cancelled(jobId: String) = ended(jobId, FinalRecord(JobState.CANCELLED, 0))
 
     /** Counts are for display; a job whose owner has published none is shown as queued, which is never too new. */
     fun unfinished(jobId: String, job: LiveJob): UserAnswer {
--- a/src/main/kotlin/io/reedmast/scheduling/CandidateMachines.kt
+++ b/src/main/kotlin/io/reedmast/scheduling/CandidateMachines.kt
@@ -14,4 +14,4 @@
 }
 
 /** Whether the machine takes work, and the cloud has not announced that it takes the machine back. */
-internal val Machine.isInService: Boolean get() = usable && noticeUntil == 0L
+internal val Machine.isInService: Boolean get() = usable && reclaimAt == 0L
--- a/src/main/kotlin/io/reedmast/scheduling/PreemptionCandidates.kt
+++ b/src/main/kotlin/io/reedmast/scheduling/PreemptionCandidates.kt
@@ -27,8 +27,8 @@
             sameTeam = job.team == preempting.job.team,
             ranForS = (shardState.clock.now() - protectedSince(placement)) / MS_PER_SECOND,
             minimumS = protectedMinimumS(job.spec.estimateS),
-            teamBeyondGuarantee = shardState.quota.isBeyondGuarantee(job.team),
-            teamRatio = shardState.fairShare.ratio(job.team, preempting.wallMs),
+            teamBeyondGuarantee = shardState.quota.exceedsGuarantee(job.team),
+            teamRatio = shardState.fairShare.usageRatio(job.team, preempting.wallMs),
         )
     }
 
@@ -40,7 +40,7 @@
 
     /** When the protected minimum began. A gang does not work before all of it runs. */
     private fun protectedSince(placement: Placement): Long {
-        if (!placement.job.spec.isGang) return placement.madeAt
+        if (!placement.job.spec.isGang) return placement.createdAt
         return placement.job.placements().maxOf { if (it.running) it.runningSince else shardState.clock.now() }
     }
 
--- a/src/main/kotlin/io/reedmast/scheduling/PreemptionProtection.kt
+++ b/src/main/kotlin/io/reedmast/scheduling/PreemptionProtection.kt
@@ -23,7 +23,11 @@
         val protectedOfTeam = protectedFromAll.getOrPut(placement.job.team) { ArrayList() }
         protectedOfTeam.removeIf { nowMs >= it.protectedFromAllUntil || it.machine.placements[it.id] !== it }
         // A few at a time: many uncharged tasks that are not preemptable would occupy the capacity of funded work.
-        if (!shardState.urgency.isOverdue(placement.job) || protectedOfTeam.size >= MAX_PROTECTED_FROM_ALL) return
+        if (!shardState.urgency.isSeverelyUnderserved(placement.job) ||
+            protectedOfTeam.size >= MAX_PROTECTED_FROM_ALL
+        ) {
+            return
+        }
         placement.protectedFromAllUntil = protectedUntil
         protectedOfTeam.add(placement)
     }
--- a/src/main/kotlin/io/reedmast/scheduling/PreemptionSelection.kt
+++ b/src/main/kotlin/io/reedmast/scheduling/PreemptionSelection.kt
@@ -25,4 +25,4 @@
     return selected.takeIf { it.isNotEmpty() && free.tasksThatFit(spec) >= taskCount }
 }
 
-private val preemptionOrder = compareBy<Placement>({ it.job.spec.isGang }, { -it.madeAt })
+private val preemptionOrder = compareBy<Placement>({ it.job.spec.isGang }, { -it.createdAt })
--- a/src/main/kotlin/io/reedmast/scheduling/Preemptor.kt
+++ b/src/main/kotlin/io/reedmast/scheduling/Preemptor.kt
@@ -44,7 +44,7 @@
 
     private fun needsPreemption(job: Job, nowMs: Long, comingCapacity: List<FreeCapacity>): Boolean {
         if (!job.spec.priority.isFunded || !hasUnservedTasks(job)) return false
-        if (nowMs - job.waitsSince < preemptAfterMs(job)) return false
+        if (nowMs - job.waitingSince < preemptAfterMs(job)) return false
         // What only has to be done some time fits on the machines that are on their way; what has to start soon does
         // not.
         return shardState.urgency.isLatencySensitive(job) || !demandEstimator.fitsOnBootingMachines(job, comingCapacity)
@@ -52,7 +52,7 @@
 
     /** Whether tasks that the team's limit allows wait, beyond those for which work is being stopped already. */
     private fun hasUnservedTasks(job: Job): Boolean =
-        job.pendingCount > job.preempting && shardState.quota.remainingTasks(job) > job.preempting
+        job.pendingCount > job.pendingPreemptions && shardState.quota.remainingTasks(job) > job.pendingPreemptions
 
     /**
      * What fits a little later without stopping anything needs no preemption: tasks end all the time, and each task
@@ -72,7 +72,7 @@
         val request = PreemptionRequest(
             job.spec.priority,
             shardState.quota.isWithinGuarantee(job.team, job.spec),
-            shardState.fairShare.ratio(job.team, wallMs),
+            shardState.fairShare.usageRatio(job.team, wallMs),
         )
         val preempting = PreemptingJob(job, request, wallMs)
         if (job.spec.isGang) preemptForGang(preempting) else preemptForTasks(preempting, machines)
@@ -81,7 +81,7 @@
     private fun preemptForTasks(preempting: PreemptingJob, machines: List<Machine>) {
         val job = preempting.job
         machines.asSequence()
-            .takeWhile { job.pendingCount > job.preempting }
+            .takeWhile { job.pendingCount > job.pendingPreemptions }
             .filter { mayRunOn(job, it) && !isStoppingWork(it) }
             .forEach { machine ->
                 val toStop = placementsToStop(preempting, machine, taskCount = 1).orEmpty()
@@ -97,7 +97,7 @@
     /** Stops work on the machines that are reserved for the gang, if all of it fits there then. */
     private fun preemptForGang(preempting: PreemptingJob) {
         val job = preempting.job
-        if (job.preempting > 0 || !shardState.allowsWholeGang(job)) return
+        if (job.pendingPreemptions > 0 || !shardState.allowsWholeGang(job)) return
         val toStop = ArrayList<Placement>()
         var remainingTasks = job.spec.taskCount
         for (machine in reservations.machinesReservedFor(job).filter { it.usable && !isStoppingWork(it) }) {
@@ -131,7 +131,7 @@
     private fun stop(placement: Placement, job: Job) {
         log.info("task {}: preempted for job {} on {}", placement.id, job.spec.jobId, placement.machine.name)
         dispatcher.stop(placement, StopReason.PREEMPTED)
-        job.preempting++
+        job.pendingPreemptions++
         shardState.preemptedFor[placement] = job
     }
 
--- a/src/main/kotlin/io/reedmast/scheduling/QueueOrder.kt
+++ b/src/main/kotlin/io/reedmast/scheduling/QueueOrder.kt
@@ -20,5 +20,5 @@
  */
 internal fun fairShareOrder(shardState: ShardState, wallMs: Long): Comparator<Job> = compareBy(
     { !shardState.quota.isWithinGuarantee(it.team, it.spec) },
-    { shardState.fairShare.ratio(it.team, wallMs) },
+    { shardState.fairShare.usageRatio(it.team, wallMs) },
 )
--- a/src/main/kotlin/io/reedmast/scheduling/Scheduler.kt
+++ b/src/main/kotlin/io/reedmast/scheduling/Scheduler.kt
@@ -33,15 +33,18 @@
     /** Makes a pass if something has changed that may let waiting work start, and the last pass is long enough ago. */
     fun passIfDue(nowMs: Long) {
         if (!isPassDue(nowMs)) return
-        shardState.passRequested = false
+        shardState.schedulingPassRequested = false
         timer.recordPass(nowMs)
         passes++
         runPass(nowMs)
     }
 
     private fun isPassDue(nowMs: Long): Boolean {
-        val mayPlace = shardState.passRequested && timer.allowsPass(nowMs) && nowMs >= shardState.passNotBefore &&
-            shardState.isCurrent()
+        val mayPlace =
+            shardState.schedulingPassRequested && timer.allowsPass(
+                nowMs,
+            ) && nowMs >= shardState.schedulingPassNotBefore &&
+                shardState.isCurrent()
         return mayPlace && (timer.allowsArrayPass(nowMs) || isLatencySensitiveWorkPending())
     }
 
@@ -52,7 +55,7 @@
     private fun runPass(nowMs: Long) {
         val readyJobs = shardState.jobs.values.filter {
             it.pendingCount > 0 && !it.isFinalRecordInFlight &&
-                nowMs >= it.notBefore
+                nowMs >= it.placementNotBefore
         }
         if (readyJobs.isEmpty()) return
         val (fundedJobs, bestEffortJobs) = readyJobs.partition { it.spec.priority.isFunded }
@@ -75,13 +78,17 @@
     /** Reserves machines for as many gangs as arrive while capacity for one becomes free, judged by recent arrivals. */
     private fun reserveForExpectedGangs(machines: List<Machine>, nowMs: Long) {
         val arrivals = shardState.jobArrivals.gangs
-        while (arrivals.isNotEmpty() && nowMs - arrivals.first().at > GANG_ARRIVALS_WINDOW_MS) arrivals.removeFirst()
+        while (arrivals.isNotEmpty() &&
+            nowMs - arrivals.first().arrivedAt > GANG_ARRIVALS_WINDOW_MS
+        ) {
+            arrivals.removeFirst()
+        }
         val expectedGangs = arrivals.size.toDouble() * GANG_CAPACITY_DELAY_MS / GANG_ARRIVALS_WINDOW_MS
         reservations.reserveForExpectedGangs(arrivals.map { it.spec }, expectedGangs, machines)
     }
 
     private fun serviceHeadroom(machines: List<Machine>, nowMs: Long): ServiceHeadroom {
-        val serviceMachines = machines.filter { it.isServiceHome }
+        val serviceMachines = machines.filter { it.isPreferredForServices }
         val maxReservedCpus = serviceMachines.sumOf { it.machineType?.cpus ?: 0.0 } * MAX_RESERVED_FRACTION
         val reservedCpus = minOf(scaleInPolicy.serviceReserve(nowMs), maxReservedCpus)
         return ServiceHeadroom(serviceMachines.sumOf { it.freeCpus }, reservedCpus)
@@ -93,12 +100,12 @@
      */
     private fun placeWaitingGangs(fundedJobs: List<Job>, pass: SchedulingPass) {
         val waitingGangs = fundedJobs
-            .filter { it.spec.isGang && pass.nowMs - it.waitsSince > PassTimer.PASS_INTERVAL_MS }
+            .filter { it.spec.isGang && pass.nowMs - it.waitingSince > PassTimer.PASS_INTERVAL_MS }
             .filter {
                 shardState.allowsWholeGang(it) &&
                     shardState.quota.isWithinGuarantee(it.team, it.spec, it.spec.taskCount)
             }
-            .sortedWith(compareBy({ it.spec.priority }, { it.waitsSince }))
+            .sortedWith(compareBy({ it.spec.priority }, { it.waitingSince }))
         for (gang in waitingGangs) {
             if (!placer.placeNext(gang, pass)) reservations.reserve(gang, pass.machines, pass.nowMs)
         }
--- a/src/main/kotlin/io/reedmast/scheduling/TaskBinder.kt
+++ b/src/main/kotlin/io/reedmast/scheduling/TaskBinder.kt
@@ -29,14 +29,14 @@
     private fun place(placement: Placement, pass: SchedulingPass) {
         val job = placement.job
         if (shardState.urgency.isUnderserved(job)) protection.protect(placement, pass.nowMs)
-        if (placement.machine.isServiceHome) pass.serviceHeadroom.allocate(job.spec.cpus)
+        if (placement.machine.isPreferredForServices) pass.serviceHeadroom.allocate(job.spec.cpus)
         shardState.place(placement)
         shardState.markDirty(job.chunkOf(placement.task))
         log.debug("task {} attempt {}: placed on {}", placement.id, placement.attempt, placement.machine.name)
     }
 
     /** The owner's acquisition of the shard makes the upper bits, so attempts grow over all owners. */
-    private fun nextAttempt(): Long = (FencingToken.acquisitions(shardState.token) shl ATTEMPT_BITS) + ++attempts
+    private fun nextAttempt(): Long = (FencingToken.acquisitionCount(shardState.token) shl ATTEMPT_BITS) + ++attempts
 
     private companion object {
         const val ATTEMPT_BITS = 22
--- a/src/main/kotlin/io/reedmast/shard/JobIndexComparison.kt
+++ b/src/main/kotlin/io/reedmast/shard/JobIndexComparison.kt
@@ -20,7 +20,7 @@
     fun runIfDue(now: Long) {
         if (now < dueAt) return
         dueAt = now + INTERVAL_MS
-        for (live in records.jobs.liveOf(shard)) {
+        for (live in records.jobs.liveJobsOf(shard)) {
             val jobId = live.record.spec.jobId
             if (jobId in shardState.jobs || !jobs.hasKnownTeam(live)) continue
             log.error("job {}: unfinished, but unknown to the owner of shard {}", jobId, shard.value)
--- a/src/main/kotlin/io/reedmast/shard/ShardJobs.kt
+++ b/src/main/kotlin/io/reedmast/shard/ShardJobs.kt
@@ -35,10 +35,10 @@
         job.version = maxOf(job.version, live.version)
         if (live.record.isCancelled && !job.isCancelled) {
             job.isCancelled = true
-            shardState.changed.add(job)
+            shardState.changedJobs.add(job)
             stopAll(job)
         }
-        shardState.passRequested = true
+        shardState.schedulingPassRequested = true
     }
 
     /** The record of the job is gone. What still runs of it, if anything could, is stopped. */
@@ -64,7 +64,7 @@
         val job = Job(spec, team, chunkSizeOf(live.record), live.record.acceptedAtMs, live.version)
         job.isCancelled = live.record.isCancelled
         shardState.jobs[spec.jobId] = job
-        shardState.changed.add(job)
+        shardState.changedJobs.add(job)
         val now = shardState.clock.now()
         job.restartWaiting(now)
         shardState.jobArrivals.record(spec, now, isRestored = !shardState.active)
@@ -82,7 +82,7 @@
     fun forget(job: Job) {
         shardState.jobs.remove(job.spec.jobId)
         forgetProgress(job)
-        shardState.passRequested = true
+        shardState.schedulingPassRequested = true
     }
 
     /** Ends the placements of which no trace can have left this process, and stops the others on their machines. */
--- a/src/main/kotlin/io/reedmast/shard/ShardMachines.kt
+++ b/src/main/kotlin/io/reedmast/shard/ShardMachines.kt
@@ -34,7 +34,7 @@
         for ((record, destination) in recorded) if (!lifecycle.isGone(record.name)) sync(record, destination)
         // A machine that has left for another shard left it empty.
         shardState.machines.values.removeIf { it.name !in names && it.placements.isEmpty() && !it.isReturning }
-        shardState.passRequested = true
+        shardState.schedulingPassRequested = true
     }
 
     /** Adds the machine of [record] if it is new, and marks it to leave if it has a [destination] shard. */
@@ -43,7 +43,7 @@
         machine.updateRecordConflict(records.recordConflictOf(shardState.index, record.name), clock.now())
         if (destination != null && machine.decommissionReason == null) {
             machine.decommissionReason = DecommissionReason.TRANSFER
-            machine.movingSince = clock.now()
+            machine.markedForTransferAt = clock.now()
         }
         if (destination == null && machine.decommissionReason == DecommissionReason.TRANSFER) {
             machine.decommissionReason = null
@@ -56,7 +56,7 @@
     private fun add(record: MachineRecord): Machine {
         val type = shardState.machineTypeOf(record.typeName)
         val machine =
-            Machine(record, type, clock.now(), shardState.token, records.machineDirectory.of(record.name))
+            Machine(record, type, clock.now(), shardState.token, records.machineDirectory.factsOf(record.name))
         // An address known from another owner: the machine was up before.
         machine.everReported = machine.addr != null
         shardState.machines[record.name]?.let { movePlacements(it, machine) }
@@ -67,7 +67,7 @@
     /** Replaces the placements of a machine that only its stored placements had named. */
     private fun movePlacements(from: Machine, to: Machine) {
         for (old in from.placements.values.toList()) {
-            val placement = Placement(old.job, old.task, old.attempt, to, old.madeAt)
+            val placement = Placement(old.job, old.task, old.attempt, to, old.createdAt)
             placement.committed = old.committed
             old.job.chunkOf(old.task).placements[old.task] = placement
             to.add(placement)
@@ -81,6 +81,6 @@
             machine.machineType = type
         }
         shardState.jobs.values.forEach { it.expensiveTypes.clear() }
-        shardState.passRequested = true
+        shardState.schedulingPassRequested = true
     }
 }
--- a/src/main/kotlin/io/reedmast/shard/ShardOwner.kt
+++ b/src/main/kotlin/io/reedmast/shard/ShardOwner.kt
@@ -117,7 +117,7 @@
         restoration.restore(live, pages, usageSummary)
         shardState.active = true
         shardState.activeAt = clock.now()
-        shardState.passRequested = true
+        shardState.schedulingPassRequested = true
         dispatcher.begin()
         log.info(
             "shard {}: acquired, token {}, {} jobs, {} machines",
@@ -186,7 +186,7 @@
 
     /** Whether the job is known to be cancelled or over, whichever shard it belongs to. */
     private fun isKnownOver(jobId: String): Boolean {
-        val live = records.jobs.live(jobId)
+        val live = records.jobs.liveJob(jobId)
         return if (live == null) records.jobs.ended[jobId] != null else live.record.isCancelled
     }
 
@@ -197,7 +197,7 @@
 
     /** Waiting may itself let work start: after a failure's pause, or once it has waited long enough to preempt. */
     private fun requestPassForPendingTasks() {
-        if (shardState.jobs.values.any { it.pendingCount > 0 }) shardState.passRequested = true
+        if (shardState.jobs.values.any { it.pendingCount > 0 }) shardState.schedulingPassRequested = true
     }
 
     /**
--- a/src/main/kotlin/io/reedmast/shard/ShardRestoration.kt
+++ b/src/main/kotlin/io/reedmast/shard/ShardRestoration.kt
@@ -59,7 +59,7 @@
         restored.forEach { gangs.onRestored(it) }
         restored.forEach { countWaitFromAcceptance(it) }
         restored.filter { it.isCancelled }.forEach { jobs.stopAll(it) }
-        shardState.changed.addAll(restored)
+        shardState.changedJobs.addAll(restored)
     }
 
     /**
--- a/src/main/kotlin/io/reedmast/shard/StoredProgressListener.kt
+++ b/src/main/kotlin/io/reedmast/shard/StoredProgressListener.kt
@@ -1,7 +1,7 @@
 package io.reedmast.shard
 
 import io.reedmast.commands.CommandDispatcher
-import io.reedmast.jobs.EndRecord
+import io.reedmast.jobs.FinalRecord
 import io.reedmast.kvstore.Keys
 import io.reedmast.kvstore.StoredItem
 import io.reedmast.model.Job
@@ -59,7 +59,7 @@
         }
     }
 
-    override fun onJobEnded(job: Job, end: EndRecord, revision: Long) {
+    override fun onJobEnded(job: Job, end: FinalRecord, revision: Long) {
         val jobId = job.spec.jobId
         log.info("job {}: {}", jobId, if (job.isCancelled) "cancellation complete" else "done")
         jobs.forget(job)
--- a/src/test/kotlin/io/reedmast/ProductionFormatTest.kt
+++ b/src/test/kotlin/io/reedmast/ProductionFormatTest.kt
@@ -2,7 +2,7 @@
 
 import io.reedmast.autoscaling.ShardUsageSummary
 import io.reedmast.cluster.MachineListPart
-import io.reedmast.jobs.EndRecord
+import io.reedmast.jobs.FinalRecord
 import io.reedmast.jobs.LiveRecord
 import io.reedmast.model.ChargedUsage
 import io.reedmast.model.Job
@@ -55,7 +55,12 @@
         )) {
             assertSameForm(name, LiveRecord.parse(record(name)).toFields())
         }
-        for (name in listOf("end-done", "end-cancelled")) assertSameForm(name, EndRecord.parse(record(name)).toFields())
+        for (name in listOf(
+            "end-done",
+            "end-cancelled",
+        )) {
+            assertSameForm(name, FinalRecord.parse(record(name)).toFields())
+        }
         assertEquals(JobShape.SERVICE, LiveRecord.parse(record("live-service")).spec.shape)
         assertEquals(JobShape.ARRAY, LiveRecord.parse(record("live-array")).spec.shape)
     }
--- a/src/test/kotlin/io/reedmast/jobs/JobIndexTest.kt
+++ b/src/test/kotlin/io/reedmast/jobs/JobIndexTest.kt
@@ -37,80 +37,80 @@
      */
     @Test
     fun `an acceptance that is resolved after a reading without the job does not bring it back`() {
-        index.load(emptyList(), 100)
+        index.applyListing(emptyList(), 100)
 
         index.applyRecord(LIVE_PATH, record(), 90)
 
-        assertNull(index.live(JOB_ID))
+        assertNull(index.liveJob(JOB_ID))
     }
 
     @Test
     fun `an acceptance that is resolved after the watch has shown the end does not bring the job back`() {
-        index.load(emptyList(), 80)
-        index.follow(listOf(accepted(90), removed(95)), 95)
+        index.applyListing(emptyList(), 80)
+        index.applyWatchEvents(listOf(accepted(90), removed(95)), 95)
 
         index.applyRecord(LIVE_PATH, record(), 90)
 
-        assertNull(index.live(JOB_ID))
+        assertNull(index.liveJob(JOB_ID))
     }
 
     @Test
     fun `an acceptance that the watch has not reached is added at once and stays until its removal`() {
-        index.load(emptyList(), 80)
+        index.applyListing(emptyList(), 80)
 
         index.applyRecord(LIVE_PATH, record(), 90)
-        assertNotNull(index.live(JOB_ID))
+        assertNotNull(index.liveJob(JOB_ID))
 
-        index.follow(emptyList(), 85)
-        index.load(emptyList(), 86)
-        assertNotNull(index.live(JOB_ID))
+        index.applyWatchEvents(emptyList(), 85)
+        index.applyListing(emptyList(), 86)
+        assertNotNull(index.liveJob(JOB_ID))
 
-        index.follow(listOf(accepted(90), removed(95)), 95)
-        assertNull(index.live(JOB_ID))
+        index.applyWatchEvents(listOf(accepted(90), removed(95)), 95)
+        assertNull(index.liveJob(JOB_ID))
     }
 
     @Test
     fun `a job that an own transaction has ended is not added when the watch shows its acceptance`() {
-        index.load(emptyList(), 80)
-        index.applyRecord(END_PATH, EndRecord(JobState.DONE, 1).toFields(), 95)
+        index.applyListing(emptyList(), 80)
+        index.applyRecord(END_PATH, FinalRecord(JobState.DONE, 1).toFields(), 95)
         index.applyRecord(LIVE_PATH, null, 95)
 
-        index.follow(listOf(accepted(90)), 92)
+        index.applyWatchEvents(listOf(accepted(90)), 92)
 
-        assertNull(index.live(JOB_ID))
+        assertNull(index.liveJob(JOB_ID))
     }
 
     /** Many thousand ends later, when that of the job is no longer remembered. */
     @Test
     fun `an own removal holds until the watch has shown it, whether the end is remembered or not`() {
-        index.load(emptyList(), 80)
+        index.applyListing(emptyList(), 80)
         index.applyRecord(LIVE_PATH, null, 95)
 
-        index.load(listOf(StoredItem(LIVE_PATH, record(), 90)), 91)
-        assertNull(index.live(JOB_ID))
+        index.applyListing(listOf(StoredItem(LIVE_PATH, record(), 90)), 91)
+        assertNull(index.liveJob(JOB_ID))
 
-        index.follow(listOf(removed(95)), 95)
-        assertNull(index.live(JOB_ID))
+        index.applyWatchEvents(listOf(removed(95)), 95)
+        assertNull(index.liveJob(JOB_ID))
     }
 
     /** The first page of a listing is older than the last one: a job that came meanwhile may be listed or not. */
     @Test
     fun `a listing whose pages are of different moments loses nothing`() {
-        index.load(listOf(StoredItem(LIVE_PATH, record(), 104)), 100)
+        index.applyListing(listOf(StoredItem(LIVE_PATH, record(), 104)), 100)
 
-        index.follow(listOf(WatchEvent("j/live/0/wk-2", record(), 102), accepted(104)), 110)
+        index.applyWatchEvents(listOf(WatchEvent("j/live/0/wk-2", record(), 102), accepted(104)), 110)
 
-        assertNotNull(index.live(JOB_ID))
+        assertNotNull(index.liveJob(JOB_ID))
     }
 
     @Test
     fun `an older record never replaces a newer one`() {
-        index.load(emptyList(), 80)
-        index.follow(listOf(accepted(90), cancelled(93)), 93)
+        index.applyListing(emptyList(), 80)
+        index.applyWatchEvents(listOf(accepted(90), cancelled(93)), 93)
 
         index.applyRecord(LIVE_PATH, record(), 90)
 
-        val job = checkNotNull(index.live(JOB_ID))
+        val job = checkNotNull(index.liveJob(JOB_ID))
         assertTrue(job.record.isCancelled)
         assertEquals(93, job.version)
     }
--- a/src/test/kotlin/io/reedmast/persistence/PageDivisionTest.kt
+++ b/src/test/kotlin/io/reedmast/persistence/PageDivisionTest.kt
@@ -1,6 +1,6 @@
 package io.reedmast.persistence
 
-import io.reedmast.jobs.EndRecord
+import io.reedmast.jobs.FinalRecord
 import io.reedmast.kvstore.CasTransaction
 import io.reedmast.kvstore.CommitOutcome
 import io.reedmast.kvstore.EffectiveLimits
@@ -62,7 +62,7 @@
 
             override fun onJobRecordChanged(path: String, item: StoredItem?) = Unit
 
-            override fun onJobEnded(job: Job, end: EndRecord, revision: Long) = Unit
+            override fun onJobEnded(job: Job, end: FinalRecord, revision: Long) = Unit
         },
     )
     private val smallSize = PageForm.chunkSizeFor(2 * 1024)
--- a/src/test/kotlin/io/reedmast/scheduling/CandidateMachinesTest.kt
+++ b/src/test/kotlin/io/reedmast/scheduling/CandidateMachinesTest.kt
@@ -25,7 +25,7 @@
 
     @Test
     fun `machines that the cloud takes back, or whose content is not known, are left out`() {
-        val noticed = heard("host-0", 9_000L).apply { noticeUntil = 20_000L }
+        val noticed = heard("host-0", 9_000L).apply { reclaimAt = 20_000L }
         val unknown = heard("host-1", 9_000L).apply { isStateKnown = false }
         val machines = listOf(noticed, unknown)
         assertEquals(emptyList<Machine>(), candidateMachines(machines, heartbeatLateMs = 4_000L, nowMs = 10_000L))
--- a/src/test/kotlin/io/reedmast/sim/Scenario.kt
+++ b/src/test/kotlin/io/reedmast/sim/Scenario.kt
@@ -411,7 +411,7 @@
             // How often a shard was taken, since the first start.
             "takings" -> assertEquals(
                 words[1].toLong(),
-                FencingToken.acquisitions(TokenCounter.tokenOf(world.store.get("c/token")?.value.orEmpty())),
+                FencingToken.acquisitionCount(TokenCounter.tokenOf(world.store.get("c/token")?.value.orEmpty())),
                 at,
             )
 
