--- a/src/main/kotlin/io/reedmast/autoscaling/DemandZones.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/DemandZones.kt
@@ -2,18 +2,18 @@
 
 import io.reedmast.model.Job
 import io.reedmast.model.ShardState
-import io.reedmast.placement.openZones
+import io.reedmast.placement.zonesAllowedByRules
 
 /** In which zones new machines for a job would be of use. One instance serves one calculation. */
 internal class DemandZones(private val shardState: ShardState) {
     private val all: Set<String> = shardState.machineTypes.flatMapTo(LinkedHashSet()) { it.zones }
 
     /** The zone in which new capacity for the job must be, if its other tasks or its user leave only one; else null. */
-    fun onlyZoneFor(job: Job): String? = openZones(job, all)?.singleOrNull() ?: zoneForGang(job)
+    fun onlyZoneFor(job: Job): String? = zonesAllowedByRules(job, all)?.singleOrNull() ?: zoneForGang(job)
 
     /** The zones in which new capacity for the job is of use, which may be none; null if nothing limits them. */
     fun allowedZonesFor(job: Job): Set<String>? {
-        val leftOpen = openZones(job, all)
+        val leftOpen = zonesAllowedByRules(job, all)
         if (leftOpen != null || !job.spec.isGang) return leftOpen
         return zoneForGang(job)?.let { setOf(it) }
     }
--- a/src/main/kotlin/io/reedmast/placement/ZoneRules.kt
+++ b/src/main/kotlin/io/reedmast/placement/ZoneRules.kt
@@ -25,13 +25,13 @@
  *
  * A machine that is provisioned in another zone stays empty, and hides that the job still waits.
  */
-fun openZones(job: Job, zones: Collection<String>): Set<String>? {
+fun zonesAllowedByRules(job: Job, zones: Collection<String>): Set<String>? {
     if (!hasZoneRules(job.spec) || job.placedCount == 0) return null
     return zones.filterTo(LinkedHashSet()) { satisfiesZoneRules(job, it) }
 }
 
 /** Whether the zones of the cloud can never hold the whole gang by its own rules, however much capacity there is. */
-fun zoneRulesNeverHold(spec: JobSpec, zones: Set<String>): Boolean {
+fun areZoneRulesUnsatisfiable(spec: JobSpec, zones: Set<String>): Boolean {
     if (!spec.isGang || !spec.spread) return false
     val usableZones = if (spec.oneZone || spec.zone != null) 1 else zones.size
     return usableZones > 0 && maxGangTasksInOneZone(spec).toLong() * usableZones < spec.taskCount
--- a/src/main/kotlin/io/reedmast/requests/AdmissionPolicy.kt
+++ b/src/main/kotlin/io/reedmast/requests/AdmissionPolicy.kt
@@ -1,6 +1,6 @@
 package io.reedmast.requests
 
-import io.reedmast.placement.zoneRulesNeverHold
+import io.reedmast.placement.areZoneRulesUnsatisfiable
 import io.reedmast.settings.Settings
 import io.reedmast.settings.TeamShare
 import io.reedmast.wire.JobShape
@@ -22,7 +22,7 @@
         return when {
             exceedsLimit(spec, settings.teams[team.value]) -> AdmissionDecision.Rejected("more than the team's limit")
             types.isEmpty() || !isReady() -> AdmissionDecision.Undecided
-            zoneRulesNeverHold(spec, zonesOf(types)) ->
+            areZoneRulesUnsatisfiable(spec, zonesOf(types)) ->
                 AdmissionDecision.Rejected("the gang's zone rules leave it no place")
             !fitsSomewhere(spec, types) -> AdmissionDecision.Rejected("a task fits no allowed machine type")
             else -> AdmissionDecision.Admitted(team)
--- a/src/main/kotlin/io/reedmast/scheduling/Scheduler.kt
+++ b/src/main/kotlin/io/reedmast/scheduling/Scheduler.kt
@@ -27,15 +27,15 @@
     private val preemptor = Preemptor(shardState, dispatcher, demandEstimator, reservations, preemptionCandidates)
 
     /** Passes made so far, for those who count work. */
-    var passes = 0L
+    var passCount = 0L
         private set
 
     /** Makes a pass if something has changed that may let waiting work start, and the last pass is long enough ago. */
-    fun passIfDue(nowMs: Long) {
+    fun runPassIfDue(nowMs: Long) {
         if (!isPassDue(nowMs)) return
         shardState.passRequested = false
         timer.recordPass(nowMs)
-        passes++
+        passCount++
         runPass(nowMs)
     }
 
--- a/src/main/kotlin/io/reedmast/shard/ShardOwner.kt
+++ b/src/main/kotlin/io/reedmast/shard/ShardOwner.kt
@@ -164,7 +164,7 @@
         if (!active || dropped) return
         val now = clock.now()
         gangs.reconcile()
-        scheduler.passIfDue(now)
+        scheduler.runPassIfDue(now)
         progressStore.flush(now)
         dispatcher.send()
     }
--- a/src/test/kotlin/io/reedmast/placement/GangPackingTest.kt
+++ b/src/test/kotlin/io/reedmast/placement/GangPackingTest.kt
@@ -71,9 +71,9 @@
 
     @Test
     fun `zone rules that leave no place`() {
-        assertTrue(zoneRulesNeverHold(gang(2, "oneZone" to "true", "spread" to "true").spec, setOf("x", "y")))
-        assertTrue(zoneRulesNeverHold(gang(3, "spread" to "true").spec, setOf("x")))
-        assertFalse(zoneRulesNeverHold(gang(3, "spread" to "true").spec, setOf("x", "y")))
-        assertFalse(zoneRulesNeverHold(gang(3, "oneZone" to "true").spec, setOf("x")))
+        assertTrue(areZoneRulesUnsatisfiable(gang(2, "oneZone" to "true", "spread" to "true").spec, setOf("x", "y")))
+        assertTrue(areZoneRulesUnsatisfiable(gang(3, "spread" to "true").spec, setOf("x")))
+        assertFalse(areZoneRulesUnsatisfiable(gang(3, "spread" to "true").spec, setOf("x", "y")))
+        assertFalse(areZoneRulesUnsatisfiable(gang(3, "oneZone" to "true").spec, setOf("x")))
     }
 }
