--- a/src/main/kotlin/io/reedmast/app/Controller.kt
+++ b/src/main/kotlin/io/reedmast/app/Controller.kt
@@ -87,7 +87,7 @@
         }
         machineTypesDue = clock.now() + MACHINE_TYPES_EVERY_MS
         machineTypes = listed.associateBy { it.label }
-        cluster.owned().forEach { it.machineTypesChanged() }
+        cluster.activeOwners().forEach { it.machineTypesChanged() }
     }
 
     /**
@@ -117,7 +117,7 @@
             }
 
             // While the shard is still being read, the answer shows the worker our token and renews its lease.
-            !owner.active -> WorkerAnswer.Commands(cluster.records[shard.value]?.record?.token ?: 0L, emptyList())
+            !owner.active -> WorkerAnswer.Commands(cluster.shardRecords[shard.value]?.record?.token ?: 0L, emptyList())
 
             else -> answerOf(owner, status)
         }
@@ -148,7 +148,7 @@
      * the load balancer has removed gets its users back only a while after the outage.
      */
     fun healthy(): Boolean =
-        cluster.ready && machineTypes.isNotEmpty() && (cluster.isCurrent() || cluster.outageForAll())
+        cluster.ready && machineTypes.isNotEmpty() && (cluster.isCurrent() || cluster.isStoreUnreachableForAll())
 
     private companion object {
         const val RUN_INTERVAL_MS = 250L
--- a/src/main/kotlin/io/reedmast/cluster/Cluster.kt
+++ b/src/main/kotlin/io/reedmast/cluster/Cluster.kt
@@ -39,7 +39,7 @@
     FleetView {
     private val log = LoggerFactory.getLogger("cluster")
 
-    override val jobs = JobIndex(settings, ::owned)
+    override val jobs = JobIndex(settings, ::activeOwners)
     override val machineDirectory = MachineDirectory()
 
     /** The owners of this controller's shards. */
@@ -100,7 +100,7 @@
     override val leaderTerm: Long? get() = membership.leaderTerm
 
     /** The shards' records as last seen; null for a shard that has never had an owner. */
-    val records: Array<StoredShardRecord?> get() = shards.records
+    val shardRecords: Array<StoredShardRecord?> get() = shards.records
 
     /** Whether requests of users can be accepted. */
     val ready: Boolean get() = staleness.loaded && rollout.isAdmitted
@@ -126,7 +126,7 @@
     /**
      * Whether the store is out for all controllers, as far as the others report: none could serve users better.
      */
-    fun outageForAll(): Boolean = peerStatuses.noneReachesStore(clock.now())
+    fun isStoreUnreachableForAll(): Boolean = peerStatuses.noneReachesStore(clock.now())
 
     override fun shardOfMachine(machineName: String): ShardId? = machines.shardOf(machineName)
 
@@ -134,7 +134,7 @@
     fun ownerOf(shard: ShardId): String? = shards.ownerOf(shard)
 
     /** The owners of this controller's shards that may still act. */
-    fun owned(): List<ShardOwner> = owners.active()
+    fun activeOwners(): List<ShardOwner> = owners.active()
 
     override fun machinesOf(shard: ShardId): Sequence<MachineRecord> = machines.machinesOf(shard)
 
@@ -183,7 +183,7 @@
         } else {
             failover.onStoreUnreachable(now)
         }
-        owned().forEach { it.runOnce() }
+        activeOwners().forEach { it.runOnce() }
     }
 
     /** Not before the gates are known: a process that must not take part renews nothing. */
@@ -198,7 +198,7 @@
     private fun releaseShards(now: Long) {
         if (!rollout.isDraining || now < releaseDueAt) return
         releaseDueAt = now + RELEASE_INTERVAL_MS
-        owned().filter { it.isSettled }.forEach { requestFailover(it.index) }
+        activeOwners().filter { it.isSettled }.forEach { requestFailover(it.index) }
     }
 
     /**
@@ -209,14 +209,14 @@
         if (!limits.isReduced) return
         if (!reducedLimitsShared) membership.shareLimits()
         reducedLimitsShared = true
-        for (owner in owned()) {
+        for (owner in activeOwners()) {
             if (owner.needsReload) failover.reload(owner.index)
             assignment.divideOversized(owner.index)
         }
     }
 
     /** Has each owner act on what has changed in its shard. */
-    fun reconcile() = owned().forEach { it.reconcile() }
+    fun reconcile() = activeOwners().forEach { it.reconcile() }
 
     override fun renewToken(shard: ShardId) = failover.renewToken(shard)
 
--- a/src/test/kotlin/io/reedmast/CountedWorkTest.kt
+++ b/src/test/kotlin/io/reedmast/CountedWorkTest.kt
@@ -66,7 +66,7 @@
 
     private fun assertPassesAtMost(world: World, limit: Int, period: String) {
         for (node in world.controllers) {
-            val passes = checkNotNull(node.process).cluster.owned().sumOf { it.scheduler.passes }
+            val passes = checkNotNull(node.process).cluster.activeOwners().sumOf { it.scheduler.passes }
             assertTrue(passes <= limit, "$passes passes in $period")
         }
     }
--- a/src/test/kotlin/io/reedmast/cluster/ShardAcquisitionTest.kt
+++ b/src/test/kotlin/io/reedmast/cluster/ShardAcquisitionTest.kt
@@ -47,7 +47,7 @@
     @Test
     fun `an acquisition that was applied makes this controller the owner`() {
         take().done(CommitOutcome.Applied(20))
-        assertEquals(listOf(0), cluster.owned().map { it.index.value })
+        assertEquals(listOf(0), cluster.activeOwners().map { it.index.value })
     }
 
     @Test
@@ -57,9 +57,9 @@
             revision = 20,
             askedAt = now,
         )
-        val owner = cluster.owned().single()
+        val owner = cluster.activeOwners().single()
         take().done(CommitOutcome.Applied(20))
-        assertEquals(owner, cluster.owned().single())
+        assertEquals(owner, cluster.activeOwners().single())
     }
 
     /** The answer is made up for after an outage of this controller alone, in which another has taken the shard. */
@@ -71,7 +71,7 @@
             askedAt = now,
         )
         take().done(CommitOutcome.Applied(20))
-        assertEquals(emptyList<Int>(), cluster.owned().map { it.index.value })
+        assertEquals(emptyList<Int>(), cluster.activeOwners().map { it.index.value })
         assertEquals("n1", cluster.ownerOf(ShardId(0)))
     }
 }
--- a/src/test/kotlin/io/reedmast/sim/RolloutRules.kt
+++ b/src/test/kotlin/io/reedmast/sim/RolloutRules.kt
@@ -94,7 +94,7 @@
     private fun checkAllRead(version: Int, next: RolloutRecord, what: String) {
         for (controller in world.controllers) {
             if (controller.label in next.excluded || !controller.up || controller.unfit != null) continue
-            val owns = controller.process?.cluster?.owned().orEmpty().isNotEmpty()
+            val owns = controller.process?.cluster?.activeOwners().orEmpty().isNotEmpty()
             if (owns && controller.readsUpTo < version) world.rules.breach("unreadable_for ${controller.label}: $what")
         }
     }
--- a/src/test/kotlin/io/reedmast/sim/Scenario.kt
+++ b/src/test/kotlin/io/reedmast/sim/Scenario.kt
@@ -132,7 +132,7 @@
     }
 
     private fun plantLostJob(jobId: String) {
-        val lost = world.controllers.mapNotNull { it.process }.flatMap { it.cluster.owned() }.any {
+        val lost = world.controllers.mapNotNull { it.process }.flatMap { it.cluster.activeOwners() }.any {
             it.shardState.jobs.remove(jobId) !=
                 null
         }
@@ -430,7 +430,7 @@
 
             "owns" -> assertEquals(
                 words[2].toInt(),
-                world.controllers.first { it.label == words[1] }.process?.cluster?.owned()?.size ?: 0,
+                world.controllers.first { it.label == words[1] }.process?.cluster?.activeOwners()?.size ?: 0,
                 at,
             )
 
