--- a/src/test/kotlin/io/reedmast/sim/Scenario.kt
+++ b/src/test/kotlin/io/reedmast/sim/Scenario.kt
@@ -17,9 +17,9 @@
 import io.reedmast.wire.MachineType
 import io.reedmast.wire.TaskId
 import io.reedmast.wire.UserAnswer
+import kotlin.random.Random
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
-import kotlin.random.Random
 
 /**
  * Plays a day in the stand-in world. A line is `at SECONDS VERB ARGUMENTS`, in order of time; before them `controllers N`,
@@ -132,7 +132,7 @@
     }
 
     private fun plantLostJob(jobId: String) {
-        val lost = world.controllers.mapNotNull { it.process }.flatMap { it.cluster.owned() }.any {
+        val lost = world.controllers.mapNotNull { it.process }.flatMap { it.cluster.activeOwners() }.any {
             it.shardState.jobs.remove(jobId) !=
                 null
         }
@@ -430,7 +430,7 @@
 
             "owns" -> assertEquals(
                 words[2].toInt(),
-                world.controllers.first { it.label == words[1] }.process?.cluster?.owned()?.size ?: 0,
+                world.controllers.first { it.label == words[1] }.process?.cluster?.activeOwners()?.size ?: 0,
                 at,
             )
 
