--- a/src/main/kotlin/io/reedmast/cluster/ContestedMachineLog.kt
+++ b/src/main/kotlin/io/reedmast/cluster/ContestedMachineLog.kt
@@ -28,7 +28,7 @@
 
     /** The revisions of the shard's records that name the machine. */
     private fun versionsOf(machineName: String, shard: ShardId): List<Long> =
-        machines.partsOf(shard).values.filter { it.part.holds(machineName) }.map { it.version }
+        machines.partsOf(shard).values.filter { it.part.contains(machineName) }.map { it.version }
 
     private companion object {
         const val MAX_REMEMBERED = 1_000L
--- a/src/main/kotlin/io/reedmast/cluster/ContestedMachineRelease.kt
+++ b/src/main/kotlin/io/reedmast/cluster/ContestedMachineRelease.kt
@@ -22,9 +22,9 @@
     /** Releases those of [machineNames] that share a record of [shard] and one of another; others follow later. */
     fun release(shard: ShardId, machineNames: Collection<String>, entitlement: Precondition) {
         for ((index, stored) in machines.partsOf(shard)) {
-            val candidates = machineNames.filter { stored.part.holds(it) }
+            val candidates = machineNames.filter { stored.part.contains(it) }
             val other = candidates.firstNotNullOfOrNull { otherRecordOf(it, shard) } ?: continue
-            val released = candidates.filterTo(HashSet()) { other.stored.part.holds(it) }
+            val released = candidates.filterTo(HashSet()) { other.stored.part.contains(it) }
             val change = MachineListChange(
                 shard,
                 index,
@@ -48,7 +48,7 @@
 
     private fun otherRecordOf(machineName: String, shard: ShardId): OtherRecord? =
         machines.recordedShards.of(machineName).filter { it != shard }.firstNotNullOfOrNull { other ->
-            machines.partsOf(other).entries.firstOrNull { it.value.part.holds(machineName) }
+            machines.partsOf(other).entries.firstOrNull { it.value.part.contains(machineName) }
                 ?.let { OtherRecord(other, it.key, it.value) }
         }
 }
--- a/src/main/kotlin/io/reedmast/cluster/MachineAssignment.kt
+++ b/src/main/kotlin/io/reedmast/cluster/MachineAssignment.kt
@@ -65,7 +65,7 @@
         val leadership = leadership()
         val owner = shards.records[shard.value]
         val extended = machines.partWithRoomFor(records, shard)
-        val added = records.mapTo(HashSet()) { it.name }.apply { retainAll { extended.part.holds(it) } }
+        val added = records.mapTo(HashSet()) { it.name }.apply { retainAll { extended.part.contains(it) } }
         if (leadership == null || owner == null || added.isEmpty()) {
             onDone(AddMachinesResult.NotSent)
             return
--- a/src/main/kotlin/io/reedmast/cluster/MachineListPart.kt
+++ b/src/main/kotlin/io/reedmast/cluster/MachineListPart.kt
@@ -55,15 +55,15 @@
     )
 
     /** With the first of [added]; their number is halved until the whole fits into a value of [valueBytes]. */
-    fun with(added: List<MachineRecord>, valueBytes: Int): MachineListPart {
-        val new = added.filter { record -> !holds(record.name) }
+    fun withMachinesThatFit(added: List<MachineRecord>, valueBytes: Int): MachineListPart {
+        val new = added.filter { record -> !contains(record.name) }
         var count = new.size
         while (count > 0 && !copy(records = records + new.take(count)).fits(valueBytes)) count /= 2
         return copy(records = records + new.take(count))
     }
 
     /** Whether it names this machine. */
-    fun holds(name: String): Boolean = records.any { it.name == name }
+    fun contains(name: String): Boolean = records.any { it.name == name }
 
     companion object {
         /** How full a value is made with machines: the marks of transfers need room too. */
--- a/src/main/kotlin/io/reedmast/cluster/MachineTable.kt
+++ b/src/main/kotlin/io/reedmast/cluster/MachineTable.kt
@@ -99,7 +99,7 @@
     fun partWithRoomFor(added: List<MachineRecord>, shard: ShardId): ExtendedMachineListPart {
         val valueBytes = limits.target.valueBytes
         for ((index, stored) in partsByShard[shard.value]) {
-            val extended = stored.part.with(added, valueBytes)
+            val extended = stored.part.withMachinesThatFit(added, valueBytes)
             if (extended.records.size > stored.part.records.size) {
                 return ExtendedMachineListPart(index, stored, extended)
             }
@@ -108,7 +108,7 @@
         return ExtendedMachineListPart(
             newIndex,
             MachineListPart.NOT_STORED,
-            MachineListPart.EMPTY.with(added, valueBytes),
+            MachineListPart.EMPTY.withMachinesThatFit(added, valueBytes),
         )
     }
 }
--- a/src/main/kotlin/io/reedmast/cluster/MachineTransfer.kt
+++ b/src/main/kotlin/io/reedmast/cluster/MachineTransfer.kt
@@ -71,7 +71,7 @@
         val targetOwner = shards.records.getOrNull(targetShard.value) ?: return
         val moving = movable(source, targetShard, machineNames)
         val destination = Destination(targetShard, targetOwner, machines.partWithRoomFor(moving, targetShard))
-        val moved = moving.map { it.name }.filterTo(HashSet()) { destination.extended.part.holds(it) }
+        val moved = moving.map { it.name }.filterTo(HashSet()) { destination.extended.part.contains(it) }
         val transfer = Transfer(source, destination, moved)
         if (moved.isNotEmpty() && writer.isStorable(transfer.remaining)) commit(transfer)
     }
--- a/src/main/kotlin/io/reedmast/cluster/OversizedMachineLists.kt
+++ b/src/main/kotlin/io/reedmast/cluster/OversizedMachineLists.kt
@@ -46,7 +46,7 @@
 
     /** As many of the machines as fit into one record, with their marks of transfers. */
     private fun firstMachinesOf(remaining: MachineListPart, valueBytes: Int): MachineListPart {
-        val part = MachineListPart.EMPTY.with(remaining.records, valueBytes)
-        return part.copy(transfers = remaining.transfers.filterKeys { part.holds(it) })
+        val part = MachineListPart.EMPTY.withMachinesThatFit(remaining.records, valueBytes)
+        return part.copy(transfers = remaining.transfers.filterKeys { part.contains(it) })
     }
 }
--- a/src/main/kotlin/io/reedmast/cluster/PeerStatuses.kt
+++ b/src/main/kotlin/io/reedmast/cluster/PeerStatuses.kt
@@ -63,7 +63,7 @@
 
     /** Whether the reporting process was running at [time] whatever the drift of the two clocks. */
     private fun wasRunningAt(time: Long?, report: PeerMessage.ControllerStatusReport, now: Long): Boolean {
-        val latestStart = now - (report.uptimeMs * (1 - CLOCK_DRIFT)).toLong()
+        val latestStart = now - (report.uptimeMs * (1 - MAX_CLOCK_DRIFT_RATIO)).toLong()
         return time != null && latestStart < time
     }
 
--- a/src/main/kotlin/io/reedmast/cluster/WatchStaleness.kt
+++ b/src/main/kotlin/io/reedmast/cluster/WatchStaleness.kt
@@ -27,7 +27,7 @@
      * whatever the cancellation was.
      */
     private val selfFenceMs = (
-        maxOf((rules.cancelS - rules.leaseS) * (1 - CLOCK_DRIFT) - SELF_FENCE_SLACK_S, MIN_SELF_FENCE_S) *
+        maxOf((rules.cancelS - rules.leaseS) * (1 - MAX_CLOCK_DRIFT_RATIO) - SELF_FENCE_SLACK_S, MIN_SELF_FENCE_S) *
             MS_PER_S
         ).toLong()
 
--- a/src/test/kotlin/io/reedmast/CountedWorkTest.kt
+++ b/src/test/kotlin/io/reedmast/CountedWorkTest.kt
@@ -163,11 +163,11 @@
     fun `a shard's machines are spread over records below the limit`() {
         val records = (0 until 200).map { MachineRecord("host-%06d".format(it), "m", "x", it % 2 == 0) }
 
-        val first = MachineListPart.EMPTY.with(records, 1024)
+        val first = MachineListPart.EMPTY.withMachinesThatFit(records, 1024)
 
         val isBelowLimit = BodyCodec.jsonSize(first.toFields()) <= 1024
         assertTrue(isBelowLimit && first.records.size in 20..199, "${first.records.size} machines")
-        assertEquals(first, first.with(records.take(10), 1024))
+        assertEquals(first, first.withMachinesThatFit(records.take(10), 1024))
         val read = MachineListPart.parse(BodyCodec.readCbor(BodyCodec.writeCbor(first.toFields())))
         assertEquals(first, read.copy(records = first.records))
     }
--- a/src/test/kotlin/io/reedmast/sim/SimStore.kt
+++ b/src/test/kotlin/io/reedmast/sim/SimStore.kt
@@ -183,7 +183,7 @@
     /** The shards whose records name the machine. */
     fun shardsOf(machineName: String): List<Int> = entries.tailMap(Keys.MACHINES).entries
         .takeWhile { it.key.startsWith(Keys.MACHINES) }
-        .filter { "form" !in it.value.value && MachineListPart.parse(it.value.value).holds(machineName) }
+        .filter { "form" !in it.value.value && MachineListPart.parse(it.value.value).contains(machineName) }
         .map { it.key.removePrefix(Keys.MACHINES).substringBefore('/').toInt() }
         .distinct()
 
@@ -195,7 +195,7 @@
             } ?: return
         val path = Keys.machineList(shard, 0)
         val held = entries[path]?.let { MachineListPart.parse(it.value) } ?: MachineListPart.EMPTY
-        if (held.holds(machineName)) return
+        if (held.contains(machineName)) return
         planted.add(machineName)
         replace(path, held.copy(records = held.records + from).toFields())
     }
