--- a/src/main/kotlin/io/reedmast/persistence/ConflictHandler.kt
+++ b/src/main/kotlin/io/reedmast/persistence/ConflictHandler.kt
@@ -34,8 +34,8 @@
     }
 
     private fun reportTermAndGates(failedPaths: Set<String>) {
-        if (Keys.shard(shard) in failedPaths) listener.onTermInDoubt()
-        if (Keys.ROLLOUT in failedPaths) listener.onGatesInDoubt()
+        if (Keys.shard(shard) in failedPaths) listener.onTermConflict()
+        if (Keys.ROLLOUT in failedPaths) listener.onGatesConflict()
     }
 
     private fun withdrawAndReadJobs(failedPaths: Set<String>, written: List<Placement>) {
--- a/src/main/kotlin/io/reedmast/persistence/PageCommitter.kt
+++ b/src/main/kotlin/io/reedmast/persistence/PageCommitter.kt
@@ -29,7 +29,7 @@
         page: ProgressPage,
         priority: WritePriority,
         jobPreconditions: List<Precondition>,
-        valueIn: (PageForm) -> Fields,
+        valueIn: (PageFormat) -> Fields,
         onOutcome: (CommitOutcome) -> Unit,
     ) {
         page.isWriteInFlight = true
--- a/src/main/kotlin/io/reedmast/persistence/PageForm.kt
+++ b/src/main/kotlin/io/reedmast/persistence/PageFormat.kt
@@ -10,12 +10,12 @@
  *
  * Sizes are in bytes, as the store counts them: see [io.reedmast.wire.BodyCodec.jsonSize].
  */
-enum class PageForm(private val bytesPerChunk: Int, private val bytesPerPlacement: Int) {
+enum class PageFormat(private val bytesPerChunk: Int, private val bytesPerPlacement: Int) {
     /** Chunks do not say how many tasks they cover: it is the chunk size in the job's record. */
-    UNSIZED(bytesPerChunk = 64, bytesPerPlacement = 48),
+    PLAIN_UNSIZED(bytesPerChunk = 64, bytesPerPlacement = 48),
 
-    /** As [UNSIZED], and each chunk has its size. */
-    SIZED(bytesPerChunk = 64, bytesPerPlacement = 48),
+    /** As [PLAIN_UNSIZED], and each chunk has its size. */
+    PLAIN_SIZED(bytesPerChunk = 64, bytesPerPlacement = 48),
 
     /** See [DensePages]. */
     DENSE(bytesPerChunk = 28, bytesPerPlacement = 38),
@@ -29,7 +29,7 @@
 
     /** A page with [chunks] as it is stored in this form. */
     fun toFields(chunks: List<StoredChunk>): Fields = when (this) {
-        UNSIZED, SIZED -> PlainPages.toFields(chunks)
+        PLAIN_UNSIZED, PLAIN_SIZED -> PlainPages.toFields(chunks)
         DENSE -> DensePages.toFields(chunks)
     }
 
@@ -45,10 +45,10 @@
         private const val BYTES_PER_RESULT = 1
 
         /** The form to write; [isSizeKnown]: every controller reads chunks that say how many tasks they cover. */
-        fun toWrite(gates: GateSnapshot, isSizeKnown: Boolean): PageForm = when {
+        fun toWrite(gates: GateSnapshot, isSizeKnown: Boolean): PageFormat = when {
             gates.writes(DensePages.FEATURE) -> DENSE
-            isSizeKnown -> SIZED
-            else -> UNSIZED
+            isSizeKnown -> PLAIN_SIZED
+            else -> PLAIN_UNSIZED
         }
 
         /**
@@ -66,12 +66,12 @@
          * Whether a version that divides pages for reduced limits has stored the page. Throws [MalformedException] if
          * the page is malformed.
          */
-        fun isSized(page: Fields): Boolean = DensePages.isDense(page) || PlainPages.isSized(page)
+        fun hasChunkSizes(page: Fields): Boolean = DensePages.isDense(page) || PlainPages.hasChunkSizes(page)
 
         /** The most tasks that a chunk may have so that two of them fit a value of [valueBytes] in any form. */
         fun chunkSizeFor(valueBytes: Int): Int {
-            val bytesForTasks = valueBytes / CHUNKS_PER_VALUE - OVERHEADS_PER_CHUNK * SIZED.bytesPerChunk
-            return maxOf(1, bytesForTasks / (SIZED.bytesPerPlacement + BYTES_PER_RESULT))
+            val bytesForTasks = valueBytes / CHUNKS_PER_VALUE - OVERHEADS_PER_CHUNK * PLAIN_SIZED.bytesPerChunk
+            return maxOf(1, bytesForTasks / (PLAIN_SIZED.bytesPerPlacement + BYTES_PER_RESULT))
         }
     }
 }
--- a/src/main/kotlin/io/reedmast/persistence/PageReader.kt
+++ b/src/main/kotlin/io/reedmast/persistence/PageReader.kt
@@ -47,7 +47,7 @@
     }
 
     private fun chunksOf(item: StoredItem): List<StoredChunk> = try {
-        PageForm.chunksOf(item.value) { onUnreadable(item.path, it) }.filter { isOfUnfinishedJob(it, item.path) }
+        PageFormat.chunksOf(item.value) { onUnreadable(item.path, it) }.filter { isOfUnfinishedJob(it, item.path) }
     } catch (e: MalformedException) {
         onUnreadable(item.path, e)
         emptyList()
@@ -69,7 +69,7 @@
     /** Whether a dense page that is to be stored plainly holds more than that form can. */
     private fun isOverfull(page: ProgressPage, chunks: List<StoredChunk>): Boolean {
         if (!page.isStoredDense || pages.isWrittenDense()) return false
-        return chunks.sumOf { PageForm.SIZED.reserveFor(jobOf(it).chunkOf(it.first)) } > pages.capacityBytes
+        return chunks.sumOf { PageFormat.PLAIN_SIZED.reserveFor(jobOf(it).chunkOf(it.first)) } > pages.capacityBytes
     }
 
     private fun jobOf(stored: StoredChunk): Job = shardState.jobs.getValue(stored.jobId)
--- a/src/main/kotlin/io/reedmast/persistence/PlainPages.kt
+++ b/src/main/kotlin/io/reedmast/persistence/PlainPages.kt
@@ -19,5 +19,5 @@
         page.maps(CHUNKS).parseChunks(onMalformed) { StoredChunk.parse(it) }
 
     /** Whether some chunk of a plain page says how many tasks it covers. */
-    fun isSized(page: Fields): Boolean = page.maps(CHUNKS).any { StoredChunk.hasSize(it) }
+    fun hasChunkSizes(page: Fields): Boolean = page.maps(CHUNKS).any { StoredChunk.hasSize(it) }
 }
--- a/src/main/kotlin/io/reedmast/persistence/ProgressListener.kt
+++ b/src/main/kotlin/io/reedmast/persistence/ProgressListener.kt
@@ -11,10 +11,10 @@
     fun onPlacementStored(placement: Placement)
 
     /** The precondition on the shard's record did not hold: another controller may own the shard under a newer term. */
-    fun onTermInDoubt()
+    fun onTermConflict()
 
     /** The precondition on the rollout's record did not hold: a gate has moved. */
-    fun onGatesInDoubt()
+    fun onGatesConflict()
 
     /**
      * The record of an unfinished job was read again, since a precondition on it did not hold.
--- a/src/main/kotlin/io/reedmast/persistence/ProgressPage.kt
+++ b/src/main/kotlin/io/reedmast/persistence/ProgressPage.kt
@@ -27,7 +27,7 @@
 
     /** What is written to the page. */
     val chunks = LinkedHashSet<Chunk>()
-    private val reservedBytes = EnumMap<PageForm, Int>(PageForm::class.java)
+    private val reservedBytes = EnumMap<PageFormat, Int>(PageFormat::class.java)
 
     /** Whether the store holds it in the dense form. */
     var isStoredDense = false
@@ -62,44 +62,44 @@
     }
 
     /** The store holds the page in [form], as version [revision]. */
-    fun recordStored(revision: Long, form: PageForm) {
+    fun recordStored(revision: Long, form: PageFormat) {
         version = revision
-        isStoredDense = form == PageForm.DENSE
+        isStoredDense = form == PageFormat.DENSE
     }
 
     /** The bytes that its chunks may come to take in [form]. */
-    fun reservedIn(form: PageForm): Int = reservedBytes[form] ?: 0
+    fun reservedIn(form: PageFormat): Int = reservedBytes[form] ?: 0
 
     /** Whether [chunk] may be added to a page that is to stay within [capacityBytes] in [form]. */
-    fun hasRoom(chunk: Chunk, capacityBytes: Int, form: PageForm) =
+    fun hasRoom(chunk: Chunk, capacityBytes: Int, form: PageFormat) =
         supersededChunks.isEmpty() && reservedIn(form) + form.reserveFor(chunk) <= capacityBytes
 
     /** Assigns [chunk] to this page and sets aside room for all its tasks. */
     fun add(chunk: Chunk) {
         chunk.page = this
         if (!chunks.add(chunk)) return
-        for (form in PageForm.entries) reservedBytes[form] = reservedIn(form) + form.reserveFor(chunk)
+        for (form in PageFormat.entries) reservedBytes[form] = reservedIn(form) + form.reserveFor(chunk)
     }
 
     override fun remove(chunk: Chunk) {
         if (!chunks.remove(chunk)) return
-        for (form in PageForm.entries) reservedBytes[form] = reservedIn(form) - form.reserveFor(chunk)
+        for (form in PageFormat.entries) reservedBytes[form] = reservedIn(form) - form.reserveFor(chunk)
     }
 
     /**
      * Its value in [form], without the [excluded] placements. A chunk that supersedes an older copy is stored even if
      * it is empty, or the older copy would seem to hold.
      */
-    fun toFields(excluded: Set<Placement>, form: PageForm): Fields =
+    fun toFields(excluded: Set<Placement>, form: PageFormat): Fields =
         form.toFields(chunks.filter { hasContent(it) }.map { toStored(it, excluded, form) })
 
     private fun hasContent(chunk: Chunk) =
         chunk.placements.isNotEmpty() || !chunk.done.isEmpty || chunk.supersededCopies > 0
 
-    private fun toStored(chunk: Chunk, excluded: Set<Placement>, form: PageForm) = StoredChunk(
+    private fun toStored(chunk: Chunk, excluded: Set<Placement>, form: PageFormat) = StoredChunk(
         chunk.job.spec.jobId,
         chunk.first,
-        chunk.size.takeIf { form != PageForm.UNSIZED },
+        chunk.size.takeIf { form != PageFormat.PLAIN_UNSIZED },
         chunk.done,
         chunk.placements.values.filter {
             it !in excluded
--- a/src/main/kotlin/io/reedmast/persistence/ProgressPages.kt
+++ b/src/main/kotlin/io/reedmast/persistence/ProgressPages.kt
@@ -29,10 +29,10 @@
 
     private val isUndivided: Boolean
         get() = !isDividedForReduced && shardState.limits.isReduced &&
-            pages.any { it.reservedIn(PageForm.SIZED) > capacityBytes || hasTooLargeChunk(it) }
+            pages.any { it.reservedIn(PageFormat.PLAIN_SIZED) > capacityBytes || hasTooLargeChunk(it) }
 
     private fun hasTooLargeChunk(page: ProgressPage): Boolean {
-        val maxChunkSize = PageForm.chunkSizeFor(shardState.limits.target.valueBytes)
+        val maxChunkSize = PageFormat.chunkSizeFor(shardState.limits.target.valueBytes)
         return page.chunks.any { it.size > maxChunkSize }
     }
 
@@ -41,10 +41,10 @@
      * several pages.
      */
     fun isOverfull(page: ProgressPage): Boolean =
-        page.isStoredDense && page.reservedIn(PageForm.SIZED) > capacityBytes && !isWrittenDense()
+        page.isStoredDense && page.reservedIn(PageFormat.PLAIN_SIZED) > capacityBytes && !isWrittenDense()
 
     /** The form in which pages are written while the gates stand like this. */
-    fun formToWrite(gates: GateSnapshot): PageForm = PageForm.toWrite(gates, shardState.limits.isReduced)
+    fun formToWrite(gates: GateSnapshot): PageFormat = PageFormat.toWrite(gates, shardState.limits.isReduced)
 
     /** Whether the rollout has pages written in the dense form now. */
     fun isWrittenDense(): Boolean = shardState.gates().writes(DensePages.FEATURE)
--- a/src/main/kotlin/io/reedmast/persistence/ProgressStore.kt
+++ b/src/main/kotlin/io/reedmast/persistence/ProgressStore.kt
@@ -29,8 +29,8 @@
     val needsReload: Boolean get() = pages.needsReload
 
     /** Whether all that was decided is stored, and nothing is on its way to be. */
-    val isSettled: Boolean
-        get() = finalRecords.isSettled &&
+    val isFullyStored: Boolean
+        get() = finalRecords.isFullyStored &&
             pages.all.none { it.isWriteInFlight || it.pendingWrite != PendingWrite.RESULTS }
 
     /**
--- a/src/main/kotlin/io/reedmast/requests/JobRequestHandler.kt
+++ b/src/main/kotlin/io/reedmast/requests/JobRequestHandler.kt
@@ -10,7 +10,7 @@
 import io.reedmast.kvstore.Precondition
 import io.reedmast.kvstore.Write
 import io.reedmast.kvstore.WritePriority
-import io.reedmast.persistence.PageForm
+import io.reedmast.persistence.PageFormat
 import io.reedmast.ports.Clock
 import io.reedmast.ports.KeyValueStore
 import io.reedmast.settings.Settings
@@ -120,7 +120,7 @@
     }
 
     private fun newRecord(spec: JobSpec): Fields {
-        val chunkSize = PageForm.chunkSizeFor(limits.target.valueBytes)
+        val chunkSize = PageFormat.chunkSizeFor(limits.target.valueBytes)
         return LiveRecord(spec, chunkSize, clock.wall(), isCancelled = false).toFields()
     }
 
--- a/src/main/kotlin/io/reedmast/shard/ShardJobs.kt
+++ b/src/main/kotlin/io/reedmast/shard/ShardJobs.kt
@@ -6,7 +6,7 @@
 import io.reedmast.model.Job
 import io.reedmast.model.ShardState
 import io.reedmast.model.StopReason
-import io.reedmast.persistence.PageForm
+import io.reedmast.persistence.PageFormat
 import org.slf4j.LoggerFactory
 
 /**
@@ -75,7 +75,7 @@
     private fun chunkSizeOf(record: LiveRecord): Int {
         val limits = shardState.limits
         if (!limits.isReduced) return record.chunkSize
-        return minOf(record.chunkSize, PageForm.chunkSizeFor(limits.target.valueBytes))
+        return minOf(record.chunkSize, PageFormat.chunkSizeFor(limits.target.valueBytes))
     }
 
     /** Drops a job that is over. */
--- a/src/main/kotlin/io/reedmast/shard/ShardRestoration.kt
+++ b/src/main/kotlin/io/reedmast/shard/ShardRestoration.kt
@@ -7,7 +7,7 @@
 import io.reedmast.model.Job
 import io.reedmast.model.Placement
 import io.reedmast.model.ShardState
-import io.reedmast.persistence.PageForm
+import io.reedmast.persistence.PageFormat
 import io.reedmast.persistence.ProgressStore
 import io.reedmast.wire.MalformedException
 
@@ -37,7 +37,7 @@
      * reads such pages stores them.
      */
     private fun isSized(page: StoredItem): Boolean = try {
-        PageForm.isSized(page.value)
+        PageFormat.hasChunkSizes(page.value)
     } catch (ignored: MalformedException) {
         // Reported where the page's content is read.
         false
--- a/src/main/kotlin/io/reedmast/shard/StoredProgressListener.kt
+++ b/src/main/kotlin/io/reedmast/shard/StoredProgressListener.kt
@@ -47,9 +47,9 @@
         }
     }
 
-    override fun onTermInDoubt() = records.refresh(shard)
+    override fun onTermConflict() = records.refresh(shard)
 
-    override fun onGatesInDoubt() = records.rollout.refreshGates()
+    override fun onGatesConflict() = records.rollout.refreshGates()
 
     override fun onJobRecordChanged(path: String, item: StoredItem?) {
         if (item == null) {
--- a/src/test/kotlin/io/reedmast/ProductionFormatTest.kt
+++ b/src/test/kotlin/io/reedmast/ProductionFormatTest.kt
@@ -11,7 +11,7 @@
 import io.reedmast.model.Placement
 import io.reedmast.model.ShardRecord
 import io.reedmast.peers.PeerCodec
-import io.reedmast.persistence.PageForm
+import io.reedmast.persistence.PageFormat
 import io.reedmast.persistence.ProgressPage
 import io.reedmast.persistence.StoredChunk
 import io.reedmast.settings.ShardId
@@ -99,8 +99,8 @@
             }
             page.add(job.chunkOf(read.first))
         }
-        assertSameForm("page", page.toFields(emptySet(), PageForm.UNSIZED))
-        assertFalse(PageForm.isSized(record("page")))
+        assertSameForm("page", page.toFields(emptySet(), PageFormat.PLAIN_UNSIZED))
+        assertFalse(PageFormat.hasChunkSizes(record("page")))
     }
 
     @Test
--- a/src/test/kotlin/io/reedmast/persistence/DensePagesProperties.kt
+++ b/src/test/kotlin/io/reedmast/persistence/DensePagesProperties.kt
@@ -28,9 +28,9 @@
     /** As it comes back from the store. */
     private fun stored(fields: Fields): Fields = BodyCodec.readCbor(BodyCodec.writeCbor(fields))
 
-    private fun plain(chunks: List<StoredChunk>): Fields = stored(PageForm.SIZED.toFields(chunks))
+    private fun plain(chunks: List<StoredChunk>): Fields = stored(PageFormat.PLAIN_SIZED.toFields(chunks))
 
-    private fun read(page: Fields) = PageForm.chunksOf(page) { throw it }
+    private fun read(page: Fields) = PageFormat.chunksOf(page) { throw it }
 
     @Provide
     fun chunks(): Arbitrary<List<StoredChunk>> = chunk().list().ofMaxSize(8)
@@ -111,7 +111,7 @@
     fun `a full page fits its value`(
         @ForAll("taskCounts") taskCounts: List<Int>,
         @ForAll("attempts") attempts: Long,
-        @ForAll("forms") form: PageForm,
+        @ForAll("forms") form: PageFormat,
     ) {
         val page = ProgressPage(0)
         var machineCount = 0
@@ -120,11 +120,11 @@
                 Job(
                     World.spec("wk-%06d".format(index), mapOf("tasks" to "$taskCount")),
                     TeamId(0),
-                    PageForm.chunkSizeFor(VALUE_BYTES),
+                    PageFormat.chunkSizeFor(VALUE_BYTES),
                     0L,
                     1L,
                 )
-            for (first in 0 until taskCount step PageForm.chunkSizeFor(VALUE_BYTES)) {
+            for (first in 0 until taskCount step PageFormat.chunkSizeFor(VALUE_BYTES)) {
                 val chunk = job.chunkOf(first)
                 if (!page.hasRoom(chunk, VALUE_BYTES * 95 / 100, form)) continue
                 page.add(chunk)
@@ -164,7 +164,7 @@
     fun attempts(): Arbitrary<Long> = Arbitraries.longs().between(1, 1L shl 40)
 
     @Provide
-    fun forms(): Arbitrary<PageForm> = Arbitraries.of(PageForm.entries)
+    fun forms(): Arbitrary<PageFormat> = Arbitraries.of(PageFormat.entries)
 
     private companion object {
         const val VALUE_BYTES = 2 * 1024
--- a/src/test/kotlin/io/reedmast/persistence/PageDivisionTest.kt
+++ b/src/test/kotlin/io/reedmast/persistence/PageDivisionTest.kt
@@ -56,16 +56,16 @@
                 launchable.add(placement)
             }
 
-            override fun onTermInDoubt() = Unit
+            override fun onTermConflict() = Unit
 
-            override fun onGatesInDoubt() = Unit
+            override fun onGatesConflict() = Unit
 
             override fun onJobRecordChanged(path: String, item: StoredItem?) = Unit
 
             override fun onJobEnded(job: Job, end: EndRecord, revision: Long) = Unit
         },
     )
-    private val smallSize = PageForm.chunkSizeFor(2 * 1024)
+    private val smallSize = PageFormat.chunkSizeFor(2 * 1024)
     private val job = Job(World.spec("wk-1", mapOf("tasks" to "100")), TeamId(0), smallSize, 0L, 1L).also {
         shardState.jobs["wk-1"] =
             it
@@ -131,7 +131,7 @@
         assertFalse(job.chunkOf(0).isStored)
         first.forEach { it.done(CommitOutcome.Applied(11L)) }
         val cleared = flush().single { putOf(it).path == Keys.page(0, 0) }
-        assertEquals(PageForm.SIZED.toFields(emptyList()), putOf(cleared).value)
+        assertEquals(PageFormat.PLAIN_SIZED.toFields(emptyList()), putOf(cleared).value)
         assertTrue(cleared.preconditions.any { it.path == Keys.page(0, 0) && it.version == 5L })
         cleared.done(CommitOutcome.Applied(12L))
         assertTrue(job.chunkOf(0).isStored && job.chunkOf(40).isStored)
--- a/src/test/kotlin/io/reedmast/sim/SimStore.kt
+++ b/src/test/kotlin/io/reedmast/sim/SimStore.kt
@@ -7,7 +7,7 @@
 import io.reedmast.kvstore.StoredItem
 import io.reedmast.kvstore.WatchEvent
 import io.reedmast.kvstore.Write
-import io.reedmast.persistence.PageForm
+import io.reedmast.persistence.PageFormat
 import io.reedmast.settings.StoreLimits
 import io.reedmast.wire.BodyCodec
 import io.reedmast.wire.Fields
@@ -171,7 +171,7 @@
 
     private fun recordPage(path: String, value: Fields) {
         if (!path.startsWith("page/")) return
-        placed[path] = PageForm.chunksOf(value) { throw it }
+        placed[path] = PageFormat.chunksOf(value) { throw it }
             .flatMapTo(HashSet()) { chunk ->
                 chunk.placements.map { Triple(TaskId(chunk.jobId, it.task), it.attempt, it.machineName) }
             }
