--- a/src/test/kotlin/io/reedmast/ProductionFormatTest.kt
+++ b/src/test/kotlin/io/reedmast/ProductionFormatTest.kt
@@ -11,7 +11,7 @@
 import io.reedmast.model.Placement
 import io.reedmast.model.ShardRecord
 import io.reedmast.peers.PeerCodec
-import io.reedmast.persistence.PageForm
+import io.reedmast.persistence.PageFormat
 import io.reedmast.persistence.ProgressPage
 import io.reedmast.persistence.StoredChunk
 import io.reedmast.settings.ShardId
@@ -22,13 +22,13 @@
 import io.reedmast.wire.map
 import io.reedmast.wire.maps
 import io.reedmast.wire.text
+import java.nio.file.Files
+import java.nio.file.Path
 import okio.Buffer
 import okio.ByteString.Companion.decodeHex
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Test
-import java.nio.file.Files
-import java.nio.file.Path
 
 /**
  * Records and frames that the version in production wrote (`writtenBy` in the file names its commit) are read as it
@@ -104,8 +104,8 @@
             }
             page.add(job.chunkOf(read.first))
         }
-        assertSameForm("page", page.toFields(emptySet(), PageForm.UNSIZED))
-        assertFalse(PageForm.isSized(record("page")))
+        assertSameForm("page", page.toFields(emptySet(), PageFormat.PLAIN_UNSIZED))
+        assertFalse(PageFormat.hasChunkSizes(record("page")))
     }
 
     @Test
