--- a/src/main/kotlin/io/reedmast/jobs/EndedJobs.kt
+++ b/src/main/kotlin/io/reedmast/jobs/EndedJobs.kt
@@ -3,39 +3,46 @@
 import com.github.benmanes.caffeine.cache.Caffeine
 
 /**
- * The jobs that this controller knows to be over.
+ * The jobs that this controller knows to have ended.
  *
- * A job is here for one of two reasons. Its final state is known: it never changes again, so it is kept as long as
- * there is room, and read from the store anew after that. Or this controller has removed the job's live record by a
- * transaction of its own, and the watch has not shown the removal yet: that is kept for as long, however many other
- * jobs end meanwhile, since the watch may still show the record as it was before.
+ * A job is kept here for one of two reasons:
+ *
+ * - Its final record is known. That never changes, so it stays cached as long as there is room; once evicted, it is
+ *   read from the store again.
+ * - A transaction of this controller has removed the job's live record, and the watch has not delivered the removal
+ *   yet. Until it does, the watch may still deliver the earlier live record, so the removal is kept until then, however
+ *   many other jobs end meanwhile.
  */
 class EndedJobs {
-    private val ends = Caffeine.newBuilder().maximumSize(MAX_ENDS).executor(Runnable::run).build<String, FinalRecord>()
+    private val finalRecords = Caffeine.newBuilder()
+        .maximumSize(MAX_FINAL_RECORDS)
+        .executor(Runnable::run)
+        .build<String, FinalRecord>()
 
-    /** Revisions at which live records were removed here, by job, as long as the watch has not shown as much. */
-    private val removedHere = HashMap<String, Long>()
+    /** Revisions at which this controller removed live records, by job, until the watch has reached them. */
+    private val ownRemovals = HashMap<String, Long>()
 
-    /** The job's final state; null if it is not over, or its end is not known here any more. */
-    operator fun get(jobId: String): FinalRecord? = ends.getIfPresent(jobId)
+    /** The job's final record; null if the job has not ended, or its final record is not cached any more. */
+    operator fun get(jobId: String): FinalRecord? = finalRecords.getIfPresent(jobId)
 
-    /** Records a final state that the store holds. */
-    fun record(jobId: String, end: FinalRecord) = ends.put(jobId, end)
+    /** Caches a final record that the store holds. */
+    fun record(jobId: String, end: FinalRecord) = finalRecords.put(jobId, end)
 
-    /** A transaction of this controller has removed the live record at [revision], which the watch has not shown. */
+    /** Records that this controller removed the live record at [revision], which the watch has not reached yet. */
     internal fun recordRemoval(jobId: String, revision: Long) {
-        removedHere[jobId] = revision
+        ownRemovals[jobId] = revision
     }
 
-    /** The watch has shown all changes up to [revision]. */
+    /** Called when the watch or a listing has delivered all changes up to [revision]. */
     internal fun onObserved(revision: Long) {
-        removedHere.values.removeIf { it <= revision }
+        ownRemovals.values.removeIf { it <= revision }
     }
 
-    /** Whether the job is over, so that a live record of it is an old one. */
-    internal operator fun contains(jobId: String): Boolean = jobId in removedHere || ends.getIfPresent(jobId) != null
+    /** Whether the job has ended, so that any live record of it is outdated. */
+    internal operator fun contains(jobId: String): Boolean =
+        jobId in ownRemovals || finalRecords.getIfPresent(jobId) != null
 
     private companion object {
-        const val MAX_ENDS = 20_000L
+        const val MAX_FINAL_RECORDS = 20_000L
     }
 }
--- a/src/main/kotlin/io/reedmast/jobs/FinalRecord.kt
+++ b/src/main/kotlin/io/reedmast/jobs/FinalRecord.kt
@@ -5,7 +5,7 @@
 import io.reedmast.wire.MalformedException
 import io.reedmast.wire.count
 
-/** The record of a job that is over, kept for good. */
+/** The record of a job that has ended; it is never deleted. */
 class FinalRecord(val state: JobState, val taskCount: Int) {
     /** The stored form. */
     fun toFields(): Fields = mapOf("state" to state.wire, "tasks" to taskCount)
--- a/src/main/kotlin/io/reedmast/jobs/JobIndex.kt
+++ b/src/main/kotlin/io/reedmast/jobs/JobIndex.kt
@@ -12,78 +12,76 @@
 import io.reedmast.wire.MalformedException
 
 /**
- * All unfinished jobs, and as many ended ones as fit, as the watch on their records shows them.
+ * All unfinished jobs, and as many ended ones as fit, as delivered by the watch on their records.
  *
- * Every controller has it, so that a question about a job need not be read from the store one by one: with hundreds of
- * users asking, those reads were more than the service takes.
+ * Every controller has an index, so that it can answer requests about jobs without a read from the store for each. With
+ * hundreds of users polling, those were more reads than the store can serve.
  *
- * Records reach the index in three ways that overtake each other: complete readings ([applyListing]), the watch ([applyWatchEvents]), and
- * this controller's own transactions and reads ([applyRecord]), which may be ahead of the watch or, where an answer was
- * lost, seconds behind it. A job is in one of these states:
+ * Records reach the index from three sources that may overtake each other: complete listings ([applyListing]), the
+ * watch ([applyWatchEvents]), and this controller's own transactions and reads ([applyRecord]), which may be ahead of
+ * the watch or, where a response was lost, seconds behind it. A job is in one of these states:
  *
- * - *unknown*: nothing is known of it; it was never accepted, or it ended long ago;
- * - *live*: its record is known, with a version;
- * - *unreadable*: it has a record that cannot be read, with a version;
- * - *ended*: it is over, see [EndedJobs].
+ * - *unknown*: nothing is known of the job; it was never accepted, or it ended long ago;
+ * - *live*: its live record is known, with a version;
+ * - *unreadable*: it has a live record that cannot be read, with a version;
+ * - *ended*: see [EndedJobs].
  *
- * What may happen next:
+ * Transitions:
  *
  * | event | from | to |
  * | --- | --- | --- |
- * | live record, from a reading or the watch | unknown, unreadable, live with an older version | live |
- * | live record, from an own transaction that the watch has not reached | the same | live |
+ * | live record, from a listing or the watch | unknown, unreadable, live with an older version | live |
+ * | live record, from an own transaction that the watch has not reached | as above | live |
  * | live record, from an own transaction that the watch has passed | live with an older version | live |
- * | the same, and the job is not live | unknown, unreadable | no change: it has ended since |
+ * | as above | unknown, unreadable | no change: the job has ended since |
  * | live record | live with the same or a newer version, ended | no change |
- * | live record that cannot be read | unknown, unreadable, live with an older version | unreadable, or both |
- * | removal, not older than the known version | live, unreadable | unknown |
+ * | unreadable live record | unknown, unreadable, live with an older version | unreadable, and still live if it was |
+ * | removal, at or after the known version | live, unreadable | unknown |
  * | removal, from an own transaction that the watch has not reached | any | ended |
- * | missing from a complete reading that is at least as new as the known version | live, unreadable | unknown |
- * | cancellation known to another controller | live with an older version | live, cancelled |
- * | end record | any | ended, and still live until the removal, which shares its transaction |
+ * | missing from a listing that is at least as new as the known version | live, unreadable | unknown |
+ * | cancellation reported by another controller | live with an older version | live, cancelled |
+ * | final record | any | ended, and still live until the removal, which is part of the same transaction |
  *
- * The [listeners], read anew at each change, hear of the live jobs of their shards alone.
+ * The [listeners], queried at each change, are notified only of the live jobs of their own shards.
  */
 class JobIndex(private val settings: Settings, private val listeners: () -> List<JobListener>) {
-    /** Reports records that cannot be read. */
+    /** Logs records that cannot be read. */
     val unreadable = UnreadableRecordLog()
 
-    /** The jobs that are known to be over. */
+    /** The jobs that are known to have ended. */
     val ended = EndedJobs()
-    private val live = HashMap<String, LiveJob>()
+    private val liveJobs = HashMap<String, LiveJob>()
 
     /**
-     * Unfinished jobs whose records cannot be read, by the versions of these: nobody may be told that they are unknown.
+     * Versions of the live records that cannot be read, by job. Users must not be told that these jobs do not exist.
      */
     private val unreadableLive = HashMap<String, Long>()
 
-    /** The revision up to which the watch has shown every change; 0 before the first reading. */
+    /** The revision up to which listings or the watch have delivered every change; 0 before the first listing. */
     private var observedRevision = 0L
 
     /** The unfinished job of this id, if there is one. */
-    fun liveJob(jobId: String): LiveJob? = live[jobId]
+    fun liveJob(jobId: String): LiveJob? = liveJobs[jobId]
 
     /** The unfinished jobs of the shard. */
-    fun liveJobsOf(shard: ShardId): List<LiveJob> = live.values.filter { it.shard == shard }
+    fun liveJobsOf(shard: ShardId): List<LiveJob> = liveJobs.values.filter { it.shard == shard }
 
-    /** Whether the job is there, and nothing else can be said of it. */
+    /** Whether the job exists, but its live record cannot be read. */
     fun isUnreadable(jobId: String): Boolean = jobId in unreadableLive
 
-    // ---- records ----------------------------------------------------------------------------------------------------
-
-    /** Applies a complete reading; [revision] is what it is at least as new as. */
+    /** Applies a complete listing of the live records, which is at least as new as [revision]. */
     fun applyListing(items: List<StoredItem>, revision: Long) {
         recordObserved(revision)
         val listed = items.mapTo(HashSet()) { jobIdOf(it.path) }
-        val missing = live.filter { (jobId, job) -> jobId !in listed && job.version <= revision }.keys.toList()
+        val missing = liveJobs.filter { (jobId, job) -> jobId !in listed && job.version <= revision }.keys.toList()
         missing.forEach { remove(it, Long.MAX_VALUE) }
         unreadableLive.entries.removeIf { (jobId, version) -> jobId !in listed && version <= revision }
-        items.forEach { accept(it.path, it.value, it.version) }
+        items.forEach { dispatchRecord(it.path, it.value, it.version) }
     }
 
-    /** Applies what the watch shows: all changes up to [revision]. */
+    /** Applies the events of the watch, which are all changes up to [revision]. */
     fun applyWatchEvents(events: List<WatchEvent>, revision: Long) {
-        events.forEach { accept(it.path, it.value, it.version) }
+        events.forEach { dispatchRecord(it.path, it.value, it.version) }
         recordObserved(revision)
     }
 
@@ -93,31 +91,31 @@
     }
 
     /**
-     * Applies a record that a read, or a transaction of this controller's own, shows to have been stored, or (null)
-     * deleted.
+     * Applies a record that a read or a transaction of this controller has shown to be stored at [version], or deleted
+     * if [value] is null.
      *
-     * It may be long ago: an answer that was lost is made up for seconds later. If the watch has shown all changes up
-     * to then and the job is not among the unfinished, it is over: added again, it was called queued after its user had
-     * been told of its end.
+     * The change may have happened earlier: after a lost response, the outcome of a transaction is found out seconds
+     * later. If the watch has delivered all changes up to [version] and the job is not live, the job has ended since.
+     * Adding it again would report it as queued to a user who has already been told that it ended.
      */
     fun applyRecord(path: String, value: Fields?, version: Long) {
         if (path.startsWith(Keys.LIVE)) {
             val jobId = jobIdOf(path)
             val isObserved = version <= observedRevision
             if (value == null && !isObserved) ended.recordRemoval(jobId, version)
-            if (value != null && isObserved && jobId !in live) return
+            if (value != null && isObserved && jobId !in liveJobs) return
         }
-        accept(path, value, version)
+        dispatchRecord(path, value, version)
     }
 
-    /** Applies a record of any origin that is not known to be outdated. */
-    private fun accept(path: String, value: Fields?, version: Long) {
+    /** Applies a record from any source, by the kind of its key. An outdated live record has no effect. */
+    private fun dispatchRecord(path: String, value: Fields?, version: Long) {
         try {
             when {
                 path.startsWith(Keys.ENDS) -> value?.let { ended.record(jobIdOf(path), FinalRecord.parse(it)) }
                 !path.startsWith(Keys.LIVE) -> Unit
                 value == null -> remove(jobIdOf(path), version)
-                else -> acceptLive(path, value, version)
+                else -> applyLiveRecord(path, value, version)
             }
         } catch (e: MalformedException) {
             unreadable.report(path, e.message)
@@ -125,13 +123,13 @@
         }
     }
 
-    private fun acceptLive(path: String, value: Fields, version: Long) {
+    private fun applyLiveRecord(path: String, value: Fields, version: Long) {
         val jobId = jobIdOf(path)
-        // The watch may show the job after our own transaction has ended it.
+        // The watch may deliver the live record after a transaction of this controller has ended the job.
         if (jobId in ended) return
-        val known = live[jobId]
+        val known = liveJobs[jobId]
         if (known != null && known.version >= version) return
-        put(jobId, LiveJob(shardOf(path), LiveRecord.parse(value), version))
+        putLive(jobId, LiveJob(shardOf(path), LiveRecord.parse(value), version))
         unreadableLive.remove(jobId)
     }
 
@@ -140,47 +138,45 @@
     private fun shardOf(path: String): ShardId {
         val number = path.removePrefix(Keys.LIVE).substringBefore('/').toIntOrNull()
         if (number == null || number !in 0 until settings.shardCount) {
-            throw MalformedException("the job belongs to no shard")
+            throw MalformedException("live record is stored under an unknown shard")
         }
         return ShardId(number)
     }
 
-    private fun put(jobId: String, job: LiveJob) {
-        live[jobId]?.let {
+    private fun putLive(jobId: String, job: LiveJob) {
+        liveJobs[jobId]?.let {
             job.done = it.done
             job.running = it.running
         }
-        live[jobId] = job
+        liveJobs[jobId] = job
         listeners().forEach { if (it.index == job.shard) it.onJobChanged(job) }
     }
 
-    /** The record was removed at [version]; one that is newer stays. */
+    /** Removes a live record that was deleted at [version], unless a newer one is known. */
     private fun remove(jobId: String, version: Long) {
         unreadableLive[jobId]?.let { if (it <= version) unreadableLive.remove(jobId) }
-        val known = live[jobId] ?: return
+        val known = liveJobs[jobId] ?: return
         if (known.version > version) return
-        live.remove(jobId)
+        liveJobs.remove(jobId)
         listeners().forEach { if (it.index == known.shard) it.onJobGone(jobId) }
     }
 
-    // ---- other controllers ------------------------------------------------------------------------------------------
-
-    /** All cancelled jobs that are not over. */
-    fun cancellations(): List<Cancellation> = live
+    /** All cancelled jobs that have not ended. */
+    fun cancellations(): List<Cancellation> = liveJobs
         .filterValues { it.record.isCancelled }
         .map { (jobId, job) -> Cancellation(jobId, job.version) }
 
-    /** Another controller knows that a job is cancelled, while the watch shows nothing. */
+    /** Applies a cancellation reported by another controller, which the watch may not have delivered here. */
     fun applyCancellation(cancellation: Cancellation) {
-        val job = live[cancellation.jobId] ?: return
+        val job = liveJobs[cancellation.jobId] ?: return
         if (job.version >= cancellation.version) return
-        put(cancellation.jobId, LiveJob(job.shard, job.record.cancelled(), cancellation.version))
+        putLive(cancellation.jobId, LiveJob(job.shard, job.record.cancelled(), cancellation.version))
     }
 
-    /** Records the counts that the shards' owners have published, for display. */
+    /** Records the task counts that the shards' owners have published, for display. */
     fun applyProgressUpdates(updates: List<JobProgress>) {
         for (update in updates) {
-            val job = live[update.jobId] ?: continue
+            val job = liveJobs[update.jobId] ?: continue
             job.done = update.done
             job.running = update.running
         }
--- a/src/main/kotlin/io/reedmast/jobs/LiveJob.kt
+++ b/src/main/kotlin/io/reedmast/jobs/LiveJob.kt
@@ -3,7 +3,7 @@
 import io.reedmast.settings.ShardId
 
 /**
- * An unfinished job as every controller knows it.
+ * An unfinished job as known to every controller.
  *
  * @property version the version of [record] in the store.
  */
--- a/src/main/kotlin/io/reedmast/jobs/LiveRecord.kt
+++ b/src/main/kotlin/io/reedmast/jobs/LiveRecord.kt
@@ -8,9 +8,9 @@
 import io.reedmast.wire.optionalFlag
 
 /**
- * The record of an unfinished job, under its shard. Whoever cancels the job rewrites it.
+ * The record of an unfinished job, stored under its shard. It is rewritten when the job is cancelled.
  *
- * @property chunkSize how many tasks share a chunk of stored progress.
+ * @property chunkSize how many tasks each chunk of stored progress covers.
  * @property acceptedAtMs wall time at which the job was accepted.
  */
 class LiveRecord(val spec: JobSpec, val chunkSize: Int, val acceptedAtMs: Long, val isCancelled: Boolean) {
--- a/src/main/kotlin/io/reedmast/model/ChargedUsage.kt
+++ b/src/main/kotlin/io/reedmast/model/ChargedUsage.kt
@@ -7,25 +7,25 @@
 import kotlin.math.roundToLong
 
 /**
- * Charged use of the teams of a shard over a sliding window, in buckets of time of day.
+ * Resource usage charged to the teams of a shard over a sliding window, in buckets of wall time.
  *
- * A task is charged, for each second, its largest share of its machine. Best-effort work has no protected minimum and
- * is not charged.
+ * For each second, a task is charged its dominant share of its machine: the largest of its shares of the machine's
+ * CPUs, GPUs and memory. Best-effort work has no protected minimum and is not charged.
  */
 class ChargedUsage(private val windowMs: Long) {
     private val bucketMs = maxOf(1L, windowMs / BUCKETS)
 
-    /** Machine seconds by team and by number of the bucket. */
-    private val charged = HashMap<TeamId, TreeMap<Long, Double>>()
+    /** Charged machine seconds by team and bucket number. */
+    private val bucketsByTeam = HashMap<TeamId, TreeMap<Long, Double>>()
 
-    /** Adds what the team has used lately, in machine seconds; [nowMs] is wall time, as everywhere here. */
+    /** Adds recent usage of the team, in machine seconds. [nowMs] is wall time, as in all functions of this class. */
     fun charge(team: TeamId, machineSeconds: Double, nowMs: Long) {
-        charged.getOrPut(team) { TreeMap() }.merge(nowMs / bucketMs, machineSeconds, Double::plus)
+        bucketsByTeam.getOrPut(team) { TreeMap() }.merge(nowMs / bucketMs, machineSeconds, Double::plus)
     }
 
-    /** Machine seconds charged to [team] within the window; the oldest bucket counts by the part still inside. */
+    /** Machine seconds charged to [team] within the window; the oldest bucket counts by its part inside the window. */
     fun chargedInWindow(team: TeamId, nowMs: Long): Double {
-        val buckets = charged[team] ?: return 0.0
+        val buckets = bucketsByTeam[team] ?: return 0.0
         val windowStart = nowMs - windowMs
         buckets.headMap(Math.floorDiv(windowStart, bucketMs)).clear()
         var sum = 0.0
@@ -41,13 +41,14 @@
     }
 
     /**
-     * The stored form: for each team a list of numbers, bucket and amount in turn.
+     * The stored form: for each team a list of numbers, alternating between bucket and amount.
      *
-     * At most [maxBuckets] of each team: the oldest are added to the next ones, which a small record has room for.
+     * To fit a small record, at most [maxBuckets] of each team are stored: the amounts of older buckets are added to
+     * the oldest one that is kept.
      */
     fun toFields(teams: Collection<TeamId>, maxBuckets: Int = BUCKETS + 1): Fields = teams
-        .filter { it in charged }
-        .associate { it.value.toString() to flatten(charged.getValue(it), maxBuckets) }
+        .filter { it in bucketsByTeam }
+        .associate { it.value.toString() to flatten(bucketsByTeam.getValue(it), maxBuckets) }
 
     private fun flatten(buckets: TreeMap<Long, Double>, maxBuckets: Int): List<Long> {
         val kept = buckets.entries.drop(maxOf(0, buckets.size - maxBuckets))
@@ -58,20 +59,22 @@
         }
     }
 
-    /** Replaces what is known of the teams that [fields], as made by [toFields], names. */
+    /** Replaces the usage of the teams listed in [fields], which is in the form of [toFields]. */
     fun load(fields: Fields) {
         for ((team, numbers) in fields) {
-            val index = team.toIntOrNull() ?: throw MalformedException("usage names no team: $team")
-            charged[TeamId(index)] = parseBuckets(team, numbers)
+            val index = team.toIntOrNull() ?: throw MalformedException("usage: team is not a number: $team")
+            bucketsByTeam[TeamId(index)] = parseBuckets(team, numbers)
         }
     }
 
     private fun parseBuckets(team: String, value: Any?): TreeMap<Long, Double> {
-        val numbers = value as? List<*> ?: throw MalformedException("usage of team $team is no list")
+        val numbers = value as? List<*> ?: throw MalformedException("usage of team $team is not a list")
         val buckets = TreeMap<Long, Double>()
         for (i in 0 until numbers.size - 1 step 2) {
-            val bucket = numbers[i] as? Long ?: throw MalformedException("usage of team $team names no bucket")
-            val amount = numbers[i + 1] as? Number ?: throw MalformedException("usage of team $team is no number")
+            val bucket = numbers[i] as? Long
+                ?: throw MalformedException("usage of team $team: bucket is not an integer")
+            val amount = numbers[i + 1] as? Number
+                ?: throw MalformedException("usage of team $team: amount is not a number")
             buckets[bucket] = amount.toDouble()
         }
         return buckets
--- a/src/main/kotlin/io/reedmast/model/Chunk.kt
+++ b/src/main/kotlin/io/reedmast/model/Chunk.kt
@@ -6,27 +6,27 @@
 /**
  * Tasks [first] to `first + size - 1` of a job, the unit in which progress is stored.
  *
- * @property index the chunk's place among those of its job.
+ * @property index the position of the chunk among the chunks of its job.
  */
 class Chunk(val job: Job, val index: Int, val first: Int, val size: Int) {
-    /** The tasks that are done, counted from [first]. */
+    /** The tasks that are done, as offsets from [first]. */
     val done = BitSet(size)
 
-    /** The placements of the chunk's tasks, by the tasks' numbers in the job. */
+    /** The placements of the chunk's tasks, by task number in the job. */
     val placements = TreeMap<Int, Placement>()
 
-    /** The stored value that holds it, from its first change on. */
+    /** The page to which the chunk is assigned; null before its first change. */
     var page: ChunkPage? = null
 
-    /** Whether it has changed since its page was last handed to the store. */
+    /** Whether the chunk has changed since the last write of its page was started. */
     var dirty = false
 
-    /** How many stored pages of another division hold an older copy of it and are yet to be cleared. */
+    /** How many stored pages with a different division into chunks hold an older copy and are still to be cleared. */
     var supersededCopies = 0
 
-    /** Whether the store holds its present state, though another page may hold an older one too. */
+    /** Whether the store holds the chunk's current state; another page may hold an older copy too. */
     val isStoredInItsPage: Boolean get() = !dirty && page?.isWriteInFlight != true
 
-    /** Whether the store holds its present state, and nothing else of it. */
+    /** Whether the store holds the chunk's current state and no older copy. */
     val isStored: Boolean get() = isStoredInItsPage && supersededCopies == 0
 }
--- a/src/main/kotlin/io/reedmast/model/ChunkPage.kt
+++ b/src/main/kotlin/io/reedmast/model/ChunkPage.kt
@@ -1,28 +1,28 @@
 package io.reedmast.model
 
-/** What a stored page waits for, the most pressing last. */
+/** What in a page waits to be stored, in order of increasing urgency. */
 enum class PendingWrite {
-    /** Results only: stored late, they save repeated work. */
+    /** Only results, which may be stored late: storing them merely saves repeated work. */
     RESULTS,
 
-    /** Placements of arrays, which are launched once they are stored. */
+    /** Placements of arrays, whose tasks are launched once the placements are stored. */
     ARRAY_PLACEMENTS,
 
-    /** Placements of services and of other work that is to start soon. */
+    /** Placements of services and of other latency-sensitive jobs. */
     URGENT_PLACEMENTS,
 }
 
-/** The stored page that holds a [Chunk], as far as the rest of a shard's owner needs to know of it. */
+/** The stored page that holds a [Chunk], as seen by code outside the persistence layer. */
 interface ChunkPage {
-    /** Whether the page is on its way to the store. */
+    /** Whether a write of the page to the store is in flight. */
     val isWriteInFlight: Boolean
 
-    /** Something in the page differs from what is stored since [now]. */
+    /** Records that the content of the page differs from its stored value since [now]. */
     fun markDirty(now: Long)
 
-    /** Something in the page waits to be stored since [now], with this urgency. */
+    /** Requests that the page is written, with the urgency of [pendingWrite]; it has waited since [now]. */
     fun requestWrite(now: Long, pendingWrite: PendingWrite)
 
-    /** The chunk needs no storing any more. */
+    /** Removes a chunk that does not have to be stored any more. */
     fun remove(chunk: Chunk)
 }
--- a/src/main/kotlin/io/reedmast/model/DecommissionReason.kt
+++ b/src/main/kotlin/io/reedmast/model/DecommissionReason.kt
@@ -1,22 +1,22 @@
 package io.reedmast.model
 
-/** Why a machine is to go. */
+/** Why a machine is to leave the shard. */
 enum class DecommissionReason {
-    /** Nothing needs it. */
+    /** The machine is not needed. */
     IDLE,
 
-    /** Its heartbeats have not come for too long. */
+    /** No heartbeat has arrived for too long. */
     MISSED_HEARTBEATS,
 
-    /** Its heartbeats arrive, and nothing reaches it. */
+    /** Its heartbeats arrive, but answers and commands do not reach it. */
     UNREACHABLE,
 
-    /** It was rented, and has not come up in time. */
+    /** It was rented and has not come up in time. */
     BOOT_TIMEOUT,
 
     /** Tasks of several jobs failed on it. */
     UNHEALTHY,
 
-    /** It is to move to another shard. */
+    /** It is to be transferred to another shard. */
     TRANSFER,
 }
--- a/src/main/kotlin/io/reedmast/model/FairShare.kt
+++ b/src/main/kotlin/io/reedmast/model/FairShare.kt
@@ -7,7 +7,7 @@
 import io.reedmast.wire.JobSpec
 import io.reedmast.wire.MachineType
 
-/** Charges the teams of a shard for what runs, and compares their charged use with what they are allocated. */
+/** Charges the teams of a shard for running tasks, and compares their charged usage with their allocation. */
 class FairShare(
     private val settings: Settings,
     private val tuning: Tuning,
@@ -16,10 +16,10 @@
     /** The teams of the shard. */
     private val teams: List<TeamId>,
 ) {
-    /** What was charged lately, by team. */
+    /** Recently charged usage, by team. */
     val usage = ChargedUsage((tuning.windowS * MS_PER_S).toLong())
 
-    /** Charges funded work that was seen on its machine, one of [machines], for the last [seconds]. */
+    /** Charges the funded tasks that the workers of [machines] have reported, for the last [seconds]. */
     fun charge(machines: Collection<Machine>, seconds: Double) {
         val rates = DoubleArray(settings.teams.size)
         for (machine in machines) {
@@ -34,7 +34,7 @@
 
     private fun isCharged(placement: Placement) = placement.isReported && placement.job.spec.priority.isFunded
 
-    /** The largest share of the machine, in that machine's CPUs, so that machines of different sizes add up. */
+    /** The dominant share times the machine's CPUs, so that the shares of machines of different sizes add up. */
     private fun chargedCpus(spec: JobSpec, type: MachineType): Double {
         val share = maxOf(
             if (type.cpus > 0) spec.cpus / type.cpus else 0.0,
@@ -45,16 +45,17 @@
     }
 
     /**
-     * Charged use over the window that ends at [wallMs], against what the team is allocated for it: the team with the
-     * smallest ratio comes first. A team that is allocated nothing comes last.
+     * Charged usage over the window that ends at [wallMs], divided by what the team is allocated for the window. The
+     * team with the smallest ratio is served first. A team without an allocation comes last.
      */
     fun usageRatio(team: TeamId, wallMs: Long): Double {
         val share = settings.teams[team.value]
         val allocated = if (share.cpus > 0) share.cpus else share.gpus
         if (allocated <= 0.0) return Double.MAX_VALUE
-        // What runs now counts for the next minute too, so that a burst of decisions sees its own effect.
-        val soon = quota.usedCpus(team) * LOOKAHEAD_S
-        return (usage.chargedInWindow(team, wallMs) + soon) / (allocated * tuning.windowS)
+        // Current placements are also counted for the next minute, so that each decision of a burst sees the effect of
+        // the earlier ones.
+        val lookahead = quota.usedCpus(team) * LOOKAHEAD_S
+        return (usage.chargedInWindow(team, wallMs) + lookahead) / (allocated * tuning.windowS)
     }
 
     private companion object {
--- a/src/main/kotlin/io/reedmast/model/Job.kt
+++ b/src/main/kotlin/io/reedmast/model/Job.kt
@@ -5,13 +5,13 @@
 import java.util.BitSet
 
 /**
- * An unfinished job in the hands of its shard's owner.
+ * An unfinished job, as scheduled by the owner of its shard.
  *
  * Each task is in one of three states: pending, placed, or done. [add] places a pending task, [remove] ends the
- * placement and makes the task pending again or done, and [markDone] restores a result. The counts and the chunks
- * always agree with that; nothing else changes them.
+ * placement and makes the task pending again or done, and [markDone] restores a result. The counts and the chunks are
+ * changed only by these functions and always agree with the states.
  *
- * Times are of the controller's monotonic clock, in ms, unless they say otherwise.
+ * Times are in ms of the controller's monotonic clock unless stated otherwise.
  *
  * @property acceptedAtMs wall time at which the job was accepted.
  */
@@ -20,41 +20,41 @@
     val team: TeamId,
     private val chunkSize: Int,
     val acceptedAtMs: Long,
-    /** Version of the job's record: whoever cancels or ends the job moves it. */
+    /** Version of the job's record; it changes when the job is cancelled or ended. */
     var version: Long,
 ) {
     init {
-        require(chunkSize > 0) { "chunks of $chunkSize tasks" }
+        require(chunkSize > 0) { "chunk size must be positive: $chunkSize" }
     }
 
-    /** The parts in which the job's progress is stored; null as long as nothing has happened to their tasks. */
+    /** The chunks in which the job's progress is stored; null as long as nothing has happened to their tasks. */
     val chunks: Array<Chunk?> = arrayOfNulls((spec.taskCount + chunkSize - 1) / chunkSize)
 
-    /** Whether its user has cancelled it: nothing of it is placed any more. */
+    /** Whether the user has cancelled the job; no task of it is placed any more. */
     var isCancelled = false
 
     var doneCount = 0
     var placedCount = 0
 
-    /** How many of the placed tasks run, as their workers show them. */
+    /** How many of the placed tasks run, according to their workers. */
     var runningCount = 0
 
-    /** What was last sent of it to the other controllers. */
+    /** The counts last sent to the other controllers. */
     var publishedDone = 0
     var publishedRunning = 0
 
-    /** Whether its end is on its way to the store: nothing of it is decided meanwhile. */
+    /** Whether a write of the job's final record is in flight; no decisions about the job are made meanwhile. */
     var isFinalRecordInFlight = false
 
-    /** Until then the store is not asked to end it: the last attempt has failed. */
+    /** The earliest time to write the final record again after the last attempt has failed. */
     var finalRecordNotBefore = 0L
 
     private val pendingTasks = BitSet(spec.taskCount).apply { set(0, spec.taskCount) }
 
-    /** How many tasks, with neither result nor placement, are to be placed; none of a cancelled job. */
+    /** How many tasks are to be placed, having neither a result nor a placement; 0 for a cancelled job. */
     val pendingCount: Int get() = if (isCancelled) 0 else spec.taskCount - doneCount - placedCount
 
-    /** Whether the job is over and its end may be stored: a service is over only when it is cancelled. */
+    /** Whether the job has finished and its final record may be stored. A service finishes only by cancellation. */
     val isFinished: Boolean get() = placedCount == 0 &&
         (isCancelled || (!spec.isService && doneCount == spec.taskCount))
 
@@ -62,46 +62,46 @@
     val failedOn = HashSet<Machine>()
     var consecutiveFailures = 0
 
-    /** Whether a task of it has completed: then it is no mistake of the job's where one fails. */
+    /** Whether a task of the job has completed: then later failures of its tasks are not the fault of the job. */
     var hasSucceeded = false
 
-    /** Until then no task of it is placed: a failure is not repeated at once. */
+    /** No task of the job is placed before this time, so that a failure is not repeated at once. */
     var placementNotBefore = 0L
 
-    /** How many placements of other jobs are being preempted for it. */
+    /** How many placements of other jobs are being preempted for this one. */
     var pendingPreemptions = 0
 
-    /** Since when, without a break, tasks of it have waited for a machine. */
+    /** Since when tasks of the job have been waiting for a machine without interruption. */
     var waitingSince = 0L
 
-    /** Since when none of its tasks has had a machine. */
+    /** Since when none of its tasks has been placed on a machine. */
     var unplacedSince = 0L
 
-    /** Since when none of its tasks has run for longer than a moment. */
+    /** Since when none of its tasks has run long enough to count as service: see [ShardState.finish]. */
     var underservedSince = 0L
 
-    /** Which machine types are too expensive for it, as long as prices stay as they are. */
+    /** Cached results, by machine type, of whether it is too expensive for the job; cleared when prices change. */
     val expensiveTypes = HashMap<String, Boolean>(EXPENSIVE_TYPES_CAPACITY)
 
-    /** Of a gang: the last attempt that did not become complete in time, and how many there were. */
+    /** For a gang: the last attempt that timed out before all its tasks had started, and how many attempts did. */
     var lastTimedOutAttempt = 0L
     var timedOutAttempts = 0
 
-    /** Of a gang: the last attempt in which a task failed by itself. */
+    /** For a gang: the last attempt in which a task failed by itself. */
     var lastFailedAttempt = 0L
 
-    /** Whether all tasks of the gang have placements, and the store holds each: nothing of it is launched before. */
+    /** Whether every task of the gang has a stored placement that is not to be stopped; none is launched before. */
     val isCompleteGangStored: Boolean get() = placedCount == spec.taskCount &&
         placements().all { it.committed && it.stopReason == null }
 
-    /** Counts every wait of the job from [since] on. */
+    /** Restarts all waiting times of the job, as of [since]. */
     fun restartWaiting(since: Long) {
         waitingSince = since
         unplacedSince = since
         underservedSince = since
     }
 
-    /** The chunk that holds the task, which is created if it is the first of its tasks. */
+    /** The chunk that contains the task; it is created on first use. */
     fun chunkOf(task: Int): Chunk {
         val index = task / chunkSize
         return chunks[index] ?: newChunk(index).also { chunks[index] = it }
@@ -115,12 +115,12 @@
     /** The pending task with the lowest number, -1 if there is none. */
     fun nextPending(): Int = pendingTasks.nextSetBit(0)
 
-    /** The placements of all tasks, by their numbers. */
+    /** The placements of all tasks, in the order of their numbers. */
     fun placements(): Sequence<Placement> = chunks.asSequence().filterNotNull().flatMap { it.placements.values }
 
     /** Places a pending task. */
     fun add(placement: Placement) {
-        require(placement.job === this) { "${placement.id} is no task of ${spec.jobId}" }
+        require(placement.job === this) { "task ${placement.id} does not belong to job ${spec.jobId}" }
         chunkOf(placement.task).placements[placement.task] = placement
         pendingTasks.clear(placement.task)
         placedCount++
@@ -128,9 +128,9 @@
     }
 
     /**
-     * Ends a placement. The evidence for that is the caller's business.
+     * Ends a placement. The caller must have evidence that the attempt is over.
      *
-     * The task is left alone if another placement has taken the place of this one.
+     * The state of the task does not change if another placement has replaced this one.
      */
     fun remove(placement: Placement, done: Boolean) {
         val chunk = chunkOf(placement.task)
@@ -142,7 +142,7 @@
         placement.machine.remove(placement)
     }
 
-    /** Records the result of a task that has no placement, or none any more. */
+    /** Records the result of a task that has no placement, or whose placement has ended. */
     fun markDone(task: Int) {
         val chunk = chunkOf(task)
         if (chunk.done.get(task - chunk.first)) return
@@ -151,7 +151,7 @@
         doneCount++
     }
 
-    /** The worker has forgotten the attempt, with its epoch, and may be told to launch it again. */
+    /** Records that the worker lost the attempt with its previous epoch; the attempt may be launched there again. */
     fun recordLost(placement: Placement) {
         if (placement.running) runningCount--
         placement.runningSince = 0L
@@ -160,7 +160,7 @@
         placement.launchesSentSinceReported = 0
     }
 
-    /** The worker shows that the attempt runs, at the latest since [now]. */
+    /** Records that the worker reports the attempt as running; [now] is the latest time at which it began. */
     fun recordRunning(placement: Placement, now: Long) {
         if (placement.running) return
         placement.runningSince = now
--- a/src/main/kotlin/io/reedmast/model/JobArrivals.kt
+++ b/src/main/kotlin/io/reedmast/model/JobArrivals.kt
@@ -2,28 +2,28 @@
 
 import io.reedmast.wire.JobSpec
 
-/** A job that was accepted at [arrivedAt], and how much of something it takes: see [JobArrivals]. */
+/** A job that arrived at [arrivedAt]. [demand] is in CPUs for services and gangs, in CPU seconds for arrays. */
 class JobArrival(val arrivedAt: Long, val demand: Double)
 
-/** A gang that was accepted at [arrivedAt]. */
+/** A gang that arrived at [arrivedAt]. */
 class GangArrival(val arrivedAt: Long, val spec: JobSpec)
 
 /**
- * The jobs that came to a shard lately, oldest first, from which it is estimated what will come next.
+ * Recent job arrivals of a shard, oldest first, from which future arrivals are estimated.
  *
- * Whoever reads a list removes the entries that are too old for its purpose.
+ * The reader of each list removes the entries that are too old for its purpose.
  */
 class JobArrivals {
-    /** Services and gangs accepted since the shard was acquired, with the CPUs that they take. */
+    /** Services and gangs accepted since the shard was acquired; [JobArrival.demand] is in CPUs. */
     val services = ArrayDeque<JobArrival>()
 
-    /** Arrays accepted since the shard was acquired: of these, [JobArrival.demand] is their work in CPU seconds. */
+    /** Arrays accepted since the shard was acquired; [JobArrival.demand] is their estimated work in CPU seconds. */
     val arrays = ArrayDeque<JobArrival>()
 
-    /** Gangs, those that were restored with the shard among them. */
+    /** Gangs, including those that were restored with the shard. */
     val gangs = ArrayDeque<GangArrival>()
 
-    /** Records a job of which the owner learns at [now]; [isRestored] if an earlier owner had accepted it. */
+    /** Records a job that became known to the owner at [now]; [isRestored] if an earlier owner had accepted it. */
     fun record(spec: JobSpec, now: Long, isRestored: Boolean) {
         if (spec.isGang) gangs.addLast(GangArrival(now, spec))
         if (isRestored) return
--- a/src/main/kotlin/io/reedmast/model/JobUrgency.kt
+++ b/src/main/kotlin/io/reedmast/model/JobUrgency.kt
@@ -4,21 +4,21 @@
 import io.reedmast.settings.Settings
 
 /**
- * How pressing a job is by its deadline and by how long it has got nothing.
+ * How urgent a job is, judged by its deadline and by how long it has got no service.
  *
- * There are two kinds of waits. A job is *starving* by the time since none of its tasks had a machine
- * ([Job.unplacedSince]), and *underserved* by the time since none of them has run for longer than a moment
- * ([Job.underservedSince]): one whose tasks are preempted again and again as soon as they start is underserved, and
- * never starving. For a service both are the time for which it has lacked replicas ([Job.waitingSince]).
+ * Two waiting times are distinguished. A job is *starving* by the time for which none of its tasks has had a machine
+ * ([Job.unplacedSince]). It is *underserved* by the time for which none of them has run for longer than a moment
+ * ([Job.underservedSince]): a job whose tasks are always preempted soon after their start is underserved, but never
+ * starving. For a service, both are the time for which it has lacked replicas ([Job.waitingSince]).
  *
- * | waited for | starving | underserved |
+ * | time | starving | underserved |
  * | --- | --- | --- |
  * | 30 s | [isNearlyStarving] | |
  * | 60 s | [isStarving] | [isUnderserved] |
  * | 120 s | | [isSeverelyUnderserved] |
  */
 class JobUrgency(private val settings: Settings, private val clock: Clock) {
-    /** Wall time at which the job should be over; without a deadline and an objective, when it was accepted. */
+    /** Wall time by which the job should finish; without a deadline or an objective, when it was accepted. */
     fun deadlineMs(job: Job): Long {
         val allowedS = job.spec.deadlineS ?: finishObjectiveS(job) ?: return job.acceptedAtMs
         return job.acceptedAtMs + (allowedS * MS_PER_S).toLong()
@@ -27,25 +27,26 @@
     private fun finishObjectiveS(job: Job): Double? =
         settings.objectives.firstOrNull { it.kind == OBJECTIVE_FINISHED && it.jobClass == job.spec.jobClass }?.withinS
 
-    /** Whether the deadline is over; a job that has none of its own is given some time more. */
+    /** Whether the deadline has passed; a job without a deadline of its own gets a grace period. */
     fun isPastDeadline(job: Job): Boolean {
         val graceMs = if (job.spec.deadlineS == null) GRACE_WITHOUT_DEADLINE_MS else 0L
         return clock.wall() > deadlineMs(job) + graceMs
     }
 
     /**
-     * Nothing of it runs, or a service lacks replicas, and has for so long that what a machine costs, whose room it is
-     * or where it failed counts no more: with room for it somewhere it must not be left waiting for 90 s.
+     * Whether the job has had no machine, or a service has lacked replicas, for so long that its next task is placed
+     * regardless of machine prices, of capacity kept for other work, and of earlier failures on a machine. While there
+     * is capacity for it somewhere, a job must not wait for 90 s.
      *
-     * Not sooner: at 30 s, a swarm of small jobs took the room that services were to find.
+     * With a shorter time of 30 s, a swarm of small jobs took the capacity that services were meant to find.
      */
     fun isStarving(job: Job): Boolean = isNearlyStarving(job) && starvingSince(job) < clock.now() - STARVING_MS
 
-    /** It may starve before a machine of another shard is emptied for it, so that is thought of sooner. */
+    /** Whether to request another shard's machine already: the job may starve before one has been emptied for it. */
     fun isNearlyStarving(job: Job): Boolean =
         job.pendingCount > 0 && !isSuspectedFaulty(job) && starvingSince(job) < clock.now() - NEARLY_STARVING_MS
 
-    /** Since when the job lacks what it must not lack for long; in the future if it does not. */
+    /** Since when the job has had no machine, or a service has lacked replicas; in the future if neither holds. */
     fun starvingSince(job: Job): Long = when {
         job.spec.isService -> job.waitingSince
         job.placedCount == 0 -> job.unplacedSince
@@ -53,17 +54,17 @@
     }
 
     /**
-     * No task of it has run for longer than a moment for so long that its next task comes before other work of its
-     * team.
+     * Whether no task of the job has run for longer than a moment for so long that its next task takes precedence over
+     * other work of its team.
      */
     fun isUnderserved(job: Job): Boolean = underservedForMs(job) > STARVING_MS
 
-    /** As [isUnderserved], for so long that its next task is not preempted for any other work. */
-    fun isSeverelyUnderserved(job: Job): Boolean = underservedForMs(job) > OVERDUE_MS
+    /** As [isUnderserved], but for so long that its next task must not be preempted for any other work. */
+    fun isSeverelyUnderserved(job: Job): Boolean = underservedForMs(job) > SEVERELY_UNDERSERVED_MS
 
     /**
-     * How long a job that waits has got nothing that lasted, a service: lacked replicas; 0 if it does not wait for
-     * that.
+     * How long none of the tasks of a waiting job has run for longer than a moment, or a service has lacked replicas; 0
+     * if neither holds.
      */
     fun underservedForMs(job: Job): Long {
         if (job.pendingCount <= 0 || isSuspectedFaulty(job)) return 0L
@@ -74,11 +75,11 @@
         }
     }
 
-    /** Whether the job is judged by how soon it starts: a service, a gang, or one of a class with such an objective. */
+    /** Whether the job has to start soon: it is a service, a gang, or of a class with a waiting time objective. */
     fun isLatencySensitive(job: Job): Boolean = job.spec.isService || job.spec.isGang ||
         settings.objectives.any { it.kind == OBJECTIVE_WAIT && it.jobClass == job.spec.jobClass }
 
-    /** It failed on several machines in a row: the job has a mistake, and the machines have not. */
+    /** Whether the job has failed on several machines in a row: probably it is at fault, and the machines are not. */
     fun isSuspectedFaulty(job: Job): Boolean = job.consecutiveFailures >= FAILURES_OF_FAULTY_JOB
 
     private companion object {
@@ -89,8 +90,8 @@
         const val NEARLY_STARVING_MS = 30_000L
         const val STARVING_MS = 60_000L
 
-        /** Half of the time within which the largest jobs must have begun. */
-        const val OVERDUE_MS = 120_000L
+        /** Half of the time within which the largest jobs must start. */
+        const val SEVERELY_UNDERSERVED_MS = 120_000L
         const val FAILURES_OF_FAULTY_JOB = 4
     }
 }
--- a/src/main/kotlin/io/reedmast/model/Machine.kt
+++ b/src/main/kotlin/io/reedmast/model/Machine.kt
@@ -4,24 +4,25 @@
 import io.reedmast.wire.TaskId
 import io.reedmast.wire.WorkerStatus
 
-/** The worker's epoch and the token that a direct launch was sent under. */
+/** The worker epoch and the token under which a direct launch was sent. */
 data class DirectLaunch(val epoch: Long, val token: Long)
 
 /**
- * What the owner of a shard knows of one of its machines.
+ * The state of a machine, as known to the owner of its shard.
  *
- * Times are of the controller's monotonic clock, in ms; 0 if the event has not occurred.
+ * Times are in ms of the controller's monotonic clock; 0 if the event has not occurred.
  *
- * @property record the machine as the records name it.
- * @property machineType what the cloud says of machines of its type; null if it does not offer the type.
- * @property firstSeenAt when the owner learned of the machine, or was left with it by the owner of another shard.
+ * @property record the machine as stored in the records of the shard.
+ * @property machineType the machine type as offered by the cloud; null if the cloud does not offer it.
+ * @property firstSeenAt when the owner learned of the machine; set again when [recordConflict] changes, for example
+ *   when the owner of another shard has left the machine to this one.
  */
 class Machine(
     val record: MachineRecord,
     var machineType: MachineType?,
     firstSeenAt: Long,
     /**
-     * The lowest token that proves, once the worker has seen it, that no earlier owner's command can arrive any more.
+     * The lowest token that, once seen by the worker, proves that no command of an earlier owner can take effect there.
      */
     var minimumToken: Long,
     private val facts: MachineFacts = MachineFacts(record.name),
@@ -31,80 +32,76 @@
     var firstSeenAt = firstSeenAt
         private set
 
-    /** Where its worker listens; null as long as it is not known. */
+    /** The address of its worker; null as long as it is not known. */
     var addr: String? by facts::addr
 
-    /** The images that it has, least recently used first, with their sizes in GB. */
+    /** The images cached on the machine, least recently used first, with their sizes in GB. */
     val images: Map<String, Double> get() = facts.images
 
-    /** What is on the machine, or may be. */
+    /** The placements of tasks that run on the machine, or may run there. */
     val placements = LinkedHashMap<TaskId, Placement>()
 
-    // ---- heartbeats -------------------------------------------------------------------------------------------------
-
-    /** Whether the newest heartbeat came under this owner's token: only then is it known what is on the machine. */
+    /** Whether the newest heartbeat was sent under this owner's token; only then is it known what runs there. */
     var isStateKnown = false
 
-    /** Since when [isStateKnown] is true: before, nothing could be placed here. */
+    /** Since when [isStateKnown] is true; before that, nothing could be placed here. */
     var stateKnownSince = 0L
 
-    /** Epoch and sequence of the newest heartbeat, -1 before the first one. */
+    /** The epoch and sequence number of the newest heartbeat; before the first one, [sequence] is -1. */
     var epoch = 0L
     var sequence = -1L
 
-    /** The highest token that the worker has shown. */
+    /** The highest token that the worker has reported. */
     var seenToken = 0L
 
-    /** When the last heartbeat came that proves the worker to be alive: only one that shows our token does. */
+    /** When the last heartbeat arrived that proves the worker to be alive: only one with this owner's token does. */
     var lastHeartbeatAt = firstSeenAt
 
-    /** Whether the machine has been up: one that has not may still be booting. */
+    /** Whether the machine has ever been up; otherwise it may still be booting. */
     var everReported = false
 
-    /** Heartbeats answered since the worker last showed that an answer had reached it. */
+    /** How many heartbeats were answered since the worker last proved that it had received an answer. */
     var unacknowledgedAnswers = 0
 
-    /** When the last heartbeat came that we answered, and since when they have come with no long gap. */
+    /** When a heartbeat was last answered, and since when heartbeats have been answered without a long gap. */
     var answeredAt = 0L
     var regularHeartbeatsSince = 0L
 
-    /** When a direct command last went unanswered: no more are sent before the next heartbeat. */
+    /** When a direct call last went unanswered; none is sent after that before the next heartbeat. */
     var unansweredDirectCallAt = 0L
 
-    /** Until when a spot machine that the cloud wants back stays up; 0 without such a notice. */
+    /** When the cloud takes the spot machine back, according to its notice; 0 if there is none. */
     var reclaimAt = 0L
 
-    // ---- lifecycle --------------------------------------------------------------------------------------------------
-
-    /** Why the machine is to go; null as long as it may stay. */
+    /** Why the machine is to leave the shard; null as long as it may stay. */
     var decommissionReason: DecommissionReason? = null
 
-    /** Whether its return to the cloud is under way. */
+    /** Whether its return to the cloud is in progress. */
     var isReturning = false
 
-    /** Since when it is marked to move to another shard. */
+    /** When it was marked for transfer to another shard. */
     var markedForTransferAt = 0L
 
-    /** Since when nothing has been placed on it. */
+    /** Since when there has been no placement on it. */
     var emptySince = firstSeenAt
 
-    /** Jobs that failed here since the last success. */
+    /** Jobs of which tasks failed here since the last success of any task. */
     val failedJobs = HashSet<String>()
 
-    /** Whether the records of other shards name the machine too. */
+    /** Whether the records of other shards also contain the machine. */
     var recordConflict = RecordConflict.NONE
         private set
 
-    /** Since when [recordConflict] is what it is. */
+    /** Since when [recordConflict] has had its value. */
     var conflictSince = 0L
         private set
 
-    /** Whether the records of several shards name the machine: nothing is placed there, and it is not returned. */
+    /** Whether the records of several shards contain the machine; then nothing is placed there, nor is it returned. */
     val isContested: Boolean get() = recordConflict != RecordConflict.NONE
 
     /**
-     * Records whether other shards' records name the machine too. What this owner has not heard of the worker says
-     * nothing from before it was the one to answer it.
+     * Records whether the records of other shards also contain the machine. On a change, the times from which the
+     * worker's silence is counted are reset: silence before this owner was the one to answer it proves nothing.
      */
     fun updateRecordConflict(conflict: RecordConflict, now: Long) {
         if (conflict == recordConflict) return
@@ -116,53 +113,49 @@
         unacknowledgedAnswers = 0
     }
 
-    // ---- direct commands --------------------------------------------------------------------------------------------
-
     private data class Attempt(val task: TaskId, val number: Long)
 
     /**
-     * Direct launches by attempt, answered or not: the call, or one more copy of it, may arrive late and is carried out
-     * as long as epoch and token are still those it was sent under (PROTOCOL, Delayed messages).
+     * Direct launches by attempt, answered or not. The call, or another copy of it, may arrive late and is carried out
+     * as long as the worker's epoch and token are those under which it was sent (PROTOCOL, Delayed messages).
      */
-    private val launches = HashMap<Attempt, DirectLaunch>()
+    private val directLaunches = HashMap<Attempt, DirectLaunch>()
 
-    /** Direct calls that wait for their answer. */
+    /** How many direct calls are waiting for a reply. */
     var pendingDirectCalls = 0
 
     /**
-     * A token within its owner's range that this worker alone is shown, 0 if it never was; and when it last was raised.
+     * A token within the owner's range that only this worker is sent, and when it was last raised; 0 if it never was.
      */
     var raisedToken = 0L
     var tokenRaisedAt = 0L
 
-    /** Records that a launch of the attempt is sent to the worker directly. */
+    /** Records that a launch of the attempt is being sent to the worker by a direct call. */
     fun recordLaunch(id: TaskId, attempt: Long, launch: DirectLaunch) {
-        launches[Attempt(id, attempt)] = launch
+        directLaunches[Attempt(id, attempt)] = launch
     }
 
-    /** The call of that launch did not leave: no connection was made. */
+    /** Removes a recorded launch whose call was not sent, since no connection was made. */
     fun recordLaunchNotSent(id: TaskId, attempt: Long) {
-        launches.remove(Attempt(id, attempt))
+        directLaunches.remove(Attempt(id, attempt))
     }
 
-    /** Whether a direct launch of this attempt, or a copy of one that was carried out, may still run here. */
-    fun mayStillLaunch(id: TaskId, attempt: Long): Boolean = Attempt(id, attempt) in launches
+    /** Whether a direct launch of this attempt, or a late copy of one already carried out, may still start it here. */
+    fun mayStillLaunch(id: TaskId, attempt: Long): Boolean = Attempt(id, attempt) in directLaunches
 
-    /** Records the epoch and token of the newest heartbeat: earlier direct calls are refused from then on. */
+    /** Records the epoch and token of the newest heartbeat; the worker refuses direct calls sent under earlier ones. */
     fun recordReportedToken(status: WorkerStatus) {
         if (status.epoch == epoch && status.token <= seenToken) return
         epoch = status.epoch
         seenToken = maxOf(seenToken, status.token)
-        launches.values.removeIf { it.epoch < epoch || it.token < seenToken }
+        directLaunches.values.removeIf { it.epoch < epoch || it.token < seenToken }
     }
 
-    /** Messages overtake each other; only the newest says what is on the machine. */
+    /** Whether the status is newer than all before. Messages may arrive out of order, and only the newest is valid. */
     fun isNewer(status: WorkerStatus): Boolean =
         status.epoch > epoch || (status.epoch == epoch && status.sequence > sequence)
 
-    // ---- capacity ---------------------------------------------------------------------------------------------------
-
-    /** What reported tasks take that no placement accounts for. */
+    /** Resources used by reported tasks that have no placement. */
     var unknownTaskCpus = 0.0
     var unknownTaskGpus = 0.0
     var unknownTaskMemoryGb = 0.0
@@ -170,68 +163,71 @@
     private var usedCpus = 0.0
     private var usedGpus = 0.0
     private var usedMemoryGb = 0.0
-    private var services = 0
+    private var serviceCount = 0
 
     val freeCpus: Double get() = (machineType?.cpus ?: 0.0) - usedCpus - unknownTaskCpus
     val freeGpus: Double get() = (machineType?.gpus ?: 0.0) - usedGpus - unknownTaskGpus
     val freeMemoryGb: Double get() = (machineType?.memoryGb ?: 0.0) - usedMemoryGb - unknownTaskMemoryGb
 
-    /** What the machine costs an hour as it was rented, ordinary or spot; 0 if its type is not known. */
+    /** The price per hour of the machine as rented, on-demand or spot; 0 if its type is not known. */
     val hourlyPrice: Double get() {
         val type = machineType ?: return 0.0
         return if (record.spot) type.spotPrice ?: type.hourlyPrice else type.hourlyPrice
     }
 
-    /** Services stay for long: while one is here, the machine is paid for anyway. */
-    val runsServices: Boolean get() = services > 0
+    /** Whether a service is placed here. Services run for long, so until they end the machine is paid for anyway. */
+    val runsServices: Boolean get() = serviceCount > 0
 
-    /** An ordinary machine with services on it: where the next ones should go. */
-    val isPreferredForServices: Boolean get() = services > 0 && !record.spot
+    /** Whether this is an on-demand machine with services on it, where further services should be placed. */
+    val isPreferredForServices: Boolean get() = serviceCount > 0 && !record.spot
 
-    /** Whether work may be placed here. A machine that may not hear us gets no more of it. */
+    /** Whether tasks may be placed here: no more are while the worker may not be receiving this owner's answers. */
     val usable: Boolean get() = isStateKnown && decommissionReason == null && !isReturning && machineType != null &&
-        unacknowledgedAnswers < MAX_UNACKNOWLEDGED && !isContested
+        unacknowledgedAnswers < MAX_UNACKNOWLEDGED_ANSWERS && !isContested
 
     /**
-     * Parts of jobs that have left the machine since they were last stored: a stored page may still name it for them.
+     * Chunks of placements that have ended here. Until such a chunk is stored, a stored page may still contain the
+     * placement.
      */
-    private val departedChunks = HashSet<Chunk>()
+    private val chunksOfEndedPlacements = HashSet<Chunk>()
 
-    /** Whether nothing is here, and nobody who acquires the shard would think so. */
-    val isDurablyEmpty: Boolean get() = placements.isEmpty() && departedChunks.all { it.isStored }
+    /** Whether there are no placements here, neither in memory nor in what the next owner would read from the store. */
+    val isDurablyEmpty: Boolean get() = placements.isEmpty() && chunksOfEndedPlacements.all { it.isStored }
 
-    /** Counts what the placement takes. */
+    /** Adds the placement and counts the resources that it uses. */
     fun add(placement: Placement) {
-        require(placement.machine === this) { "${placement.id} is placed on ${placement.machine.name}, not on $name" }
+        require(placement.machine === this) {
+            "task ${placement.id} is placed on machine ${placement.machine.name}, not on $name"
+        }
         placements[placement.id] = placement
         usedCpus += placement.job.spec.cpus
         usedGpus += placement.job.spec.gpus
         usedMemoryGb += placement.job.spec.memoryGb
-        if (placement.job.spec.isService) services++
+        if (placement.job.spec.isService) serviceCount++
     }
 
-    /** Counts the placement no more, if it is still the one of its task. */
+    /** Removes the placement and its resources, if it is still the current one of its task. */
     fun remove(placement: Placement) {
         if (!placements.remove(placement.id, placement)) return
-        departedChunks.removeIf { it.isStored }
-        departedChunks.add(placement.job.chunkOf(placement.task))
+        chunksOfEndedPlacements.removeIf { it.isStored }
+        chunksOfEndedPlacements.add(placement.job.chunkOf(placement.task))
         usedCpus -= placement.job.spec.cpus
         usedGpus -= placement.job.spec.gpus
         usedMemoryGb -= placement.job.spec.memoryGb
-        if (placement.job.spec.isService) services--
+        if (placement.job.spec.isService) serviceCount--
         if (placements.isEmpty()) {
-            // Sums of decimals drift; an empty machine is exactly empty.
+            // Sums of decimals accumulate rounding errors; an empty machine must have exactly 0.
             usedCpus = 0.0
             usedGpus = 0.0
             usedMemoryGb = 0.0
         }
     }
 
-    /** Whether the machine has this much free. */
+    /** Whether the machine has these resources free. */
     fun fits(cpus: Double, gpus: Double, memoryGb: Double): Boolean =
         cpus <= freeCpus + EPSILON && gpus <= freeGpus + EPSILON && memoryGb <= freeMemoryGb + EPSILON
 
-    /** The image is used here; which of the older ones that leaves depends on the room for images of the type. */
+    /** Records that the image is used here. Older images are evicted according to the machine type's cache size. */
     fun recordImage(image: String, imageGb: Double) = facts.recordImage(image, imageGb, machineType?.cacheGb ?: 0.0)
 
     companion object {
@@ -239,11 +235,11 @@
         const val EPSILON = 1e-9
 
         /**
-         * Answers in a row that seem not to have arrived, from which on nothing more is placed: one may be on the way.
+         * How many unacknowledged answers in a row stop placements here. A single one may still be on its way.
          */
-        private const val MAX_UNACKNOWLEDGED = 3
+        private const val MAX_UNACKNOWLEDGED_ANSWERS = 3
 
-        /** From which on the machine is replaced. */
+        /** How many unacknowledged answers in a row cause the machine to be replaced. */
         const val UNREACHABLE_AFTER_ANSWERS = 5
     }
 }
--- a/src/main/kotlin/io/reedmast/model/MachineDirectory.kt
+++ b/src/main/kotlin/io/reedmast/model/MachineDirectory.kt
@@ -3,34 +3,35 @@
 import io.reedmast.ports.MachineHint
 
 /**
- * Addresses and images of all machines, sent by their owners to the other controllers.
+ * Worker addresses and cached images of all machines, which the shards' owners send to the other controllers.
  *
- * A controller that acquires a shard can so show its token to the workers at once, and place work where its images are.
+ * They allow a controller that acquires a shard to announce its token to the workers at once, and to place tasks on
+ * machines that have their images.
  */
 class MachineDirectory {
     private val factsByMachine = HashMap<String, MachineFacts>()
 
-    /** What is known of the machine, now and later on: the owner records there what its heartbeats show. */
+    /** The facts known about the machine; its owner updates the same object from the worker's heartbeats. */
     fun factsOf(machineName: String): MachineFacts = factsByMachine.getOrPut(machineName) { MachineFacts(machineName) }
 
-    /** The machine is gone. */
+    /** Removes a machine that is gone. */
     fun remove(machineName: String) {
         factsByMachine.remove(machineName)
     }
 
-    /** What to send of [machineNames]: what has changed since it was last sent, or [all]. */
+    /** The hints about [machineNames] to be sent: those that changed since they were last sent, or [all]. */
     fun hints(machineNames: Collection<String>, all: Boolean): List<MachineHint> =
         machineNames.mapNotNull { hint(it, all) }
 
     private fun hint(machineName: String, always: Boolean): MachineHint? {
         val facts = factsByMachine[machineName] ?: return null
         val addr = facts.addr ?: return null
-        if (!always && !facts.changed) return null
-        facts.changed = false
+        if (!always && !facts.hasUnsentChanges) return null
+        facts.hasUnsentChanges = false
         return MachineHint(machineName, addr, facts.images.entries.map { it.key to it.value })
     }
 
-    /** Applies what an owner has sent of machines that are [known] to belong to some shard. */
+    /** Applies hints from an owner; machines that are not [known] to belong to a shard are ignored. */
     fun applyHints(hints: List<MachineHint>, known: (String) -> Boolean) {
         for (hint in hints) {
             if (known(hint.machineName)) factsOf(hint.machineName).replace(hint.addr, hint.images)
--- a/src/main/kotlin/io/reedmast/model/MachineFacts.kt
+++ b/src/main/kotlin/io/reedmast/model/MachineFacts.kt
@@ -1,41 +1,41 @@
 package io.reedmast.model
 
-/** What any controller may know of a machine without owning it: hints, on which no rule depends. */
+/** What a controller may know of a machine without owning its shard: only hints, on which no protocol rule depends. */
 class MachineFacts(val name: String) {
-    /** Where the machine's worker listens; null until some owner has had a heartbeat of it. */
+    /** The address of the machine's worker; null until some owner has received a heartbeat from it. */
     var addr: String? = null
         set(value) {
-            if (value != field) changed = true
+            if (value != field) hasUnsentChanges = true
             field = value
         }
 
-    /** Images fetched there, least recently used first, with their sizes in GB. */
+    /** Images cached on the machine, least recently used first, with their sizes in GB. */
     val images = LinkedHashMap<String, Double>(INITIAL_CAPACITY, LOAD_FACTOR, true)
 
-    /** Whether something here is yet to be sent to the other controllers. */
-    var changed = false
+    /** Whether there are changes that have not been sent to the other controllers. */
+    var hasUnsentChanges = false
 
     /**
-     * The image is used on the machine: it is the most recently used one now. The least recently used images are
-     * dropped as long as all of them need more than [roomGb], as the worker does; 0 if its room is not known.
+     * Records that the image is used on the machine, which makes it the most recently used one. As the worker does, the
+     * least recently used images are evicted while all of them together exceed [cacheGb]; 0 if that is not known.
      */
-    fun recordImage(image: String, imageGb: Double, roomGb: Double) {
-        if (images.put(image, imageGb) == null) changed = true
-        if (roomGb <= 0.0) return
+    fun recordImage(image: String, imageGb: Double, cacheGb: Double) {
+        if (images.put(image, imageGb) == null) hasUnsentChanges = true
+        if (cacheGb <= 0.0) return
         val oldest = images.entries.iterator()
         var totalGb = images.values.sum()
-        while (totalGb > roomGb && images.size > 1 && oldest.hasNext()) {
+        while (totalGb > cacheGb && images.size > 1 && oldest.hasNext()) {
             totalGb -= oldest.next().value
             oldest.remove()
         }
     }
 
-    /** Replaces what is known by what the machine's owner has sent: nobody else is to be sent it again. */
+    /** Replaces the facts by those that the machine's owner has sent, which this controller does not forward. */
     fun replace(addr: String, images: List<Pair<String, Double>>) {
         this.addr = addr
         this.images.clear()
         images.forEach { (image, imageGb) -> this.images[image] = imageGb }
-        changed = false
+        hasUnsentChanges = false
     }
 
     private companion object {
--- a/src/main/kotlin/io/reedmast/model/RecordConflict.kt
+++ b/src/main/kotlin/io/reedmast/model/RecordConflict.kt
@@ -1,13 +1,13 @@
 package io.reedmast.model
 
-/** Whether the records of other shards name a machine too, and who answers its worker then. */
+/** Whether the records of other shards also contain a machine, and which shard's owner then answers its worker. */
 enum class RecordConflict {
-    /** The records of this shard alone name it. */
+    /** Only the records of this shard contain it. */
     NONE,
 
-    /** Others name it too; the owner of this shard answers its worker, since this shard has the lowest number. */
+    /** Others contain it too; the owner of this shard answers its worker, as this shard has the lowest number. */
     ANSWERED_HERE,
 
-    /** Others name it too, and the owner of another shard answers its worker. */
+    /** Others contain it too; the owner of another shard answers its worker. */
     ANSWERED_ELSEWHERE,
 }
--- a/src/main/kotlin/io/reedmast/model/ShardRecord.kt
+++ b/src/main/kotlin/io/reedmast/model/ShardRecord.kt
@@ -6,11 +6,12 @@
 import io.reedmast.wire.text
 
 /**
- * Who owns a shard, and under which fencing token. The record's version is the term: every write of an owner is
- * conditional on it.
+ * Who owns a shard, and under which fencing token. The version of the record is the owner's term: every write of the
+ * owner is conditional on it.
  *
- * Its machines are kept apart, in records of their own: with them in here, the term moved with each machine that came
- * or went and put every write in flight in conflict, and a few hundred of them did not fit into one value.
+ * The machines of the shard are stored in separate records. When this record contained them, each added or removed
+ * machine changed the term, so that all writes in flight failed with a conflict; and a few hundred machines did not fit
+ * into one value.
  *
  * @property owner the label of the controller that owns the shard.
  */
--- a/src/main/kotlin/io/reedmast/model/ShardState.kt
+++ b/src/main/kotlin/io/reedmast/model/ShardState.kt
@@ -12,10 +12,10 @@
 import io.reedmast.wire.MachineType
 
 /**
- * What an owner knows of its shard. The duties around it (heartbeats, commands, scheduling, persistence, machine
- * lifecycle, autoscaling) read and change it, all on the deciding thread.
+ * The state of a shard, as known to its owner. Heartbeat handling, commands, scheduling, persistence, machine lifecycle
+ * and autoscaling read and change it, all on the deciding thread.
  *
- * Nothing here guesses: a placement counts from the decision until there is evidence that its attempt is over.
+ * Nothing in it is assumed: a placement counts from the decision until there is evidence that its attempt is over.
  */
 class ShardState(
     val index: ShardId,
@@ -23,83 +23,84 @@
     val tuning: Tuning,
     val clock: Clock,
     private val machineTypeList: () -> Collection<MachineType>,
-    /** Whether this controller has lately heard enough from the store to act. */
+    /** Whether this controller's view of the store is recent enough to act on. */
     val isCurrent: () -> Boolean,
-    /** Which limits of the store hold for this process. */
+    /** The limits of the store that apply to this process. */
     val limits: EffectiveLimits = EffectiveLimits(settings.storeLimits, settings.nextStoreLimits),
-    /** The gates of the rollout as they now stand. */
+    /** The current gates of the rollout. */
     val gates: () -> GateSnapshot = { GateSnapshot.NONE },
 ) {
-    /** The fencing token under which the shard's workers are commanded. */
+    /** The fencing token under which commands are sent to the shard's workers. */
     var token = 0L
 
-    /** The version of the shard's record: every write of the owner is conditional on it. */
+    /** The version of the shard's record; every write of the owner is conditional on it. */
     var term = 0L
 
-    /** Whether the shard has been restored, so that decisions may be made. */
+    /** Whether the shard has been restored from the store, so that decisions may be made. */
     var active = false
 
     /** When the shard became [active]. */
     var activeAt = 0L
 
-    /** Set when another owner has acquired the shard: answers that still come in are ignored. */
+    /** Set when another owner has acquired the shard; replies that arrive afterwards are ignored. */
     var dropped = false
 
     /** The shard's unfinished jobs, by id, in the order in which they became known. */
     val jobs = LinkedHashMap<String, Job>()
 
-    /** The shard's machines, by name; one that only a stored placement names is among them until it is returned. */
+    /** The shard's machines, by name, including those known only from a stored placement until they are returned. */
     val machines = LinkedHashMap<String, Machine>()
 
     /** The teams whose jobs belong to the shard. */
     val teams = settings.teams.indices.map { TeamId(it) }.filter { settings.shardOf(it) == index }
 
-    /** What the teams' placements take, against their guarantees and limits. */
+    /** Resources that the teams' placements use, compared with their guaranteed quotas and limits. */
     val quota = TeamQuota(settings)
 
-    /** What the teams have used lately, against what they are allocated. */
+    /** Recent usage of the teams, compared with their allocations. */
     val fairShare = FairShare(settings, tuning, clock, quota, teams)
 
-    /** Which jobs are late, starving or underserved. */
+    /** Decides which jobs are past their deadline, starving or underserved. */
     val urgency = JobUrgency(settings, clock)
 
-    /** For which job a placement is being preempted: that many tasks of the job need no other candidate. */
+    /** The job for which each placement is being preempted; that many of its tasks need no other candidate. */
     val preemptedFor = HashMap<Placement, Job>()
 
-    /** When machines of a zone were given up because they missed heartbeats or never came up, by zone. */
+    /** Times at which machines were decommissioned because they missed heartbeats, by zone. */
     val lostMachinesByZone = HashMap<String, ArrayDeque<Long>>()
 
-    /** Until then nothing is placed: what runs is not fully known. */
+    /** No scheduling pass takes place before this time, because not all running tasks are known. */
     var schedulingPassNotBefore = 0L
 
-    /** Gangs that have lost a task, what is left of which is to be stopped. */
+    /** Gangs that have lost a task and whose other tasks are to be stopped. */
     val incompleteGangs = LinkedHashSet<Job>()
 
-    /** Something has changed that may let waiting work start. */
+    /** Whether something has changed that may let waiting work start. */
     var schedulingPassRequested = false
 
-    /** Jobs to look at when storing: what is stored of them, or whether they are over, may have changed. */
+    /** Jobs to check at the next write to the store: their progress may have changed, or they may have finished. */
     val changedJobs = LinkedHashSet<Job>()
 
-    /** The jobs that came lately. */
+    /** The jobs that arrived recently. */
     val jobArrivals = JobArrivals()
 
-    /** How long after the last heartbeat the next one is late: heartbeats go out a quarter early or late. */
-    val heartbeatLateMs: Long = (settings.workers.reportS * MAX_HEARTBEAT_INTERVAL_MS_PER_S).toLong() + REPORT_SLACK_MS
+    /** How long after a heartbeat the next one counts as late. Workers vary the interval by up to a quarter. */
+    val heartbeatLateMs: Long =
+        (settings.workers.reportS * MAX_HEARTBEAT_INTERVAL_MS_PER_S).toLong() + HEARTBEAT_SLACK_MS
 
-    /** The cloud's machine types as they are now known. */
+    /** The cloud's machine types, as currently known. */
     val machineTypes: Collection<MachineType> get() = machineTypeList()
 
-    /** The precondition of every write of the owner: that no other has acquired the shard. */
+    /** The precondition of every write of the owner: no other controller has acquired the shard. */
     val termPrecondition: Precondition get() = Precondition(Keys.shard(index.value), term)
 
-    /** The token of commands to this machine's worker. */
+    /** The token under which commands are sent to this machine's worker. */
     fun tokenFor(machine: Machine): Long = maxOf(token, machine.raisedToken)
 
-    /** The machine type of this name, null if the cloud does not offer it. */
+    /** The machine type with this name; null if the cloud does not offer it. */
     fun machineTypeOf(typeName: String): MachineType? = machineTypes.firstOrNull { it.label == typeName }
 
-    /** How soon the machine type that is up first of those in the shard is up, in seconds; null without machines. */
+    /** The shortest boot time among the types of the shard's machines, in seconds; null if there are none. */
     fun shortestBootS(): Double? = machines.values.mapNotNull { it.machineType?.bootS }.minOrNull()
 
     /** Adds a placement, which counts from now on. */
@@ -108,7 +109,7 @@
         quota.add(placement.job)
     }
 
-    /** There is evidence that the attempt is over; [done] if it completed its task. */
+    /** Ends a placement whose attempt is known to be over; [done] if it completed its task. */
     fun finish(placement: Placement, done: Boolean) {
         val job = placement.job
         if (job.pendingCount == 0) job.waitingSince = clock.now()
@@ -116,7 +117,7 @@
         job.remove(placement, done)
         if (job.placedCount == 0) {
             job.unplacedSince = clock.now()
-            if (hasRun(placement, done)) job.underservedSince = clock.now()
+            if (ranLongEnough(placement, done)) job.underservedSince = clock.now()
         }
         if (job.spec.isGang && !done && job.placedCount > 0) incompleteGangs.add(job)
         markDirty(job.chunkOf(placement.task))
@@ -125,11 +126,11 @@
         schedulingPassRequested = true
     }
 
-    /** Whether the attempt ran long enough to count as service of its job: one that was stopped at once does not. */
-    private fun hasRun(placement: Placement, done: Boolean) =
-        done || (placement.running && clock.now() - placement.runningSince >= COUNTS_AS_RUN_MS)
+    /** Whether the attempt ran long enough to count as service of its job; one that was stopped at once did not. */
+    private fun ranLongEnough(placement: Placement, done: Boolean) =
+        done || (placement.running && clock.now() - placement.runningSince >= MIN_COUNTED_RUN_MS)
 
-    /** A chunk differs from what is stored. */
+    /** Records that a chunk differs from its stored value. */
     fun markDirty(chunk: Chunk) {
         chunk.dirty = true
         chunk.page?.markDirty(clock.now())
@@ -137,11 +138,11 @@
     }
 
     private companion object {
-        /** Milliseconds in the longest interval between heartbeats, for each second of the one that is set. */
+        /** The longest interval between heartbeats, in milliseconds per second of the configured interval. */
         const val MAX_HEARTBEAT_INTERVAL_MS_PER_S = 1250
-        const val REPORT_SLACK_MS = 1_000L
+        const val HEARTBEAT_SLACK_MS = 1_000L
 
-        /** A start counts for users if no command stops the task for this long. */
-        const val COUNTS_AS_RUN_MS = 30_000L
+        /** The start of a task counts for users if no command stops it for this long. */
+        const val MIN_COUNTED_RUN_MS = 30_000L
     }
 }
--- a/src/main/kotlin/io/reedmast/model/TeamQuota.kt
+++ b/src/main/kotlin/io/reedmast/model/TeamQuota.kt
@@ -5,10 +5,10 @@
 import io.reedmast.wire.JobSpec
 
 /**
- * What the placements of each team take, against the team's guaranteed quota and its limit.
+ * Resources that the placements of each team use, compared with the team's guaranteed quota and its limit.
  *
  * Every placement counts from the decision until there is evidence that its attempt is over: a task that may still run
- * must not let another one exceed the limit (PROTOCOL, Rules, `quota`).
+ * must count, or the next one could exceed the limit (PROTOCOL, Rules, `quota`).
  */
 class TeamQuota(private val settings: Settings) {
     private val usedCpus = DoubleArray(settings.teams.size)
@@ -17,7 +17,7 @@
     /** Counts a placement of the job. */
     fun add(job: Job) = count(job, +1)
 
-    /** Counts a placement of the job no more. */
+    /** Stops counting a placement of the job. */
     fun remove(job: Job) = count(job, -1)
 
     private fun count(job: Job, sign: Int) {
@@ -25,10 +25,10 @@
         usedGpus[job.team.value] += sign * job.spec.gpus
     }
 
-    /** The CPUs that the team's placements take. */
+    /** The CPUs that the team's placements use. */
     fun usedCpus(team: TeamId): Double = usedCpus[team.value]
 
-    /** Whether [taskCount] more tasks of this shape are within the team's guarantee. */
+    /** Whether the team stays within its guaranteed quota with [taskCount] more tasks of this spec. */
     fun isWithinGuarantee(team: TeamId, spec: JobSpec, taskCount: Int = 1): Boolean {
         val share = settings.teams[team.value]
         val cpus = usedCpus[team.value] + spec.cpus * taskCount
@@ -36,7 +36,7 @@
         return cpus <= share.cpus + Machine.EPSILON && (spec.gpus == 0.0 || gpus <= share.gpus + Machine.EPSILON)
     }
 
-    /** Whether the team's placements take more CPUs than it is guaranteed. */
+    /** Whether the team's placements use more CPUs than its guaranteed quota. */
     fun exceedsGuarantee(team: TeamId): Boolean =
         usedCpus[team.value] > settings.teams[team.value].cpus + Machine.EPSILON
 
@@ -49,7 +49,7 @@
         return maxOf(0, minOf(byCpus, byGpus))
     }
 
-    /** A limit of 0 is none. */
+    /** A [limit] of 0 means that there is none. */
     private fun remainingTasks(limit: Double, used: Double, perTask: Double): Int =
         if (limit > 0 && perTask > 0) ((limit - used + Machine.EPSILON) / perTask).toInt() else Int.MAX_VALUE
 }
--- a/src/test/kotlin/io/reedmast/jobs/JobIndexTest.kt
+++ b/src/test/kotlin/io/reedmast/jobs/JobIndexTest.kt
@@ -14,8 +14,8 @@
 import org.junit.jupiter.api.Test
 
 /**
- * Whatever order the watch, readings and late answers come in, the index holds a job exactly as long as it is
- * unfinished.
+ * The index holds a job exactly as long as it is unfinished, in whatever order watch events, listings and late outcomes
+ * of this controller's own transactions are applied.
  */
 class JobIndexTest {
     private val index = JobIndex(testSettings()) { emptyList() }
@@ -32,11 +32,11 @@
     private fun removed(version: Long) = WatchEvent(LIVE_PATH, null, version)
 
     /**
-     * An acceptance shared a transaction whose answer was lost. The job ended, everything was read anew, and only then
-     * another key of the transaction showed that it had been applied.
+     * The response to the transaction that accepted the job was lost. The job ended and all records were listed again,
+     * and only then did another key of the transaction show that it had been applied.
      */
     @Test
-    fun `an acceptance that is resolved after a reading without the job does not bring it back`() {
+    fun `an acceptance confirmed after a listing without the job does not add the job again`() {
         index.applyListing(emptyList(), 100)
 
         index.applyRecord(LIVE_PATH, record(), 90)
@@ -45,7 +45,7 @@
     }
 
     @Test
-    fun `an acceptance that is resolved after the watch has shown the end does not bring the job back`() {
+    fun `an acceptance confirmed after the watch has delivered the removal does not add the job again`() {
         index.applyListing(emptyList(), 80)
         index.applyWatchEvents(listOf(accepted(90), removed(95)), 95)
 
@@ -55,7 +55,7 @@
     }
 
     @Test
-    fun `an acceptance that the watch has not reached is added at once and stays until its removal`() {
+    fun `a job whose acceptance the watch has not reached is added at once and stays until its removal`() {
         index.applyListing(emptyList(), 80)
 
         index.applyRecord(LIVE_PATH, record(), 90)
@@ -70,7 +70,7 @@
     }
 
     @Test
-    fun `a job that an own transaction has ended is not added when the watch shows its acceptance`() {
+    fun `a job ended by an own transaction is not added when the watch delivers its acceptance`() {
         index.applyListing(emptyList(), 80)
         index.applyRecord(END_PATH, FinalRecord(JobState.DONE, 1).toFields(), 95)
         index.applyRecord(LIVE_PATH, null, 95)
@@ -80,9 +80,9 @@
         assertNull(index.liveJob(JOB_ID))
     }
 
-    /** Many thousand ends later, when that of the job is no longer remembered. */
+    /** Applies no final record, as if it had been evicted from the cache after many thousand other jobs ended. */
     @Test
-    fun `an own removal holds until the watch has shown it, whether the end is remembered or not`() {
+    fun `an own removal holds until the watch has delivered it, even without a cached final record`() {
         index.applyListing(emptyList(), 80)
         index.applyRecord(LIVE_PATH, null, 95)
 
@@ -93,9 +93,9 @@
         assertNull(index.liveJob(JOB_ID))
     }
 
-    /** The first page of a listing is older than the last one: a job that came meanwhile may be listed or not. */
+    /** The first page of a listing is older than the last: a job added in between may or may not be listed. */
     @Test
-    fun `a listing whose pages are of different moments loses nothing`() {
+    fun `a listing whose pages were read at different times loses no job`() {
         index.applyListing(listOf(StoredItem(LIVE_PATH, record(), 104)), 100)
 
         index.applyWatchEvents(listOf(WatchEvent("j/live/0/wk-2", record(), 102), accepted(104)), 110)
