--- a/src/main/kotlin/io/reedmast/fairshare/Preemption.kt
+++ b/src/main/kotlin/io/reedmast/fairshare/Preemption.kt
@@ -10,11 +10,11 @@
     val sameTeam: Boolean,
     val ranForS: Double,
     /** The protected minimum run time. */
-    val minimumS: Double,
+    val protectedMinimumS: Double,
     /** Whether the team runs more than its guarantee. */
     val teamBeyondGuarantee: Boolean,
     /** Charged use of the candidate's team over the window, divided by its allocation. */
-    val teamRatio: Double,
+    val teamUsageRatio: Double,
 )
 
 /** What [mayPreempt] needs to know of a waiting request. */
@@ -23,7 +23,7 @@
     /** Whether one more task is within the guarantee of the requesting team. */
     val withinGuarantee: Boolean,
     /** Charged use of the requesting team over the window, divided by its allocation. */
-    val teamRatio: Double,
+    val teamUsageRatio: Double,
 )
 
 /** Whether [candidate] may be stopped for [request]: where both the design and the protocol permit it. */
@@ -44,6 +44,6 @@
  */
 private fun designPermits(candidate: PreemptionCandidate, request: PreemptionRequest): Boolean {
     if (!candidate.priority.isFunded) return true
-    return candidate.resumable && !candidate.sameTeam && candidate.ranForS >= candidate.minimumS &&
-        request.teamRatio < candidate.teamRatio
+    return candidate.resumable && !candidate.sameTeam && candidate.ranForS >= candidate.protectedMinimumS &&
+        request.teamUsageRatio < candidate.teamUsageRatio
 }
--- a/src/main/kotlin/io/reedmast/gangs/ExpectedGangSelection.kt
+++ b/src/main/kotlin/io/reedmast/gangs/ExpectedGangSelection.kt
@@ -1,7 +1,7 @@
 package io.reedmast.gangs
 
 import io.reedmast.model.Machine
-import io.reedmast.placement.groupForGang
+import io.reedmast.placement.gangPlacementGroups
 import io.reedmast.placement.isEligible
 import io.reedmast.placement.tasksThatFit
 import io.reedmast.wire.JobSpec
@@ -26,9 +26,9 @@
         val taskCount = largestGang.taskCount * minOf(MAX_GANGS_RESERVED_FOR, 1 + expectedGangs.toInt())
         val eligible = machines.filter { isEligible(largestGang, it.record) && !it.record.spot }
         val order = preferenceFor(largestGang)
-        return groupForGang(eligible, recentGangs.any { it.oneZone })
+        return gangPlacementGroups(eligible, recentGangs.any { it.oneZone })
             .map { group -> firstMachinesThatHold(largestGang, taskCount, group.sortedWith(order), maxMachines) }
-            .maxByOrNull { valueOf(it, largestGang) }
+            .maxByOrNull { selectionValue(it, largestGang) }
             .orEmpty()
     }
 
@@ -38,7 +38,7 @@
         { -tasksThatFit(gang, it) },
     )
 
-    private fun valueOf(selected: Set<Machine>, gang: JobSpec): Int =
+    private fun selectionValue(selected: Set<Machine>, gang: JobSpec): Int =
         selected.count { it in alreadyReserved } * ALREADY_RESERVED_VALUE +
             selected.sumOf { cachedImageCount(it) } +
             selected.sumOf { tasksOnceArraysEnd(gang, it) }
--- a/src/main/kotlin/io/reedmast/gangs/GangReservations.kt
+++ b/src/main/kotlin/io/reedmast/gangs/GangReservations.kt
@@ -72,13 +72,13 @@
     private fun withoutReserved(machines: List<Machine>) = machines.filter { it !in gangsByMachine }
 
     private fun maxMachines(machines: List<Machine>, divisor: Int) =
-        maxOf(MIN_MACHINES_ALLOWED, machines.size / divisor)
+        maxOf(MIN_RESERVABLE_MACHINES, machines.size / divisor)
 
     private companion object {
         const val RESERVATION_MS = 25_000L
 
         /** So many machines may be reserved in any case, also in a small shard. */
-        const val MIN_MACHINES_ALLOWED = 4
+        const val MIN_RESERVABLE_MACHINES = 4
 
         /** A quarter of the machines for waiting gangs, an eighth for those that arrive next. */
         const val DIVISOR_FOR_WAITING = 4
--- a/src/main/kotlin/io/reedmast/gangs/ReservationSelection.kt
+++ b/src/main/kotlin/io/reedmast/gangs/ReservationSelection.kt
@@ -3,7 +3,7 @@
 import io.reedmast.model.Job
 import io.reedmast.model.Machine
 import io.reedmast.placement.FreeResources
-import io.reedmast.placement.groupForGang
+import io.reedmast.placement.gangPlacementGroups
 import io.reedmast.placement.isEligible
 import io.reedmast.placement.tasksThatFit
 import io.reedmast.wire.JobSpec
@@ -14,7 +14,7 @@
  */
 internal fun selectMachinesForWaitingGang(job: Job, machines: List<Machine>): Set<Machine>? {
     val eligible = machines.filter { isEligible(job.spec, it.record) && it !in job.failedOn }
-    return groupForGang(eligible, job.spec.oneZone)
+    return gangPlacementGroups(eligible, job.spec.oneZone)
         .mapNotNull { selectUntilGangFits(job.spec, it) }
         .maxByOrNull { selected -> selected.sumOf { tasksThatFit(job.spec, it) } }
 }
--- a/src/main/kotlin/io/reedmast/placement/GangPacking.kt
+++ b/src/main/kotlin/io/reedmast/placement/GangPacking.kt
@@ -15,13 +15,13 @@
     val usableMachines = machines
         .filter { isEligible(spec, it.record) && tasksThatFit(spec, it) > 0 && mayUse(it) }
         .sortedBy { score(spec, it) }
-    return groupForGang(usableMachines, spec.oneZone)
+    return gangPlacementGroups(usableMachines, spec.oneZone)
         .mapNotNull { pack(spec, it) }
         .minByOrNull { assignment -> assignment.tasksByMachine.keys.maxOf { score(spec, it) } }
 }
 
 /** The groups of machines within one of which a gang has to fit: those of each zone if it needs [oneZone]. */
-internal fun groupForGang(machines: List<Machine>, oneZone: Boolean): Collection<List<Machine>> =
+internal fun gangPlacementGroups(machines: List<Machine>, oneZone: Boolean): Collection<List<Machine>> =
     if (oneZone) machines.groupBy { it.record.zone }.values else listOf(machines)
 
 /** Fills the machines in their order; null if the gang does not fit on them. */
--- a/src/main/kotlin/io/reedmast/placement/MachineFilters.kt
+++ b/src/main/kotlin/io/reedmast/placement/MachineFilters.kt
@@ -11,8 +11,8 @@
     ::isOfEligibleKind,
     ::isAffordable,
     ::leavesServiceHeadroom,
-    ::hasNotFailedThere,
-    ::keepsZoneRules,
+    ::hasNotFailedOnMachine,
+    ::isInAllowedZone,
 )
 
 internal fun hasFreeResources(request: TaskRequest, machine: Machine): Boolean =
@@ -23,16 +23,16 @@
 
 /** Work that may use spot machines keeps an overpriced ordinary one from becoming empty only if it is late. */
 internal fun isAffordable(request: TaskRequest, machine: Machine): Boolean =
-    request.urgency.ignoresCost || !request.isOverpriced(machine)
+    request.urgency.ignoresCostAndHeadroom || !request.isOverpriced(machine)
 
 /** Work other than services leaves headroom on machines with services, unless it is late. */
 internal fun leavesServiceHeadroom(request: TaskRequest, machine: Machine): Boolean =
-    request.job.spec.isService || request.urgency.ignoresCost || !machine.isServiceHome ||
-        request.serviceHeadroom.allows(request.job.spec.cpus)
+    request.job.spec.isService || request.urgency.ignoresCostAndHeadroom || !machine.isServiceHome ||
+        request.serviceHeadroom.canAllocate(request.job.spec.cpus)
 
 /** A job does not go back to where it failed, unless it is starving. */
-internal fun hasNotFailedThere(request: TaskRequest, machine: Machine): Boolean =
+internal fun hasNotFailedOnMachine(request: TaskRequest, machine: Machine): Boolean =
     request.urgency.ignoresFailuresAndReservations || machine !in request.job.failedOn
 
-internal fun keepsZoneRules(request: TaskRequest, machine: Machine): Boolean =
+internal fun isInAllowedZone(request: TaskRequest, machine: Machine): Boolean =
     satisfiesZoneRules(request.job, machine.record.zone)
--- a/src/main/kotlin/io/reedmast/placement/ServiceHeadroom.kt
+++ b/src/main/kotlin/io/reedmast/placement/ServiceHeadroom.kt
@@ -8,7 +8,7 @@
  */
 class ServiceHeadroom(private var freeCpus: Double, private val reservedCpus: Double) {
     /** Whether the reserved CPUs stay free if [cpus] more are used. */
-    fun allows(cpus: Double): Boolean = freeCpus - cpus >= reservedCpus
+    fun canAllocate(cpus: Double): Boolean = freeCpus - cpus >= reservedCpus
 
     /** Records that [cpus] more are used on machines that run services. */
     fun allocate(cpus: Double) {
--- a/src/main/kotlin/io/reedmast/placement/Urgency.kt
+++ b/src/main/kotlin/io/reedmast/placement/Urgency.kt
@@ -12,7 +12,7 @@
     ;
 
     /** Whether the price of machines and the headroom of services are ignored. */
-    val ignoresCost: Boolean get() = this != NORMAL
+    val ignoresCostAndHeadroom: Boolean get() = this != NORMAL
 
     /** Whether earlier failures on a machine and reservations for gangs are ignored. */
     val ignoresFailuresAndReservations: Boolean get() = this == STARVING
--- a/src/main/kotlin/io/reedmast/placement/ZoneRules.kt
+++ b/src/main/kotlin/io/reedmast/placement/ZoneRules.kt
@@ -16,7 +16,7 @@
     if (spec.oneZone && zonesInUse.any { it != zone }) return false
     // The zone of a machine that is known by name alone is not known: it may be this one or another.
     val tasksHere = zonesInUse.count { it == zone || it.isEmpty() }
-    return !spec.spread || tasksHere + 1 <= largestHalf(spec.taskCount)
+    return !spec.spread || tasksHere + 1 <= halfRoundedUp(spec.taskCount)
 }
 
 /**
@@ -42,7 +42,7 @@
 
 /** How many tasks of the gang one zone may hold. */
 internal fun maxGangTasksInOneZone(spec: JobSpec): Int =
-    if (spec.spread) largestHalf(spec.taskCount) else spec.taskCount
+    if (spec.spread) halfRoundedUp(spec.taskCount) else spec.taskCount
 
 /** At most half of a spread job's tasks, rounded up, may be in one zone (PROTOCOL, POST /submissions). */
-private fun largestHalf(taskCount: Int): Int = (taskCount + 1) / 2
+private fun halfRoundedUp(taskCount: Int): Int = (taskCount + 1) / 2
--- a/src/main/kotlin/io/reedmast/scheduling/CandidateMachines.kt
+++ b/src/main/kotlin/io/reedmast/scheduling/CandidateMachines.kt
@@ -9,8 +9,8 @@
  */
 internal fun candidateMachines(machines: Collection<Machine>, heartbeatLateMs: Long, nowMs: Long): List<Machine> {
     val usable = machines.filter { it.isInService }
-    val heardInTime = usable.filter { nowMs - it.lastHeartbeatAt <= heartbeatLateMs }
-    return if (heardInTime.size * 2 >= usable.size) heardInTime else usable
+    val withTimelyHeartbeat = usable.filter { nowMs - it.lastHeartbeatAt <= heartbeatLateMs }
+    return if (withTimelyHeartbeat.size * 2 >= usable.size) withTimelyHeartbeat else usable
 }
 
 /** Whether the machine takes work, and the cloud has not announced that it takes the machine back. */
--- a/src/main/kotlin/io/reedmast/scheduling/FairShareQueues.kt
+++ b/src/main/kotlin/io/reedmast/scheduling/FairShareQueues.kt
@@ -18,7 +18,7 @@
     fun isNotEmpty(): Boolean = queues.isNotEmpty()
 
     /** The job whose turn it is; it stays in its queue. Fails if there is none. */
-    fun next(): Job {
+    fun peek(): Job {
         val firstJobs = queues.values.map { it.first() }
         return if (firstJobs.size == 1) firstJobs.single() else firstJobs.minWith(teamOrder)
     }
--- a/src/main/kotlin/io/reedmast/scheduling/JobPlacer.kt
+++ b/src/main/kotlin/io/reedmast/scheduling/JobPlacer.kt
@@ -37,13 +37,13 @@
         val shape = TaskShape.of(job, urgency)
         if (shape in pass.shapesWithoutMachine) return null
         val request = TaskRequest(job, urgency, pass.serviceHeadroom) { prices.isOverpriced(job, it) }
-        val machine = selectMachine(request, machinesOpenTo(job, urgency, pass.machines))
+        val machine = selectMachine(request, machinesAvailableTo(job, urgency, pass.machines))
         if (machine == null && shape != null) pass.shapesWithoutMachine.add(shape)
         return machine
     }
 
     /** Reservations for gangs hold off neither services nor jobs that have got nothing for long. */
-    private fun machinesOpenTo(job: Job, urgency: Urgency, machines: List<Machine>): List<Machine> {
+    private fun machinesAvailableTo(job: Job, urgency: Urgency, machines: List<Machine>): List<Machine> {
         val ignoresReservations = job.spec.isService || urgency.ignoresFailuresAndReservations || reservations.isEmpty
         return if (ignoresReservations) machines else machines.filter { !reservations.isReservedForOther(job, it) }
     }
@@ -58,9 +58,9 @@
     }
 
     private fun mayUseForGang(job: Job, machine: Machine, urgency: Urgency): Boolean {
-        val isOpen = urgency.ignoresFailuresAndReservations ||
+        val isAvailable = urgency.ignoresFailuresAndReservations ||
             (machine !in job.failedOn && !reservations.isReservedForOther(job, machine))
-        return isOpen && (urgency.ignoresCost || !prices.isOverpriced(job, machine))
+        return isAvailable && (urgency.ignoresCostAndHeadroom || !prices.isOverpriced(job, machine))
     }
 
     private fun urgencyOf(job: Job): Urgency = when {
--- a/src/main/kotlin/io/reedmast/scheduling/PreemptionCandidates.kt
+++ b/src/main/kotlin/io/reedmast/scheduling/PreemptionCandidates.kt
@@ -9,26 +9,26 @@
 /** Finds the tasks that may be stopped for other work. */
 internal class PreemptionCandidates(private val shardState: ShardState, private val protection: PreemptionProtection) {
     /** The machines on which some task may be stopped, for whatever work. */
-    fun machines(): List<Machine> = shardState.machines.values.filter { machine ->
+    fun machinesWithCandidates(): List<Machine> = shardState.machines.values.filter { machine ->
         machine.isInService && machine.placements.values.any { protection.isPreemptable(it) }
     }
 
     /** The tasks on [machine] that may be stopped for [preempting]. */
-    fun on(machine: Machine, preempting: PreemptingJob): List<Placement> = machine.placements.values
+    fun on(machine: Machine, preemptingJob: PreemptingJob): List<Placement> = machine.placements.values
         .filter { it.stopReason == null && protection.isPreemptable(it) }
-        .filter { !protection.isProtectedFrom(it, preempting.job) }
-        .filter { mayPreempt(candidateOf(it, preempting), preempting.request) }
+        .filter { !protection.isProtectedFrom(it, preemptingJob.job) }
+        .filter { mayPreempt(candidateOf(it, preemptingJob), preemptingJob.request) }
 
-    private fun candidateOf(placement: Placement, preempting: PreemptingJob): PreemptionCandidate {
+    private fun candidateOf(placement: Placement, preemptingJob: PreemptingJob): PreemptionCandidate {
         val job = placement.job
         return PreemptionCandidate(
             priority = job.spec.priority,
             resumable = job.spec.resumable,
-            sameTeam = job.team == preempting.job.team,
+            sameTeam = job.team == preemptingJob.job.team,
             ranForS = (shardState.clock.now() - protectedSince(placement)) / MS_PER_SECOND,
-            minimumS = protectedMinimumS(job.spec.estimateS),
+            protectedMinimumS = protectedMinimumS(job.spec.estimateS),
             teamBeyondGuarantee = shardState.quota.isBeyondGuarantee(job.team),
-            teamRatio = shardState.fairShare.ratio(job.team, preempting.wallMs),
+            teamUsageRatio = shardState.fairShare.ratio(job.team, preemptingJob.wallMs),
         )
     }
 
--- a/src/main/kotlin/io/reedmast/scheduling/Preemptor.kt
+++ b/src/main/kotlin/io/reedmast/scheduling/Preemptor.kt
@@ -32,26 +32,27 @@
 
     /** Stops work for those of [readyJobs] that have waited for long enough and may preempt, in their order. */
     fun preempt(readyJobs: List<Job>, pass: SchedulingPass) {
-        val machines = candidates.machines()
+        val machines = candidates.machinesWithCandidates()
         if (machines.isEmpty()) return
-        val comingCapacity = demandEstimator.bootingCapacity()
+        val bootingCapacity = demandEstimator.bootingCapacity()
         // Lazily: what is stopped for one job counts for the next.
         readyJobs.asSequence()
-            .filter { needsPreemption(it, pass.nowMs, comingCapacity) }
+            .filter { needsPreemption(it, pass.nowMs, bootingCapacity) }
             .take(MAX_JOBS_PER_PASS)
             .forEach { preemptFor(it, machines, pass.wallMs) }
     }
 
-    private fun needsPreemption(job: Job, nowMs: Long, comingCapacity: List<FreeCapacity>): Boolean {
-        if (!job.spec.priority.isFunded || !hasUnservedTasks(job)) return false
-        if (nowMs - job.waitsSince < preemptAfterMs(job)) return false
+    private fun needsPreemption(job: Job, nowMs: Long, bootingCapacity: List<FreeCapacity>): Boolean {
+        if (!job.spec.priority.isFunded || !hasTasksToPreemptFor(job)) return false
+        if (nowMs - job.waitsSince < preemptionDelayMs(job)) return false
         // What only has to be done some time fits on the machines that are on their way; what has to start soon does
         // not.
-        return shardState.urgency.isLatencySensitive(job) || !demandEstimator.fitsOnBootingMachines(job, comingCapacity)
+        return shardState.urgency.isLatencySensitive(job) ||
+            !demandEstimator.fitsOnBootingMachines(job, bootingCapacity)
     }
 
     /** Whether tasks that the team's limit allows wait, beyond those for which work is being stopped already. */
-    private fun hasUnservedTasks(job: Job): Boolean =
+    private fun hasTasksToPreemptFor(job: Job): Boolean =
         job.pendingCount > job.preempting && shardState.quota.remainingTasks(job) > job.preempting
 
     /**
@@ -59,12 +60,12 @@
      * that is stopped loses what it has done. A day of arrays that were stopped at once for services stopped a fifth of
      * all tasks.
      */
-    private fun preemptAfterMs(job: Job): Long {
+    private fun preemptionDelayMs(job: Job): Long {
         val heartbeatIntervalMs = shardState.settings.workers.reportS * MS_PER_SECOND
         return when {
-            job.spec.isGang -> GANG_WAIT_MS
+            job.spec.isGang -> GANG_PREEMPTION_DELAY_MS
             shardState.urgency.isLatencySensitive(job) -> heartbeatIntervalMs.toLong()
-            else -> (heartbeatIntervalMs * ARRAY_WAIT_HEARTBEATS).toLong()
+            else -> (heartbeatIntervalMs * ARRAY_PREEMPTION_DELAY_HEARTBEATS).toLong()
         }
     }
 
@@ -74,17 +75,17 @@
             shardState.quota.isWithinGuarantee(job.team, job.spec),
             shardState.fairShare.ratio(job.team, wallMs),
         )
-        val preempting = PreemptingJob(job, request, wallMs)
-        if (job.spec.isGang) preemptForGang(preempting) else preemptForTasks(preempting, machines)
+        val preemptingJob = PreemptingJob(job, request, wallMs)
+        if (job.spec.isGang) preemptForGang(preemptingJob) else preemptForTasks(preemptingJob, machines)
     }
 
-    private fun preemptForTasks(preempting: PreemptingJob, machines: List<Machine>) {
-        val job = preempting.job
+    private fun preemptForTasks(preemptingJob: PreemptingJob, machines: List<Machine>) {
+        val job = preemptingJob.job
         machines.asSequence()
             .takeWhile { job.pendingCount > job.preempting }
             .filter { mayRunOn(job, it) && !isStoppingWork(it) }
             .forEach { machine ->
-                val toStop = placementsToStop(preempting, machine, taskCount = 1).orEmpty()
+                val toStop = placementsToStop(preemptingJob, machine, taskCount = 1).orEmpty()
                 toStop.forEach { stop(it, job) }
             }
     }
@@ -95,14 +96,14 @@
     private fun isStoppingWork(machine: Machine): Boolean = machine.placements.values.any { it.stopReason != null }
 
     /** Stops work on the machines that are reserved for the gang, if all of it fits there then. */
-    private fun preemptForGang(preempting: PreemptingJob) {
-        val job = preempting.job
+    private fun preemptForGang(preemptingJob: PreemptingJob) {
+        val job = preemptingJob.job
         if (job.preempting > 0 || !shardState.allowsWholeGang(job)) return
         val toStop = ArrayList<Placement>()
         var remainingTasks = job.spec.taskCount
         for (machine in reservations.machinesReservedFor(job).filter { it.usable && !isStoppingWork(it) }) {
             if (remainingTasks <= 0) break
-            val largest = largestGangPreemption(preempting, machine, remainingTasks)
+            val largest = largestGangPreemption(preemptingJob, machine, remainingTasks)
             toStop.addAll(largest.toStop)
             remainingTasks -= largest.taskCount
         }
@@ -110,12 +111,12 @@
     }
 
     /** The most tasks of the gang, up to [maxTasks], for which work on the machine may be stopped. */
-    private fun largestGangPreemption(preempting: PreemptingJob, machine: Machine, maxTasks: Int): GangPreemption {
-        val fittingNow = minOf(maxTasks, tasksThatFit(preempting.job.spec, machine))
+    private fun largestGangPreemption(preemptingJob: PreemptingJob, machine: Machine, maxTasks: Int): GangPreemption {
+        val fittingNow = minOf(maxTasks, tasksThatFit(preemptingJob.job.spec, machine))
         var largest = GangPreemption(fittingNow, emptyList())
         while (largest.taskCount < maxTasks) {
             val taskCount = largest.taskCount + 1
-            val toStop = placementsToStop(preempting, machine, taskCount) ?: break
+            val toStop = placementsToStop(preemptingJob, machine, taskCount) ?: break
             largest = GangPreemption(taskCount, toStop)
         }
         return largest
@@ -125,8 +126,8 @@
      * What must be stopped so that [taskCount] tasks of the job fit on the machine; null if that is not allowed or not
      * needed.
      */
-    private fun placementsToStop(preempting: PreemptingJob, machine: Machine, taskCount: Int): List<Placement>? =
-        selectForPreemption(preempting.job.spec, taskCount, machine, candidates.on(machine, preempting))
+    private fun placementsToStop(preemptingJob: PreemptingJob, machine: Machine, taskCount: Int): List<Placement>? =
+        selectForPreemption(preemptingJob.job.spec, taskCount, machine, candidates.on(machine, preemptingJob))
 
     private fun stop(placement: Placement, job: Job) {
         log.info("task {}: preempted for job {} on {}", placement.id, job.spec.jobId, placement.machine.name)
@@ -140,8 +141,8 @@
         const val MAX_JOBS_PER_PASS = 50
 
         /** What ends by itself seldom makes enough capacity free for all of a gang. */
-        const val GANG_WAIT_MS = 1_000L
-        const val ARRAY_WAIT_HEARTBEATS = 4
+        const val GANG_PREEMPTION_DELAY_MS = 1_000L
+        const val ARRAY_PREEMPTION_DELAY_HEARTBEATS = 4
         const val MS_PER_SECOND = 1000
     }
 }
--- a/src/main/kotlin/io/reedmast/scheduling/Scheduler.kt
+++ b/src/main/kotlin/io/reedmast/scheduling/Scheduler.kt
@@ -113,7 +113,7 @@
     private fun placeByFairShare(jobs: List<Job>, pass: SchedulingPass) {
         val queues = FairShareQueues(jobs, queueOrder(shardState), fairShareOrder(shardState, pass.wallMs))
         while (queues.isNotEmpty()) {
-            val job = queues.next()
+            val job = queues.peek()
             if (!placer.placeNext(job, pass)) queues.remove(job)
         }
     }
--- a/src/main/kotlin/io/reedmast/scheduling/TaskShape.kt
+++ b/src/main/kotlin/io/reedmast/scheduling/TaskShape.kt
@@ -11,7 +11,7 @@
     val spot: Boolean,
     val allowedTypes: List<String>?,
     val zone: String?,
-    val ignoresCost: Boolean,
+    val ignoresCostAndHeadroom: Boolean,
 ) {
     companion object {
         /**
@@ -28,7 +28,7 @@
                 spec.spot,
                 spec.allowedTypes,
                 spec.zone,
-                urgency.ignoresCost,
+                urgency.ignoresCostAndHeadroom,
             )
         }
     }
--- a/src/test/kotlin/io/reedmast/fairshare/PreemptionTest.kt
+++ b/src/test/kotlin/io/reedmast/fairshare/PreemptionTest.kt
@@ -6,15 +6,15 @@
 import org.junit.jupiter.api.Test
 
 class PreemptionTest {
-    private val request = PreemptionRequest(Priority.STANDARD, withinGuarantee = true, teamRatio = 0.5)
+    private val request = PreemptionRequest(Priority.STANDARD, withinGuarantee = true, teamUsageRatio = 0.5)
     private val candidate = PreemptionCandidate(
         priority = Priority.STANDARD,
         resumable = true,
         sameTeam = false,
         ranForS = 60.0,
-        minimumS = 60.0,
+        protectedMinimumS = 60.0,
         teamBeyondGuarantee = true,
-        teamRatio = 0.6,
+        teamUsageRatio = 0.6,
     )
 
     @Test
@@ -22,7 +22,7 @@
         assertTrue(mayPreempt(candidate, request))
         assertFalse(mayPreempt(candidate.copy(resumable = false), request))
         assertFalse(mayPreempt(candidate.copy(ranForS = 59.0), request))
-        assertFalse(mayPreempt(candidate.copy(teamRatio = 0.5), request))
+        assertFalse(mayPreempt(candidate.copy(teamUsageRatio = 0.5), request))
         assertFalse(mayPreempt(candidate.copy(teamBeyondGuarantee = false), request))
         assertFalse(mayPreempt(candidate, request.copy(withinGuarantee = false)))
     }
@@ -36,13 +36,13 @@
 
     @Test
     fun `uncharged work is stopped for any funded request, and for no other`() {
-        val uncharged = candidate.copy(
+        val bestEffort = candidate.copy(
             priority = Priority.BEST_EFFORT,
             resumable = false,
             sameTeam = true,
             ranForS = 0.0,
         )
-        assertTrue(mayPreempt(uncharged, request.copy(withinGuarantee = false)))
-        assertFalse(mayPreempt(uncharged, request.copy(priority = Priority.BEST_EFFORT)))
+        assertTrue(mayPreempt(bestEffort, request.copy(withinGuarantee = false)))
+        assertFalse(mayPreempt(bestEffort, request.copy(priority = Priority.BEST_EFFORT)))
     }
 }
--- a/src/test/kotlin/io/reedmast/gangs/GangReservationsTest.kt
+++ b/src/test/kotlin/io/reedmast/gangs/GangReservationsTest.kt
@@ -31,10 +31,10 @@
         machines.forEach { fill(it, if (it.record.zone == "x") "service" else "array") }
         val gang = job("wk-1", 8, "gang")
         reservations.reserve(gang, machines, 0L)
-        val kept = reservations.machinesReservedFor(gang)
-        assertEquals(listOf("y", "y"), kept.map { it.record.zone })
-        assertTrue(kept.all { reservations.isReservedForOther(job("wk-2", 1, "array"), it) })
-        assertFalse(kept.any { reservations.isReservedForOther(gang, it) })
+        val reserved = reservations.machinesReservedFor(gang)
+        assertEquals(listOf("y", "y"), reserved.map { it.record.zone })
+        assertTrue(reserved.all { reservations.isReservedForOther(job("wk-2", 1, "array"), it) })
+        assertFalse(reserved.any { reservations.isReservedForOther(gang, it) })
     }
 
     @Test
--- a/src/test/kotlin/io/reedmast/placement/MachineFiltersTest.kt
+++ b/src/test/kotlin/io/reedmast/placement/MachineFiltersTest.kt
@@ -60,7 +60,7 @@
     fun `only a starving job goes back to where it failed`() {
         val machine = machine()
         val job = job().apply { failedOn.add(machine) }
-        val accepted = Urgency.entries.filter { hasNotFailedThere(request(job, it), machine) }
+        val accepted = Urgency.entries.filter { hasNotFailedOnMachine(request(job, it), machine) }
         assertEquals(listOf(Urgency.STARVING), accepted)
     }
 
@@ -68,8 +68,8 @@
     fun `a job that needs one zone stays in the zone of its other tasks`() {
         val job = job("wk-1", "oneZone" to "true")
         place(job, machine(zone = "x"), taskCount = 1)
-        assertTrue(keepsZoneRules(request(job), machine(zone = "x")))
-        assertFalse(keepsZoneRules(request(job), machine(zone = "y")))
+        assertTrue(isInAllowedZone(request(job), machine(zone = "x")))
+        assertFalse(isInAllowedZone(request(job), machine(zone = "y")))
     }
 
     @Test
--- a/src/test/kotlin/io/reedmast/scheduling/FairShareQueuesTest.kt
+++ b/src/test/kotlin/io/reedmast/scheduling/FairShareQueuesTest.kt
@@ -19,9 +19,9 @@
     fun `the first job of the team with the least usage is next, as usage changes`() {
         val jobs = listOf(job("wk-2", 0), job("wk-1", 0), job("wk-3", 1))
         val queues = FairShareQueues(jobs, byId, byUsage)
-        assertEquals("wk-1", queues.next().spec.jobId)
+        assertEquals("wk-1", queues.peek().spec.jobId)
         usageByTeam[TeamId(0)] = 3.0
-        assertEquals("wk-3", queues.next().spec.jobId)
+        assertEquals("wk-3", queues.peek().spec.jobId)
     }
 
     @Test
@@ -29,7 +29,7 @@
         val jobs = listOf(job("wk-1", 0), job("wk-2", 0))
         val queues = FairShareQueues(jobs, byId, byUsage)
         queues.remove(jobs[0])
-        assertEquals(jobs[1], queues.next())
+        assertEquals(jobs[1], queues.peek())
         queues.remove(jobs[1])
         assertFalse(queues.isNotEmpty())
     }
