--- a/src/main/kotlin/io/reedmast/fairshare/Preemption.kt
+++ b/src/main/kotlin/io/reedmast/fairshare/Preemption.kt
@@ -2,45 +2,49 @@
 
 import io.reedmast.wire.Priority
 
-/** What [mayPreempt] needs to know of a running task. */
+/** The attributes of a running task by which [mayPreempt] decides. */
 data class PreemptionCandidate(
     val priority: Priority,
     val resumable: Boolean,
-    /** Whether the request comes from the same team. */
+    /** Whether the request comes from the task's own team. */
     val sameTeam: Boolean,
     val ranForS: Double,
-    /** The protected minimum run time. */
+    /** The run time during which a resumable task is protected from preemption for teams further below their share. */
     val protectedMinimumS: Double,
-    /** Whether the team runs more than its guarantee. */
+    /** Whether the task's team uses more than its guarantee. */
     val teamBeyondGuarantee: Boolean,
-    /** Charged use of the candidate's team over the window, divided by its allocation. */
+    /** Charged use of the task's team over the sliding window, divided by its allocation. */
     val teamUsageRatio: Double,
 )
 
-/** What [mayPreempt] needs to know of a waiting request. */
+/** The attributes of a waiting request by which [mayPreempt] decides. */
 data class PreemptionRequest(
     val priority: Priority,
     /** Whether one more task is within the guarantee of the requesting team. */
     val withinGuarantee: Boolean,
-    /** Charged use of the requesting team over the window, divided by its allocation. */
+    /** Charged use of the requesting team over the sliding window, divided by its allocation. */
     val teamUsageRatio: Double,
 )
 
-/** Whether [candidate] may be stopped for [request]: where both the design and the protocol permit it. */
+/**
+ * Whether [candidate] may be preempted for [request]. The request must be funded, and both the protocol and the design
+ * must permit the preemption.
+ */
 fun mayPreempt(candidate: PreemptionCandidate, request: PreemptionRequest): Boolean =
     request.priority.isFunded && protocolPermits(candidate, request) && designPermits(candidate, request)
 
 /**
- * The request must have a higher priority, or be within its team's guarantee while the candidate's team is beyond its
- * own (PROTOCOL, Preemption).
+ * The request must either have a higher priority than the candidate, or come from another team and be within that
+ * team's guarantee while the candidate's team is beyond its own (PROTOCOL, Preemption).
  */
 private fun protocolPermits(candidate: PreemptionCandidate, request: PreemptionRequest): Boolean =
     request.priority < candidate.priority ||
         (!candidate.sameTeam && request.withinGuarantee && candidate.teamBeyondGuarantee)
 
 /**
- * Uncharged work may be stopped for any funded request, and resumable work past its protected minimum for a team
- * further below its share (docs/design.md).
+ * Best-effort work, which is not charged, may be preempted for any funded request. Funded work may be preempted only
+ * if it is resumable, has run for its protected minimum, and the request comes from another team that is further below
+ * its share, that is, has a lower usage ratio (docs/design.md).
  */
 private fun designPermits(candidate: PreemptionCandidate, request: PreemptionRequest): Boolean {
     if (!candidate.priority.isFunded) return true
--- a/src/main/kotlin/io/reedmast/gangs/ExpectedGangSelection.kt
+++ b/src/main/kotlin/io/reedmast/gangs/ExpectedGangSelection.kt
@@ -7,9 +7,9 @@
 import io.reedmast.wire.JobSpec
 
 /**
- * Which machines to reserve for the gangs that arrive next, judged by [recentGangs].
+ * Selects machines to reserve for the gangs that are expected to arrive next, based on [recentGangs].
  *
- * Machines that are reserved for them already stay so if possible, and those that have the gangs' images are preferred.
+ * Prefers machines that are already reserved for expected gangs, then machines that have the gangs' images.
  */
 internal class ExpectedGangSelection(
     private val recentGangs: List<JobSpec>,
@@ -18,8 +18,9 @@
     private val images = recentGangs.mapTo(HashSet()) { it.image }
 
     /**
-     * At most [maxMachines] of [machines], of one zone if any recent gang needed that, for [expectedGangs] gangs and
-     * one more, three at most, of the size of the largest recent one. None if no gang has arrived recently.
+     * Selects at most [maxMachines] of [machines], all in one zone if any recent gang required that. They are
+     * meant for one gang more than [expectedGangs] rounded down, but three gangs at most, each as large as the largest
+     * recent one. Empty if no gang has arrived recently.
      */
     fun select(machines: List<Machine>, expectedGangs: Double, maxMachines: Int): Set<Machine> {
         val largestGang = recentGangs.maxByOrNull { it.cpus * it.taskCount } ?: return emptySet()
@@ -43,15 +44,15 @@
             selected.sumOf { cachedImageCount(it) } +
             selected.sumOf { tasksOnceArraysEnd(gang, it) }
 
-    /** How many of the recent gangs' images the machine has. */
+    /** The number of the recent gangs' images that the machine has. */
     private fun cachedImageCount(machine: Machine): Int = images.count { it in machine.images }
 
     private companion object {
         const val MAX_GANGS_RESERVED_FOR = 3
 
         /**
-         * What a machine that is reserved already is worth, in tasks that another one holds: capacity becomes free
-         * where other work has been kept off for a while.
+         * The value of a machine that is already reserved, expressed in tasks that another machine would hold:
+         * capacity becomes free on machines that other work has been kept off for a while.
          */
         const val ALREADY_RESERVED_VALUE = 4
     }
--- a/src/main/kotlin/io/reedmast/gangs/GangCoordinator.kt
+++ b/src/main/kotlin/io/reedmast/gangs/GangCoordinator.kt
@@ -9,15 +9,16 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Keeps the tasks of a gang together: all of an attempt start, or all of it ends, before there is another attempt.
+ * Keeps the tasks of a gang together: either all tasks of an attempt start, or the whole attempt ends before the gang
+ * is attempted again.
  *
- * A gang that has lost a task cannot go on. Its other tasks are stopped, and only when there is evidence for the end of
- * each of them is the gang placed again, under a new attempt number. Until then a task of it may still run somewhere.
+ * A gang that has lost a task cannot continue. Its remaining tasks are stopped, and the gang is placed again, under a
+ * new attempt number, only once there is evidence that each of them has ended. Until then, some of them may still run.
  */
 class GangCoordinator(private val shardState: ShardState, private val dispatcher: CommandDispatcher) {
     private val log = LoggerFactory.getLogger("gangs")
 
-    /** Stops what remains of gangs that have lost a task. */
+    /** Stops the remaining tasks of gangs that have lost a task. */
     fun reconcile() {
         while (shardState.incompleteGangs.isNotEmpty()) {
             val job = shardState.incompleteGangs.first()
@@ -40,18 +41,21 @@
         }
     }
 
-    /** Nothing is launched before its placement is stored: neither stored nor being written, it runs nowhere. */
+    /**
+     * Whether the task cannot have been launched. Tasks are launched only once their placement is stored, so one whose
+     * placement is neither stored nor being written runs nowhere.
+     */
     private fun isLaunchRuledOut(placement: Placement): Boolean =
         !placement.committed && placement.job.chunkOf(placement.task).page?.isWriteInFlight != true
 
-    /** A task of a gang has ended on its machine, for the reason that its worker reported. */
+    /** Handles the end of a gang's task on its machine, for the [cause] that its worker reported. */
     fun onTaskEnded(placement: Placement, cause: TaskEndCause) {
         val job = placement.job
         when (cause) {
             TaskEndCause.DONE -> complete(job)
 
-            // An orderly stop that began before this owner knew of it: the others must be stopped in time, with grace
-            // to save.
+            // An orderly stop that began before this owner knew of it. The other tasks must be stopped in time too,
+            // with a grace period for saving their state.
             TaskEndCause.HALTED -> {
                 stopRemainingTasks(job, StopReason.DRAINED)
                 shardState.finish(placement, done = false)
@@ -67,11 +71,11 @@
     }
 
     /**
-     * The tasks of a gang complete together: one that is done proves it of all, also of those whose machines are not
-     * heard any more.
+     * Completes the whole gang. Its tasks complete together, so one completed task is evidence that all of them have
+     * completed, including those on machines that no longer send heartbeats.
      */
     private fun complete(job: Job) {
-        log.info("job {}: gang done", job.spec.jobId)
+        log.info("job {}: gang completed", job.spec.jobId)
         job.placements().toList().forEach { shardState.finish(it, done = true) }
         markAllDone(job)
     }
@@ -84,8 +88,8 @@
     }
 
     /**
-     * The attempt timed out before all its tasks had started: its machines were too slow, or not reached. Retried at
-     * once, that might happen for ever.
+     * Delays the next attempt after [attempt] timed out before all its tasks had started, because machines were too
+     * slow or could not be reached. Without a delay, attempts might keep timing out forever.
      */
     private fun backOff(job: Job, attempt: Long) {
         if (job.lastTimedOutAttempt == attempt) return
@@ -95,7 +99,7 @@
         job.notBefore = maxOf(job.notBefore, shardState.clock.now() + retryDelayMs)
     }
 
-    /** The shard has just been read from the store. What is stored of a gang may be a part of it. */
+    /** Handles a job that has just been restored from the store, which may hold only some of the tasks of a gang. */
     fun onRestored(job: Job) {
         if (!job.spec.isGang) return
         when {
@@ -108,10 +112,10 @@
         job.placedCount >= job.spec.taskCount && job.placements().map { it.attempt }.distinct().count() == 1
 
     /**
-     * Whether a placement that its worker does not list may be launched, now or again.
+     * Whether a placement that its worker does not list may be launched, for the first time or again.
      *
-     * Nothing of a gang is launched before all its placements are stored. A gang that has started does not take a task
-     * back: its other tasks are about to stop.
+     * No task of a gang is launched before all the gang's placements are stored. Once any task of the gang runs, a
+     * missing task is not launched again: the gang's other tasks are about to be stopped.
      */
     fun mayLaunch(placement: Placement): Boolean {
         if (!placement.job.spec.isGang) return true
@@ -122,7 +126,7 @@
     }
 }
 
-/** How long to wait before the next attempt of a gang of which [earlierTimeouts] attempts timed out before this one. */
+/** The delay before the next attempt of a gang that timed out, as [earlierTimeouts] attempts had before this one. */
 internal fun gangRetryDelayMs(earlierTimeouts: Int): Long =
     minOf(MAX_RETRY_DELAY_MS, FIRST_RETRY_DELAY_MS shl minOf(MAX_DOUBLINGS, earlierTimeouts))
 
--- a/src/main/kotlin/io/reedmast/gangs/GangReservations.kt
+++ b/src/main/kotlin/io/reedmast/gangs/GangReservations.kt
@@ -5,26 +5,27 @@
 import io.reedmast.wire.JobSpec
 
 /**
- * Machines that other work leaves to gangs, so that enough capacity for one becomes free.
+ * Machines that are reserved for gangs: other work is kept off them until enough capacity for a gang becomes free.
  *
- * Other work ends at scattered times, and whatever becomes free each time is too small for a gang: arrays use it
- * first, for ever. So arrays are kept off a few machines of one zone until the gang fits there. Services are not, nor
- * is a job that has waited for long. A reservation ends after [RESERVATION_MS] and is not renewed for as long, so that
- * it holds up no other job for more than that, and all of them together hold at most a part of the machines, first come
- * first served, so that none waits for capacity reserved for another.
+ * Other tasks end at different times, and each time too little capacity for a gang becomes free. Without reservations,
+ * arrays would always use it first. So arrays are kept off a few machines, all in one zone if the gang needs that,
+ * until the gang fits there. Services are not kept off, nor are jobs that have waited for long. A reservation expires
+ * after [RESERVATION_MS] and cannot be renewed for the same time, so it delays no other job for longer than that. All
+ * reservations together hold at most a fraction of the machines, first come, first served, so that no gang waits for
+ * capacity reserved for another.
  */
 class GangReservations {
     private class Reservation(val machines: Set<Machine>, val untilMs: Long)
 
-    /** By waiting gang; expired ones stay for a while, so that they are not renewed at once. */
+    /** By waiting gang. Expired reservations are kept for another [RESERVATION_MS] to prevent an immediate renewal. */
     private val reservations = LinkedHashMap<Job, Reservation>()
     private val gangsByMachine = HashMap<Machine, Job>()
     private var reservedForExpectedGangs: Set<Machine> = emptySet()
 
-    /** Whether no machine is reserved for any gang. */
+    /** Whether no machine is reserved for any waiting or expected gang. */
     val isEmpty: Boolean get() = gangsByMachine.isEmpty() && reservedForExpectedGangs.isEmpty()
 
-    /** Removes reservations that expired long ago, or whose gang does not wait any more. */
+    /** Removes reservations that expired at least [RESERVATION_MS] ago or whose gang is no longer waiting. */
     fun removeExpired(nowMs: Long) {
         reservations.entries.removeIf { (job, reservation) ->
             val mayBeRenewed = nowMs >= reservation.untilMs + RESERVATION_MS
@@ -36,18 +37,24 @@
         }
     }
 
-    /** Whether the machine is reserved for a gang other than [job]. */
+    /**
+     * Whether the machine is reserved for a waiting gang other than [job] or, if [job] is not a gang, for expected
+     * gangs.
+     */
     fun isReservedForOther(job: Job, machine: Machine): Boolean {
         if (!job.spec.isGang && machine in reservedForExpectedGangs) return true
         val gang = gangsByMachine[machine] ?: return false
         return gang !== job
     }
 
-    /** The machines that are now reserved for the waiting gang. */
+    /** The machines that are currently reserved for the waiting gang. */
     fun machinesReservedFor(job: Job): Set<Machine> =
         reservations[job]?.machines?.filterTo(LinkedHashSet()) { gangsByMachine[it] === job }.orEmpty()
 
-    /** Reserves machines for the gang, if it has no reservation and there are machines on which it may come to fit. */
+    /**
+     * Reserves machines on which the gang fits once arrays there have ended. Does nothing if the gang already has a
+     * reservation, if there are no such machines, or if too many machines would be reserved for waiting gangs.
+     */
     fun reserve(job: Job, machines: List<Machine>, nowMs: Long) {
         if (job in reservations) return
         val selected = selectMachinesForWaitingGang(job, withoutReserved(machines)) ?: return
@@ -57,8 +64,9 @@
     }
 
     /**
-     * Keeps arrays off some machines of one zone, so that the gangs which arrive next find capacity at once: as much as
-     * the largest one of [recentGangs] needs, for as many as arrive while capacity becomes free ([expectedGangs]).
+     * Keeps arrays off some machines, all in one zone if a recent gang needed that, so that the gangs that arrive next
+     * find capacity at once: as much as the largest of [recentGangs] needs, for as many gangs as arrive while capacity
+     * becomes free ([expectedGangs]).
      */
     fun reserveForExpectedGangs(recentGangs: List<JobSpec>, expectedGangs: Double, machines: List<Machine>) {
         val selection = ExpectedGangSelection(recentGangs, reservedForExpectedGangs)
@@ -77,10 +85,10 @@
     private companion object {
         const val RESERVATION_MS = 25_000L
 
-        /** So many machines may be reserved in any case, also in a small shard. */
+        /** This many machines may always be reserved, even in a small shard. */
         const val MIN_RESERVABLE_MACHINES = 4
 
-        /** A quarter of the machines for waiting gangs, an eighth for those that arrive next. */
+        /** At most a quarter of the machines is reserved for waiting gangs, and an eighth for expected gangs. */
         const val DIVISOR_FOR_WAITING = 4
         const val DIVISOR_FOR_EXPECTED = 8
     }
--- a/src/main/kotlin/io/reedmast/gangs/ReservationSelection.kt
+++ b/src/main/kotlin/io/reedmast/gangs/ReservationSelection.kt
@@ -9,8 +9,9 @@
 import io.reedmast.wire.JobSpec
 
 /**
- * Which of [machines] to reserve for the waiting gang [job]: machines of one zone, if the gang needs that, on which it
- * fits once arrays there have ended; of several zones the one with most capacity free now. Null if there are none.
+ * Selects machines to reserve for the waiting gang [job], on which it fits once arrays there have ended. If the gang
+ * must run in one zone, they are all in one zone: of several possible ones, the zone whose selected machines have the
+ * most capacity free now. Null if there are no such machines.
  */
 internal fun selectMachinesForWaitingGang(job: Job, machines: List<Machine>): Set<Machine>? {
     val eligible = machines.filter { isEligible(job.spec, it.record) && it !in job.failedOn }
@@ -19,7 +20,10 @@
         .maxByOrNull { selected -> selected.sumOf { tasksThatFit(job.spec, it) } }
 }
 
-/** Machines, those with most free now first, until the whole gang fits once arrays there have ended; null if never. */
+/**
+ * Selects machines, those with the most capacity free now first, until the whole gang fits on them once arrays there
+ * have ended; null if it does not fit even on all [machines].
+ */
 private fun selectUntilGangFits(spec: JobSpec, machines: List<Machine>): Set<Machine>? {
     val mostFreeFirst = compareBy<Machine>({ -tasksThatFit(spec, it) }, { -tasksOnceArraysEnd(spec, it) })
     val selected = firstMachinesThatHold(spec, spec.taskCount, machines.sortedWith(mostFreeFirst))
@@ -28,6 +32,7 @@
 
 /**
  * The first of [machines] that together hold [taskCount] tasks once arrays there have ended, but at most [maxMachines].
+ * Machines that would not hold any task are skipped.
  */
 internal fun firstMachinesThatHold(
     spec: JobSpec,
@@ -46,7 +51,7 @@
     return selected
 }
 
-/** How many tasks of this shape fit once arrays on the machine have ended. */
+/** How many tasks of this shape fit on the machine once all arrays there have ended. */
 internal fun tasksOnceArraysEnd(spec: JobSpec, machine: Machine): Int {
     val arrayTasks = machine.placements.values.filter { !it.job.spec.isService && !it.job.spec.isGang }
     val freeOnceEnded = FreeResources(
--- a/src/main/kotlin/io/reedmast/placement/FreeResources.kt
+++ b/src/main/kotlin/io/reedmast/placement/FreeResources.kt
@@ -3,9 +3,9 @@
 import io.reedmast.model.Machine
 import io.reedmast.wire.JobSpec
 
-/** What is free on a machine, or would be free there once some of its tasks have ended. */
+/** The resources that are free on a machine, or would be once some of its tasks have ended. */
 internal data class FreeResources(val cpus: Double, val gpus: Double, val memoryGb: Double) {
-    /** What is free once a task of this shape has ended as well. */
+    /** The resources that are free once a task of this shape has ended as well. */
     operator fun plus(ended: JobSpec) = FreeResources(cpus + ended.cpus, gpus + ended.gpus, memoryGb + ended.memoryGb)
 
     /** How many tasks of this shape fit. */
@@ -20,10 +20,10 @@
         if (perTask <= 0.0) Int.MAX_VALUE else ((free + Machine.EPSILON) / perTask).toInt()
 
     companion object {
-        /** What is free on [machine] now. */
+        /** The resources that are free on [machine] now. */
         fun of(machine: Machine) = FreeResources(machine.freeCpus, machine.freeGpus, machine.freeMemoryGb)
     }
 }
 
-/** How many tasks of this shape fit into what is free on the machine now. */
+/** How many tasks of this shape fit on the machine now. */
 internal fun tasksThatFit(spec: JobSpec, machine: Machine): Int = FreeResources.of(machine).tasksThatFit(spec)
--- a/src/main/kotlin/io/reedmast/placement/GangPacking.kt
+++ b/src/main/kotlin/io/reedmast/placement/GangPacking.kt
@@ -5,10 +5,12 @@
 import io.reedmast.wire.JobSpec
 
 /**
- * Where all tasks of the gang [job] should start now, or null if there is not enough capacity for all of them.
+ * Assigns all tasks of the gang [job] to machines on which they should start now; null if there is not enough capacity
+ * for all of them.
  *
- * A gang starts when its slowest machine is ready, so among the zones with enough capacity the one whose worst machine
- * is best is chosen. [mayUse] leaves out machines that the job must not or should not use.
+ * A gang starts only when its slowest machine is ready. Therefore, among the zones with enough capacity, the one whose
+ * worst selected machine has the best score is chosen. [mayUse] is false for machines that the job must not or should
+ * not use.
  */
 fun packGang(job: Job, machines: List<Machine>, mayUse: (Machine) -> Boolean): GangAssignment? {
     val spec = job.spec
@@ -20,11 +22,11 @@
         .minByOrNull { assignment -> assignment.tasksByMachine.keys.maxOf { score(spec, it) } }
 }
 
-/** The groups of machines within one of which a gang has to fit: those of each zone if it needs [oneZone]. */
+/** Groups of machines, in one of which the whole gang has to fit: a group per zone if it needs [oneZone], else one. */
 internal fun gangPlacementGroups(machines: List<Machine>, oneZone: Boolean): Collection<List<Machine>> =
     if (oneZone) machines.groupBy { it.record.zone }.values else listOf(machines)
 
-/** Fills the machines in their order; null if the gang does not fit on them. */
+/** Fills the machines in order; null if the gang does not fit on them. */
 private fun pack(spec: JobSpec, machines: List<Machine>): GangAssignment? {
     val tasksByMachine = LinkedHashMap<Machine, Int>()
     val tasksByZone = HashMap<String, Int>()
--- a/src/main/kotlin/io/reedmast/placement/MachineFilters.kt
+++ b/src/main/kotlin/io/reedmast/placement/MachineFilters.kt
@@ -2,7 +2,7 @@
 
 import io.reedmast.model.Machine
 
-/** Whether the task may start on the machine: every one of these conditions must hold. */
+/** Whether the task may start on the machine, which requires that the machine passes every filter. */
 internal fun passesAllFilters(request: TaskRequest, machine: Machine): Boolean =
     machineFilters.all { passes -> passes(request, machine) }
 
@@ -21,16 +21,19 @@
 internal fun isOfEligibleKind(request: TaskRequest, machine: Machine): Boolean =
     isEligible(request.job.spec, machine.record)
 
-/** Work that may use spot machines keeps an overpriced ordinary one from becoming empty only if it is late. */
+/**
+ * A job that may use spot machines is placed on an overpriced on-demand machine, and so keeps it from becoming empty,
+ * only if the job is late or starving.
+ */
 internal fun isAffordable(request: TaskRequest, machine: Machine): Boolean =
     request.urgency.ignoresCostAndHeadroom || !request.isOverpriced(machine)
 
-/** Work other than services leaves headroom on machines with services, unless it is late. */
+/** Jobs other than services leave headroom on non-spot machines with services, unless they are late or starving. */
 internal fun leavesServiceHeadroom(request: TaskRequest, machine: Machine): Boolean =
     request.job.spec.isService || request.urgency.ignoresCostAndHeadroom || !machine.isServiceHome ||
         request.serviceHeadroom.canAllocate(request.job.spec.cpus)
 
-/** A job does not go back to where it failed, unless it is starving. */
+/** A job is not placed again on a machine where it failed, unless the job is starving. */
 internal fun hasNotFailedOnMachine(request: TaskRequest, machine: Machine): Boolean =
     request.urgency.ignoresFailuresAndReservations || machine !in request.job.failedOn
 
--- a/src/main/kotlin/io/reedmast/placement/MachineScore.kt
+++ b/src/main/kotlin/io/reedmast/placement/MachineScore.kt
@@ -5,10 +5,12 @@
 import io.reedmast.wire.MachineType
 
 /**
- * Seconds until the task could run, and what else speaks against the machine, in the same unit: lower is better.
+ * The cost of placing the task on the machine; lower is better. It is the time in seconds until the task could run,
+ * plus penalties in the same unit for other disadvantages of the machine.
  *
- * Services stay for long and keep their machines in use, so they gather on few and cheap ones; other work fills up the
- * machines that services keep anyway, then spot machines, and leaves ordinary machines to become empty.
+ * Services run for long and keep their machines in use, so they are concentrated on few and cheap machines. Other work
+ * fills up first the machines that services keep in use anyway, then spot machines, so that on-demand machines can
+ * become empty.
  */
 internal fun score(spec: JobSpec, machine: Machine): Double {
     val machineType = machine.machineType ?: return Double.MAX_VALUE
@@ -32,14 +34,14 @@
 private fun newServiceMachinePenaltyS(spec: JobSpec, machine: Machine): Double =
     if (spec.isService && !machine.runsServices) NEW_SERVICE_MACHINE_PENALTY_S else 0.0
 
-/** Of a machine that is entirely unused; of others in proportion. */
+/** The penalty of an entirely unused machine; that of others is in proportion to their unused CPUs. */
 private const val EMPTY_MACHINE_PENALTY_S = 1.0
 
-/** Of the first service on a machine. */
+/** The penalty for placing the first service on a machine. */
 private const val NEW_SERVICE_MACHINE_PENALTY_S = 8.0
 
-/** An hour's price of a CPU, as seconds of delay that are worth it. */
+/** The delay, in seconds, that is worth accepting to save one unit of the hourly price per CPU. */
 private const val PRICE_PENALTY_S = 30.0
 
-/** Keeps the division defined for a machine type without CPUs. */
+/** Avoids a division by zero for a machine type without CPUs. */
 private const val MIN_CPUS = 1e-3
--- a/src/main/kotlin/io/reedmast/placement/MachineSelector.kt
+++ b/src/main/kotlin/io/reedmast/placement/MachineSelector.kt
@@ -3,8 +3,8 @@
 import io.reedmast.model.Machine
 
 /**
- * The one of [machines], all of them usable, on which the task should start now: of those that pass all filters the
- * first with the lowest score. Null if none passes.
+ * Selects the one of [machines], all of which must be usable, on which the task should start now: of those that pass
+ * all filters, the first with the lowest score. Null if none passes.
  */
 fun selectMachine(request: TaskRequest, machines: List<Machine>): Machine? {
     var best: Machine? = null
--- a/src/main/kotlin/io/reedmast/placement/ServiceHeadroom.kt
+++ b/src/main/kotlin/io/reedmast/placement/ServiceHeadroom.kt
@@ -1,10 +1,12 @@
 package io.reedmast.placement
 
 /**
- * Free CPUs of machines that run services, and how many of them other work leaves to the services that arrive next.
+ * The free CPUs of machines that run services, of which other work leaves [reservedCpus] to the services that arrive
+ * next.
  *
- * Without it, arrays fill such machines completely, each new service takes whatever machine a task has just ended on,
- * and at the end of the arrays there is a machine to be paid for under every single service.
+ * Without this headroom, arrays fill such machines completely, and each new service is placed on whichever machine a
+ * task has just ended on. Once the arrays have ended, every single service then occupies a machine of its own that has
+ * to be paid for.
  */
 class ServiceHeadroom(private var freeCpus: Double, private val reservedCpus: Double) {
     /** Whether the reserved CPUs stay free if [cpus] more are used. */
--- a/src/main/kotlin/io/reedmast/placement/TaskRequest.kt
+++ b/src/main/kotlin/io/reedmast/placement/TaskRequest.kt
@@ -3,11 +3,11 @@
 import io.reedmast.model.Job
 import io.reedmast.model.Machine
 
-/** What filtering and scoring machines need to know of the task that is to be placed. */
+/** A task to be placed, as the filters and the scoring of machines see it. */
 class TaskRequest(
     val job: Job,
     val urgency: Urgency,
     val serviceHeadroom: ServiceHeadroom,
-    /** Whether an ordinary machine costs too much for this job, which may use spot machines. */
+    /** Whether the machine is on-demand and costs too much for this job; never if the job may not use spot machines. */
     val isOverpriced: (Machine) -> Boolean,
 )
--- a/src/main/kotlin/io/reedmast/scheduling/JobPlacer.kt
+++ b/src/main/kotlin/io/reedmast/scheduling/JobPlacer.kt
@@ -9,7 +9,7 @@
 import io.reedmast.placement.packGang
 import io.reedmast.placement.selectMachine
 
-/** Places the next task of a job, or all tasks of a gang, where there is a machine for it. */
+/** Places the next task of a job, or all tasks of a gang, if there is a machine for each. */
 internal class JobPlacer(
     private val shardState: ShardState,
     private val reservations: GangReservations,
@@ -17,7 +17,10 @@
 ) {
     private val prices = OnDemandPricePolicy(shardState)
 
-    /** True if something was placed and the job may have another task to place. */
+    /**
+     * Places the job's next task, or the whole gang. True if something was placed and the job may have another task to
+     * place.
+     */
     fun placeNext(job: Job, pass: SchedulingPass): Boolean {
         if (job.pendingCount <= 0 || shardState.quota.remainingTasks(job) < 1) return false
         val isPlaced = if (job.spec.isGang) placeGang(job, pass) else placeTask(job, pass)
@@ -42,7 +45,7 @@
         return machine
     }
 
-    /** Reservations for gangs hold off neither services nor jobs that have got nothing for long. */
+    /** The machines that the job may use. Reservations for gangs apply neither to services nor to starving jobs. */
     private fun machinesAvailableTo(job: Job, urgency: Urgency, machines: List<Machine>): List<Machine> {
         val ignoresReservations = job.spec.isService || urgency.ignoresFailuresAndReservations || reservations.isEmpty
         return if (ignoresReservations) machines else machines.filter { !reservations.isReservedForOther(job, it) }
@@ -70,5 +73,5 @@
     }
 }
 
-/** Whether the limit of the gang's team allows all of its tasks. */
+/** Whether the team's limit allows all tasks of the gang. */
 internal fun ShardState.allowsWholeGang(job: Job): Boolean = quota.remainingTasks(job) >= job.spec.taskCount
--- a/src/main/kotlin/io/reedmast/scheduling/OnDemandPricePolicy.kt
+++ b/src/main/kotlin/io/reedmast/scheduling/OnDemandPricePolicy.kt
@@ -6,9 +6,12 @@
 import io.reedmast.model.ShardState
 import io.reedmast.wire.MachineType
 
-/** Which ordinary machines cost too much for work that may use spot machines. */
+/** Decides which on-demand machines cost too much for jobs that may use spot machines. */
 internal class OnDemandPricePolicy(private val shardState: ShardState) {
-    /** Machines that services keep in use are paid for anyway, so none of them is overpriced. */
+    /**
+     * Whether the machine costs too much for the job. Machines that run services are paid for anyway, so they are
+     * never overpriced.
+     */
     fun isOverpriced(job: Job, machine: Machine): Boolean {
         if (!job.spec.spot || machine.record.spot || machine.runsServices) return false
         return machine.machineType?.let { isOverpriced(job, it) } ?: false
--- a/src/main/kotlin/io/reedmast/scheduling/PreemptionCandidates.kt
+++ b/src/main/kotlin/io/reedmast/scheduling/PreemptionCandidates.kt
@@ -6,14 +6,14 @@
 import io.reedmast.model.Placement
 import io.reedmast.model.ShardState
 
-/** Finds the tasks that may be stopped for other work. */
+/** Finds the tasks that may be preempted for other work. */
 internal class PreemptionCandidates(private val shardState: ShardState, private val protection: PreemptionProtection) {
-    /** The machines on which some task may be stopped, for whatever work. */
+    /** The machines in service on which some task may be preempted for whatever other work. */
     fun machinesWithCandidates(): List<Machine> = shardState.machines.values.filter { machine ->
         machine.isInService && machine.placements.values.any { protection.isPreemptable(it) }
     }
 
-    /** The tasks on [machine] that may be stopped for [preempting]. */
+    /** The tasks on [machine] that may be preempted for [preemptingJob]. */
     fun on(machine: Machine, preemptingJob: PreemptingJob): List<Placement> = machine.placements.values
         .filter { it.stopReason == null && protection.isPreemptable(it) }
         .filter { !protection.isProtectedFrom(it, preemptingJob.job) }
@@ -32,13 +32,13 @@
         )
     }
 
-    /** The estimated run time, but at most the configured cap, which also holds for work without an estimate. */
+    /** The estimated run time, but at most the configured cap; for work without an estimate, the cap. */
     private fun protectedMinimumS(estimateS: Double): Double {
         val capS = shardState.tuning.protectCapS
         return if (estimateS > 0) minOf(capS, estimateS) else capS
     }
 
-    /** When the protected minimum began. A gang does not work before all of it runs. */
+    /** When the protected minimum began. For a gang that is when all its tasks run: it does no work before. */
     private fun protectedSince(placement: Placement): Long {
         if (!placement.job.spec.isGang) return placement.madeAt
         return placement.job.placements().maxOf { if (it.running) it.runningSince else shardState.clock.now() }
--- a/src/main/kotlin/io/reedmast/scheduling/PreemptionProtection.kt
+++ b/src/main/kotlin/io/reedmast/scheduling/PreemptionProtection.kt
@@ -6,35 +6,38 @@
 import io.reedmast.settings.TeamId
 
 /**
- * Protects tasks that were placed because their job had got nothing for long.
+ * Protects tasks of underserved jobs from preemption after their placement.
  *
- * Stopped at once for the work that it was preferred to, the job would get nothing for ever.
+ * Such a task was placed before other work because of its job's long wait. If it could be preempted at once for that
+ * other work, the job would never make progress.
  */
 internal class PreemptionProtection(private val shardState: ShardState) {
     private val protectedFromAll = HashMap<TeamId, MutableList<Placement>>()
 
     /**
-     * Protects a new placement of an underserved job from work of its own team, for the estimated run time and a
-     * minute; that of an overdue job from all work.
+     * Protects a new placement of an underserved job, for the estimated run time plus a minute, from preemption for
+     * other work of its own team. If the job is overdue, the placement is protected from preemption for any work;
+     * this holds for at most [MAX_PROTECTED_FROM_ALL] placements of a team at a time.
      */
     fun protect(placement: Placement, nowMs: Long) {
         val protectedUntil = nowMs + PROTECTION_MS + (placement.job.spec.estimateS * MS_PER_SECOND).toLong()
         placement.protectedFromTeamUntil = protectedUntil
         val protectedOfTeam = protectedFromAll.getOrPut(placement.job.team) { ArrayList() }
         protectedOfTeam.removeIf { nowMs >= it.protectedFromAllUntil || it.machine.placements[it.id] !== it }
-        // A few at a time: many uncharged tasks that are not preemptable would occupy the capacity of funded work.
+        // Only a few at a time: many best-effort tasks, which are not charged, would otherwise occupy the capacity of
+        // funded work without being preemptable.
         if (!shardState.urgency.isOverdue(placement.job) || protectedOfTeam.size >= MAX_PROTECTED_FROM_ALL) return
         placement.protectedFromAllUntil = protectedUntil
         protectedOfTeam.add(placement)
     }
 
-    /** Whether the task may be stopped for other work at all: funded work that cannot resume never is. */
+    /** Whether the task may be preempted at all; funded work that cannot resume never may. */
     fun isPreemptable(placement: Placement): Boolean = shardState.clock.now() >= placement.protectedFromAllUntil &&
         (!placement.job.spec.priority.isFunded || placement.job.spec.resumable)
 
     /**
-     * Whether the task was preferred to [job], of the same team, for its long wait, and too recently to be stopped for
-     * it.
+     * Whether the task is protected from preemption for [job]: both are of the same team, and the task was placed first
+     * because of its own job's long wait, too recently to be stopped for [job].
      */
     fun isProtectedFrom(placement: Placement, job: Job): Boolean =
         shardState.clock.now() < placement.protectedFromTeamUntil && placement.job.team == job.team
--- a/src/main/kotlin/io/reedmast/scheduling/PreemptionSelection.kt
+++ b/src/main/kotlin/io/reedmast/scheduling/PreemptionSelection.kt
@@ -6,8 +6,9 @@
 import io.reedmast.wire.JobSpec
 
 /**
- * Which of [candidates], all on [machine], to stop so that [taskCount] tasks of this shape fit there: gangs last, the
- * newest first. Null if even all of them are not enough, or if nothing needs to be stopped.
+ * Selects which of [candidates], all on [machine], to stop so that [taskCount] tasks of this shape fit there. Tasks of
+ * gangs are selected last, and newer placements before older ones. Null if stopping all candidates would not be enough,
+ * or if nothing needs to be stopped.
  */
 internal fun selectForPreemption(
     spec: JobSpec,
--- a/src/main/kotlin/io/reedmast/scheduling/Preemptor.kt
+++ b/src/main/kotlin/io/reedmast/scheduling/Preemptor.kt
@@ -16,7 +16,8 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Stops work for requests that cannot be placed otherwise, one machine at a time and never twice for the same request.
+ * Stops running work for requests that cannot be placed otherwise, one machine at a time and never twice for the same
+ * request.
  */
 internal class Preemptor(
     private val shardState: ShardState,
@@ -27,15 +28,15 @@
 ) {
     private val log = LoggerFactory.getLogger("shard")
 
-    /** How many tasks of a gang a machine has capacity for once [toStop] has ended. */
+    /** How many tasks of a gang fit on a machine once the placements [toStop] have ended. */
     private class GangPreemption(val taskCount: Int, val toStop: List<Placement>)
 
-    /** Stops work for those of [readyJobs] that have waited for long enough and may preempt, in their order. */
+    /** Stops work for those of [readyJobs], in order, that have waited long enough and may preempt other work. */
     fun preempt(readyJobs: List<Job>, pass: SchedulingPass) {
         val machines = candidates.machinesWithCandidates()
         if (machines.isEmpty()) return
         val bootingCapacity = demandEstimator.bootingCapacity()
-        // Lazily: what is stopped for one job counts for the next.
+        // Evaluated lazily, so that what is stopped for one job is taken into account for the next.
         readyJobs.asSequence()
             .filter { needsPreemption(it, pass.nowMs, bootingCapacity) }
             .take(MAX_JOBS_PER_PASS)
@@ -45,20 +46,22 @@
     private fun needsPreemption(job: Job, nowMs: Long, bootingCapacity: List<FreeCapacity>): Boolean {
         if (!job.spec.priority.isFunded || !hasTasksToPreemptFor(job)) return false
         if (nowMs - job.waitsSince < preemptionDelayMs(job)) return false
-        // What only has to be done some time fits on the machines that are on their way; what has to start soon does
-        // not.
+        // A job that is not latency-sensitive can wait for the booting machines if it fits there; a latency-sensitive
+        // one has to start sooner.
         return shardState.urgency.isLatencySensitive(job) ||
             !demandEstimator.fitsOnBootingMachines(job, bootingCapacity)
     }
 
-    /** Whether tasks that the team's limit allows wait, beyond those for which work is being stopped already. */
+    /** Whether tasks wait, within the team's limit, beyond those for which work is already being stopped. */
     private fun hasTasksToPreemptFor(job: Job): Boolean =
         job.pendingCount > job.preempting && shardState.quota.remainingTasks(job) > job.preempting
 
     /**
-     * What fits a little later without stopping anything needs no preemption: tasks end all the time, and each task
-     * that is stopped loses what it has done. A day of arrays that were stopped at once for services stopped a fifth of
-     * all tasks.
+     * How long a job must have waited before other work is stopped for it.
+     *
+     * A job that would fit a little later anyway needs no preemption: tasks end all the time, and each task that is
+     * stopped loses the work it has done. On a day of arrays, stopping tasks for services without a delay stopped a
+     * fifth of all tasks.
      */
     private fun preemptionDelayMs(job: Job): Long {
         val heartbeatIntervalMs = shardState.settings.workers.reportS * MS_PER_SECOND
@@ -95,7 +98,7 @@
 
     private fun isStoppingWork(machine: Machine): Boolean = machine.placements.values.any { it.stopReason != null }
 
-    /** Stops work on the machines that are reserved for the gang, if all of it fits there then. */
+    /** Stops work on the machines that are reserved for the gang, if the whole gang fits there afterwards. */
     private fun preemptForGang(preemptingJob: PreemptingJob) {
         val job = preemptingJob.job
         if (job.preempting > 0 || !shardState.allowsWholeGang(job)) return
@@ -110,7 +113,7 @@
         if (remainingTasks <= 0) toStop.forEach { stop(it, job) }
     }
 
-    /** The most tasks of the gang, up to [maxTasks], for which work on the machine may be stopped. */
+    /** The preemption after which the most tasks of the gang, up to [maxTasks], fit on the machine. */
     private fun largestGangPreemption(preemptingJob: PreemptingJob, machine: Machine, maxTasks: Int): GangPreemption {
         val fittingNow = minOf(maxTasks, tasksThatFit(preemptingJob.job.spec, machine))
         var largest = GangPreemption(fittingNow, emptyList())
@@ -123,8 +126,8 @@
     }
 
     /**
-     * What must be stopped so that [taskCount] tasks of the job fit on the machine; null if that is not allowed or not
-     * needed.
+     * The placements to stop so that [taskCount] tasks of the job fit on the machine; null if stopping enough of them
+     * is not allowed, or not needed.
      */
     private fun placementsToStop(preemptingJob: PreemptingJob, machine: Machine, taskCount: Int): List<Placement>? =
         selectForPreemption(preemptingJob.job.spec, taskCount, machine, candidates.on(machine, preemptingJob))
@@ -137,10 +140,10 @@
     }
 
     private companion object {
-        /** Jobs for which work is stopped in one pass. */
+        /** The maximum number of jobs for which work is stopped in one pass. */
         const val MAX_JOBS_PER_PASS = 50
 
-        /** What ends by itself seldom makes enough capacity free for all of a gang. */
+        /** Short, because tasks that end by themselves seldom free enough capacity for a whole gang. */
         const val GANG_PREEMPTION_DELAY_MS = 1_000L
         const val ARRAY_PREEMPTION_DELAY_HEARTBEATS = 4
         const val MS_PER_SECOND = 1000
--- a/src/main/kotlin/io/reedmast/scheduling/Scheduler.kt
+++ b/src/main/kotlin/io/reedmast/scheduling/Scheduler.kt
@@ -10,7 +10,7 @@
 import io.reedmast.placement.ServiceHeadroom
 import org.slf4j.LoggerFactory
 
-/** Places the shard's waiting tasks on its machines, in passes over all that wait, at a bounded rate. */
+/** Places the shard's waiting tasks on its machines, in passes over all waiting jobs, at a limited rate. */
 class Scheduler(
     private val shardState: ShardState,
     dispatcher: CommandDispatcher,
@@ -26,11 +26,11 @@
     private val underservedJobs = UnderservedJobs(shardState)
     private val preemptor = Preemptor(shardState, dispatcher, demandEstimator, reservations, preemptionCandidates)
 
-    /** Passes made so far, for those who count work. */
+    /** The number of passes so far, as a measure of the scheduling work done. */
     var passCount = 0L
         private set
 
-    /** Makes a pass if something has changed that may let waiting work start, and the last pass is long enough ago. */
+    /** Runs a pass if a change may let waiting work start, and the last pass is long enough ago. */
     fun runPassIfDue(nowMs: Long) {
         if (!isPassDue(nowMs)) return
         shardState.passRequested = false
@@ -48,7 +48,10 @@
     private fun isLatencySensitiveWorkPending(): Boolean =
         shardState.jobs.values.any { it.pendingCount > 0 && shardState.urgency.isLatencySensitive(it) }
 
-    /** Funded work before uncharged work, and preemption for what found no machine. */
+    /**
+     * Places waiting gangs and underserved jobs, then other funded work before best-effort work (not charged);
+     * then preempts other work for what found no machine.
+     */
     private fun runPass(nowMs: Long) {
         val readyJobs = shardState.jobs.values.filter {
             it.pendingCount > 0 && !it.isFinalRecordInFlight &&
@@ -72,7 +75,10 @@
         return SchedulingPass(nowMs, shardState.clock.wall(), machines, serviceHeadroom(machines, nowMs))
     }
 
-    /** Reserves machines for as many gangs as arrive while capacity for one becomes free, judged by recent arrivals. */
+    /**
+     * Reserves machines for as many gangs as are expected to arrive while capacity for one becomes free, based on
+     * recent arrivals.
+     */
     private fun reserveForExpectedGangs(machines: List<Machine>, nowMs: Long) {
         val arrivals = shardState.jobArrivals.gangs
         while (arrivals.isNotEmpty() && nowMs - arrivals.first().at > GANG_ARRIVALS_WINDOW_MS) arrivals.removeFirst()
@@ -88,8 +94,8 @@
     }
 
     /**
-     * Funded gangs within their teams' guarantees that found no machines in an earlier pass come first. All capacity
-     * that becomes free would go to an array of some team before there is enough for a gang.
+     * Places funded gangs within their teams' guarantees that found no machines in an earlier pass, before any other
+     * work. Otherwise all capacity that becomes free would go to arrays of some team before there is enough for a gang.
      */
     private fun placeWaitingGangs(fundedJobs: List<Job>, pass: SchedulingPass) {
         val waitingGangs = fundedJobs
@@ -119,15 +125,15 @@
     }
 
     private fun logPlacements(pass: SchedulingPass) {
-        for ((job, count) in pass.placementCounts) log.info("job {}: {} tasks placed", job.spec.jobId, count)
+        for ((job, count) in pass.placementCounts) log.info("job {}: {} tasks or gangs placed", job.spec.jobId, count)
     }
 
     private companion object {
-        /** At most this part of the CPUs of machines with services is headroom for more of them. */
+        /** The maximum fraction of the CPUs of machines with services that is headroom for more services. */
         const val MAX_RESERVED_FRACTION = 0.25
         const val GANG_ARRIVALS_WINDOW_MS = 120_000L
 
-        /** How long it takes, about, until arrays have left enough capacity for a gang. */
+        /** The approximate time until ending arrays have freed enough capacity for a gang. */
         const val GANG_CAPACITY_DELAY_MS = 20_000L
     }
 }
--- a/src/main/kotlin/io/reedmast/scheduling/TaskBinder.kt
+++ b/src/main/kotlin/io/reedmast/scheduling/TaskBinder.kt
@@ -8,7 +8,7 @@
 import io.reedmast.placement.GangAssignment
 import org.slf4j.LoggerFactory
 
-/** Records decisions of a pass as placements, under attempt numbers that no other owner uses. */
+/** Records the decisions of a pass as placements, under attempt numbers that no other owner uses. */
 internal class TaskBinder(private val shardState: ShardState, private val protection: PreemptionProtection) {
     private val log = LoggerFactory.getLogger("shard")
     private var attempts = 0L
@@ -35,7 +35,7 @@
         log.debug("task {} attempt {}: placed on {}", placement.id, placement.attempt, placement.machine.name)
     }
 
-    /** The owner's acquisition of the shard makes the upper bits, so attempts grow over all owners. */
+    /** The count of the shard's acquisitions forms the upper bits, so attempt numbers increase from owner to owner. */
     private fun nextAttempt(): Long = (FencingToken.acquisitions(shardState.token) shl ATTEMPT_BITS) + ++attempts
 
     private companion object {
--- a/src/main/kotlin/io/reedmast/scheduling/TaskShape.kt
+++ b/src/main/kotlin/io/reedmast/scheduling/TaskShape.kt
@@ -3,7 +3,10 @@
 import io.reedmast.model.Job
 import io.reedmast.placement.Urgency
 
-/** What tasks have in common for which, within a pass, either all or none find a machine. */
+/**
+ * The properties of a task that decide whether it finds a machine. At any point of a pass, either all tasks of one
+ * shape find one or none does.
+ */
 internal data class TaskShape(
     val cpus: Double,
     val gpus: Double,
@@ -15,8 +18,8 @@
 ) {
     companion object {
         /**
-         * The shape of the job's tasks; null if the job has rules of its own for zones or machines, and so may find no
-         * machine where others of its shape would.
+         * The shape of the job's tasks; null if zone rules or earlier failures of the job rule out more machines, so
+         * that it may find no machine where other jobs with the same shape would.
          */
         fun of(job: Job, urgency: Urgency): TaskShape? {
             val spec = job.spec
--- a/src/main/kotlin/io/reedmast/scheduling/UnderservedJobs.kt
+++ b/src/main/kotlin/io/reedmast/scheduling/UnderservedJobs.kt
@@ -5,22 +5,23 @@
 import io.reedmast.settings.TeamId
 
 /**
- * Gives a few jobs of each team that have got nothing for longest a turn before all others, at intervals.
+ * Selects, at intervals, a few jobs of each team that have been underserved for longest, which are then placed
+ * before the jobs that follow by fair share.
  *
- * A team that is always at its limit, or in a full shard, with work of a higher priority or with a large array, would
- * never begin its other jobs.
+ * Otherwise a team that is always at its limit, or in a full shard, would never start its other jobs while it has work
+ * of a higher priority or a large array.
  */
 internal class UnderservedJobs(private val shardState: ShardState) {
     private val nextTurnAtMs = HashMap<TeamId, Long>()
 
-    /** The underserved ones of [readyJobs] whose teams may have such a turn now. */
+    /** The jobs among [readyJobs] that have been underserved for longest, of the teams whose next turn is due. */
     fun select(readyJobs: List<Job>, nowMs: Long): List<Job> = readyJobs
         .filter { nowMs >= (nextTurnAtMs[it.team] ?: 0L) && shardState.urgency.isUnderserved(it) }
         .groupBy { it.team }
         .values
         .flatMap { jobs -> jobs.sortedByDescending { shardState.urgency.underservedForMs(it) }.take(MAX_JOBS_PER_TEAM) }
 
-    /** Records that the team has used its turn. */
+    /** Records that the team has had its turn: the next one is due after an interval. */
     fun recordTurn(team: TeamId, nowMs: Long) {
         nextTurnAtMs[team] = nowMs + TURN_INTERVAL_MS
     }
--- a/src/test/kotlin/io/reedmast/fairshare/PreemptionTest.kt
+++ b/src/test/kotlin/io/reedmast/fairshare/PreemptionTest.kt
@@ -28,14 +28,14 @@
     }
 
     @Test
-    fun `a higher priority does not need the guarantee`() {
+    fun `a request of a higher priority need not be within the guarantee`() {
         val urgent = request.copy(priority = Priority.URGENT, withinGuarantee = false)
         assertTrue(mayPreempt(candidate, urgent))
         assertFalse(mayPreempt(candidate.copy(sameTeam = true), urgent))
     }
 
     @Test
-    fun `uncharged work is stopped for any funded request, and for no other`() {
+    fun `best-effort work is stopped for any funded request, and for no other`() {
         val bestEffort = candidate.copy(
             priority = Priority.BEST_EFFORT,
             resumable = false,
--- a/src/test/kotlin/io/reedmast/gangs/GangReservationsTest.kt
+++ b/src/test/kotlin/io/reedmast/gangs/GangReservationsTest.kt
@@ -27,7 +27,7 @@
     }
 
     @Test
-    fun `machines of one zone that arrays will leave are kept for a gang, from others`() {
+    fun `machines of one zone on which arrays will end are reserved for a gang`() {
         machines.forEach { fill(it, if (it.record.zone == "x") "service" else "array") }
         val gang = job("wk-1", 8, "gang")
         reservations.reserve(gang, machines, 0L)
@@ -38,7 +38,7 @@
     }
 
     @Test
-    fun `room for the next gang is kept from arrays, on machines that have its image`() {
+    fun `capacity for the next gang is reserved on machines that have its image, and arrays are kept off it`() {
         machines[5].recordImage("img", 0.1)
         reservations.reserveForExpectedGangs(listOf(job("wk-1", 4, "gang").spec), expectedGangs = 0.0, machines)
         assertTrue(reservations.isReservedForOther(job("wk-2", 1, "array"), machines[5]))
@@ -49,7 +49,7 @@
     }
 
     @Test
-    fun `a reservation ends, and is not renewed at once`() {
+    fun `a reservation expires, and cannot be renewed at once`() {
         val gang = job("wk-1", 8, "gang")
         reservations.reserve(gang, machines, 0L)
         assertFalse(reservations.isEmpty)
@@ -63,14 +63,14 @@
     }
 
     @Test
-    fun `all reservations together hold a part of the machines`() {
+    fun `all reservations together hold at most a fraction of the machines`() {
         val gangs = (1..4).map { job("wk-$it", 8, "gang") }
         gangs.forEach { reservations.reserve(it, machines, 0L) }
         assertEquals(listOf(2, 2, 0, 0), gangs.map { reservations.machinesReservedFor(it).size })
     }
 
     @Test
-    fun `a gang that has been placed keeps nothing`() {
+    fun `a gang that has been placed has no reservation`() {
         val gang = job("wk-1", 4, "gang")
         reservations.reserve(gang, machines, 0L)
         repeat(4) { gang.add(Placement(gang, it, 1L, machines[0], 0L)) }
--- a/src/test/kotlin/io/reedmast/placement/GangPackingTest.kt
+++ b/src/test/kotlin/io/reedmast/placement/GangPackingTest.kt
@@ -32,7 +32,7 @@
         assignment?.tasksByMachine?.entries?.groupBy({ it.key.record.zone }, { it.value })?.mapValues { it.value.sum() }
 
     @Test
-    fun `all of it or nothing`() {
+    fun `a gang is placed as a whole or not at all`() {
         val machines = listOf(machine("x"), machine("x"))
         assertEquals(8, packGang(gang(8), machines) { true }?.tasksByMachine?.values?.sum())
         fill(machines[0], 1)
@@ -40,7 +40,7 @@
     }
 
     @Test
-    fun `room in several zones is no room for a gang that needs one`() {
+    fun `free capacity in several zones is of no use to a gang that needs one zone`() {
         val machines = listOf(machine("x"), machine("y"))
         assertNull(packGang(gang(6, "oneZone" to "true"), machines) { true })
         assertEquals(mapOf("x" to 4, "y" to 2), tasksByZone(packGang(gang(6), machines) { true }))
@@ -54,7 +54,7 @@
     }
 
     @Test
-    fun `ordinary gangs keep off spot machines, and all off machines that they must not use`() {
+    fun `gangs that do not allow spot are kept off spot machines, and all gangs off machines they must not use`() {
         val spot = machine("x", spot = true)
         assertNull(packGang(gang(2), listOf(spot)) { true })
         assertEquals(2, packGang(gang(2, "spot" to "true"), listOf(spot)) { true }?.tasksByMachine?.get(spot))
@@ -70,7 +70,7 @@
     }
 
     @Test
-    fun `zone rules that leave no place`() {
+    fun `zone rules that the available zones cannot satisfy are recognized`() {
         assertTrue(areZoneRulesUnsatisfiable(gang(2, "oneZone" to "true", "spread" to "true").spec, setOf("x", "y")))
         assertTrue(areZoneRulesUnsatisfiable(gang(3, "spread" to "true").spec, setOf("x")))
         assertFalse(areZoneRulesUnsatisfiable(gang(3, "spread" to "true").spec, setOf("x", "y")))
--- a/src/test/kotlin/io/reedmast/placement/MachineFiltersTest.kt
+++ b/src/test/kotlin/io/reedmast/placement/MachineFiltersTest.kt
@@ -30,21 +30,21 @@
     }
 
     @Test
-    fun `ordinary work keeps off spot machines and other zones`() {
+    fun `spot machines are for jobs that allow spot, and a job with a zone stays in it`() {
         assertFalse(isOfEligibleKind(request(job()), machine(spot = true)))
         assertTrue(isOfEligibleKind(request(job("wk-1", "spot" to "true")), machine(spot = true)))
         assertFalse(isOfEligibleKind(request(job("wk-1", "zone" to "y")), machine(zone = "x")))
     }
 
     @Test
-    fun `an overpriced machine is for late work only`() {
+    fun `only late work may use an overpriced machine`() {
         val normal = request(job(), Urgency.NORMAL) { true }
         val late = request(job(), Urgency.LATE) { true }
         assertEquals(listOf(false, true), listOf(normal, late).map { isAffordable(it, machine()) })
     }
 
     @Test
-    fun `headroom on machines with services is for services and late work`() {
+    fun `only services and late work may use the headroom on machines with services`() {
         val serviceMachine = machine()
         place(job("wk-9", "kind" to "service"), serviceMachine, taskCount = 1)
         val array = request(job(), headroom = noHeadroomLeft)
@@ -57,7 +57,7 @@
     }
 
     @Test
-    fun `only a starving job goes back to where it failed`() {
+    fun `only a starving job may use a machine where it failed`() {
         val machine = machine()
         val job = job().apply { failedOn.add(machine) }
         val accepted = Urgency.entries.filter { hasNotFailedOnMachine(request(job, it), machine) }
--- a/src/test/kotlin/io/reedmast/placement/PlacementFixtures.kt
+++ b/src/test/kotlin/io/reedmast/placement/PlacementFixtures.kt
@@ -8,7 +8,7 @@
 import io.reedmast.sim.World
 import io.reedmast.wire.MachineType
 
-/** Machines with four CPUs, and jobs whose tasks take one CPU unless [job] is told otherwise. */
+/** Machines with four CPUs, and jobs whose tasks take one CPU unless the arguments of [job] say otherwise. */
 object PlacementFixtures {
     val machineType = MachineType("m", 4.0, 0.0, 64.0, 50.0, 0.5, 1.0, 0.3, 20.0, listOf("x", "y"))
 
--- a/src/test/kotlin/io/reedmast/scheduling/CandidateMachinesTest.kt
+++ b/src/test/kotlin/io/reedmast/scheduling/CandidateMachinesTest.kt
@@ -25,7 +25,7 @@
     }
 
     @Test
-    fun `machines that the cloud takes back, or whose content is not known, are left out`() {
+    fun `machines that the cloud reclaims, or whose state is not known, are left out`() {
         val reclaimed = withHeartbeat("host-0", 9_000L).apply { noticeUntil = 20_000L }
         val stateUnknown = withHeartbeat("host-1", 9_000L).apply { isStateKnown = false }
         val machines = listOf(reclaimed, stateUnknown)
--- a/src/test/kotlin/io/reedmast/scheduling/FairShareQueuesTest.kt
+++ b/src/test/kotlin/io/reedmast/scheduling/FairShareQueuesTest.kt
@@ -25,7 +25,7 @@
     }
 
     @Test
-    fun `a job that was removed is followed by the next one of its team, until none is left`() {
+    fun `removing a job makes the next job of its team the first, until none is left`() {
         val jobs = listOf(job("wk-1", 0), job("wk-2", 0))
         val queues = FairShareQueues(jobs, byId, byUsage)
         queues.remove(jobs[0])
@@ -35,7 +35,7 @@
     }
 
     @Test
-    fun `only the first job of a queue is removed`() {
+    fun `only the first job of a queue can be removed`() {
         val jobs = listOf(job("wk-1", 0), job("wk-2", 0))
         val queues = FairShareQueues(jobs, byId, byUsage)
         assertThrows(IllegalStateException::class.java) { queues.remove(jobs[1]) }
--- a/src/test/kotlin/io/reedmast/scheduling/PassTimerTest.kt
+++ b/src/test/kotlin/io/reedmast/scheduling/PassTimerTest.kt
@@ -6,7 +6,7 @@
 
 class PassTimerTest {
     @Test
-    fun `passes keep their distance, and those for arrays alone a larger one`() {
+    fun `passes are limited to one per interval, and passes for arrays alone to one per longer interval`() {
         val timer = PassTimer()
         timer.recordPass(1_000L)
         assertFalse(timer.allowsPass(1_099L))
--- a/src/test/kotlin/io/reedmast/scheduling/PreemptionProtectionTest.kt
+++ b/src/test/kotlin/io/reedmast/scheduling/PreemptionProtectionTest.kt
@@ -13,7 +13,7 @@
     private val clock = SettableClock()
     private val protection = PreemptionProtection(shardState(clock))
 
-    /** A first task of the job, placed and protected at [atMs]; the job has waited since 0. */
+    /** The first task of the job, placed and protected at [atMs]; the job has waited since 0. */
     private fun protectedPlacement(job: Job, atMs: Long): Placement {
         clock.nowMs = atMs
         val placement = Placement(job, 0, 1L, machine(), atMs)
@@ -23,7 +23,7 @@
     }
 
     @Test
-    fun `a task of an underserved job is protected from its own team for its run time and a minute`() {
+    fun `a task of an underserved job is protected from its own team for its run time plus a minute`() {
         val placement = protectedPlacement(job("wk-1", "run" to "10", "priority" to "best_effort"), atMs = 100_000L)
         clock.nowMs = 169_999L
         assertTrue(protection.isProtectedFrom(placement, job("wk-2")))
@@ -33,7 +33,7 @@
     }
 
     @Test
-    fun `tasks of overdue jobs are protected from all, four of a team at a time`() {
+    fun `tasks of overdue jobs are protected from all work, at most four of a team at a time`() {
         val placements = (1..5).map {
             protectedPlacement(job("wk-$it", "run" to "10", "priority" to "best_effort"), atMs = 130_000L)
         }
@@ -43,7 +43,7 @@
     }
 
     @Test
-    fun `a protected task that has left its machine makes way for the next one`() {
+    fun `a protected task that has left its machine no longer counts towards the limit of protected tasks`() {
         val first = (1..4).map { protectedPlacement(job("wk-$it", "priority" to "best_effort"), atMs = 130_000L) }
         first[0].job.remove(first[0], done = true)
         val next = protectedPlacement(job("wk-5", "priority" to "best_effort"), atMs = 130_000L)
--- a/src/test/kotlin/io/reedmast/scheduling/PreemptionSelectionTest.kt
+++ b/src/test/kotlin/io/reedmast/scheduling/PreemptionSelectionTest.kt
@@ -26,7 +26,7 @@
     }
 
     @Test
-    fun `nothing is stopped where that is not enough or not needed`() {
+    fun `nothing is selected if stopping all candidates is not enough or not needed`() {
         val running = place(job("wk-9"), machine, taskCount = 3)
         assertNull(selectForPreemption(job().spec, 5, machine, running))
         assertNull(selectForPreemption(job().spec, 1, machine, running))
--- a/src/test/kotlin/io/reedmast/scheduling/SchedulingFixtures.kt
+++ b/src/test/kotlin/io/reedmast/scheduling/SchedulingFixtures.kt
@@ -7,7 +7,7 @@
 import io.reedmast.settings.Tuning
 import io.reedmast.sim.testSettings
 
-/** A clock that a test sets. */
+/** A clock whose time is set by the test. */
 class SettableClock(var nowMs: Long = 0L) : Clock {
     override fun now(): Long = nowMs
 
--- a/src/test/kotlin/io/reedmast/scheduling/TaskShapeTest.kt
+++ b/src/test/kotlin/io/reedmast/scheduling/TaskShapeTest.kt
@@ -10,7 +10,7 @@
 
 class TaskShapeTest {
     @Test
-    fun `tasks with the same needs have one shape, whichever job they belong to`() {
+    fun `tasks with the same requirements have the same shape, whichever job they belong to`() {
         assertEquals(TaskShape.of(job("wk-1"), Urgency.NORMAL), TaskShape.of(job("wk-2"), Urgency.NORMAL))
         assertNotEquals(TaskShape.of(job("wk-1"), Urgency.NORMAL), TaskShape.of(job("wk-1"), Urgency.LATE))
         assertNotEquals(
@@ -20,7 +20,7 @@
     }
 
     @Test
-    fun `jobs with rules of their own have no shape in common with others`() {
+    fun `jobs with zone rules or earlier failures have no shape`() {
         val failed = job("wk-3").apply { failedOn.add(machine()) }
         assertNull(TaskShape.of(job("wk-1", "oneZone" to "true"), Urgency.NORMAL))
         assertNull(TaskShape.of(job("wk-2", "spread" to "true"), Urgency.NORMAL))
--- a/src/test/kotlin/io/reedmast/scheduling/UnderservedJobsTest.kt
+++ b/src/test/kotlin/io/reedmast/scheduling/UnderservedJobsTest.kt
@@ -12,7 +12,7 @@
     private fun waitingSince(id: String, sinceMs: Long) = job(id).apply { underservedSince = sinceMs }
 
     @Test
-    fun `the three jobs of a team that have got nothing for longest are selected`() {
+    fun `the three jobs of a team that have been underserved for longest are selected`() {
         val jobs = listOf(30_000L, 10_000L, 39_000L, 20_000L).mapIndexed { i, since -> waitingSince("wk-$i", since) }
         val selected = underservedJobs.select(jobs, clock.nowMs)
         assertEquals(listOf("wk-1", "wk-3", "wk-0"), selected.map { it.spec.jobId })
