--- a/src/main/kotlin/io/reedmast/scheduling/PreemptionCandidates.kt
+++ b/src/main/kotlin/io/reedmast/scheduling/PreemptionCandidates.kt
@@ -6,39 +6,39 @@
 import io.reedmast.model.Placement
 import io.reedmast.model.ShardState
 
-/** Finds the tasks that may be stopped for other work. */
+/** Finds the tasks that may be preempted for other work. */
 internal class PreemptionCandidates(private val shardState: ShardState, private val protection: PreemptionProtection) {
-    /** The machines on which some task may be stopped, for whatever work. */
-    fun machines(): List<Machine> = shardState.machines.values.filter { machine ->
+    /** The machines in service on which some task may be preempted for whatever other work. */
+    fun machinesWithCandidates(): List<Machine> = shardState.machines.values.filter { machine ->
         machine.isInService && machine.placements.values.any { protection.isPreemptable(it) }
     }
 
-    /** The tasks on [machine] that may be stopped for [preempting]. */
-    fun on(machine: Machine, preempting: PreemptingJob): List<Placement> = machine.placements.values
+    /** The tasks on [machine] that may be preempted for [preemptingJob]. */
+    fun on(machine: Machine, preemptingJob: PreemptingJob): List<Placement> = machine.placements.values
         .filter { it.stopReason == null && protection.isPreemptable(it) }
-        .filter { !protection.isProtectedFrom(it, preempting.job) }
-        .filter { mayPreempt(candidateOf(it, preempting), preempting.request) }
+        .filter { !protection.isProtectedFrom(it, preemptingJob.job) }
+        .filter { mayPreempt(candidateOf(it, preemptingJob), preemptingJob.request) }
 
-    private fun candidateOf(placement: Placement, preempting: PreemptingJob): PreemptionCandidate {
+    private fun candidateOf(placement: Placement, preemptingJob: PreemptingJob): PreemptionCandidate {
         val job = placement.job
         return PreemptionCandidate(
             priority = job.spec.priority,
             resumable = job.spec.resumable,
-            sameTeam = job.team == preempting.job.team,
+            sameTeam = job.team == preemptingJob.job.team,
             ranForS = (shardState.clock.now() - protectedSince(placement)) / MS_PER_SECOND,
-            minimumS = protectedMinimumS(job.spec.estimateS),
+            protectedMinimumS = protectedMinimumS(job.spec.estimateS),
             teamBeyondGuarantee = shardState.quota.exceedsGuarantee(job.team),
-            teamRatio = shardState.fairShare.usageRatio(job.team, preempting.wallMs),
+            teamUsageRatio = shardState.fairShare.usageRatio(job.team, preemptingJob.wallMs),
         )
     }
 
-    /** The estimated run time, but at most the configured cap, which also holds for work without an estimate. */
+    /** The estimated run time, but at most the configured cap; for work without an estimate, the cap. */
     private fun protectedMinimumS(estimateS: Double): Double {
         val capS = shardState.tuning.protectCapS
         return if (estimateS > 0) minOf(capS, estimateS) else capS
     }
 
-    /** When the protected minimum began. A gang does not work before all of it runs. */
+    /** When the protected minimum began. For a gang that is when all its tasks run: it does no work before. */
     private fun protectedSince(placement: Placement): Long {
         if (!placement.job.spec.isGang) return placement.createdAt
         return placement.job.placements().maxOf { if (it.running) it.runningSince else shardState.clock.now() }
--- a/src/test/kotlin/io/reedmast/scheduling/FairShareQueuesTest.kt
+++ b/src/test/kotlin/io/reedmast/scheduling/FairShareQueuesTest.kt
@@ -19,23 +19,23 @@
     fun `the first job of the team with the least usage is next, as usage changes`() {
         val jobs = listOf(job("wk-2", 0), job("wk-1", 0), job("wk-3", 1))
         val queues = FairShareQueues(jobs, byId, byUsage)
-        assertEquals("wk-1", queues.next().spec.jobId)
+        assertEquals("wk-1", queues.peek().spec.jobId)
         usageByTeam[TeamId(0)] = 3.0
-        assertEquals("wk-3", queues.next().spec.jobId)
+        assertEquals("wk-3", queues.peek().spec.jobId)
     }
 
     @Test
-    fun `a job that was removed is followed by the next one of its team, until none is left`() {
+    fun `removing a job makes the next job of its team the first, until none is left`() {
         val jobs = listOf(job("wk-1", 0), job("wk-2", 0))
         val queues = FairShareQueues(jobs, byId, byUsage)
         queues.remove(jobs[0])
-        assertEquals(jobs[1], queues.next())
+        assertEquals(jobs[1], queues.peek())
         queues.remove(jobs[1])
         assertFalse(queues.isNotEmpty())
     }
 
     @Test
-    fun `only the first job of a queue is removed`() {
+    fun `only the first job of a queue can be removed`() {
         val jobs = listOf(job("wk-1", 0), job("wk-2", 0))
         val queues = FairShareQueues(jobs, byId, byUsage)
         assertThrows(IllegalStateException::class.java) { queues.remove(jobs[1]) }
