--- a/src/main/kotlin/io/reedmast/cluster/AcquisitionAttempts.kt
+++ b/src/main/kotlin/io/reedmast/cluster/AcquisitionAttempts.kt
@@ -36,7 +36,7 @@
     }
 
     /** The workers of [shard] cannot be reached from here: the other controllers may be better off. */
-    fun pauseUnreachable(shard: ShardId) {
+    fun pauseForUnreachableWorkers(shard: ShardId) {
         notBefore[shard.value] = clock.now() + UNREACHABLE_PAUSE_MS
     }
 
--- a/src/main/kotlin/io/reedmast/cluster/AcquisitionPolicy.kt
+++ b/src/main/kotlin/io/reedmast/cluster/AcquisitionPolicy.kt
@@ -31,8 +31,8 @@
         val requestedAt = failoverRequests.requestedAt(shard)
         return when {
             owner == null -> AcquisitionReason.Unowned.takeIf { mayAcquireUnowned(shard, now) }
-            owner == settings.label -> AcquisitionReason.OwnShardAfterRestart
-            !membership.isPresent(owner) -> reasonForAbsent(owner, now)
+            owner == settings.label -> AcquisitionReason.OwnShardNotServed
+            !membership.isPresent(owner) -> reasonForAbsentOwner(owner, now)
             requestedAt != null -> AcquisitionReason.FailoverRequested.takeIf { now - requestedAt > delayMs(owner) }
             else -> AcquisitionReason.Failback.takeIf { mayFailBack(shard, owner, now) }
         }
@@ -42,7 +42,7 @@
     private fun mayAcquireUnowned(shard: ShardId, now: Long) =
         isPreferredOwner(shard) || uptimeMs(now) > ControllerLease.LEASE_MS
 
-    private fun reasonForAbsent(owner: String, now: Long): AcquisitionReason? {
+    private fun reasonForAbsentOwner(owner: String, now: Long): AcquisitionReason? {
         val absentMs = membership.absentForMs(owner, now)
         val isDue = absentMs > delayMs(owner) && uptimeMs(now) > DELAY_PER_RANK_MS
         return if (isDue) AcquisitionReason.OwnerAbsent(absentMs) else null
@@ -50,7 +50,7 @@
 
     private fun mayFailBack(shard: ShardId, owner: String, now: Long) = isPreferredOwner(shard) &&
         uptimeMs(now) > MIN_UPTIME_FOR_FAILBACK_MS &&
-        failbackDelay.isOver(now) &&
+        failbackDelay.hasElapsed(now) &&
         shards.countOf(owner) > 1
 
     /** A shard belongs with the controller of the same index, unless that one cannot serve it. */
--- a/src/main/kotlin/io/reedmast/cluster/AcquisitionReason.kt
+++ b/src/main/kotlin/io/reedmast/cluster/AcquisitionReason.kt
@@ -6,7 +6,7 @@
     data object Unowned : AcquisitionReason
 
     /** The record names this controller, but an earlier process of it was the owner. */
-    data object OwnShardAfterRestart : AcquisitionReason
+    data object OwnShardNotServed : AcquisitionReason
 
     /** The owner's membership key has been gone for [absentMs] milliseconds. */
     data class OwnerAbsent(val absentMs: Long) : AcquisitionReason
--- a/src/main/kotlin/io/reedmast/cluster/Cluster.kt
+++ b/src/main/kotlin/io/reedmast/cluster/Cluster.kt
@@ -119,14 +119,14 @@
     fun mayAcknowledgeHeartbeats(): Boolean {
         if (!rollout.mayAcknowledgeHeartbeats) return false
         val observedThrough = staleness.observedThrough ?: return false
-        val confirmedAt = peerStatuses.confirmedAt() ?: observedThrough
-        return staleness.isWithinSelfFence(maxOf(observedThrough, confirmedAt))
+        val cancellationsKnownUntil = peerStatuses.cancellationsKnownUntil() ?: observedThrough
+        return staleness.isWithinSelfFence(maxOf(observedThrough, cancellationsKnownUntil))
     }
 
     /**
      * Whether the store is out for all controllers, as far as the others report: none could serve users better.
      */
-    fun isStoreUnreachableForAll(): Boolean = peerStatuses.noneReachesStore(clock.now())
+    fun isStoreUnreachableForAll(): Boolean = peerStatuses.isStoreUnreachableForPeers(clock.now())
 
     override fun shardOfMachine(machineName: String): ShardId? = machines.shardOf(machineName)
 
--- a/src/main/kotlin/io/reedmast/cluster/FailbackDelay.kt
+++ b/src/main/kotlin/io/reedmast/cluster/FailbackDelay.kt
@@ -17,7 +17,7 @@
     }
 
     /** Whether a shard may be acquired back at time [now]. */
-    fun isOver(now: Long): Boolean = now > notBefore
+    fun hasElapsed(now: Long): Boolean = now > notBefore
 
     private companion object {
         const val MIN_DELAY_MS = 30_000L
--- a/src/main/kotlin/io/reedmast/cluster/MisdirectedHeartbeats.kt
+++ b/src/main/kotlin/io/reedmast/cluster/MisdirectedHeartbeats.kt
@@ -47,13 +47,13 @@
      * [knownWorkers], the machines that have ever been up; otherwise nothing. A few workers may be lost on their own
      * account, so one of them must have been redirected before.
      */
-    fun sampleOfMajority(shard: ShardId, knownWorkers: Int, now: Long): Map<String, String> {
+    fun sampleIfMajority(shard: ShardId, knownWorkers: Int, now: Long): Map<String, String> {
         val recent = redirects[shard.value]
         recent.values.removeIf { now - it.at > RETURN_WINDOW_MS }
         val isMajority = recent.size * 2 > knownWorkers
         val isSettled = now - ownerChangedAt[shard.value] >= settlingMs
-        val isConvincing = recent.size >= CONVINCING_WORKERS || recent.values.any { it.isRepeated }
-        if (!isMajority || !isSettled || !isConvincing) return emptyMap()
+        val hasEnoughEvidence = recent.size >= SUFFICIENT_WORKERS || recent.values.any { it.isRepeated }
+        if (!isMajority || !isSettled || !hasEnoughEvidence) return emptyMap()
         return recent.entries.sortedByDescending { it.value.at }.take(SAMPLED_WORKERS)
             .associate { it.key to it.value.addr }
     }
@@ -86,7 +86,7 @@
         const val MS_PER_S = 1_000
 
         /** From so many redirected workers on, none needs to have come back. */
-        const val CONVINCING_WORKERS = 4
+        const val SUFFICIENT_WORKERS = 4
         const val SAMPLED_WORKERS = 3
     }
 }
--- a/src/main/kotlin/io/reedmast/cluster/PeerStatuses.kt
+++ b/src/main/kotlin/io/reedmast/cluster/PeerStatuses.kt
@@ -28,7 +28,7 @@
         var storeAgeMs: Long? = null
 
         /** All cancellations confirmed by this controller before this time are known here. */
-        var confirmedAt: Long? = null
+        var knownUntil: Long? = null
     }
 
     private val peers: Map<ControllerId, Peer> =
@@ -36,7 +36,7 @@
 
     /** When the newest queries were sent, by sequence number. */
     private val askedAtBySequence = object : LinkedHashMap<Long, Long>() {
-        override fun removeEldestEntry(eldest: Map.Entry<Long, Long>) = size > MAX_OPEN_QUERIES
+        override fun removeEldestEntry(eldest: Map.Entry<Long, Long>) = size > MAX_PENDING_QUERIES
     }
     private var sequence = 0L
 
@@ -58,7 +58,7 @@
         if (askedAt < (peer.askedAt ?: askedAt)) return
         peer.askedAt = askedAt
         peer.storeAgeMs = report.storeAgeMs
-        if (report.cancellations != null && wasRunningAt(observedThrough, report, now)) peer.confirmedAt = askedAt
+        if (report.cancellations != null && wasRunningAt(observedThrough, report, now)) peer.knownUntil = askedAt
     }
 
     /** Whether the reporting process was running at [time] whatever the drift of the two clocks. */
@@ -70,14 +70,14 @@
     /**
      * All cancellations that any other controller has told a user of before this time are known here; null if unknown.
      */
-    fun confirmedAt(): Long? {
+    fun cancellationsKnownUntil(): Long? {
         var earliest = Long.MAX_VALUE
-        for (peer in peers.values) earliest = minOf(earliest, peer.confirmedAt ?: return null)
+        for (peer in peers.values) earliest = minOf(earliest, peer.knownUntil ?: return null)
         return earliest.takeIf { peers.isNotEmpty() }
     }
 
     /** Whether some other controller reports, and none of those that do hears the store: it is out for all. */
-    fun noneReachesStore(now: Long): Boolean {
+    fun isStoreUnreachableForPeers(now: Long): Boolean {
         val reporting = peers.values.filter { peer -> peer.askedAt?.let { now - it < REPORT_VALID_MS } ?: false }
         return reporting.isNotEmpty() && reporting.all { peer -> isCutOff(peer, now) }
     }
@@ -88,7 +88,7 @@
     }
 
     private companion object {
-        const val MAX_OPEN_QUERIES = 16
+        const val MAX_PENDING_QUERIES = 16
 
         /** For how long after its query a report says anything about the present. */
         const val REPORT_VALID_MS = 4_000L
--- a/src/main/kotlin/io/reedmast/cluster/ShardAcquirer.kt
+++ b/src/main/kotlin/io/reedmast/cluster/ShardAcquirer.kt
@@ -57,7 +57,7 @@
 
         // The outcome says enough.
         AcquisitionReason.Unowned,
-        AcquisitionReason.OwnShardAfterRestart,
+        AcquisitionReason.OwnShardNotServed,
         is AcquisitionReason.OwnerAbsent,
         AcquisitionReason.FailoverRequested,
         AcquisitionReason.Failback,
@@ -69,7 +69,7 @@
         val stored = shards.records[acquisition.shard.value]
         // A process that has not heard of a move of the gates acquires nothing: it may not be able to read what it
         // would own.
-        val counter = TokenCounter.moveTo(acquisition.record.token, shards.tokenVersion, rollout.gates)
+        val counter = TokenCounter.updateTo(acquisition.record.token, shards.tokenVersion, rollout.gates)
         val preconditions = counter.preconditions + Precondition(key, stored?.version ?: 0L)
         val writes = listOf(Write.Put(key, acquisition.record.toFields()), counter.write)
         store.commit(CasTransaction(preconditions, writes) { outcome -> onOutcome(acquisition, outcome) })
--- a/src/main/kotlin/io/reedmast/cluster/ShardAcquisition.kt
+++ b/src/main/kotlin/io/reedmast/cluster/ShardAcquisition.kt
@@ -50,12 +50,12 @@
         }
         reachability.probe(shard) {
             log.info("shard {}: not acquired, its workers cannot be reached from this controller", shard.value)
-            attempts.pauseUnreachable(shard)
+            attempts.pauseForUnreachableWorkers(shard)
         }
     }
 
     private fun needsWorkers(reason: AcquisitionReason): Boolean = when (reason) {
-        AcquisitionReason.Unowned, AcquisitionReason.OwnShardAfterRestart -> false
+        AcquisitionReason.Unowned, AcquisitionReason.OwnShardNotServed -> false
         is AcquisitionReason.OwnerAbsent -> reason.absentMs <= ABANDONED_MS
         else -> true
     }
--- a/src/main/kotlin/io/reedmast/cluster/ShardRestorer.kt
+++ b/src/main/kotlin/io/reedmast/cluster/ShardRestorer.kt
@@ -21,13 +21,13 @@
     private val log = LoggerFactory.getLogger("cluster")
 
     /** What has been read of the state of [owner]'s shard so far. */
-    private class StoredState(val owner: ShardOwner, val readSince: Long) {
+    private class StoredState(val owner: ShardOwner, val readStartedAt: Long) {
         /** The shard's progress pages. */
         var pages: ListResult = ListResult.Failed
 
         /** The shard's usage summary, which need not exist. */
         var usageSummary: ReadResult = ReadResult.Failed
-        var openReads = 2
+        var pendingReads = 2
     }
 
     /** Reads what is stored of the shard of [owner], and has it begin; a failed read drops it for another attempt. */
@@ -45,7 +45,7 @@
     }
 
     private fun onRead(state: StoredState) {
-        if (--state.openReads > 0) return
+        if (--state.pendingReads > 0) return
         // A page may name a job that the watch has not shown yet: without the wait its tasks would run twice.
         staleness.awaitJobsBarrier { jobsKnown -> finish(state, jobsKnown) }
     }
@@ -63,6 +63,6 @@
             return
         }
         owner.restore(jobs.liveOf(owner.index), pages.items, (usageSummary as? ReadResult.Found)?.item)
-        log.info("shard {}: restored in {} ms", owner.index.value, clock.now() - state.readSince)
+        log.info("shard {}: restored in {} ms", owner.index.value, clock.now() - state.readStartedAt)
     }
 }
--- a/src/main/kotlin/io/reedmast/cluster/TokenCounter.kt
+++ b/src/main/kotlin/io/reedmast/cluster/TokenCounter.kt
@@ -37,7 +37,7 @@
      * Moves the counter from its [version] to [token], in the form that [gates] want and on condition that they have
      * not moved.
      */
-    internal fun moveTo(token: Long, version: Long, gates: GateSnapshot): TokenCounterUpdate {
+    internal fun updateTo(token: Long, version: Long, gates: GateSnapshot): TokenCounterUpdate {
         val field = if (gates.writes(ClusterFeatures.FENCED_TOKENS)) FENCED_FIELD else OPEN_FIELD
         return TokenCounterUpdate(
             listOf(Precondition(Keys.TOKEN, version), gates.precondition),
--- a/src/main/kotlin/io/reedmast/cluster/TokenRenewal.kt
+++ b/src/main/kotlin/io/reedmast/cluster/TokenRenewal.kt
@@ -19,7 +19,7 @@
     gates: GateSnapshot,
 ) {
     private val renewed = owner.record.copy(token = FencingToken.after(aboveToken))
-    private val counter = TokenCounter.moveTo(renewed.token, tokenVersion, gates)
+    private val counter = TokenCounter.updateTo(renewed.token, tokenVersion, gates)
 
     /** That the token counter and the gates have not changed. */
     val counterPreconditions: List<Precondition> get() = counter.preconditions
--- a/src/main/kotlin/io/reedmast/cluster/UnreachableOwnerDetector.kt
+++ b/src/main/kotlin/io/reedmast/cluster/UnreachableOwnerDetector.kt
@@ -50,7 +50,7 @@
     /** Acquires the shard of a living owner, if its workers do not reach that owner and one of them answers a call. */
     fun check(shard: ShardId, now: Long) {
         if (probing[shard.value] || misdirected.isEmpty(shard)) return
-        val sample = misdirected.sampleOfMajority(shard, addresses.of(shard).size, now)
+        val sample = misdirected.sampleIfMajority(shard, addresses.of(shard).size, now)
         val owner = shards.ownerOf(shard)
         for ((machineName, addr) in sample) {
             probing[shard.value] = true
--- a/src/main/kotlin/io/reedmast/cluster/WatchStaleness.kt
+++ b/src/main/kotlin/io/reedmast/cluster/WatchStaleness.kt
@@ -53,8 +53,11 @@
     /** How many milliseconds ago the store was last heard on both watches; null until both have answered. */
     fun ageMs(): Long? = observedThrough?.let { clock.now() - it }
 
-    /** Whether workers may be answered when all cancellations are known that users were told of up to [confirmedAt]. */
-    fun isWithinSelfFence(confirmedAt: Long): Boolean = clock.now() - confirmedAt < selfFenceMs
+    /**
+     * Whether workers may be answered when every cancellation that a user was told of up to [cancellationsKnownUntil]
+     * is known here.
+     */
+    fun isWithinSelfFence(cancellationsKnownUntil: Long): Boolean = clock.now() - cancellationsKnownUntil < selfFenceMs
 
     /** The watch on the cluster's keys has completed an answer that was asked for at [askedAt]. */
     fun onClusterObserved(askedAt: Long) {
--- a/src/main/kotlin/io/reedmast/cluster/WorkerReachability.kt
+++ b/src/main/kotlin/io/reedmast/cluster/WorkerReachability.kt
@@ -20,7 +20,7 @@
     private val probing = HashSet<ShardId>()
 
     /** Calls to some workers of one shard. */
-    private class Probe(var openCalls: Int) {
+    private class Probe(var pendingCalls: Int) {
         var answered = false
     }
 
@@ -30,9 +30,9 @@
     }
 
     /** Whether no probe is needed: a worker was heard recently, or no address of the shard's workers is known. */
-    fun canSkipProbe(shard: ShardId): Boolean = isRecent() || addresses.of(shard).isEmpty()
+    fun canSkipProbe(shard: ShardId): Boolean = hasRecentContact() || addresses.of(shard).isEmpty()
 
-    private fun isRecent() = lastContactAt?.let { clock.now() - it < RECENT_CONTACT_MS } ?: false
+    private fun hasRecentContact() = lastContactAt?.let { clock.now() - it < RECENT_CONTACT_MS } ?: false
 
     /**
      * Calls some of the workers of [shard], spread over all of them, unless that is being done; [onUnreachable] is
@@ -50,7 +50,7 @@
                     probe.answered = true
                     recordContact()
                 }
-                if (--probe.openCalls == 0) {
+                if (--probe.pendingCalls == 0) {
                     probing.remove(shard)
                     if (!probe.answered) onUnreachable()
                 }
--- a/src/test/kotlin/io/reedmast/cluster/ShardAcquisitionTest.kt
+++ b/src/test/kotlin/io/reedmast/cluster/ShardAcquisitionTest.kt
@@ -33,9 +33,9 @@
         }, "n0-1", RolloutOptions(ClusterFeatures.registry))
     private val key = Keys.shard(0)
 
-    private fun take(): CasTransaction = out.commits.first { change -> change.writes.any { it.path == key } }
+    private fun transaction(): CasTransaction = out.commits.first { commit -> commit.writes.any { it.path == key } }
 
-    private fun acquiring(): Write.Put = take().writes.filterIsInstance<Write.Put>().first { it.path == key }
+    private fun recordWrite(): Write.Put = transaction().writes.filterIsInstance<Write.Put>().first { it.path == key }
 
     @BeforeEach
     fun begin() {
@@ -46,19 +46,19 @@
 
     @Test
     fun `an acquisition that was applied makes this controller the owner`() {
-        take().done(CommitOutcome.Applied(20))
+        transaction().done(CommitOutcome.Applied(20))
         assertEquals(listOf(0), cluster.activeOwners().map { it.index.value })
     }
 
     @Test
     fun `the watch tells of it first, and the answer changes nothing more`() {
         cluster.watchResults.onClusterEvents(
-            listOf(WatchEvent(key, acquiring().value, 20)),
+            listOf(WatchEvent(key, recordWrite().value, 20)),
             revision = 20,
             askedAt = now,
         )
         val owner = cluster.activeOwners().single()
-        take().done(CommitOutcome.Applied(20))
+        transaction().done(CommitOutcome.Applied(20))
         assertEquals(owner, cluster.activeOwners().single())
     }
 
@@ -70,7 +70,7 @@
             revision = 30,
             askedAt = now,
         )
-        take().done(CommitOutcome.Applied(20))
+        transaction().done(CommitOutcome.Applied(20))
         assertEquals(emptyList<Int>(), cluster.activeOwners().map { it.index.value })
         assertEquals("n1", cluster.ownerOf(ShardId(0)))
     }
--- a/src/test/kotlin/io/reedmast/cluster/WatchStalenessTest.kt
+++ b/src/test/kotlin/io/reedmast/cluster/WatchStalenessTest.kt
@@ -15,36 +15,36 @@
         override fun wall() = now
     }
     private val staleness = WatchStaleness(clock, WorkerRules(3.0, 16.0, 41.0))
-    private val answers = ArrayList<Boolean>()
+    private val results = ArrayList<Boolean>()
 
-    private fun ask() = staleness.awaitJobsBarrier { answers.add(it) }
+    private fun awaitBarrier() = staleness.awaitJobsBarrier { results.add(it) }
 
     @Test
     fun `a question waits for an answer of the watch that was asked for after it`() {
-        ask()
+        awaitBarrier()
         staleness.onJobsObserved(askedAt = now)
-        assertEquals(emptyList<Boolean>(), answers)
+        assertEquals(emptyList<Boolean>(), results)
         staleness.onJobsObserved(askedAt = now + 1)
-        assertEquals(listOf(true), answers)
+        assertEquals(listOf(true), results)
     }
 
     @Test
     fun `it learns that nothing is known once it has waited for long enough`() {
-        ask()
+        awaitBarrier()
         now += 1_499
         staleness.resumeWaiters()
-        assertEquals(emptyList<Boolean>(), answers)
+        assertEquals(emptyList<Boolean>(), results)
         now += 1
         staleness.resumeWaiters()
-        assertEquals(listOf(false), answers)
+        assertEquals(listOf(false), results)
     }
 
     @Test
     fun `of too many questions the last ones are told at once, and the others are kept`() {
-        repeat(1_001) { ask() }
-        assertEquals(listOf(false), answers)
+        repeat(1_001) { awaitBarrier() }
+        assertEquals(listOf(false), results)
         staleness.onJobsObserved(askedAt = now + 1)
-        assertEquals(1_000, answers.count { it })
+        assertEquals(1_000, results.count { it })
     }
 
     @Test
