--- a/src/main/kotlin/io/reedmast/cluster/AcquisitionAttempts.kt
+++ b/src/main/kotlin/io/reedmast/cluster/AcquisitionAttempts.kt
@@ -4,30 +4,31 @@
 import io.reedmast.settings.Settings
 import io.reedmast.settings.ShardId
 
-/** Which shards are being acquired or restored, and until when no new attempt is made, by shard. */
+/** Tracks which shards are being acquired or restored, and for each shard until when no new attempt is made. */
 internal class AcquisitionAttempts(private val settings: Settings, private val clock: Clock) {
     private val inProgress = BooleanArray(settings.shardCount)
     private val notBefore = LongArray(settings.shardCount)
 
-    /** Whether the shard is being acquired, or its state read after that. */
+    /** Whether [shard] is being acquired, or its state is being read after the acquisition. */
     fun isInProgress(shard: ShardId): Boolean = inProgress[shard.value]
 
-    /** Whether a new attempt must wait longer than until [now]. */
+    /** Whether it is too early at [now] for a new attempt to acquire [shard]. */
     fun isPaused(shard: ShardId, now: Long): Boolean = now <= notBefore[shard.value]
 
-    /** An acquisition of [shard] begins. */
+    /** Marks [shard] as being acquired, and delays the next attempt by [REACQUIRE_INTERVAL_MS]. */
     fun begin(shard: ShardId) {
         inProgress[shard.value] = true
         notBefore[shard.value] = clock.now() + REACQUIRE_INTERVAL_MS
     }
 
-    /** The acquisition of [shard] is over, and its state has been read or could not be. */
+    /** Marks the acquisition of [shard] as finished, whether or not its state could be read. */
     fun end(shard: ShardId) {
         inProgress[shard.value] = false
     }
 
     /**
-     * The acquisition of [shard] has failed. After a restart of all controllers every second counts; they do not try at
+     * Ends a failed acquisition of [shard] and schedules a retry. The delay is short because every second counts after
+     * a restart of all controllers, and depends on this controller's index so that the controllers do not all retry at
      * the same moment.
      */
     fun retrySoon(shard: ShardId) {
@@ -35,7 +36,7 @@
         notBefore[shard.value] = clock.now() + RETRY_INTERVAL_MS * (settings.self.value + 1)
     }
 
-    /** The workers of [shard] cannot be reached from here: the other controllers may be better off. */
+    /** Pauses attempts for [shard]: its workers cannot be reached from here, but other controllers may reach them. */
     fun pauseForUnreachableWorkers(shard: ShardId) {
         notBefore[shard.value] = clock.now() + UNREACHABLE_PAUSE_MS
     }
--- a/src/main/kotlin/io/reedmast/cluster/AcquisitionPolicy.kt
+++ b/src/main/kotlin/io/reedmast/cluster/AcquisitionPolicy.kt
@@ -7,8 +7,8 @@
 /**
  * Decides whether this controller should acquire a shard now.
  *
- * An acquisition is safe at any time, since it is a conditional write under a fresh token; the rules here only choose a
- * good moment for it.
+ * An acquisition is safe at any time because it is a conditional write under a fresh token; the rules here only choose
+ * a suitable moment for it.
  */
 internal class AcquisitionPolicy(
     private val settings: Settings,
@@ -22,10 +22,10 @@
     private val rollout = tables.rollout
     private val startedAt = clock.now()
 
-    /** Whether this controller may own the shard of [owner] at all: while it is drained it keeps what it has. */
+    /** Whether this controller may acquire a shard of [owner]; while being drained, it reacquires only its own. */
     fun mayAcquireFrom(owner: String?): Boolean = !rollout.isDraining || owner == settings.label
 
-    /** The reason to acquire [shard], which this controller does not serve; null if there is none at time [now]. */
+    /** The reason to acquire [shard], which this controller does not serve, or null if there is none at [now]. */
     fun reasonToAcquire(shard: ShardId, now: Long): AcquisitionReason? {
         val owner = shards.ownerOf(shard)
         val requestedAt = failoverRequests.requestedAt(shard)
@@ -38,7 +38,10 @@
         }
     }
 
-    /** Each controller begins with the shard of its own index and leaves the others a lease's time to do the same. */
+    /**
+     * Each controller first acquires the shard with its own index, and leaves the other unowned shards alone for one
+     * lease duration so that the other controllers can do the same.
+     */
     private fun mayAcquireUnowned(shard: ShardId, now: Long) =
         isPreferredOwner(shard) || uptimeMs(now) > ControllerLease.LEASE_MS
 
@@ -53,15 +56,15 @@
         failbackDelay.hasElapsed(now) &&
         shards.countOf(owner) > 1
 
-    /** A shard belongs with the controller of the same index, unless that one cannot serve it. */
+    /** The preferred owner of a shard is the controller with the same index, unless it cannot serve the shard. */
     private fun isPreferredOwner(shard: ShardId) = shard.value == settings.self.value
 
     private fun uptimeMs(now: Long) = now - startedAt
 
-    /** For how long this controller leaves a shard of [owner] to the controllers that come before it. */
+    /** How long this controller leaves a shard of [owner] to the controllers ranked before it. */
     private fun delayMs(owner: String): Long = rankAmongSuccessors(owner) * DELAY_PER_RANK_MS
 
-    /** The controller with the fewest shards comes first; the others follow if it does not act. */
+    /** The controller with the fewest shards ranks first; the others act in turn if it does not acquire the shard. */
     private fun rankAmongSuccessors(owner: String): Int {
         val successors = membership.alive() - owner - rollout.draining()
         return successors.sortedWith(compareBy({ shards.countOf(it) }, { it })).indexOf(settings.label)
--- a/src/main/kotlin/io/reedmast/cluster/AcquisitionReason.kt
+++ b/src/main/kotlin/io/reedmast/cluster/AcquisitionReason.kt
@@ -5,7 +5,10 @@
     /** The shard has never had an owner. */
     data object Unowned : AcquisitionReason
 
-    /** The record names this controller, but an earlier process of it was the owner. */
+    /**
+     * The record names this controller, but this process does not serve the shard: an earlier process of this
+     * controller acquired it, or its state could not be restored.
+     */
     data object OwnShardNotServed : AcquisitionReason
 
     /** The owner's membership key has been gone for [absentMs] milliseconds. */
@@ -14,15 +17,15 @@
     /** The owner has asked the other controllers to acquire the shard. */
     data object FailoverRequested : AcquisitionReason
 
-    /** The shard was assigned to this controller by its index, and another controller owns it together with others. */
+    /** This controller is the shard's preferred owner, and the present owner has other shards as well. */
     data object Failback : AcquisitionReason
 
-    /** The owner is alive, but the shard's workers report to this controller because [owner] does not answer them. */
+    /** The [owner] is alive but does not answer the shard's workers, which report to this controller instead. */
     data class WorkersCannotReachOwner(val owner: String?) : AcquisitionReason
 
-    /** A worker has seen a higher token than that of this controller, which needs a higher one. */
+    /** A worker has seen a higher token than this controller's, which therefore needs a new token above it. */
     data object HigherTokenSeen : AcquisitionReason
 
-    /** The shard's progress was read in parts that are too large for the reduced store limits. */
+    /** The shard's progress was read in parts that are too large for the reduced limits of the store. */
     data object OversizedRecords : AcquisitionReason
 }
--- a/src/main/kotlin/io/reedmast/cluster/Cluster.kt
+++ b/src/main/kotlin/io/reedmast/cluster/Cluster.kt
@@ -19,11 +19,11 @@
 import org.slf4j.LoggerFactory
 
 /**
- * This controller's view of the cluster, joined from its duties: staleness, membership, shards and their machines,
- * acquisition and failover of shards.
+ * This controller's view of the cluster. Combines the classes for staleness, membership, shards and their machines, and
+ * the acquisition and failover of shards.
  *
- * What the watches and the answers to this controller's own transactions say goes to the tables; [runOnce] makes the
- * changes that are due. Used by the deciding thread alone.
+ * The results of the watches and of this controller's own transactions are applied to tables; [runOnce] makes the
+ * changes that are due. Used only on the event loop.
  */
 class Cluster(
     private val settings: Settings,
@@ -32,7 +32,7 @@
     private val gateway: Gateway,
     private val limits: EffectiveLimits,
     private val machineTypes: () -> Collection<MachineType>,
-    /** Names this process; never used by another one. */
+    /** Identifies this process; never reused by another one. */
     incarnation: String,
     rolloutOptions: RolloutOptions,
 ) : ShardRecords,
@@ -69,7 +69,7 @@
     private val tables =
         ClusterTables(staleness, membership, rollout, shards, machines, jobs, machineDirectory, owners)
 
-    /** Takes the results of the watches on the store. */
+    /** Receives the results of the watches on the store. */
     val watchResults: WatchResultHandler = WatchResultHandler(gateway, tables, ::keepLease)
 
     private val failover: ShardFailover =
@@ -102,7 +102,7 @@
     /** The shards' records as last seen; null for a shard that has never had an owner. */
     val shardRecords: Array<StoredShardRecord?> get() = shards.records
 
-    /** Whether requests of users can be accepted. */
+    /** Whether requests from users can be accepted. */
     val ready: Boolean get() = staleness.loaded && rollout.isAdmitted
 
     private fun createOwner(shard: ShardId) =
@@ -113,8 +113,8 @@
     override fun isCurrent(): Boolean = staleness.isCurrent && rollout.isAdmitted
 
     /**
-     * Whether this controller may still answer workers with 200: it knows all cancellations that users were told of, up
-     * to a short time ago, from the store or, during an outage, from every other controller.
+     * Whether this controller may still answer workers with 200: it knows every cancellation that users were told of
+     * until a short time ago, either from the store or, during an outage, from all other controllers.
      */
     fun mayAcknowledgeHeartbeats(): Boolean {
         if (!rollout.mayAcknowledgeHeartbeats) return false
@@ -124,7 +124,8 @@
     }
 
     /**
-     * Whether the store is out for all controllers, as far as the others report: none could serve users better.
+     * Whether the store is unreachable for all controllers, as far as the others report, so that none could serve users
+     * better than this one.
      */
     fun isStoreUnreachableForAll(): Boolean = peerStatuses.isStoreUnreachableForPeers(clock.now())
 
@@ -133,7 +134,7 @@
     /** The label of the controller that owns [shard], if it has ever had an owner. */
     fun ownerOf(shard: ShardId): String? = shards.ownerOf(shard)
 
-    /** The owners of this controller's shards that may still act. */
+    /** The owners of this controller's shards that have not been dropped. */
     fun activeOwners(): List<ShardOwner> = owners.active()
 
     override fun machinesOf(shard: ShardId): Sequence<MachineRecord> = machines.machinesOf(shard)
@@ -151,20 +152,20 @@
 
     override fun recordDeparture(machineName: String) = departedMachines.add(machineName)
 
-    /** A worker has sent a heartbeat to this controller. */
+    /** Called when a worker has sent a heartbeat to this controller. */
     fun onWorkerContact() = failover.onWorkerContact()
 
     /**
-     * Where to send a worker of [shard], which is not this controller's; null if the worker must look for another
-     * controller by itself.
+     * The controller to which to redirect a worker of [shard], which this controller does not own; null if the worker
+     * must find another controller by itself.
      */
     fun redirectTarget(shard: ShardId, machineName: String, addr: String): String? =
         failover.redirectTarget(shard, machineName, addr)
 
-    /** Another controller has sent a message. */
+    /** Called when another controller has sent [message]. */
     fun onPeerMessage(message: PeerMessage) = peerMessages.onMessage(message)
 
-    /** Periodic: makes the changes that are due, and has each owner do the same. */
+    /** Called periodically: makes the changes that are due, and runs each owner's periodic work. */
     fun runOnce() {
         staleness.resumeWaiters()
         if (!staleness.clusterLoaded) return
@@ -186,14 +187,17 @@
         activeOwners().forEach { it.runOnce() }
     }
 
-    /** Not before the gates are known: a process that must not take part renews nothing. */
+    /**
+     * Renews the lease only once the gates are known and admit this process; a process that must not take part renews
+     * nothing.
+     */
     private fun keepLease() {
         if (rollout.isAdmitted) membership.keepLease()
     }
 
     /**
-     * Before it is stopped, a drained controller has the others acquire its shards, each one when all that it decided
-     * there is stored.
+     * While being drained, before it is stopped, this controller asks the others to acquire its shards: each shard once
+     * all decisions made for it are stored.
      */
     private fun releaseShards(now: Long) {
         if (!rollout.isDraining || now < releaseDueAt) return
@@ -202,8 +206,8 @@
     }
 
     /**
-     * Once no earlier version reads the records any more, what is too large for the reduced limits is stored anew in
-     * smaller parts.
+     * Once no earlier version reads the records any more, stores those that are too large for the reduced limits again
+     * in smaller parts.
      */
     private fun divideForReducedLimits() {
         if (!limits.isReduced) return
@@ -215,14 +219,14 @@
         }
     }
 
-    /** Has each owner act on what has changed in its shard. */
+    /** Lets each owner act on the changes in its shard. */
     fun reconcile() = activeOwners().forEach { it.reconcile() }
 
     override fun renewToken(shard: ShardId) = failover.renewToken(shard)
 
     override fun requestFailover(shard: ShardId) {
         val term = shards.termOf(settings.label, shard) ?: return
-        log.info("shard {}: the other controllers are asked to acquire it", shard.value)
+        log.info("shard {}: asking the other controllers to acquire it", shard.value)
         gateway.broadcast(PeerMessage.FailoverRequest(shard, term))
     }
 
--- a/src/main/kotlin/io/reedmast/cluster/FailbackDelay.kt
+++ b/src/main/kotlin/io/reedmast/cluster/FailbackDelay.kt
@@ -1,22 +1,22 @@
 package io.reedmast.cluster
 
 /**
- * For how long a shard that another controller has acquired from this one is left to it.
+ * How long this controller does not fail shards back to itself after another controller has acquired one from it.
  *
- * The other controller has a reason that may not be visible here; acquired back at once, the shard would go to and fro.
- * The delay doubles with each loss.
+ * The other controller had a reason that may not be visible here; if the shard were acquired back at once, it would
+ * move back and forth. The delay doubles with each loss, up to a maximum.
  */
 internal class FailbackDelay {
     private var notBefore = 0L
     private var delayMs = MIN_DELAY_MS
 
-    /** Another controller has acquired a shard of this controller's at [now]. */
+    /** Called when another controller has acquired a shard from this one, at [now]. */
     fun onAcquiredByAnother(now: Long) {
         notBefore = now + delayMs
         delayMs = minOf(delayMs * 2, MAX_DELAY_MS)
     }
 
-    /** Whether a shard may be acquired back at time [now]. */
+    /** Whether a shard may be acquired back at [now]. */
     fun hasElapsed(now: Long): Boolean = now > notBefore
 
     private companion object {
--- a/src/main/kotlin/io/reedmast/cluster/MisdirectedHeartbeats.kt
+++ b/src/main/kotlin/io/reedmast/cluster/MisdirectedHeartbeats.kt
@@ -3,37 +3,39 @@
 import io.reedmast.settings.ShardId
 
 /**
- * Workers that report to this controller although another one owns their shard, because that one does not answer them.
+ * Workers that report to this controller although another controller owns their shard, because the owner does not
+ * answer them.
  *
- * An owner may be cut off from workers alone. It keeps its key and its term then, and nothing shows that to it; if
- * nobody acquired its shards, every task of them would end with the workers' leases (PROTOCOL, Leases). What the
- * workers do shows it: a worker without an answer tries the next controller, a redirected one goes to the controller
- * named, and one whom the owner does not answer comes back soon (PROTOCOL, Workers -> controller nodes).
+ * An owner may lose its connection to the workers alone. It then keeps its membership key and its term, and nothing
+ * shows it that it is cut off. If no other controller acquired its shards, all their tasks would end when the workers'
+ * leases expire (PROTOCOL, Leases). The workers' behaviour reveals the fault: a worker that gets no answer tries the
+ * next controller, a redirected worker goes to the controller named in the redirect, and a worker that the owner does
+ * not answer soon comes back (PROTOCOL, Workers -> controller nodes).
  *
  * All times are in milliseconds.
  */
 internal class MisdirectedHeartbeats(shards: Int, heartbeatIntervalS: Double) {
-    /** A worker at [addr] that was redirected to the owner; [isRepeated]: not for the first time. */
+    /** A redirect of a worker at [addr] to the owner; [isRepeated] if the worker had been redirected shortly before. */
     private class Redirect(val at: Long, val addr: String, val isRepeated: Boolean)
 
     private val redirects = Array(shards) { HashMap<String, Redirect>() }
     private val ownerChangedAt = LongArray(shards)
 
     /**
-     * For how long after a change of owner redirects mean nothing: a worker's heartbeat comes a quarter late, waits for
-     * an answer in vain, and is redirected, before it reaches the new owner.
+     * How long after a change of owner redirects are not evidence of a fault: before a worker reaches the new owner,
+     * its heartbeat may come a quarter of the interval late, wait for an answer in vain, and be redirected.
      */
     private val settlingMs = (
         (heartbeatIntervalS * HEARTBEAT_JITTER + UNANSWERED_ATTEMPT_S) * SETTLING_MARGIN *
             MS_PER_S
         ).toLong()
 
-    /** Whether no worker of [shard] has been redirected. */
+    /** Whether no redirect of a worker of [shard] is recorded. */
     fun isEmpty(shard: ShardId): Boolean = redirects[shard.value].isEmpty()
 
     /**
-     * Records that a worker of [shard] is redirected to the owner, and returns whether it had just been sent there
-     * before.
+     * Records that a worker of [shard] is redirected to the owner. Returns whether it had already been redirected there
+     * within the last [RETURN_WINDOW_MS].
      */
     fun recordRedirect(shard: ShardId, machineName: String, addr: String, now: Long): Boolean {
         val previous = redirects[shard.value][machineName]
@@ -43,9 +45,9 @@
     }
 
     /**
-     * Names and addresses of some workers, if the owner seems unreachable for more than half of the shard's
-     * [knownWorkers], the machines that have ever been up; otherwise nothing. A few workers may be lost on their own
-     * account, so one of them must have been redirected before.
+     * The names and addresses of some workers, if the owner seems unreachable for more than half of the shard's
+     * [knownWorkers] (machines that have ever been up); otherwise empty. A few workers may be cut off through faults of
+     * their own, so with fewer than [SUFFICIENT_WORKERS] at least one must have been redirected before.
      */
     fun sampleIfMajority(shard: ShardId, knownWorkers: Int, now: Long): Map<String, String> {
         val recent = redirects[shard.value]
@@ -58,26 +60,26 @@
             .associate { it.key to it.value.addr }
     }
 
-    /** The shard has another owner now, to whom its workers must find their way first. */
+    /** Discards the redirects of [shard], which has a new owner that its workers have yet to find. */
     fun onNewOwner(shard: ShardId, now: Long) {
         redirects[shard.value].clear()
         ownerChangedAt[shard.value] = now
     }
 
     /**
-     * This controller hears nothing from the store. The owners may be no better off and send their workers away: after
-     * an outage the workers of all of them went round, and one controller acquired every shard from owners that were
-     * well.
+     * Discards all redirects while this controller gets no answers from the store. The owners may get none either and
+     * turn their workers away: after an outage, the workers of all owners went from controller to controller, and one
+     * controller acquired every shard from healthy owners.
      */
     fun onStoreUnreachable(now: Long) {
         for (shard in redirects.indices) onNewOwner(ShardId(shard), now)
     }
 
     private companion object {
-        /**
-         * A worker waits four seconds for an answer and one before it goes on, and may pause half a second on its way.
-         */
+        /** A redirected worker that the owner does not answer comes back after [UNANSWERED_ATTEMPT_S] or less. */
         const val RETURN_WINDOW_MS = 8_000L
+
+        /** A worker waits 4 s for an answer and 1 s before it goes on, and may pause for 0.5 s on its way. */
         const val UNANSWERED_ATTEMPT_S = 5.5
 
         /** A heartbeat comes up to a quarter of the interval late. */
@@ -85,7 +87,7 @@
         const val SETTLING_MARGIN = 1.5
         const val MS_PER_S = 1_000
 
-        /** From so many redirected workers on, none needs to have come back. */
+        /** With this many redirected workers, none needs to have been redirected repeatedly. */
         const val SUFFICIENT_WORKERS = 4
         const val SAMPLED_WORKERS = 3
     }
--- a/src/main/kotlin/io/reedmast/cluster/PeerMessageHandler.kt
+++ b/src/main/kotlin/io/reedmast/cluster/PeerMessageHandler.kt
@@ -5,7 +5,7 @@
 import io.reedmast.ports.PeerTransport
 import io.reedmast.settings.Settings
 
-/** Applies and answers the messages of the other controllers; any of them may be lost, late or repeated. */
+/** Applies and answers messages from the other controllers; any message may be lost, delayed or repeated. */
 internal class PeerMessageHandler(
     private val settings: Settings,
     private val clock: Clock,
@@ -21,7 +21,7 @@
     private val startedAt = clock.now()
     private var queryDueAt = 0L
 
-    /** Another controller has sent [message]. */
+    /** Called when another controller has sent [message]. */
     fun onMessage(message: PeerMessage) = when (message) {
         is PeerMessage.ShardStatusUpdate -> {
             jobs.applyProgressUpdates(message.jobs)
@@ -47,7 +47,7 @@
         cancellations = jobs.cancellations().takeIf { it.size <= PeerMessage.MAX_CANCELLATIONS },
     )
 
-    /** Asks the other controllers for their status, while the store does not answer this one. */
+    /** Called periodically: queries the other controllers' statuses while the store does not answer this controller. */
     fun queryStatuses(now: Long) {
         val ageMs = staleness.ageMs() ?: return
         if (ageMs < QUERY_AFTER_MS || now < queryDueAt) return
--- a/src/main/kotlin/io/reedmast/cluster/ShardAcquirer.kt
+++ b/src/main/kotlin/io/reedmast/cluster/ShardAcquirer.kt
@@ -13,8 +13,8 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Acquires shards: stores this controller as the owner, under a fresh token, on condition that neither the shard's
- * record nor the token counter nor the rollout's gates have changed (PROTOCOL, Tokens).
+ * Acquires shards: stores this controller as the owner under a fresh token, on condition that the shard's record, the
+ * token counter and the rollout's gates are all unchanged (PROTOCOL, Tokens).
  */
 internal class ShardAcquirer(
     private val settings: Settings,
@@ -29,13 +29,13 @@
 ) {
     private val log = LoggerFactory.getLogger("cluster")
 
-    /** A shard's record that this controller is about to store. */
+    /** The record with which this controller is acquiring a shard. */
     private class PendingAcquisition(val shard: ShardId, val record: ShardRecord)
 
-    /** The acquisition whose outcome is not known yet: two at once would both want the next token. */
+    /** The acquisition whose outcome is not known yet; at most one, since two would both need the next token. */
     private var pending: PendingAcquisition? = null
 
-    /** Acquires [shard], unless an acquisition is under way. */
+    /** Acquires [shard], unless it is already being acquired or restored, or another acquisition is pending. */
     fun acquire(shard: ShardId, reason: AcquisitionReason) {
         logReason(shard, reason)
         if (attempts.isInProgress(shard) || pending != null) return
@@ -47,15 +47,15 @@
 
     private fun logReason(shard: ShardId, reason: AcquisitionReason) = when (reason) {
         is AcquisitionReason.WorkersCannotReachOwner ->
-            log.info("shard {}: its machines do not reach its owner {}", shard.value, reason.owner)
+            log.info("shard {}: its workers cannot reach its owner {}", shard.value, reason.owner)
 
         AcquisitionReason.HigherTokenSeen ->
-            log.info("shard {}: acquired again, a worker has seen a higher token", shard.value)
+            log.info("shard {}: reacquisition needed, a worker has seen a higher token", shard.value)
 
         AcquisitionReason.OversizedRecords ->
-            log.info("shard {}: acquired again, to be stored in smaller parts", shard.value)
+            log.info("shard {}: reacquisition needed to store its progress in smaller parts", shard.value)
 
-        // The outcome says enough.
+        // The log line of the completed acquisition is sufficient.
         AcquisitionReason.Unowned,
         AcquisitionReason.OwnShardNotServed,
         is AcquisitionReason.OwnerAbsent,
@@ -67,8 +67,8 @@
     private fun commit(acquisition: PendingAcquisition) {
         val key = Keys.shard(acquisition.shard.value)
         val stored = shards.records[acquisition.shard.value]
-        // A process that has not heard of a move of the gates acquires nothing: it may not be able to read what it
-        // would own.
+        // The condition on the gates keeps a process that has missed a gate change from acquiring a shard whose records
+        // it may not be able to read.
         val counter = TokenCounter.updateTo(acquisition.record.token, shards.tokenVersion, rollout.gates)
         val preconditions = counter.preconditions + Precondition(key, stored?.version ?: 0L)
         val writes = listOf(Write.Put(key, acquisition.record.toFields()), counter.write)
@@ -82,7 +82,7 @@
             onAcquired(acquisition.shard, StoredShardRecord(acquisition.record, outcome.revision))
             return
         }
-        // Mostly another controller took the token we wanted.
+        // In most cases another controller has taken the token that this acquisition needed.
         attempts.retrySoon(acquisition.shard)
         reread(Keys.shard(acquisition.shard.value))
         reread(Keys.TOKEN)
@@ -90,9 +90,9 @@
     }
 
     /**
-     * The watch has shown a record with this controller as owner. If it is the one that an acquisition is about to
-     * store, the shard is acquired, and the result is true. The transaction's own answer may be lost for seconds, in
-     * which an owner of before would act under the new term.
+     * Called with each newer record of [shard]. If it is the record of the pending acquisition, completes the
+     * acquisition and returns true. The answer to the transaction may be lost and its outcome stay unknown for seconds,
+     * during which this controller's previous `ShardOwner` would act under the new term.
      */
     fun confirmedByWatch(shard: ShardId, stored: StoredShardRecord): Boolean {
         val acquisition = pending ?: return false
@@ -105,7 +105,7 @@
     private fun onAcquired(shard: ShardId, acquired: StoredShardRecord) {
         val known = shards.records[shard.value]
         if (known != null && known.version > acquired.version) {
-            // The outcome became known late, and another controller has acquired the shard since.
+            // The outcome became known late; another controller has acquired the shard in the meantime.
             attempts.retrySoon(shard)
             return
         }
--- a/src/main/kotlin/io/reedmast/cluster/ShardAcquisition.kt
+++ b/src/main/kotlin/io/reedmast/cluster/ShardAcquisition.kt
@@ -5,8 +5,8 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Considers each shard that this controller does not serve, and acquires it when [AcquisitionPolicy] has a reason for
- * it or [UnreachableOwnerDetector] finds that its owner is not reached by its workers.
+ * Checks each shard that this controller does not serve, and acquires it when [AcquisitionPolicy] gives a reason or
+ * [UnreachableOwnerDetector] finds that the shard's workers cannot reach its owner.
  */
 internal class ShardAcquisition(
     private val clock: Clock,
@@ -22,7 +22,7 @@
     private val owners = tables.owners
     private val log = LoggerFactory.getLogger("cluster")
 
-    /** Considers each shard; called while the store answers. */
+    /** Checks each shard; called periodically while the store answers. */
     fun runOnce(now: Long) {
         for (index in shards.records.indices) considerShard(ShardId(index), now)
     }
@@ -40,8 +40,9 @@
     }
 
     /**
-     * Acquires the shard of another controller only if its workers can be reached, or if nobody else has acquired it
-     * for long.
+     * Acquires the shard of another controller only if its workers can be reached, or if its owner has been absent for
+     * more than [ABANDONED_MS] and nobody else has acquired it. An answered probe counts as worker contact, so that a
+     * later call acquires the shard.
      */
     private fun acquireIfReachable(shard: ShardId, reason: AcquisitionReason) {
         if (!needsWorkers(reason) || reachability.canSkipProbe(shard)) {
@@ -60,10 +61,10 @@
         else -> true
     }
 
-    /** Acquires the shard again for a higher token: a worker has seen one that is above this controller's. */
+    /** Acquires [shard] again to get a higher token, because a worker has seen one above this controller's. */
     fun renewToken(shard: ShardId) = reacquire(shard, AcquisitionReason.HigherTokenSeen)
 
-    /** Acquires a shard of this controller's again, to read what is stored of it in smaller parts. */
+    /** Acquires [shard], which this controller owns, again in order to read its stored state in smaller parts. */
     fun reload(shard: ShardId) = reacquire(shard, AcquisitionReason.OversizedRecords)
 
     private fun reacquire(shard: ShardId, reason: AcquisitionReason) {
@@ -71,7 +72,7 @@
     }
 
     private companion object {
-        /** Twice the time in which the others find that the shard needs another owner. */
+        /** Twice the time within which the other controllers detect that the shard needs another owner. */
         const val ABANDONED_MS = 20_000L
     }
 }
--- a/src/main/kotlin/io/reedmast/cluster/ShardFailover.kt
+++ b/src/main/kotlin/io/reedmast/cluster/ShardFailover.kt
@@ -11,8 +11,8 @@
 import org.slf4j.LoggerFactory
 
 /**
- * How this controller's shards come and go, joined from its parts: which shards it acquires and when, how it restores
- * them, and that it drops those that another controller has acquired.
+ * Manages which shards this controller owns, by combining the classes that decide when to acquire a shard, acquire it,
+ * and restore its state; drops shards that another controller has acquired.
  */
 internal class ShardFailover(
     private val settings: Settings,
@@ -39,20 +39,20 @@
     private val acquisition =
         ShardAcquisition(clock, tables, policy, attempts, acquirer, reachability, unreachableOwners)
 
-    /** Acquires what is due; called while the store answers. */
+    /** Acquires the shards that are due; called periodically while the store answers. */
     fun runOnce(now: Long) = acquisition.runOnce(now)
 
-    /** This controller hears nothing from the store. */
+    /** Called periodically while this controller gets no answers from the store. */
     fun onStoreUnreachable(now: Long) = unreachableOwners.onStoreUnreachable(now)
 
-    /** A worker has sent a heartbeat to this controller. */
+    /** Called when a worker has sent a heartbeat to this controller. */
     fun onWorkerContact() = reachability.recordContact()
 
     /** See [UnreachableOwnerDetector.redirectTarget]. */
     fun redirectTarget(shard: ShardId, machineName: String, addr: String): String? =
         unreachableOwners.redirectTarget(shard, machineName, addr)
 
-    /** An owner has asked the other controllers to acquire its shard. */
+    /** Called when an owner has asked the other controllers to acquire its shard. */
     fun onFailoverRequest(message: PeerMessage.FailoverRequest) = failoverRequests.record(message, clock.now())
 
     /** See [ShardAcquisition.renewToken]. */
@@ -61,7 +61,7 @@
     /** See [ShardAcquisition.reload]. */
     fun reload(shard: ShardId) = acquisition.reload(shard)
 
-    /** The record of [shard] is now [current], and was [previous]. */
+    /** Called when the record of [shard] has changed from [previous] to [current]. */
     fun onShardRecordChanged(shard: ShardId, previous: StoredShardRecord?, current: StoredShardRecord) {
         val record = current.record
         if (previous?.record?.owner != record.owner) unreachableOwners.onNewOwner(shard)
@@ -70,7 +70,7 @@
         if (record.owner == settings.label) owner.sync(record, current.version) else onLost(owner, record)
     }
 
-    /** Another controller has acquired the shard of [owner]. */
+    /** Drops [owner] because another controller has acquired its shard. */
     private fun onLost(owner: ShardOwner, record: ShardRecord) {
         if (!owner.dropped) {
             log.info("shard {}: acquired by {}, token {}", owner.index.value, record.owner, record.token)
--- a/src/main/kotlin/io/reedmast/cluster/ShardOwners.kt
+++ b/src/main/kotlin/io/reedmast/cluster/ShardOwners.kt
@@ -3,17 +3,17 @@
 import io.reedmast.settings.ShardId
 import io.reedmast.shard.ShardOwner
 
-/** The owners of the shards that this controller has acquired, at most one a shard. */
+/** The [ShardOwner] objects of the shards that this controller has acquired, at most one per shard. */
 class ShardOwners(shardCount: Int, private val createOwner: (ShardId) -> ShardOwner) {
     private val ownersByShard = arrayOfNulls<ShardOwner>(shardCount)
 
-    /** The owner of [shard], if this controller has acquired it; it may still be restoring the shard's state. */
+    /** The owner of [shard] if this controller has acquired it; its state may still be being restored. */
     operator fun get(shard: ShardId): ShardOwner? = ownersByShard[shard.value]
 
-    /** The owners that may still act, in the order of their shards. */
+    /** The owners that have not been dropped, in the order of their shards. */
     fun active(): List<ShardOwner> = ownersByShard.filterNotNull().filter { !it.dropped }
 
-    /** Puts a new owner of the shard that [stored] describes in the place of the one before, and returns it. */
+    /** Replaces the owner of [shard] by a new one with the record and term in [stored], and returns the new one. */
     fun replace(shard: ShardId, stored: StoredShardRecord): ShardOwner {
         val owner = createOwner(shard)
         owner.sync(stored.record, stored.version)
@@ -21,7 +21,7 @@
         return owner
     }
 
-    /** The shard is not this controller's any more: its owner ignores the answers that still come in. */
+    /** Removes the owner of [shard], if there is one, and marks it as dropped: it ignores answers that still arrive. */
     fun drop(shard: ShardId) {
         ownersByShard[shard.value]?.dropped = true
         ownersByShard[shard.value] = null
--- a/src/main/kotlin/io/reedmast/cluster/ShardRestorer.kt
+++ b/src/main/kotlin/io/reedmast/cluster/ShardRestorer.kt
@@ -9,7 +9,7 @@
 import io.reedmast.shard.ShardOwner
 import org.slf4j.LoggerFactory
 
-/** Reads the state of a shard just acquired: stored before the new term, it cannot change any more. */
+/** Reads the stored state of a newly acquired shard, which was written before the new term and can no longer change. */
 internal class ShardRestorer(
     private val clock: Clock,
     private val store: KeyValueStore,
@@ -20,17 +20,20 @@
 ) {
     private val log = LoggerFactory.getLogger("cluster")
 
-    /** What has been read of the state of [owner]'s shard so far. */
+    /** The part of the stored state of [owner]'s shard that has been read so far. */
     private class StoredState(val owner: ShardOwner, val readStartedAt: Long) {
         /** The shard's progress pages. */
         var pages: ListResult = ListResult.Failed
 
-        /** The shard's usage summary, which need not exist. */
+        /** The shard's usage summary, which may not exist. */
         var usageSummary: ReadResult = ReadResult.Failed
         var pendingReads = 2
     }
 
-    /** Reads what is stored of the shard of [owner], and has it begin; a failed read drops it for another attempt. */
+    /**
+     * Reads the stored state of [owner]'s shard and starts [owner] with it. If a read fails, drops [owner] and allows
+     * another acquisition.
+     */
     fun restore(owner: ShardOwner) {
         val shard = owner.index.value
         val state = StoredState(owner, clock.now())
@@ -46,7 +49,7 @@
 
     private fun onRead(state: StoredState) {
         if (--state.pendingReads > 0) return
-        // A page may name a job that the watch has not shown yet: without the wait its tasks would run twice.
+        // A page may name a job that the watch has not delivered yet; without this wait its tasks would run twice.
         staleness.awaitJobsBarrier { jobsKnown -> finish(state, jobsKnown) }
     }
 
@@ -57,7 +60,7 @@
         attempts.end(owner.index)
         if (owner.dropped) return
         if (!jobsKnown || pages !is ListResult.Listing || usageSummary is ReadResult.Failed) {
-            log.info("shard {}: could not be restored, will be retried", owner.index.value)
+            log.info("shard {}: could not be restored, acquisition will be retried", owner.index.value)
             owners.drop(owner.index)
             attempts.retrySoon(owner.index)
             return
--- a/src/main/kotlin/io/reedmast/cluster/ShardTable.kt
+++ b/src/main/kotlin/io/reedmast/cluster/ShardTable.kt
@@ -7,21 +7,24 @@
 import io.reedmast.settings.ShardId
 import io.reedmast.wire.Fields
 
-/** The shards' records and the token counter, as last seen in the store or in answers to this controller's changes. */
+/**
+ * The shards' records and the token counter, as last read from the store or confirmed by the answers to this
+ * controller's transactions.
+ */
 class ShardTable(
     shardCount: Int,
     private val store: KeyValueStore,
-    /** Called with each newer record and the one before it. */
+    /** Called for each newer record, with the shard, the previous record and the new one. */
     private val onChange: (ShardId, StoredShardRecord?, StoredShardRecord) -> Unit,
 ) {
     /** The record of each shard; null while it has never had an owner. */
     val records = arrayOfNulls<StoredShardRecord>(shardCount)
 
-    /** The highest token given to any shard so far. */
+    /** The highest token assigned to any shard so far. */
     var token = 0L
         private set
 
-    /** The version of the token counter, a precondition of giving the next token. */
+    /** The version of the token counter, a precondition for assigning the next token. */
     var tokenVersion = 0L
         private set
     private val refreshing = BooleanArray(shardCount)
@@ -29,11 +32,11 @@
     /** The label of the controller that owns [shard]; null while it has never had an owner. */
     fun ownerOf(shard: ShardId): String? = records[shard.value]?.record?.owner
 
-    /** The term of [owner] over [shard]; null if another controller owns it, or none does. */
+    /** The term in which [owner] owns [shard]; null if another controller owns it, or none does. */
     fun termOf(owner: String, shard: ShardId): Long? =
         records[shard.value]?.takeIf { it.record.owner == owner }?.version
 
-    /** How many shards the controller [owner] owns. */
+    /** The number of shards that the controller [owner] owns. */
     fun countOf(owner: String): Int = records.count { it?.record?.owner == owner }
 
     /** Applies the value under [path], if it is one of this table's keys; a deletion changes nothing. */
@@ -63,7 +66,7 @@
         onChange(shard, previous, current)
     }
 
-    /** Reads the shard's record again and hands the result to [onRead], unless a read is under way. */
+    /** Reads the record of [shard] again and passes the result to [onRead], unless such a read is in progress. */
     fun refresh(shard: ShardId, onRead: (ReadResult) -> Unit) {
         if (refreshing[shard.value]) return
         refreshing[shard.value] = true
--- a/src/main/kotlin/io/reedmast/cluster/TokenCounter.kt
+++ b/src/main/kotlin/io/reedmast/cluster/TokenCounter.kt
@@ -13,8 +13,9 @@
  * The two stored forms of the token counter, from which each acquisition of a shard gets its fencing token (PROTOCOL,
  * Tokens).
  *
- * Versions before the rollout record acquire a shard without looking at any gate. They find no `token` in the fenced
- * form, so their condition on the counter's version never holds, and they come by no term under which they could write.
+ * Versions that predate the rollout record acquire shards without checking any gate. In the fenced form they find no
+ * `token` field, so that their precondition on the counter's version never holds and they cannot obtain a term under
+ * which to write.
  */
 object TokenCounter : RecordMigration {
     private const val OPEN_FIELD = "token"
@@ -26,7 +27,7 @@
     override fun forward(record: Fields): Fields =
         if (isFenced(record)) record else mapOf(FENCED_FIELD to record.count(OPEN_FIELD))
 
-    /** Checks a record that is in the open form already: a malformed one must not count as migrated. */
+    /** Also validates a record that is already in the open form, so that a malformed one does not count as migrated. */
     override fun back(record: Fields): Fields =
         if (isFenced(record)) mapOf(OPEN_FIELD to record.count(FENCED_FIELD)) else record.also { it.count(OPEN_FIELD) }
 
@@ -34,8 +35,8 @@
     fun tokenOf(record: Fields): Long = record.count(if (isFenced(record)) FENCED_FIELD else OPEN_FIELD)
 
     /**
-     * Moves the counter from its [version] to [token], in the form that [gates] want and on condition that they have
-     * not moved.
+     * The update of the counter at [version] to [token], in the form that [gates] require and on condition that the
+     * gates have not changed.
      */
     internal fun updateTo(token: Long, version: Long, gates: GateSnapshot): TokenCounterUpdate {
         val field = if (gates.writes(ClusterFeatures.FENCED_TOKENS)) FENCED_FIELD else OPEN_FIELD
@@ -48,5 +49,5 @@
     private fun isFenced(record: Fields) = FENCED_FIELD in record
 }
 
-/** A write of the token counter, and the conditions without which it must not be made. */
+/** A write of the token counter, and the preconditions that its transaction must have. */
 internal class TokenCounterUpdate(val preconditions: List<Precondition>, val write: Write.Put)
--- a/src/main/kotlin/io/reedmast/cluster/TokenRenewal.kt
+++ b/src/main/kotlin/io/reedmast/cluster/TokenRenewal.kt
@@ -8,8 +8,8 @@
 import io.reedmast.settings.ShardId
 
 /**
- * Gives a shard's owner a token above [aboveToken] in the transaction that gives the shard machines: they drop answers
- * under a token lower than the highest that they have seen (PROTOCOL, Tokens).
+ * Gives a shard's owner a token above [aboveToken], in the same transaction that assigns machines to the shard: workers
+ * ignore answers with a token lower than the highest one they have seen (PROTOCOL, Tokens).
  */
 internal class TokenRenewal(
     private val shard: ShardId,
@@ -21,15 +21,15 @@
     private val renewed = owner.record.copy(token = FencingToken.after(aboveToken))
     private val counter = TokenCounter.updateTo(renewed.token, tokenVersion, gates)
 
-    /** That the token counter and the gates have not changed. */
+    /** The conditions that the token counter and the gates have not changed. */
     val counterPreconditions: List<Precondition> get() = counter.preconditions
 
-    /** That the shard's record has not changed. */
+    /** The condition that the shard's record has not changed. */
     val recordPrecondition = Precondition(Keys.shard(shard.value), owner.version)
 
     val writes: List<Write> = listOf(Write.Put(Keys.shard(shard.value), renewed.toFields()), counter.write)
 
-    /** The renewal was stored with this [revision]. */
+    /** Applies this renewal, which was stored with [revision], to [shards]. */
     fun applyTo(shards: ShardTable, revision: Long) {
         shards.applyShard(shard, renewed, revision)
         shards.applyToken(renewed.token, revision)
--- a/src/main/kotlin/io/reedmast/cluster/UnreachableOwnerDetector.kt
+++ b/src/main/kotlin/io/reedmast/cluster/UnreachableOwnerDetector.kt
@@ -7,10 +7,10 @@
 import io.reedmast.wire.Reply
 
 /**
- * Finds shards whose owner lives and keeps its records, but is not reached by its workers.
+ * Finds shards whose owner is alive and keeps its records in the store, but cannot be reached by the workers.
  *
- * Such workers report to this controller instead. One of them must answer a call before that counts: late copies of the
- * heartbeats of dead machines ask for another owner as well (PROTOCOL, Delayed messages).
+ * Such workers report to this controller instead. This counts only once one of them has answered a call, because
+ * delayed copies of heartbeats from dead machines suggest an unreachable owner as well (PROTOCOL, Delayed messages).
  */
 internal class UnreachableOwnerDetector(
     private val settings: Settings,
@@ -28,26 +28,26 @@
     private val probing = BooleanArray(settings.shardCount)
 
     /**
-     * Where to send a worker of [shard], which is not this controller's: to its owner, but not twice in a row to one
-     * that does not answer. Null if the worker must look for another controller by itself.
+     * The controller to which to redirect a worker of [shard], which this controller does not own: the shard's owner,
+     * but not twice in a row if the owner does not answer. Null if the worker must find another controller by itself.
      */
     fun redirectTarget(shard: ShardId, machineName: String, addr: String): String? {
         val facts = machineDirectory.of(machineName)
-        // A new machine reports to any controller first: with a shard that grows fast, most of its workers are new
-        // ones.
+        // A new machine reports to an arbitrary controller first, so its redirect says nothing about the owner. In a
+        // fast-growing shard most workers are new.
         val isKnown = facts.addr == addr
         facts.addr = addr
         val isRepeated = isKnown && misdirected.recordRedirect(shard, machineName, addr, clock.now())
         return shards.ownerOf(shard)?.takeIf { it != settings.label && !isRepeated }
     }
 
-    /** The shard has another owner now. */
+    /** Called when [shard] has a new owner. */
     fun onNewOwner(shard: ShardId) = misdirected.onNewOwner(shard, clock.now())
 
-    /** This controller hears nothing from the store. */
+    /** Called periodically while this controller gets no answers from the store. */
     fun onStoreUnreachable(now: Long) = misdirected.onStoreUnreachable(now)
 
-    /** Acquires the shard of a living owner, if its workers do not reach that owner and one of them answers a call. */
+    /** Acquires [shard] from a live owner if its workers cannot reach that owner and one of them answers a call. */
     fun check(shard: ShardId, now: Long) {
         if (probing[shard.value] || misdirected.isEmpty(shard)) return
         val sample = misdirected.sampleIfMajority(shard, addresses.of(shard).size, now)
--- a/src/main/kotlin/io/reedmast/cluster/WatchResultHandler.kt
+++ b/src/main/kotlin/io/reedmast/cluster/WatchResultHandler.kt
@@ -10,10 +10,10 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Hands what has been read of the store to the tables that keep it.
+ * Applies what has been read from the store to the tables that hold it.
  *
- * Two watches follow the store, one on the cluster's keys and one on the jobs; each begins with a snapshot of all its
- * keys and has a new one after a gap.
+ * Two watches follow the store, one on the cluster's keys and one on the jobs. Each starts with a snapshot of all its
+ * keys and gets a new one after a gap.
  */
 class WatchResultHandler internal constructor(
     private val store: KeyValueStore,
@@ -30,8 +30,8 @@
     private val unreadable = UnreadableRecordLog()
 
     /**
-     * All keys of the cluster, read at the start and after a gap in their watch; at least as new as [revision]. The
-     * read was begun at [askedAt].
+     * Applies a snapshot of all keys of the cluster, read at the start and after a gap in their watch. It is at least
+     * as new as [revision]; the read was started at [askedAt].
      */
     fun onClusterSnapshot(items: List<StoredItem>, revision: Long, askedAt: Long) {
         membership.reset(revision)
@@ -40,14 +40,14 @@
         membership.recordAbsent(items.mapTo(HashSet()) { it.path })
         if (!staleness.clusterLoaded) {
             val ownedShards = shards.records.count { it != null }
-            log.info("cluster: read from the store, {} shards, {} controllers", ownedShards, membership.presentCount)
+            log.info("cluster read from the store: {} shards, {} controllers", ownedShards, membership.presentCount)
         }
         staleness.onClusterObserved(askedAt)
         membership.shareLimits()
         keepLease()
     }
 
-    /** All changes to the cluster's keys up to [revision], from a watch request sent at [askedAt]. */
+    /** Applies all changes to the cluster's keys up to [revision], from a watch request sent at [askedAt]. */
     fun onClusterEvents(events: List<WatchEvent>, revision: Long, askedAt: Long) {
         events.forEach { applyRecord(it.path, it.value, it.version) }
         membership.recordObserved(revision)
@@ -55,16 +55,16 @@
     }
 
     /**
-     * All unfinished jobs, read at the start and after a gap in the watch on jobs; at least as new as [revision]. The
-     * read was begun at [askedAt].
+     * Applies a snapshot of all unfinished jobs, read at the start and after a gap in the watch on jobs. It is at least
+     * as new as [revision]; the read was started at [askedAt].
      */
     fun onJobsSnapshot(items: List<StoredItem>, revision: Long, askedAt: Long) {
         jobs.load(items, revision)
-        if (!staleness.jobsLoaded) log.info("jobs: read from the store, {} unfinished", items.size)
+        if (!staleness.jobsLoaded) log.info("jobs read from the store: {} unfinished", items.size)
         staleness.onJobsObserved(askedAt)
     }
 
-    /** All changes to jobs up to [revision], from a watch request sent at [askedAt]. */
+    /** Applies all changes to jobs up to [revision], from a watch request sent at [askedAt]. */
     fun onJobEvents(events: List<WatchEvent>, revision: Long, askedAt: Long) {
         jobs.follow(events, revision)
         staleness.onJobsObserved(askedAt)
@@ -76,12 +76,12 @@
         onDone()
     }
 
-    /** Applies a key that has been read by itself; a missing key and a failed read change nothing. */
+    /** Applies the result of reading a single key; a missing key and a failed read change nothing. */
     internal fun applyReadResult(result: ReadResult) {
         if (result is ReadResult.Found) applyRecord(result.item.path, result.item.value, result.item.version)
     }
 
-    /** Each table applies the keys that are its own. */
+    /** Passes the key to every table; each applies only its own keys. */
     private fun applyRecord(path: String, value: Fields?, version: Long) {
         try {
             membership.applyRecord(path, value, version)
--- a/src/main/kotlin/io/reedmast/cluster/WatchStaleness.kt
+++ b/src/main/kotlin/io/reedmast/cluster/WatchStaleness.kt
@@ -7,8 +7,9 @@
 /**
  * How recent this controller's view of the store is.
  *
- * Two watches follow the store, one on the cluster's keys and one on the jobs. Everything that was stored before
- * the older of their last complete answers was asked for is known here.
+ * Two watches follow the store, one on the cluster's keys and one on the jobs. For each of them, the time at which its
+ * last completely answered request was sent is recorded; everything stored before the earlier of these two times is
+ * known here.
  */
 class WatchStaleness(private val clock: Clock, rules: WorkerRules) {
     private class Waiter(val waitingSince: Long, val resume: (Boolean) -> Unit)
@@ -18,13 +19,14 @@
     private val waiters = ArrayDeque<Waiter>()
 
     /**
-     * The self-fencing bound: for how many milliseconds workers may be answered on old knowledge.
+     * The self-fencing bound: for how many milliseconds after the time up to which all cancellations are known workers
+     * may be answered.
      *
      * A cancelled task must be gone `cancel_s` after its user was told (PROTOCOL, POST /submissions/{id}/abort), and a
      * worker keeps its tasks for up to `lease_s` after the last answer (PROTOCOL, Leases). A controller that no longer
      * learns of cancellations must therefore give its last answer `cancel_s - lease_s` after the time up to which it
-     * knows them, by a clock that may be slow, and with some time to spare. The workers' leases then end in time,
-     * whatever the cancellation was.
+     * knows all of them, less an allowance for a slow clock and a safety margin. The workers' leases then expire in
+     * time for any cancellation that it has missed.
      */
     private val selfFenceMs = (
         maxOf((rules.cancelS - rules.leaseS) * (1 - CLOCK_DRIFT) - SELF_FENCE_SLACK_S, MIN_SELF_FENCE_S) *
@@ -47,10 +49,10 @@
         return minOf(cluster, jobs)
     }
 
-    /** Whether the store was heard recently enough to decide anything. */
+    /** Whether the view of the store is recent enough to base decisions on it. */
     val isCurrent: Boolean get() = ageMs()?.let { it < CURRENT_WITHIN_MS } ?: false
 
-    /** How many milliseconds ago the store was last heard on both watches; null until both have answered. */
+    /** How many milliseconds ago [observedThrough] was; null until both watches have answered. */
     fun ageMs(): Long? = observedThrough?.let { clock.now() - it }
 
     /**
@@ -59,30 +61,31 @@
      */
     fun isWithinSelfFence(cancellationsKnownUntil: Long): Boolean = clock.now() - cancellationsKnownUntil < selfFenceMs
 
-    /** The watch on the cluster's keys has completed an answer that was asked for at [askedAt]. */
+    /** Called when the watch on the cluster's keys has completely answered a request sent at [askedAt]. */
     fun onClusterObserved(askedAt: Long) {
         clusterObservedThrough = maxOf(clusterObservedThrough ?: askedAt, askedAt)
     }
 
-    /** The watch on jobs has completed an answer that was asked for at [askedAt]. */
+    /** Called when the watch on jobs has completely answered a request sent at [askedAt]. */
     fun onJobsObserved(askedAt: Long) {
         jobsObservedThrough = maxOf(jobsObservedThrough ?: askedAt, askedAt)
         resumeWaiters()
     }
 
     /**
-     * Calls [resume] with true once every job stored before now is known here, or with false if that takes too long.
+     * Calls [resume] with true once every job stored before this call is known here, or with false if that takes
+     * [MAX_WAIT_MS] or [MAX_WAITERS] callers are waiting already.
      *
-     * This makes an answer from memory as recent as a read: one request to the store serves all waiters.
+     * This makes an answer from memory as recent as a read from the store, with one store request for all waiters.
      */
     fun awaitJobsBarrier(resume: (Boolean) -> Unit) {
         if (waiters.size >= MAX_WAITERS) resume(false) else waiters.add(Waiter(clock.now(), resume))
     }
 
-    /** Whether a caller of [awaitJobsBarrier] is still waiting. */
+    /** Whether any caller of [awaitJobsBarrier] is still waiting. */
     val hasWaiters: Boolean get() = waiters.isNotEmpty()
 
-    /** Resumes the waiters whose answer has come, or has been waited for long enough. */
+    /** Resumes the waiters whose jobs are now known, or that have waited for [MAX_WAIT_MS]. */
     fun resumeWaiters() {
         while (true) {
             val first = waiters.peek() ?: return
@@ -93,24 +96,24 @@
         }
     }
 
-    /** How long ago each watch was heard, for the log. */
+    /** The age of this controller's view of the cluster's keys and of the jobs, for the log. */
     fun describe(): String {
         val cluster = clusterObservedThrough
         val jobs = jobsObservedThrough
-        if (cluster == null || jobs == null) return "the state has not been read"
+        if (cluster == null || jobs == null) return "the cluster keys or the jobs have not been read from the store yet"
         val now = clock.now()
-        return "watches heard ${now - cluster} and ${now - jobs} ms ago"
+        return "cluster keys known as of ${now - cluster} ms ago, jobs as of ${now - jobs} ms ago"
     }
 
     private companion object {
         const val MS_PER_S = 1_000
 
-        /** Four times as long as the watches of a controller that hears the store take for an answer. */
+        /** Four times as long as the watches of a controller that reaches the store take to complete an answer. */
         const val CURRENT_WITHIN_MS = 6_000L
         const val MAX_WAIT_MS = 1_500L
         const val MAX_WAITERS = 1_000
 
-        /** Time to spare between the end of the workers' leases and the time by which cancelled tasks must be gone. */
+        /** The margin between the expiry of the workers' leases and the time by which cancelled tasks must be gone. */
         const val SELF_FENCE_SLACK_S = 2.0
         const val MIN_SELF_FENCE_S = 1.0
     }
--- a/src/main/kotlin/io/reedmast/cluster/WorkerAddresses.kt
+++ b/src/main/kotlin/io/reedmast/cluster/WorkerAddresses.kt
@@ -3,9 +3,9 @@
 import io.reedmast.model.MachineDirectory
 import io.reedmast.settings.ShardId
 
-/** Where the workers of a shard can be called. */
+/** Looks up the addresses at which the workers of a shard can be called. */
 internal class WorkerAddresses(private val machines: MachineTable, private val machineDirectory: MachineDirectory) {
-    /** The addresses of the shard's machines that have ever been up, as far as they are known here. */
+    /** The addresses known here of those machines of [shard] that have ever been up. */
     fun of(shard: ShardId): List<String> =
         machines.machinesOf(shard).mapNotNull { machineDirectory.of(it.name).addr }.toList()
 }
--- a/src/main/kotlin/io/reedmast/cluster/WorkerReachability.kt
+++ b/src/main/kotlin/io/reedmast/cluster/WorkerReachability.kt
@@ -6,10 +6,10 @@
 import io.reedmast.wire.Reply
 
 /**
- * Whether this controller and the workers reach each other.
+ * Tracks whether this controller and the workers can reach each other.
  *
- * A controller that has lost only the workers still has its keys and hears the store. If it took over a shard, the
- * shard's workers would lose their leases before another controller noticed.
+ * A controller that has lost its connection to the workers alone still holds its keys and gets answers from the store.
+ * If it acquired a shard, the leases of the shard's workers would expire before another controller noticed.
  */
 internal class WorkerReachability(
     private val clock: Clock,
@@ -19,24 +19,24 @@
     private var lastContactAt: Long? = null
     private val probing = HashSet<ShardId>()
 
-    /** Calls to some workers of one shard. */
+    /** The state of the calls to some workers of one shard. */
     private class Probe(var pendingCalls: Int) {
         var answered = false
     }
 
-    /** A worker's heartbeat, or its answer to a call, has come. */
+    /** Records that a worker's heartbeat, or its answer to a call, has been received. */
     fun recordContact() {
         lastContactAt = clock.now()
     }
 
-    /** Whether no probe is needed: a worker was heard recently, or no address of the shard's workers is known. */
+    /** Whether no probe is needed: some worker had contact recently, or no address of the shard's workers is known. */
     fun canSkipProbe(shard: ShardId): Boolean = hasRecentContact() || addresses.of(shard).isEmpty()
 
     private fun hasRecentContact() = lastContactAt?.let { clock.now() - it < RECENT_CONTACT_MS } ?: false
 
     /**
-     * Calls some of the workers of [shard], spread over all of them, unless that is being done; [onUnreachable] is
-     * called if none of them answers.
+     * Calls a sample of the workers of [shard], evenly spread over all of them, unless such a probe is in progress.
+     * [onUnreachable] is called if none of them answers.
      */
     fun probe(shard: ShardId, onUnreachable: () -> Unit) {
         val known = addresses.of(shard)
--- a/src/test/kotlin/io/reedmast/cluster/PeerStatusesTest.kt
+++ b/src/test/kotlin/io/reedmast/cluster/PeerStatusesTest.kt
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** What counts as a confirmation by the other controllers, and what does not. */
+/** Which reports of the other controllers extend the time up to which all cancellations are known. */
 class PeerStatusesTest {
     private val statuses = PeerStatuses(ControllerId(0), 3, "now")
 
@@ -30,7 +30,7 @@
     )
 
     @Test
-    fun `all others must have answered, and the earliest query counts`() {
+    fun `every other controller must have reported, and the earliest query counts`() {
         val first = statuses.query(10_000)
         statuses.applyReport(report(1, first), 10_100, OBSERVED_THROUGH)
         assertNull(statuses.cancellationsKnownUntil())
@@ -42,7 +42,7 @@
     }
 
     @Test
-    fun `a process that began after the store was last heard confirms nothing`() {
+    fun `a report of a process that started after the store last answered does not count`() {
         val query = statuses.query(10_000)
         statuses.applyReport(report(1, query), 10_100, OBSERVED_THROUGH)
         statuses.applyReport(report(2, query, uptimeMs = 10_100 - OBSERVED_THROUGH), 10_100, OBSERVED_THROUGH)
@@ -50,7 +50,7 @@
     }
 
     @Test
-    fun `an answer to an earlier process, or to no query of this one, confirms nothing`() {
+    fun `a report for an earlier process, or for no query of this one, does not count`() {
         val query = statuses.query(10_000)
         statuses.applyReport(report(1, query), 10_100, OBSERVED_THROUGH)
         statuses.applyReport(report(2, query, incarnation = "before"), 10_100, OBSERVED_THROUGH)
@@ -60,7 +60,7 @@
     }
 
     @Test
-    fun `a report without its list of cancellations confirms nothing`() {
+    fun `a report without its list of cancellations does not count`() {
         val query = statuses.query(10_000)
         statuses.applyReport(report(1, query), 10_100, OBSERVED_THROUGH)
         statuses.applyReport(report(2, query, cancellations = null), 10_100, OBSERVED_THROUGH)
@@ -68,7 +68,7 @@
     }
 
     @Test
-    fun `a late copy of an older answer does not move the time back`() {
+    fun `a delayed copy of an older report does not move the time back`() {
         val first = statuses.query(10_000)
         val second = statuses.query(11_000)
         for (peer in 1..2) statuses.applyReport(report(peer, second), 11_100, OBSERVED_THROUGH)
@@ -77,19 +77,19 @@
     }
 
     @Test
-    fun `a controller without others is confirmed by nobody`() {
+    fun `without other controllers the time is unknown`() {
         assertNull(PeerStatuses(ControllerId(0), 1, "now").cancellationsKnownUntil())
     }
 
     @Test
-    fun `the store is out for all if none of those that answer hears it`() {
+    fun `the store is unreachable for all if no reporting controller reaches it`() {
         assertFalse(statuses.isStoreUnreachableForPeers(10_000))
         val query = statuses.query(10_000)
         statuses.applyReport(report(1, query), 10_100, OBSERVED_THROUGH)
         assertTrue(statuses.isStoreUnreachableForPeers(10_100))
         statuses.applyReport(report(2, query, storeAgeMs = 1_500), 10_100, OBSERVED_THROUGH)
         assertFalse(statuses.isStoreUnreachableForPeers(10_100))
-        // What was heard long ago says nothing of now.
+        // Reports that are too old say nothing about the present.
         assertFalse(statuses.isStoreUnreachableForPeers(20_000))
     }
 
--- a/src/test/kotlin/io/reedmast/cluster/ShardAcquisitionTest.kt
+++ b/src/test/kotlin/io/reedmast/cluster/ShardAcquisitionTest.kt
@@ -17,7 +17,10 @@
 import org.junit.jupiter.api.BeforeEach
 import org.junit.jupiter.api.Test
 
-/** A shard is this controller's only while no newer record says otherwise, however late the answer to its taking is. */
+/**
+ * A shard belongs to this controller only while no newer record names another owner, however late the answer to its
+ * acquisition arrives.
+ */
 class ShardAcquisitionTest {
     private var now = 100_000L
     private val clock = object : Clock {
@@ -51,7 +54,7 @@
     }
 
     @Test
-    fun `the watch tells of it first, and the answer changes nothing more`() {
+    fun `an acquisition confirmed by the watch is not changed by the later answer`() {
         cluster.watchResults.onClusterEvents(
             listOf(WatchEvent(key, recordWrite().value, 20)),
             revision = 20,
@@ -62,9 +65,9 @@
         assertEquals(owner, cluster.activeOwners().single())
     }
 
-    /** The answer is made up for after an outage of this controller alone, in which another has taken the shard. */
+    /** The outcome becomes known after an outage of this controller alone, in which another acquired the shard. */
     @Test
-    fun `a take that is settled after another controller's is not acted on`() {
+    fun `an acquisition whose outcome arrives after that of another controller has no effect`() {
         cluster.watchResults.onClusterEvents(
             listOf(WatchEvent(key, ShardRecord("n1", 5L shl 20).toFields(), 30)),
             revision = 30,
--- a/src/test/kotlin/io/reedmast/cluster/WatchStalenessTest.kt
+++ b/src/test/kotlin/io/reedmast/cluster/WatchStalenessTest.kt
@@ -20,7 +20,7 @@
     private fun awaitBarrier() = staleness.awaitJobsBarrier { results.add(it) }
 
     @Test
-    fun `a question waits for an answer of the watch that was asked for after it`() {
+    fun `a caller waits for the answer to a watch request sent after its call`() {
         awaitBarrier()
         staleness.onJobsObserved(askedAt = now)
         assertEquals(emptyList<Boolean>(), results)
@@ -29,7 +29,7 @@
     }
 
     @Test
-    fun `it learns that nothing is known once it has waited for long enough`() {
+    fun `a caller that has waited for the time limit resumes with false`() {
         awaitBarrier()
         now += 1_499
         staleness.resumeWaiters()
@@ -40,7 +40,7 @@
     }
 
     @Test
-    fun `of too many questions the last ones are told at once, and the others are kept`() {
+    fun `callers beyond the limit resume with false at once, and the others keep waiting`() {
         repeat(1_001) { awaitBarrier() }
         assertEquals(listOf(false), results)
         staleness.onJobsObserved(askedAt = now + 1)
@@ -48,7 +48,7 @@
     }
 
     @Test
-    fun `the older of the two watches counts`() {
+    fun `the older of the two watches determines whether the view is current`() {
         staleness.onJobsObserved(now)
         assertFalse(staleness.isCurrent)
         staleness.onClusterObserved(now - 5_000)
@@ -59,11 +59,11 @@
     }
 
     /**
-     * A cancelled task is gone 41 s after its user was told: a lease of 16 s, and 2 s to spare, come after the last
-     * answer.
+     * A cancelled task must be gone 41 s after its user was told; the last answer to a worker is followed by a lease of
+     * 16 s and a margin of 2 s.
      */
     @Test
-    fun `workers are answered for so long that cancelled work still goes in time`() {
+    fun `workers are answered only as long as cancelled tasks still end in time`() {
         assertTrue(staleness.isWithinSelfFence(now - 22_900))
         assertFalse(staleness.isWithinSelfFence(now - 23_000))
     }
