--- a/src/test/kotlin/io/reedmast/cluster/ShardAcquisitionTest.kt
+++ b/src/test/kotlin/io/reedmast/cluster/ShardAcquisitionTest.kt
@@ -17,7 +17,10 @@
 import org.junit.jupiter.api.BeforeEach
 import org.junit.jupiter.api.Test
 
-/** A shard is this controller's only while no newer record says otherwise, however late the answer to its taking is. */
+/**
+ * A shard belongs to this controller only while no newer record names another owner, however late the answer to its
+ * acquisition arrives.
+ */
 class ShardAcquisitionTest {
     private var now = 100_000L
     private val clock = object : Clock {
@@ -33,9 +36,9 @@
         }, "n0-1", RolloutOptions(ClusterFeatures.registry))
     private val key = Keys.shard(0)
 
-    private fun take(): CasTransaction = out.commits.first { change -> change.writes.any { it.path == key } }
+    private fun transaction(): CasTransaction = out.commits.first { commit -> commit.writes.any { it.path == key } }
 
-    private fun acquiring(): Write.Put = take().writes.filterIsInstance<Write.Put>().first { it.path == key }
+    private fun recordWrite(): Write.Put = transaction().writes.filterIsInstance<Write.Put>().first { it.path == key }
 
     @BeforeEach
     fun begin() {
@@ -46,31 +49,31 @@
 
     @Test
     fun `an acquisition that was applied makes this controller the owner`() {
-        take().done(CommitOutcome.Applied(20))
+        transaction().done(CommitOutcome.Applied(20))
         assertEquals(listOf(0), cluster.activeOwners().map { it.index.value })
     }
 
     @Test
-    fun `the watch tells of it first, and the answer changes nothing more`() {
+    fun `an acquisition confirmed by the watch is not changed by the later answer`() {
         cluster.watchResults.onClusterEvents(
-            listOf(WatchEvent(key, acquiring().value, 20)),
+            listOf(WatchEvent(key, recordWrite().value, 20)),
             revision = 20,
             askedAt = now,
         )
         val owner = cluster.activeOwners().single()
-        take().done(CommitOutcome.Applied(20))
+        transaction().done(CommitOutcome.Applied(20))
         assertEquals(owner, cluster.activeOwners().single())
     }
 
-    /** The answer is made up for after an outage of this controller alone, in which another has taken the shard. */
+    /** The outcome becomes known after an outage of this controller alone, in which another acquired the shard. */
     @Test
-    fun `a take that is settled after another controller's is not acted on`() {
+    fun `an acquisition whose outcome arrives after that of another controller has no effect`() {
         cluster.watchResults.onClusterEvents(
             listOf(WatchEvent(key, ShardRecord("n1", 5L shl 20).toFields(), 30)),
             revision = 30,
             askedAt = now,
         )
-        take().done(CommitOutcome.Applied(20))
+        transaction().done(CommitOutcome.Applied(20))
         assertEquals(emptyList<Int>(), cluster.activeOwners().map { it.index.value })
         assertEquals("n1", cluster.ownerOf(ShardId(0)))
     }
--- a/src/test/kotlin/io/reedmast/cluster/WatchStalenessTest.kt
+++ b/src/test/kotlin/io/reedmast/cluster/WatchStalenessTest.kt
@@ -15,40 +15,40 @@
         override fun wall() = now
     }
     private val staleness = WatchStaleness(clock, WorkerRules(3.0, 16.0, 41.0))
-    private val answers = ArrayList<Boolean>()
+    private val results = ArrayList<Boolean>()
 
-    private fun ask() = staleness.awaitJobsBarrier { answers.add(it) }
+    private fun awaitBarrier() = staleness.awaitJobsBarrier { results.add(it) }
 
     @Test
-    fun `a question waits for an answer of the watch that was asked for after it`() {
-        ask()
+    fun `a caller waits for the answer to a watch request sent after its call`() {
+        awaitBarrier()
         staleness.onJobsObserved(askedAt = now)
-        assertEquals(emptyList<Boolean>(), answers)
+        assertEquals(emptyList<Boolean>(), results)
         staleness.onJobsObserved(askedAt = now + 1)
-        assertEquals(listOf(true), answers)
+        assertEquals(listOf(true), results)
     }
 
     @Test
-    fun `it learns that nothing is known once it has waited for long enough`() {
-        ask()
+    fun `a caller that has waited for the time limit resumes with false`() {
+        awaitBarrier()
         now += 1_499
         staleness.resumeWaiters()
-        assertEquals(emptyList<Boolean>(), answers)
+        assertEquals(emptyList<Boolean>(), results)
         now += 1
         staleness.resumeWaiters()
-        assertEquals(listOf(false), answers)
+        assertEquals(listOf(false), results)
     }
 
     @Test
-    fun `of too many questions the last ones are told at once, and the others are kept`() {
-        repeat(1_001) { ask() }
-        assertEquals(listOf(false), answers)
+    fun `callers beyond the limit resume with false at once, and the others keep waiting`() {
+        repeat(1_001) { awaitBarrier() }
+        assertEquals(listOf(false), results)
         staleness.onJobsObserved(askedAt = now + 1)
-        assertEquals(1_000, answers.count { it })
+        assertEquals(1_000, results.count { it })
     }
 
     @Test
-    fun `the older of the two watches counts`() {
+    fun `the older of the two watches determines whether the view is current`() {
         staleness.onJobsObserved(now)
         assertFalse(staleness.isCurrent)
         staleness.onClusterObserved(now - 5_000)
@@ -59,11 +59,11 @@
     }
 
     /**
-     * A cancelled task is gone 41 s after its user was told: a lease of 16 s, and 2 s to spare, come after the last
-     * answer.
+     * A cancelled task must be gone 41 s after its user was told; the last answer to a worker is followed by a lease of
+     * 16 s and a margin of 2 s.
      */
     @Test
-    fun `workers are answered for so long that cancelled work still goes in time`() {
+    fun `workers are answered only as long as cancelled tasks still end in time`() {
         assertTrue(staleness.isWithinSelfFence(now - 22_900))
         assertFalse(staleness.isWithinSelfFence(now - 23_000))
     }
