--- a/src/main/kotlin/io/reedmast/cluster/DepartedMachines.kt
+++ b/src/main/kotlin/io/reedmast/cluster/DepartedMachines.kt
@@ -8,9 +8,9 @@
     private val departedAt = HashMap<String, Long>()
 
     /** Late copies of a machine's heartbeats come for longer than its lease; lists show it for twice their lag. */
-    private val rememberMs = (
-        (settings.cloudLimits.listLagS + settings.workers.leaseS) * REMEMBER_MS_PER_S +
-            MIN_REMEMBER_MS
+    private val retentionMs = (
+        (settings.cloudLimits.listLagS + settings.workers.leaseS) * RETENTION_MS_PER_S +
+            BASE_RETENTION_MS
         ).toLong()
 
     operator fun contains(machineName: String): Boolean = departedAt.containsKey(machineName)
@@ -27,12 +27,12 @@
 
     /** Forgets the machines that left long before [now]. */
     fun expire(now: Long) {
-        departedAt.values.removeIf { now - it > rememberMs }
+        departedAt.values.removeIf { now - it > retentionMs }
     }
 
     private companion object {
         /** Three times as long as the settings say, in milliseconds. */
-        const val REMEMBER_MS_PER_S = 3_000
-        const val MIN_REMEMBER_MS = 60_000
+        const val RETENTION_MS_PER_S = 3_000
+        const val BASE_RETENTION_MS = 60_000
     }
 }
--- a/src/main/kotlin/io/reedmast/cluster/MachineAssignment.kt
+++ b/src/main/kotlin/io/reedmast/cluster/MachineAssignment.kt
@@ -106,11 +106,11 @@
         for ((index, stored) in machines.partsOf(shard)) {
             var marked = stored.part.records.map { it.name }
                 .filter { it in machineNames && it !in machines.recordedShards.contested }
-            while (marked.isNotEmpty() && !writer.isStorable(stored.part.marked(marked, to))) {
+            while (marked.isNotEmpty() && !writer.isStorable(stored.part.withTransferMarks(marked, to))) {
                 marked = marked.take(marked.size / 2)
             }
             if (marked.isEmpty()) continue
-            writer.write(MachineListChange(shard, index, stored, stored.part.marked(marked, to), leadership))
+            writer.write(MachineListChange(shard, index, stored, stored.part.withTransferMarks(marked, to), leadership))
         }
     }
 
--- a/src/main/kotlin/io/reedmast/cluster/MachineListChange.kt
+++ b/src/main/kotlin/io/reedmast/cluster/MachineListChange.kt
@@ -16,7 +16,7 @@
     val part: MachineListPart,
     /** The condition on the key that entitles this controller to the change: the shard's record or the leader's key. */
     val entitlement: Precondition,
-    val morePreconditions: List<Precondition> = emptyList(),
+    val additionalPreconditions: List<Precondition> = emptyList(),
     /** A higher token for the shard's owner, stored with the change. */
     val tokenRenewal: TokenRenewal? = null,
     val priority: WritePriority = WritePriority.URGENT,
@@ -26,7 +26,7 @@
 
     val preconditions: List<Precondition> get() {
         val renewal = tokenRenewal?.let { it.counterPreconditions + it.recordPrecondition }.orEmpty()
-        return listOf(Precondition(path, replaced.version), entitlement) + renewal + morePreconditions
+        return listOf(Precondition(path, replaced.version), entitlement) + renewal + additionalPreconditions
     }
 
     val writes: List<Write> get() = listOf(Write.Put(path, part.toFields())) + tokenRenewal?.writes.orEmpty()
--- a/src/main/kotlin/io/reedmast/cluster/MachineListPart.kt
+++ b/src/main/kotlin/io/reedmast/cluster/MachineListPart.kt
@@ -49,7 +49,7 @@
     fun without(names: Set<String>) = MachineListPart(records.filter { it.name !in names }, transfers - names)
 
     /** With the machines called [names] marked as leaving for the shard [to]. */
-    internal fun marked(names: List<String>, to: ShardId) = copy(
+    internal fun withTransferMarks(names: List<String>, to: ShardId) = copy(
         transfers =
         transfers + names.associateWith { to.value },
     )
--- a/src/main/kotlin/io/reedmast/cluster/MachineListWriter.kt
+++ b/src/main/kotlin/io/reedmast/cluster/MachineListWriter.kt
@@ -23,13 +23,13 @@
 
     /** Stores [change]; [onOutcome] is called once it is certain what became of it. */
     fun write(change: MachineListChange, onOutcome: (MachineListOutcome) -> Unit = {}) {
-        if (!isStorable(change.part) || !tryBegin(setOf(change.path))) {
+        if (!isStorable(change.part) || !tryReserve(setOf(change.path))) {
             onOutcome(MachineListOutcome.NotSent)
             return
         }
         store.commit(
             CasTransaction(change.preconditions, change.writes, change.priority) { outcome ->
-                end(setOf(change.path))
+                unreserve(setOf(change.path))
                 if (outcome is CommitOutcome.Applied) {
                     change.tokenRenewal?.applyTo(shards, outcome.revision)
                     machines.applyPart(change.shard, change.index, change.part, outcome.revision)
@@ -44,15 +44,15 @@
         )
     }
 
-    /** Reserves the records at [paths] for one change until [end]; false if a change to one of them is under way. */
-    fun tryBegin(paths: Set<String>): Boolean {
+    /** Reserves the records at [paths] for one change until [unreserve]; false if a change to one of them is under way. */
+    fun tryReserve(paths: Set<String>): Boolean {
         if (paths.any { it in pendingPaths }) return false
         pendingPaths.addAll(paths)
         return true
     }
 
     /** The outcome of the change to the records at [paths] is known. */
-    fun end(paths: Set<String>) {
+    fun unreserve(paths: Set<String>) {
         pendingPaths.removeAll(paths)
     }
 }
--- a/src/main/kotlin/io/reedmast/cluster/MachineTransfer.kt
+++ b/src/main/kotlin/io/reedmast/cluster/MachineTransfer.kt
@@ -84,7 +84,7 @@
     }
 
     private fun movable(source: Source, target: ShardId, machineNames: Collection<String>): List<MachineRecord> {
-        val duplicates = namedTwice(source.shard)
+        val duplicates = duplicateNames(source.shard)
         return source.stored.part.records.filter {
             val isMarked = source.stored.part.transfers[it.name] == target.value
             isMarked && it.name in machineNames && it.name !in duplicates &&
@@ -93,20 +93,20 @@
     }
 
     /** Machines that stand in two records of a shard, one of which is being divided. */
-    private fun namedTwice(shard: ShardId): Set<String> {
+    private fun duplicateNames(shard: ShardId): Set<String> {
         val names = HashSet<String>()
         return machines.machinesOf(shard).map { it.name }.filterTo(HashSet()) { !names.add(it) }
     }
 
     private fun commit(transfer: Transfer) {
         val paths = setOf(transfer.source.path, transfer.destination.path)
-        if (!writer.tryBegin(paths)) return
+        if (!writer.tryReserve(paths)) return
         val renewal = renewalFor(transfer)
         val preconditions = transfer.preconditions + renewal?.counterPreconditions.orEmpty()
         val writes = transfer.writes + renewal?.writes.orEmpty()
         store.commit(
             CasTransaction(preconditions, writes) { outcome ->
-                writer.end(paths)
+                writer.unreserve(paths)
                 if (outcome is CommitOutcome.Applied) {
                     onStored(transfer, renewal, outcome.revision)
                 } else {
--- a/src/main/kotlin/io/reedmast/cluster/Membership.kt
+++ b/src/main/kotlin/io/reedmast/cluster/Membership.kt
@@ -79,8 +79,8 @@
         }
     }
 
-    private fun applyMemberKey(member: String, isThere: Boolean) {
-        if (isThere) {
+    private fun applyMemberKey(member: String, exists: Boolean) {
+        if (exists) {
             present.add(member)
             absentSince.remove(member)
         } else {
--- a/src/main/kotlin/io/reedmast/cluster/OversizedMachineLists.kt
+++ b/src/main/kotlin/io/reedmast/cluster/OversizedMachineLists.kt
@@ -23,7 +23,7 @@
         val parts = machines.partsOf(shard)
         val valueBytes = limits.target.valueBytes
         val (index, oversized) = parts.entries.firstOrNull { !it.value.part.isStorable(valueBytes) } ?: return
-        val remaining = oversized.part.without(namesElsewhere(parts, index))
+        val remaining = oversized.part.without(namesInOtherParts(parts, index))
         if (remaining.fits(valueBytes)) {
             writer.write(MachineListChange(shard, index, oversized, remaining, entitlement))
             return
@@ -41,7 +41,7 @@
         )
     }
 
-    private fun namesElsewhere(parts: Map<Int, StoredMachineListPart>, index: Int): Set<String> =
+    private fun namesInOtherParts(parts: Map<Int, StoredMachineListPart>, index: Int): Set<String> =
         parts.filterKeys { it != index }.values.flatMapTo(HashSet()) { stored -> stored.part.records.map { it.name } }
 
     /** As many of the machines as fit into one record, with their marks of transfers. */
--- a/src/test/kotlin/io/reedmast/cluster/AcceptingStore.kt
+++ b/src/test/kotlin/io/reedmast/cluster/AcceptingStore.kt
@@ -31,7 +31,7 @@
 }
 
 /** A process that nothing is asked of. */
-internal object NoProcess : ProcessControl {
+internal object NoOpProcessControl : ProcessControl {
     override fun shareLimits(aliveControllers: Int, leading: Boolean) = Unit
 
     override fun end(reason: String) = Unit
--- a/src/test/kotlin/io/reedmast/cluster/ContestedMachineReleaseTest.kt
+++ b/src/test/kotlin/io/reedmast/cluster/ContestedMachineReleaseTest.kt
@@ -17,7 +17,7 @@
     private val limits = EffectiveLimits(settings.storeLimits, null)
     private val store = AcceptingStore(revision = 20L)
     private val machines =
-        MachineTable(2, NoProcess, limits, DepartedMachines(settings, SettableClock()), {}, {})
+        MachineTable(2, NoOpProcessControl, limits, DepartedMachines(settings, SettableClock()), {}, {})
     private val shards = ShardTable(2, store) { _, _, _ -> }
     private val writer = MachineListWriter(store, limits, shards, machines) { _, onDone -> onDone() }
     private val term = Precondition(Keys.shard(1), 5L)
@@ -26,7 +26,7 @@
         MachineListPart(names.map { MachineRecord(it, "m", "x", spot = false) }, emptyMap())
 
     @Test
-    fun `the other record is a precondition, and what it does not name stays`() {
+    fun `the other shard's record is a precondition, and machines that it does not list stay`() {
         machines.applyPart(ShardId(0), 0, part("host-1"), version = 11L)
         machines.applyPart(ShardId(1), 0, part("host-1", "host-2"), version = 12L)
 
--- a/src/test/kotlin/io/reedmast/cluster/LeaderElectionTest.kt
+++ b/src/test/kotlin/io/reedmast/cluster/LeaderElectionTest.kt
@@ -18,9 +18,9 @@
     private val clock = SettableClock(1_000L)
 
     @Test
-    fun `the term counts once the watch has shown all that was stored before it`() {
+    fun `the term is known only once the watch has delivered everything stored before it`() {
         val store = AcceptingStore(revision = 20L)
-        val membership = Membership(testSettings(), clock, store, NoProcess, { emptyMap() }) {
+        val membership = Membership(testSettings(), clock, store, NoOpProcessControl, { emptyMap() }) {
             Precondition(Keys.ROLLOUT, 0L)
         }
         membership.reset(revision = 10L)
@@ -40,8 +40,8 @@
 
     /** A deposed leader's late answers must not be stored under the term of the leader that follows. */
     @Test
-    fun `another controller's key gives no term`() {
-        val membership = Membership(testSettings(), clock, AcceptingStore(20L), NoProcess, { emptyMap() }) {
+    fun `a leader key of another controller gives no term`() {
+        val membership = Membership(testSettings(), clock, AcceptingStore(20L), NoOpProcessControl, { emptyMap() }) {
             Precondition(Keys.ROLLOUT, 0L)
         }
         membership.applyRecord(Keys.LEADER, mapOf("label" to "n1"), version = 15L)
--- a/src/test/kotlin/io/reedmast/cluster/RecordedShardsTest.kt
+++ b/src/test/kotlin/io/reedmast/cluster/RecordedShardsTest.kt
@@ -10,7 +10,7 @@
     private val orders = listOf(listOf(2, 0), listOf(0, 2))
 
     @Test
-    fun `the shard with the lowest number answers, in whatever order the records came`() {
+    fun `the shard with the lowest number answers, in whatever order the records arrive`() {
         for (order in orders) {
             val recorded = RecordedShards()
             order.forEach { recorded.add("host-1", ShardId(it)) }
@@ -23,7 +23,7 @@
     }
 
     @Test
-    fun `a machine that one record is left of is not contested`() {
+    fun `a machine that only one shard's record still lists is not contested`() {
         val recorded = RecordedShards()
         listOf(0, 2).forEach { recorded.add("host-1", ShardId(it)) }
 
