--- a/src/main/kotlin/io/reedmast/cluster/ClockDrift.kt
+++ b/src/main/kotlin/io/reedmast/cluster/ClockDrift.kt
@@ -1,7 +1,7 @@
 package io.reedmast.cluster
 
 /**
- * By how much two steady clocks may disagree over any time, as a part of it: twice the bound that the protocol gives
- * (PROTOCOL, introduction: 0.05%).
+ * The greatest difference between two monotonic clocks over any interval, as a fraction of that interval: twice the
+ * bound that the protocol gives (PROTOCOL, introduction: 0.05%).
  */
 internal const val MAX_CLOCK_DRIFT_RATIO = 0.001
--- a/src/main/kotlin/io/reedmast/cluster/ClusterFeatures.kt
+++ b/src/main/kotlin/io/reedmast/cluster/ClusterFeatures.kt
@@ -7,16 +7,17 @@
 import io.reedmast.rollout.FormatVersion
 import io.reedmast.rollout.VersionRange
 
-/** The features of this version, and the versions of the stored forms that it reads and writes. */
+/** The features of this software version, and the versions of the record formats that it reads and writes. */
 object ClusterFeatures {
     /**
-     * Records are divided to fit reduced limits. Its gate is `c/format`, from before there was a record of the rollout.
+     * Records are divided to fit the reduced store limits. The feature's gate is stored under `c/format`, since it is
+     * older than the rollout record.
      */
     val DIVIDED_RECORDS = FeatureName("divided-records")
 
     /**
-     * The token counter has a form that versions before the rollout record cannot read, so that they can acquire no
-     * shard.
+     * The token counter is stored in a form that versions older than the rollout record cannot read, so that they
+     * cannot acquire any shard.
      */
     val FENCED_TOKENS = FeatureName("fenced-tokens")
 
@@ -35,7 +36,10 @@
     /** See [DensePages]. */
     val densePages = Feature(DensePages.FEATURE, WITH_DENSE_PAGES, setOf(FENCED_TOKENS), migration = DensePages)
 
-    /** All features, in the order in which they can be enabled, and the versions that this process reads. */
+    /**
+     * All features, in the order in which they can be enabled, and the range of format versions that this process
+     * reads.
+     */
     val registry =
         FeatureRegistry(listOf(dividedRecords, fencedTokens, densePages), VersionRange(OLDEST, WITH_DENSE_PAGES))
 }
--- a/src/main/kotlin/io/reedmast/cluster/ClusterRollout.kt
+++ b/src/main/kotlin/io/reedmast/cluster/ClusterRollout.kt
@@ -21,7 +21,10 @@
 import io.reedmast.shard.ShardRollout
 import io.reedmast.wire.Fields
 
-/** This controller's part in the rollout of features: what it knows, publishes and, as the leader, decides. */
+/**
+ * This controller's part in the rollout of features: the rollout state that it has read, what it publishes about itself
+ * and, while it is the leader, the moves of gates and the migration of the cluster's records.
+ */
 class ClusterRollout(
     private val settings: Settings,
     private val clock: Clock,
@@ -31,7 +34,7 @@
     private val options: RolloutOptions,
     private val incarnation: String,
     private val shards: ShardTable,
-    /** Reads a key of the cluster again. */
+    /** Rereads one of the cluster's keys from the store. */
     private val reread: (String) -> Unit,
 ) : ShardRollout {
     private val rolloutStore = RolloutStoreAdapter(store)
@@ -56,8 +59,8 @@
     override val isAdmitted: Boolean get() = view.admission == Admission.Admitted
 
     /**
-     * Whether workers may be answered: while the record cannot be read what runs goes on, but a process that does not
-     * fit is silent.
+     * Whether heartbeats of workers may be acknowledged. While the rollout record cannot be read they are, so that
+     * running tasks go on; a process that is excluded or whose versions do not fit must not answer.
      */
     val mayAcknowledgeHeartbeats: Boolean
         get() = when (view.admission) {
@@ -68,7 +71,10 @@
     /** Whether an operator has ordered this process to release its shards. */
     val isDraining: Boolean get() = view.drainOf(settings.label)?.order?.incarnation == incarnation
 
-    /** The labels of the controllers whose processes are to release their shards: they acquire none. */
+    /**
+     * The labels of the controllers whose current processes have been ordered to release their shards; they acquire
+     * none.
+     */
     fun draining(): Set<String> = view.members.filter { (label, member) ->
         val drained = view.drainOf(label)?.order?.incarnation
         drained != null && drained == member.versions.incarnation
@@ -79,10 +85,10 @@
             limits.allowed.valueBytes
         }
 
-    /** All keys have been read anew, and follow. */
+    /** Discards what has been read of the rollout, before all keys are applied again from a new snapshot. */
     fun reset() = view.reset()
 
-    /** Applies the value under [path], if it is one of the rollout's keys. */
+    /** Applies the value under [path], if that is one of the rollout's keys. */
     fun applyRecord(path: String, value: Fields?, version: Long) {
         formatGate.applyRecord(path, value)
         view.applyRecord(path, value, version)
@@ -90,7 +96,7 @@
 
     override fun refreshGates() = reread(Keys.ROLLOUT)
 
-    /** What this controller publishes of itself under its lease. */
+    /** The fields of this controller's membership key, which is attached to its lease. */
     fun memberFields(ownsNothing: Boolean): Fields = mapOf("label" to settings.label) + FormatGate.fields() +
         MemberVersions(
             options.registry.range,
@@ -100,8 +106,8 @@
         ).toFields()
 
     /**
-     * Called regularly once the cluster's keys have been read: ends this process if it must not go on, or asks that it
-     * count again.
+     * Called periodically once the cluster's keys have been read: ends this process if its versions do not fit, or asks
+     * for it to be included again if it was excluded.
      */
     fun checkAdmission() {
         when (val admission = view.admission) {
@@ -118,8 +124,8 @@
     }
 
     /**
-     * Called regularly while the store answers and this process is admitted; [leaderVersion] is null unless this
-     * controller leads.
+     * Called periodically while the store answers and this process is admitted; [leaderVersion] is the version of the
+     * leader key, or null unless this controller leads.
      */
     fun runOnce(leaderVersion: Long?) {
         formatGate.runOnce()
@@ -135,8 +141,8 @@
     )
 
     /**
-     * Nobody keeps a copy of the cluster's records that a migration could make stale: whoever writes one reads it again
-     * after a conflict.
+     * The cluster's records need no exclusive access during a migration: no copy of them is kept that it could make
+     * stale, since every writer rereads a record after a conflict.
      */
     private object UncontendedRecords : RecordAccess {
         override fun tryAcquire(path: String): Boolean = true
--- a/src/main/kotlin/io/reedmast/cluster/ClusterTables.kt
+++ b/src/main/kotlin/io/reedmast/cluster/ClusterTables.kt
@@ -3,7 +3,10 @@
 import io.reedmast.jobs.JobIndex
 import io.reedmast.model.MachineDirectory
 
-/** What this controller knows of the cluster, from the watches, its own transactions and the other controllers. */
+/**
+ * The tables that hold this controller's knowledge of the cluster, from the watches, its own transactions and the other
+ * controllers.
+ */
 internal class ClusterTables(
     val staleness: WatchStaleness,
     val membership: Membership,
--- a/src/main/kotlin/io/reedmast/cluster/ContestedMachineLog.kt
+++ b/src/main/kotlin/io/reedmast/cluster/ContestedMachineLog.kt
@@ -4,7 +4,10 @@
 import io.reedmast.settings.ShardId
 import org.slf4j.LoggerFactory
 
-/** Logs which machines the records of several shards name, each one once while it is remembered. */
+/**
+ * Logs the machines that are recorded in several shards, each only once while it is among the [MAX_REMEMBERED]
+ * remembered names.
+ */
 internal class ContestedMachineLog(private val machines: MachineTable) {
     private val log = LoggerFactory.getLogger("cluster")
     private val reportedNames = Caffeine.newBuilder()
@@ -12,7 +15,7 @@
         .executor(Runnable::run)
         .build<String, Boolean>()
 
-    /** Logs what has not been logged before, at most [MAX_LINES] machines at each call. */
+    /** Logs contested machines that are not remembered as logged, at most [MAX_LINES] of them per call. */
     fun runOnce() {
         val new = machines.recordedShards.contested.filter { it !in reportedNames.asMap() }
         new.take(MAX_LINES).forEach { report(it) }
@@ -21,12 +24,12 @@
     private fun report(machineName: String) {
         reportedNames.put(machineName, true)
         val versions = machines.recordedShards.of(machineName).map {
-            "shard ${it.value} at ${versionsOf(machineName, it)}"
+            "shard ${it.value} at revisions ${versionsOf(machineName, it)}"
         }
         log.error("machine {}: recorded in several shards: {}", machineName, versions)
     }
 
-    /** The revisions of the shard's records that name the machine. */
+    /** The revisions of the shard's machine-list records that contain the machine. */
     private fun versionsOf(machineName: String, shard: ShardId): List<Long> =
         machines.partsOf(shard).values.filter { it.part.contains(machineName) }.map { it.version }
 
--- a/src/main/kotlin/io/reedmast/cluster/ContestedMachineRelease.kt
+++ b/src/main/kotlin/io/reedmast/cluster/ContestedMachineRelease.kt
@@ -6,20 +6,23 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Takes machines that other shards' records name too out of a shard's records.
+ * Removes machines from a shard's records that are also recorded in other shards.
  *
- * The record of the other shard must not have changed: of two owners that leave a machine to each other at once, one is
- * refused, and some record names it all the time.
+ * The other shard's record must be unchanged: if two owners release a machine to each other at the same time, one of
+ * the transactions fails, so that some record contains the machine at all times.
  */
 internal class ContestedMachineRelease(private val machines: MachineTable, private val writer: MachineListWriter) {
     private val log = LoggerFactory.getLogger("cluster")
 
-    /** Another shard's record that names a machine. */
+    /** A record of another shard that contains a contested machine. */
     private class OtherRecord(val shard: ShardId, val index: Int, val stored: StoredMachineListPart) {
         val unchanged: Precondition get() = Precondition(Keys.machineList(shard.value, index), stored.version)
     }
 
-    /** Releases those of [machineNames] that share a record of [shard] and one of another; others follow later. */
+    /**
+     * Releases, from each record of [shard], those of [machineNames] that one record of another shard contains too;
+     * later calls release the others.
+     */
     fun release(shard: ShardId, machineNames: Collection<String>, entitlement: Precondition) {
         for ((index, stored) in machines.partsOf(shard)) {
             val candidates = machineNames.filter { stored.part.contains(it) }
@@ -40,7 +43,7 @@
     }
 
     private fun logReleased(shard: ShardId, released: Set<String>, other: OtherRecord) = log.info(
-        "machines {}: recorded in several shards, shard {} leaves them to shard {}",
+        "machines {}: recorded in several shards, removed from shard {}, still in shard {}",
         released,
         shard.value,
         other.shard.value,
--- a/src/main/kotlin/io/reedmast/cluster/ControllerLease.kt
+++ b/src/main/kotlin/io/reedmast/cluster/ControllerLease.kt
@@ -4,11 +4,13 @@
 import io.reedmast.ports.KeyValueStore
 import io.reedmast.ports.LeaseState
 
-/** This controller's lease in the store, to which its membership key and the leader's key are attached. */
+/**
+ * This controller's lease in the store, to which its membership key and, while it leads, the leader key are attached.
+ */
 internal class ControllerLease(
     private val clock: Clock,
     private val store: KeyValueStore,
-    /** Called when the keys are attached to no living lease any more. */
+    /** Called when the keys are no longer attached to a valid lease. */
     private val onReplaced: () -> Unit,
 ) {
     private var renewing = false
@@ -18,7 +20,7 @@
     var id: Long? = null
         private set
 
-    /** Renews the lease, or gets a new one, if that is due. */
+    /** Renews the lease, or requests a new one if there is none, when that is due. */
     fun renewIfDue() {
         val now = clock.now()
         if (renewing || now < renewalDueAt) return
@@ -47,13 +49,16 @@
         }
     }
 
-    /** The store has refused a write under the lease [refused]: a new one is needed. */
+    /**
+     * Discards the lease with the id [refused], under which the store has refused a write, so that a new one is
+     * requested.
+     */
     fun discard(refused: Long) {
         if (id == refused) id = null
     }
 
     companion object {
-        /** How long a controller counts as alive after it was last heard by the store. */
+        /** How long a controller counts as alive after the store last received a renewal from it. */
         const val LEASE_MS = 4_000L
         private const val RENEWALS_PER_LEASE = 4
     }
--- a/src/main/kotlin/io/reedmast/cluster/ExtendedMachineListPart.kt
+++ b/src/main/kotlin/io/reedmast/cluster/ExtendedMachineListPart.kt
@@ -1,9 +1,9 @@
 package io.reedmast.cluster
 
 /**
- * A record of a shard's machines with as many added as it has room for.
+ * A machine-list record of a shard, extended by as many machines as it has room for.
  *
- * The record is the shard's [index]th one; [stored] is what it holds now, and [part] what it is to hold.
+ * [index] is the record's index in the shard, [stored] its current content and [part] its new one.
  */
 internal data class ExtendedMachineListPart(
     val index: Int,
--- a/src/main/kotlin/io/reedmast/cluster/FormatGate.kt
+++ b/src/main/kotlin/io/reedmast/cluster/FormatGate.kt
@@ -15,12 +15,13 @@
 import org.slf4j.LoggerFactory
 
 /**
- * The gate of [ClusterFeatures.dividedRecords], which is older than the record of the rollout and keeps its own stored
- * form.
+ * The gate of [ClusterFeatures.dividedRecords], which is older than the rollout record and is stored in a record and
+ * form of its own.
  *
- * Each controller names the feature's version in its membership key, where earlier versions ignore the field. The
- * feature cannot be reverted: a controller that has been seen with it counts for good, and the gate is finalized at
- * once when all have been. A process that starts later need not see all of them again.
+ * Each controller publishes the feature's version in its membership key, in a field that earlier versions ignore. The
+ * feature cannot be reverted: a controller that has once been seen with this version counts as upgraded for good, and
+ * the gate is finalized as soon as all controllers have been seen with it. A process that starts later reads the
+ * finalized gate and need not see all of them again.
  */
 internal class FormatGate(
     private val settings: Settings,
@@ -29,7 +30,7 @@
 ) {
     private val log = LoggerFactory.getLogger("cluster")
 
-    /** The labels of the controllers that have been seen with the feature's version. */
+    /** The labels of the controllers that have been seen with the feature's version or a later one. */
     private val upgradedMembers = hashSetOf(settings.label)
     private var isFinalized = false
     private var finalizing = false
@@ -37,7 +38,7 @@
     /** The feature, once its gate is known to be finalized. */
     val finalized: Set<FeatureName> get() = if (isFinalized) setOf(feature.name) else emptySet()
 
-    /** Applies the value under [path], if it is the gate or the key of a controller; a deletion changes nothing. */
+    /** Applies the value under [path], if that is the gate's key or a membership key; a deletion changes nothing. */
     fun applyRecord(path: String, value: Fields?) {
         if (value == null || !readsDividedRecords(value)) return
         if (path == Keys.FORMAT) {
@@ -61,7 +62,7 @@
         store.commit(
             CasTransaction(preconditions, listOf(Write.Put(Keys.FORMAT, fields()))) { outcome ->
                 finalizing = false
-                // Refused for its version: another controller has stored the same.
+                // A conflict means that another controller has stored the same record.
                 if (outcome !is CommitOutcome.Refused) isFinalized = true
             },
         )
@@ -70,10 +71,10 @@
     companion object {
         private val feature: Feature = ClusterFeatures.dividedRecords
 
-        /** What a controller's key, and the gate's own, say of the version. */
+        /** The field that states the version, in a membership key and in the gate's own record. */
         fun fields(): Fields = mapOf(RolloutView.LEGACY_VERSION to feature.requires.value.toLong())
 
-        /** Whether a record, of a controller or of the gate, names the feature's version or a later one. */
+        /** Whether [value], of a membership key or the gate's record, states the feature's version or a later one. */
         fun readsDividedRecords(value: Fields): Boolean =
             (value[RolloutView.LEGACY_VERSION] as? Long ?: 0L) >= feature.requires.value
     }
--- a/src/main/kotlin/io/reedmast/cluster/LeaderElection.kt
+++ b/src/main/kotlin/io/reedmast/cluster/LeaderElection.kt
@@ -9,7 +9,7 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Which controller leads: the one that has stored the leader's key, which is attached to its lease.
+ * Leader election: the leader is the controller that has stored the leader key, which is attached to its lease.
  *
  * The key's version is the leader's term, a precondition of everything that it writes as the leader.
  */
@@ -18,7 +18,7 @@
     private val store: KeyValueStore,
     private val lease: ControllerLease,
     private val membershipKey: MembershipKey,
-    /** The condition that this process has heard of every move of the gates. */
+    /** The precondition that no gate has moved without this process having read it. */
     private val gatesPrecondition: () -> Precondition,
     private val onLeaderChange: () -> Unit,
 ) {
@@ -26,14 +26,14 @@
     private var claiming = false
     private var resigning = false
 
-    /** The revision up to which the watch has shown every change. */
+    /** The store's revision up to which the watch has delivered every change. */
     private var observedRevision = 0L
 
-    /** The label of the leader, if there is one. */
+    /** The label of the leader; null if there is none. */
     var leader: String? = null
         private set
 
-    /** The version of the leader's key, a precondition of what the leader writes. */
+    /** The version of the leader key, a precondition of what the leader writes. */
     var leaderVersion = 0L
         private set
 
@@ -41,17 +41,17 @@
     val isLeading: Boolean get() = leader == label
 
     /**
-     * The term in which this controller leads, once the watch has shown all that earlier leaders stored; null if it
-     * does not lead, or not yet knows. The store's answer to its claim may come before the watch has caught up: what
-     * the leader before it stored last is then not known here.
+     * The term in which this controller leads, once the watch has delivered all that earlier leaders stored; null
+     * before that, or if it does not lead. The store's answer to its claim may arrive before the watch has caught up:
+     * the last writes of the previous leader are then still unknown here.
      */
     val observedTerm: Long? get() = leaderVersion.takeIf { isLeading && observedRevision >= it }
 
     /**
-     * All keys have been read anew, and follow; they are at least as new as [revision].
+     * Forgets the leader before all keys are applied again from a new snapshot, which is at least as new as [revision].
      *
-     * The version of the leader's key is forgotten with its value: a leader who had not changed in the gap was
-     * otherwise not seen again, and nobody led by this controller's account for as long as he stayed.
+     * The version of the leader key is reset too: otherwise a leader key that did not change in the gap of the watch
+     * would be ignored as already known, and this controller would see no leader until the leader changed.
      */
     fun reset(revision: Long) {
         leader = null
@@ -59,12 +59,12 @@
         recordObserved(revision)
     }
 
-    /** The watch has shown all changes up to [revision]. */
+    /** Records that the watch has delivered all changes up to [revision]. */
     fun recordObserved(revision: Long) {
         observedRevision = maxOf(observedRevision, revision)
     }
 
-    /** Applies the leader's key, unless a newer [version] is known; a null [newLeader] is its deletion. */
+    /** Applies the leader key, unless this or a newer [version] is known; a null [newLeader] is its deletion. */
     fun applyLeader(newLeader: String?, version: Long) {
         if (version <= leaderVersion) return
         leader = newLeader
@@ -73,7 +73,7 @@
         onLeaderChange()
     }
 
-    /** Makes this controller the leader if there is none, provided that it [mayLead]; otherwise it resigns. */
+    /** Claims leadership if there is no leader and this controller [mayLead]; resigns if it leads and may not. */
     fun runOnce(mayLead: Boolean) {
         if (leader == null && mayLead) claim()
         if (isLeading && !mayLead) resign()
@@ -88,7 +88,8 @@
         store.commit(
             CasTransaction(preconditions, writes) { outcome ->
                 claiming = false
-                // The watch shows the same: whichever is first counts. What it has shown may be over by now.
+                // The watch delivers the same change, and whichever arrives first is applied. If the watch is already
+                // past it, this leadership may have ended since, and only what the watch delivered counts.
                 if (outcome is CommitOutcome.Applied && outcome.revision > observedRevision) {
                     applyLeader(label, outcome.revision)
                 }
@@ -97,7 +98,7 @@
         )
     }
 
-    /** Another controller leads as soon as the key is gone. */
+    /** Deletes the leader key; another controller leads as soon as the key is gone. */
     private fun resign() {
         if (resigning) return
         resigning = true
--- a/src/main/kotlin/io/reedmast/cluster/MachineAssignment.kt
+++ b/src/main/kotlin/io/reedmast/cluster/MachineAssignment.kt
@@ -11,10 +11,10 @@
 import io.reedmast.settings.ShardId
 
 /**
- * The changes to the records of shards' machines: a leader gives machines and marks those that are to move, an owner
- * hands them over and removes those that are gone.
+ * The changes to the shards' machine-list records: the leader adds machines and marks those that are to move; a shard's
+ * owner transfers those and removes machines that are gone.
  *
- * Each change has the record's own version as a condition, and the key that entitles this controller to it.
+ * Each change has two preconditions: the record's own version, and that of the key that entitles this controller to it.
  */
 internal class MachineAssignment(
     private val settings: Settings,
@@ -23,9 +23,9 @@
     private val shards: ShardTable,
     private val machines: MachineTable,
     private val rollout: ClusterRollout,
-    /** The term in which this controller leads; null if it does not. */
+    /** The term in which this controller leads; null if it does not lead. */
     private val leaderTerm: () -> Long?,
-    /** Reads a key again after a change that was not applied, and goes on once that is done. */
+    /** Rereads a key after a change that was not applied, then calls the callback. */
     private val reread: (String, () -> Unit) -> Unit,
 ) {
     private val writer = MachineListWriter(store, limits, shards, machines, reread)
@@ -33,7 +33,7 @@
     private val release = ContestedMachineRelease(machines, writer)
     private val oversized = OversizedMachineLists(limits, machines, writer)
 
-    /** The shard's owner removes machines that are gone. */
+    /** As the shard's owner, removes machines that are gone. */
     fun removeMachines(shard: ShardId, machineNames: Set<String>) {
         val entitlement = ownership(shard) ?: return
         for ((index, stored) in machines.partsOf(shard)) {
@@ -44,17 +44,17 @@
         }
     }
 
-    /** The shard's owner leaves machines that other shards' records name too to these. */
+    /** As the shard's owner, removes machines that are also recorded in other shards, which keep them. */
     fun releaseContested(shard: ShardId, machineNames: Collection<String>) {
         ownership(shard)?.let { release.release(shard, machineNames, it) }
     }
 
-    /** The shard's owner moves empty machines to the shards that they are marked for, some at each call. */
+    /** As the shard's owner, moves empty machines to the shards that they are marked for, some per call. */
     fun transferMachines(shard: ShardId, machineNames: Collection<String>) = transfer.transfer(shard, machineNames)
 
     /**
-     * The leader gives machines to a shard; [highestTokenSeen] is the highest that any of them has seen. [onDone] is
-     * called once it is known what became of the change.
+     * As the leader, adds machines to a shard; [highestTokenSeen] is the highest token that any of them has seen.
+     * [onDone] is called once the outcome of the change is known.
      */
     fun addMachines(
         shard: ShardId,
@@ -98,8 +98,8 @@
     }
 
     /**
-     * The leader marks machines that are to leave for another shard as soon as they are empty: as many in each record
-     * as it has room for, up to halving their number until they fit.
+     * As the leader, marks machines that are to move to the shard [to] as soon as they are empty. In each record their
+     * number is halved until the record has room for their marks.
      */
     fun markForTransfer(shard: ShardId, machineNames: Collection<String>, to: ShardId) {
         val leadership = leadership() ?: return
@@ -114,18 +114,19 @@
         }
     }
 
-    /** The shard's owner divides records of machines that are larger than the reduced limits allow. */
+    /** As the shard's owner, divides machine-list records that are larger than the reduced store limits allow. */
     fun divideOversized(shard: ShardId) {
         ownership(shard)?.let { oversized.divide(shard, it) }
     }
 
-    /** The condition that this controller still owns [shard]; null if it does not. */
+    /** The precondition that this controller still owns [shard]; null if it does not. */
     private fun ownership(shard: ShardId): Precondition? =
         shards.termOf(settings.label, shard)?.let { Precondition(Keys.shard(shard.value), it) }
 
     /**
-     * The condition that this controller still leads, in the term that it knows as its own; null if it does not lead.
-     * With the version of another leader's key, what a deposed leader still does would pass for that leader's.
+     * The precondition that this controller still leads, in the term that it knows as its own; null if it does not
+     * lead. With the version of another leader's key, late writes of a deposed leader would be accepted as the new
+     * leader's.
      */
     private fun leadership(): Precondition? = leaderTerm()?.let { Precondition(Keys.LEADER, it) }
 }
--- a/src/main/kotlin/io/reedmast/cluster/MachineListChange.kt
+++ b/src/main/kotlin/io/reedmast/cluster/MachineListChange.kt
@@ -6,15 +6,17 @@
 import io.reedmast.kvstore.WritePriority
 import io.reedmast.settings.ShardId
 
-/** A change to the [index]th record of the machines of [shard]. */
+/** A change to the machine-list record of [shard] with the index [index]. */
 internal class MachineListChange(
     val shard: ShardId,
     val index: Int,
-    /** What the record holds now; its version is a precondition. */
+    /** The current content of the record; its version is a precondition. */
     val replaced: StoredMachineListPart,
-    /** What it is to hold. */
+    /** The new content of the record. */
     val part: MachineListPart,
-    /** The condition on the key that entitles this controller to the change: the shard's record or the leader's key. */
+    /**
+     * The precondition on the key that entitles this controller to the change: the shard's record or the leader key.
+     */
     val entitlement: Precondition,
     val additionalPreconditions: List<Precondition> = emptyList(),
     /** A higher token for the shard's owner, stored with the change. */
--- a/src/main/kotlin/io/reedmast/cluster/MachineListOutcome.kt
+++ b/src/main/kotlin/io/reedmast/cluster/MachineListOutcome.kt
@@ -1,16 +1,16 @@
 package io.reedmast.cluster
 
-/** What became of a change to a record of a shard's machines. */
+/** The outcome of a change to a machine-list record. */
 internal sealed interface MachineListOutcome {
-    /** It is stored, and the tables show it. */
+    /** The change is stored, and the tables show it. */
     data object Stored : MachineListOutcome
 
-    /** It was not sent: the record would be too large, or another change to it is under way. */
+    /** The change was not sent: the record would be too large, or another change to it is in progress. */
     data object NotSent : MachineListOutcome
 
     /**
-     * The store did not apply it, or another change has replaced it since; the record has been read again before this
-     * is reported.
+     * The store did not apply the change, or another change has replaced it since; the record has been reread before
+     * this is reported.
      */
     data object NotApplied : MachineListOutcome
 }
--- a/src/main/kotlin/io/reedmast/cluster/MachineListPart.kt
+++ b/src/main/kotlin/io/reedmast/cluster/MachineListPart.kt
@@ -11,13 +11,15 @@
 import io.reedmast.wire.maps
 import io.reedmast.wire.text
 
-/** Some of a shard's machines, as many as one stored value holds. */
+/** A part of a shard's machine list: the machines that one stored record contains. */
 data class MachineListPart(
     val records: List<MachineRecord>,
-    /** Machines that are to move to another shard as soon as they are empty, with its index. */
+    /**
+     * The names of machines that are to move to another shard as soon as they are empty, each with that shard's index.
+     */
     val transfers: Map<String, Int>,
 ) {
-    /** What machines in one group of the stored form have in common. */
+    /** The attributes that the machines in one group of the stored form have in common. */
     private data class MachineKind(val typeName: String, val zone: String, val spot: Boolean) {
         constructor(record: MachineRecord) : this(record.typeName, record.zone, record.spot)
     }
@@ -36,25 +38,28 @@
         "leaving" to transfers,
     )
 
-    /** Whether it fits into a value of [valueBytes] and leaves room for marks of transfers. */
+    /** Whether this part fits into a value of [valueBytes] and leaves room for transfer marks. */
     fun fits(valueBytes: Int): Boolean = BodyCodec.jsonSize(toFields()) <= valueBytes * MAX_FILL_BEFORE_TRANSFERS
 
     /**
-     * Whether the store takes it as a value of at most [valueBytes], with its marks of transfers; one that an earlier
-     * version stored may be too large until it has been divided.
+     * Whether the store accepts this part, with its transfer marks, as a value of at most [valueBytes]; a part that an
+     * earlier version stored may be too large until it has been divided.
      */
     fun isStorable(valueBytes: Int): Boolean = BodyCodec.jsonSize(toFields()) <= valueBytes * MAX_FILL
 
-    /** Without the machines called [names]. */
+    /** A copy without the machines called [names] and their transfer marks. */
     fun without(names: Set<String>) = MachineListPart(records.filter { it.name !in names }, transfers - names)
 
-    /** With the machines called [names] marked as leaving for the shard [to]. */
+    /** A copy in which the machines called [names] are marked for transfer to the shard [to]. */
     internal fun withTransferMarks(names: List<String>, to: ShardId) = copy(
         transfers =
         transfers + names.associateWith { to.value },
     )
 
-    /** With the first of [added]; their number is halved until the whole fits into a value of [valueBytes]. */
+    /**
+     * A copy with the first of the [added] machines that are not in this part; their number is halved until the copy
+     * [fits] into a value of [valueBytes].
+     */
     fun withMachinesThatFit(added: List<MachineRecord>, valueBytes: Int): MachineListPart {
         val new = added.filter { record -> !contains(record.name) }
         var count = new.size
@@ -62,20 +67,20 @@
         return copy(records = records + new.take(count))
     }
 
-    /** Whether it names this machine. */
+    /** Whether the machine called [name] is in this part. */
     fun contains(name: String): Boolean = records.any { it.name == name }
 
     companion object {
-        /** How full a value is made with machines: the marks of transfers need room too. */
+        /** The fraction of a value that may be filled when machines are added: transfer marks need room too. */
         private const val MAX_FILL_BEFORE_TRANSFERS = 0.8
 
-        /** How full a value may be made with marks of transfers. */
+        /** The fraction of a value that may be filled including transfer marks. */
         private const val MAX_FILL = 0.95
 
         /** No machines. */
         val EMPTY = MachineListPart(emptyList(), emptyMap())
 
-        /** What a record holds that does not exist yet. */
+        /** The content of a record that does not exist yet. */
         internal val NOT_STORED = StoredMachineListPart(EMPTY, 0L)
 
         /** Reads the stored form; throws [MalformedException]. */
@@ -83,7 +88,7 @@
             fields.maps("kinds").flatMap { kind ->
                 kind.list("hosts").map {
                     MachineRecord(
-                        it as? String ?: throw MalformedException("hosts holds no name"),
+                        it as? String ?: throw MalformedException("an entry of hosts is not a machine name"),
                         kind.text("typeName"),
                         kind.text("zone"),
                         kind.flag("spot"),
@@ -91,7 +96,7 @@
                 }
             },
             fields.map("leaving").mapValues { (_, shard) ->
-                (shard as? Long)?.toInt() ?: throw MalformedException("leaving names no shard")
+                (shard as? Long)?.toInt() ?: throw MalformedException("a value in leaving is not a shard index")
             },
         )
     }
--- a/src/main/kotlin/io/reedmast/cluster/MachineTable.kt
+++ b/src/main/kotlin/io/reedmast/cluster/MachineTable.kt
@@ -11,7 +11,7 @@
 /**
  * Which machines belong to which shard, as last seen in the store or in answers to this controller's changes.
  *
- * A shard's machines are stored in several numbered records, each a [MachineListPart].
+ * A shard's machine list is stored in several numbered records, each a [MachineListPart].
  */
 internal class MachineTable(
     shardCount: Int,
@@ -20,38 +20,38 @@
     private val departed: DepartedMachines,
     /** Called when the machines of a shard have changed. */
     private val onChange: (ShardId) -> Unit,
-    /** Called when a machine has left all shards. */
+    /** Called when a machine has been removed from all shards. */
     private val onDeparture: (String) -> Unit,
 ) {
     private val partsByShard = Array(shardCount) { TreeMap<Int, StoredMachineListPart>() }
 
-    /** The shards whose records name each machine. */
+    /** The shards whose records contain each machine. */
     val recordedShards = RecordedShards()
 
     /**
-     * The shard that the machine belongs to, if any. Of a contested machine it is the one with the lowest number, so
-     * that all controllers say the same, in whatever order they have seen the records.
+     * The shard that the machine belongs to; null if there is none. For a contested machine it is the shard with the
+     * lowest number, so that all controllers agree, in whatever order they have seen the records.
      */
     fun shardOf(machineName: String): ShardId? = recordedShards.of(machineName).firstOrNull()
 
     /** Whether the machine belongs to a shard. */
     fun contains(machineName: String): Boolean = recordedShards.of(machineName).isNotEmpty()
 
-    /** The records of the shard's machines, by their index, in its order. */
+    /** The shard's machine-list records by index, in ascending order. */
     fun partsOf(shard: ShardId): Map<Int, StoredMachineListPart> = partsByShard[shard.value]
 
-    /** The shard's machines; one that stands in two of its records comes twice. */
+    /** The shard's machines; one that is in two of the shard's records occurs twice. */
     fun machinesOf(shard: ShardId): Sequence<MachineRecord> =
         partsByShard[shard.value].values.asSequence().flatMap { it.part.records }
 
-    /** Whether the machine is to leave [shard] for another one as soon as it is empty. */
+    /** Whether the machine is to move from [shard] to another one as soon as it is empty. */
     fun isMarkedForTransfer(shard: ShardId, machineName: String): Boolean =
         partsByShard[shard.value].values.any { machineName in it.part.transfers }
 
     /** The version of the newest change to the shard's machines. */
     fun versionOf(shard: ShardId): Long = partsByShard[shard.value].values.maxOfOrNull { it.version } ?: 0L
 
-    /** The machines of a shard, each with the shard that it is to move to, if any. */
+    /** The machines of a shard, each with the index of the shard that it is to move to, or null. */
     fun transferTargetsOf(shard: ShardId): Map<MachineRecord, Int?> {
         val targets = LinkedHashMap<MachineRecord, Int?>()
         for (stored in partsByShard[shard.value].values) {
@@ -60,7 +60,7 @@
         return targets
     }
 
-    /** Applies the value under [path], if it is a record of machines; a deletion changes nothing. */
+    /** Applies the value under [path], if that is the key of a machine-list record; a deletion changes nothing. */
     fun applyRecord(path: String, value: Fields?, version: Long) {
         if (!path.startsWith(Keys.MACHINES) || value == null) return
         val indices = path.removePrefix(Keys.MACHINES).split('/').map { it.toIntOrNull() }
@@ -69,7 +69,7 @@
         if (shard in partsByShard.indices) applyPart(ShardId(shard), index, MachineListPart.parse(value), version)
     }
 
-    /** Applies the [index]th record of the shard's machines, unless a newer [version] is known. */
+    /** Applies the shard's machine-list record with the index [index], unless this or a newer [version] is known. */
     fun applyPart(shard: ShardId, index: Int, part: MachineListPart, version: Long) {
         val previous = partsByShard[shard.value][index]
         if (previous != null && previous.version >= version) return
@@ -82,7 +82,8 @@
             departed.remove(record.name)
         }
         onChange(shard)
-        // What another shard's record says of a machine changes with this one.
+        // Whether a machine is contested, and who answers its worker, depends on all shards whose records contain it:
+        // it may have changed for the others too.
         (names + removed).flatMapTo(HashSet()) { recordedShards.of(it) }.filter { it != shard }.forEach { onChange(it) }
         process.expectMachines(recordedShards.machineCount)
     }
@@ -95,7 +96,7 @@
         onDeparture(machineName)
     }
 
-    /** The first record of the shard's machines, or a new one, that has room for some of [added], with them in it. */
+    /** The shard's first machine-list record that has room for some of [added], or else a new one, with these added. */
     fun partWithRoomFor(added: List<MachineRecord>, shard: ShardId): ExtendedMachineListPart {
         val valueBytes = limits.target.valueBytes
         for ((index, stored) in partsByShard[shard.value]) {
--- a/src/main/kotlin/io/reedmast/cluster/MachineTransfer.kt
+++ b/src/main/kotlin/io/reedmast/cluster/MachineTransfer.kt
@@ -10,7 +10,7 @@
 import io.reedmast.settings.ShardId
 import org.slf4j.LoggerFactory
 
-/** Moves empty machines from a shard of this controller's to the shards that they are marked for. */
+/** Moves empty machines from a shard that this controller owns to the shards that they are marked for. */
 internal class MachineTransfer(
     private val store: KeyValueStore,
     private val shards: ShardTable,
@@ -21,7 +21,7 @@
 ) {
     private val log = LoggerFactory.getLogger("cluster")
 
-    /** The record that machines leave, and that of its shard. */
+    /** The machine-list record that the machines leave, and its shard's record. */
     private class Source(
         val shard: ShardId,
         val owner: StoredShardRecord,
@@ -31,14 +31,14 @@
         val path: String get() = Keys.machineList(shard.value, index)
     }
 
-    /** The record that machines join, and that of its shard. */
+    /** The machine-list record that the machines join, and its shard's record. */
     private class Destination(val shard: ShardId, val owner: StoredShardRecord, val extended: ExtendedMachineListPart) {
         val path: String get() = Keys.machineList(shard.value, extended.index)
     }
 
-    /** That machines leave one record and join another, in one transaction. */
+    /** A move of machines from one machine-list record to another, in one transaction. */
     private class Transfer(val source: Source, val destination: Destination, val moved: Set<String>) {
-        /** What the record that they leave is to hold. */
+        /** The new content of the record that the machines leave. */
         val remaining = source.stored.part.without(moved)
 
         val preconditions: List<Precondition> get() = listOf(
@@ -63,7 +63,10 @@
         )
     }
 
-    /** Moves as many of [machineNames] as share a record and a destination; the others follow with the next call. */
+    /**
+     * Moves those of [machineNames] that are in the same record and have the same destination, as many as fit there;
+     * later calls move the others.
+     */
     fun transfer(shard: ShardId, machineNames: Collection<String>) {
         val source = sourceOf(shard, machineNames) ?: return
         val targetShard = machineNames.firstNotNullOfOrNull { source.stored.part.transfers[it] }?.let { ShardId(it) }
@@ -92,7 +95,7 @@
         }
     }
 
-    /** Machines that stand in two records of a shard, one of which is being divided. */
+    /** The names of machines that are in two records of the shard, one of which is being divided. */
     private fun duplicateNames(shard: ShardId): Set<String> {
         val names = HashSet<String>()
         return machines.machinesOf(shard).map { it.name }.filterTo(HashSet()) { !names.add(it) }
@@ -116,7 +119,10 @@
         )
     }
 
-    /** The other shard's owner must have a token above all that these machines have seen, which is at most ours. */
+    /**
+     * The token renewal for the destination's owner, or null if it needs none: its token must be above every token that
+     * these machines have seen, which is at most that of the source's owner.
+     */
     private fun renewalFor(transfer: Transfer): TokenRenewal? {
         val destination = transfer.destination
         if (destination.owner.record.token > transfer.source.owner.record.token) return null
@@ -130,7 +136,7 @@
         val to = destination.shard.value
         log.info("machines {}: transferred from shard {} to shard {}, revision {}", transfer.moved, from, to, revision)
         renewal?.applyTo(shards, revision)
-        // In this order the machines belong to some shard all the time.
+        // Applied in this order, the machines belong to a shard at all times.
         machines.applyPart(destination.shard, destination.extended.index, destination.extended.part, revision)
         machines.applyPart(source.shard, source.index, transfer.remaining, revision)
     }
--- a/src/main/kotlin/io/reedmast/cluster/Membership.kt
+++ b/src/main/kotlin/io/reedmast/cluster/Membership.kt
@@ -10,19 +10,20 @@
 import io.reedmast.wire.text
 
 /**
- * Which controllers live and which of them leads, by keys that are attached to their leases; and this controller's own
- * lease.
+ * Which controllers are alive and which of them leads, according to keys that are attached to their leases; and this
+ * controller's own lease.
  *
- * No rule's safety rests on it: it only chooses good moments for acquiring shards, and who rents machines.
+ * No safety property depends on this information: it only serves to choose good moments for acquiring shards, and the
+ * controller that rents machines.
  */
 internal class Membership(
     private val settings: Settings,
     private val clock: Clock,
     store: KeyValueStore,
     private val process: ProcessControl,
-    /** What this controller publishes of itself. */
+    /** The fields of this controller's membership key. */
     memberFields: () -> Fields,
-    /** The condition that this process has heard of every move of the gates. */
+    /** The precondition that no gate has moved without this process having read it. */
     gatesPrecondition: () -> Precondition,
 ) {
     private val label = settings.label
@@ -32,10 +33,10 @@
     private val present = HashSet<String>()
     private val absentSince = HashMap<String, Long>()
 
-    /** The label of the leader, if there is one. */
+    /** The label of the leader; null if there is none. */
     val leader: String? get() = election.leader
 
-    /** The version of the leader's key, a precondition of what the leader writes. */
+    /** The version of the leader key, a precondition of what the leader writes. */
     val leaderVersion: Long get() = election.leaderVersion
 
     /** See [LeaderElection.observedTerm]. */
@@ -44,34 +45,36 @@
     /** Whether this controller leads. */
     val leading: Boolean get() = election.isLeading
 
-    /** How many controllers' keys are there. */
+    /** The number of controllers whose membership keys exist. */
     val presentCount: Int get() = present.size
 
-    /** Whether the controller's key is there. */
+    /** Whether the controller's membership key exists. */
     fun isPresent(label: String): Boolean = label in present
 
-    /** The labels of the controllers that live, this one included. */
+    /** The labels of the controllers that are alive, this one included. */
     fun alive(): Set<String> = present + label
 
-    /** For how many milliseconds the controller's key has been gone; 0 if it is there. */
+    /** For how many milliseconds the controller's membership key has been absent; 0 if it exists. */
     fun absentForMs(label: String, now: Long): Long = now - (absentSince[label] ?: now)
 
-    /** All keys have been read anew, and follow; they are at least as new as [revision]. */
+    /**
+     * Forgets members and leader before all keys are applied again from a new snapshot, at least as new as [revision].
+     */
     fun reset(revision: Long) {
         present.clear()
         election.reset(revision)
     }
 
-    /** The watch has shown all changes up to [revision]. */
+    /** Records that the watch has delivered all changes up to [revision]. */
     fun recordObserved(revision: Long) = election.recordObserved(revision)
 
-    /** All keys have been read: those of controllers that are not among [paths] are gone. */
+    /** Records the controllers whose membership keys are not among [paths], the keys of a whole snapshot, as absent. */
     fun recordAbsent(paths: Set<String>) {
         settings.members.map { it.label }.filter { Keys.member(it) !in paths }
             .forEach { absentSince.putIfAbsent(it, clock.now()) }
     }
 
-    /** Applies the value under [path], if it is one of these keys; a null [value] is a deletion. */
+    /** Applies the value under [path], if that is the leader key or a membership key; a null [value] is a deletion. */
     fun applyRecord(path: String, value: Fields?, version: Long) {
         when {
             path == Keys.LEADER -> election.applyLeader(value?.text("label"), version)
@@ -91,13 +94,16 @@
         shareLimits()
     }
 
-    /** Gives this controller's clients of the store and the cloud their share of the limits. */
+    /** Sets the share of the rate limits that this controller's clients of the store and the cloud may use. */
     fun shareLimits() = process.shareLimits(maxOf(1, alive().size), leading)
 
-    /** Renews this controller's lease, or gets a new one, if that is due. */
+    /** Renews this controller's lease, or requests a new one if there is none, when that is due. */
     fun keepLease() = lease.renewIfDue()
 
-    /** Puts this controller's key under its lease, and the leader's if there is none and this controller [mayLead]. */
+    /**
+     * Stores this controller's membership key under its lease, and the leader key too if there is no leader and this
+     * controller [mayLead]; resigns if it leads and may not.
+     */
     fun claimKeys(mayLead: Boolean) {
         ownKey.publish()
         election.runOnce(mayLead)
--- a/src/main/kotlin/io/reedmast/cluster/MembershipKey.kt
+++ b/src/main/kotlin/io/reedmast/cluster/MembershipKey.kt
@@ -9,32 +9,34 @@
 import io.reedmast.ports.KeyValueStore
 import io.reedmast.wire.Fields
 
-/** The key that shows the other controllers that this one lives, and its versions; attached to its lease. */
+/**
+ * The key that shows the other controllers that this one is alive, and which versions it has; attached to its lease.
+ */
 internal class MembershipKey(
     label: String,
     private val store: KeyValueStore,
     private val lease: ControllerLease,
-    /** What this controller publishes of itself. */
+    /** The current fields of the key. */
     private val memberFields: () -> Fields,
-    /** The condition that this process has heard of every move of the gates. */
+    /** The precondition that no gate has moved without this process having read it. */
     private val gatesPrecondition: () -> Precondition,
 ) {
     private val path = Keys.member(label)
     private var publishing = false
     private var publishedFields: Fields? = null
 
-    /** The lease that the key is attached to; null if it is not there. */
+    /** The id of the lease that the key is attached to; null if the key is gone or soon will be. */
     private var attachedLease: Long? = null
 
     /** Whether the key is attached to the lease with this id. */
     fun isAttachedTo(leaseId: Long): Boolean = attachedLease == leaseId
 
-    /** The key is gone, or soon will be: it must be stored anew. */
+    /** Called when the key is gone, or soon will be, so that it is stored again. */
     fun onDetached() {
         attachedLease = null
     }
 
-    /** Stores the key under the lease, unless it is there with what this controller now publishes. */
+    /** Stores the key under the lease, unless it is already stored there with the current fields. */
     fun publish() {
         val leaseId = lease.id ?: return
         val fields = memberFields()
--- a/src/main/kotlin/io/reedmast/cluster/OversizedMachineLists.kt
+++ b/src/main/kotlin/io/reedmast/cluster/OversizedMachineLists.kt
@@ -6,19 +6,19 @@
 import io.reedmast.settings.ShardId
 
 /**
- * Divides records of machines that are larger than the reduced store limits allow, a step at each call.
+ * Divides machine-list records that are larger than the reduced store limits allow, one step per call.
  *
  * A record that is too large can only be replaced by a small one, so its machines are first copied to new records, one
- * transaction each, with the old record's version as a condition. They stand in two records of the same shard then,
- * which is harmless wherever it ends, and do not move until the old record has been cut down to what no other one
- * names.
+ * transaction each, with the old record's version as a precondition. The machines are then in two records of the same
+ * shard, which is harmless wherever the division stops, and are not transferred until the old record has been reduced
+ * to the machines that no other record of the shard contains.
  */
 internal class OversizedMachineLists(
     private val limits: EffectiveLimits,
     private val machines: MachineTable,
     private val writer: MachineListWriter,
 ) {
-    /** Makes the next step for [shard], if one is needed; [entitlement] is the condition on its owner's term. */
+    /** Takes the next step for [shard], if one is needed; [entitlement] is the precondition on its owner's term. */
     fun divide(shard: ShardId, entitlement: Precondition) {
         val parts = machines.partsOf(shard)
         val valueBytes = limits.target.valueBytes
@@ -44,7 +44,7 @@
     private fun namesInOtherParts(parts: Map<Int, StoredMachineListPart>, index: Int): Set<String> =
         parts.filterKeys { it != index }.values.flatMapTo(HashSet()) { stored -> stored.part.records.map { it.name } }
 
-    /** As many of the machines as fit into one record, with their marks of transfers. */
+    /** The first machines, as many as fit into one record, with their transfer marks. */
     private fun firstMachinesOf(remaining: MachineListPart, valueBytes: Int): MachineListPart {
         val part = MachineListPart.EMPTY.withMachinesThatFit(remaining.records, valueBytes)
         return part.copy(transfers = remaining.transfers.filterKeys { part.contains(it) })
--- a/src/main/kotlin/io/reedmast/cluster/RecordedShards.kt
+++ b/src/main/kotlin/io/reedmast/cluster/RecordedShards.kt
@@ -4,27 +4,27 @@
 import io.reedmast.settings.ShardId
 
 /**
- * The shards whose records name each machine: one, unless something went wrong.
+ * The shards whose records contain each machine: normally exactly one.
  *
- * A machine that the records of several shards name is *contested*. No controller of this version stores that; an
- * earlier one may have.
+ * A machine in the records of several shards is *contested*. Controllers of this version never store a machine in a
+ * second shard; those of earlier versions may have.
  */
 internal class RecordedShards {
     private val shardsByMachine = HashMap<String, List<ShardId>>()
     private val contestedNames = LinkedHashSet<String>()
 
-    /** How many machines the records name. */
+    /** The number of machines that the records contain. */
     val machineCount: Int get() = shardsByMachine.size
 
-    /** The names of the machines that the records of several shards name. */
+    /** The names of the machines that are in the records of several shards. */
     val contested: Set<String> get() = contestedNames
 
-    /** The shards whose records name the machine, in the order of their numbers. */
+    /** The shards whose records contain the machine, in the order of their numbers. */
     fun of(machineName: String): List<ShardId> = shardsByMachine[machineName].orEmpty()
 
     /**
-     * Whether other shards than [shard] name the machine too. The owner of the one with the lowest number answers its
-     * worker: the stored records alone decide, so that all controllers agree.
+     * Whether the records of other shards than [shard] contain the machine too, and who answers its worker then: the
+     * owner of the shard with the lowest number. The stored records alone decide, so that all controllers agree.
      */
     fun conflictOf(machineName: String, shard: ShardId): RecordConflict {
         val shards = of(machineName)
@@ -35,13 +35,13 @@
         }
     }
 
-    /** A record of [shard] names the machine. */
+    /** Records that the machine is in a record of [shard]. */
     fun add(machineName: String, shard: ShardId) {
         val shards = of(machineName)
         if (shard !in shards) put(machineName, (shards + shard).sortedBy { it.value })
     }
 
-    /** No record of [shard] names the machine any more. */
+    /** Records that the machine is in no record of [shard] any more. */
     fun remove(machineName: String, shard: ShardId) = put(machineName, of(machineName) - shard)
 
     private fun put(machineName: String, shards: List<ShardId>) {
--- a/src/main/kotlin/io/reedmast/cluster/RolloutStoreAdapter.kt
+++ b/src/main/kotlin/io/reedmast/cluster/RolloutStoreAdapter.kt
@@ -6,7 +6,7 @@
 import io.reedmast.ports.KeyValueStore
 import io.reedmast.rollout.RolloutStore
 
-/** The store as a controller reaches it, in the form that the rollout asks for. */
+/** Adapts a controller's [KeyValueStore] to the [RolloutStore] that the rollout uses. */
 class RolloutStoreAdapter(private val store: KeyValueStore) : RolloutStore {
     override fun commit(change: CasTransaction) {
         store.commit(change)
--- a/src/main/kotlin/io/reedmast/cluster/StoredClusterRecords.kt
+++ b/src/main/kotlin/io/reedmast/cluster/StoredClusterRecords.kt
@@ -7,7 +7,7 @@
 import io.reedmast.rollout.FeatureName
 import io.reedmast.rollout.ShardOwnership
 
-/** Reads the cluster's records for the rollout's administration, which has no watch on them. */
+/** Reads the cluster's records for the administration of the rollout, which does not watch them. */
 class StoredClusterRecords(private val shardCount: Int) : ClusterRecords {
     override fun shardOwners(items: List<StoredItem>): List<ShardOwnership?> {
         val byPath = items.associateBy { it.path }
--- a/src/main/kotlin/io/reedmast/cluster/StoredMachineListPart.kt
+++ b/src/main/kotlin/io/reedmast/cluster/StoredMachineListPart.kt
@@ -1,4 +1,4 @@
 package io.reedmast.cluster
 
-/** Some of a shard's machines as last seen, with the version of their record; 0 if there is no such record yet. */
+/** A part of a shard's machine list as last seen, with the version of its record; 0 if there is no such record yet. */
 data class StoredMachineListPart(val part: MachineListPart, val version: Long)
--- a/src/test/kotlin/io/reedmast/cluster/AcceptingStore.kt
+++ b/src/test/kotlin/io/reedmast/cluster/AcceptingStore.kt
@@ -8,9 +8,9 @@
 import io.reedmast.ports.LeaseState
 import io.reedmast.ports.ProcessControl
 
-/** An empty store that applies every transaction at once, each with the next revision after [revision]. */
+/** An empty store that applies each transaction immediately, with the next revision after [revision]. */
 internal class AcceptingStore(var revision: Long) : KeyValueStore {
-    /** All transactions, in their order. */
+    /** All transactions, in the order of their commits. */
     val committed = ArrayList<CasTransaction>()
     override val isAvailable = true
 
@@ -30,7 +30,7 @@
         done(LeaseState.Held(lease ?: 1L, isNew = lease == null))
 }
 
-/** A process that nothing is asked of. */
+/** Ignores every call. */
 internal object NoOpProcessControl : ProcessControl {
     override fun shareLimits(aliveControllers: Int, leading: Boolean) = Unit
 
--- a/src/test/kotlin/io/reedmast/cluster/ContestedMachineReleaseTest.kt
+++ b/src/test/kotlin/io/reedmast/cluster/ContestedMachineReleaseTest.kt
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** An owner leaves a machine to another shard only as long as that shard's record names it: else nobody's would. */
+/** An owner may release a machine only while another shard's record contains it: otherwise no record would. */
 class ContestedMachineReleaseTest {
     private val settings = testSettings()
     private val limits = EffectiveLimits(settings.storeLimits, null)
--- a/src/test/kotlin/io/reedmast/cluster/LeaderElectionTest.kt
+++ b/src/test/kotlin/io/reedmast/cluster/LeaderElectionTest.kt
@@ -10,9 +10,9 @@
 import org.junit.jupiter.api.Test
 
 /**
- * A snapshot of the cluster's keys is read page by page: it may show machines as they were before the last leader's last
- * write, and no leader any more. A controller that claims the key then, and is answered before its watch has caught up,
- * would assign a machine that the last leader has put into another shard.
+ * A snapshot of the cluster's keys is read page by page: it may show the machine lists from before the previous
+ * leader's last write, but no leader key any more. A controller that then claims the leader key, and gets the answer
+ * before its watch has caught up, would assign a machine that the previous leader has added to another shard.
  */
 class LeaderElectionTest {
     private val clock = SettableClock(1_000L)
@@ -38,7 +38,7 @@
         assertEquals(membership.leaderVersion, membership.leaderTerm)
     }
 
-    /** A deposed leader's late answers must not be stored under the term of the leader that follows. */
+    /** Writes that a deposed leader makes when late answers arrive must not be stored under its successor's term. */
     @Test
     fun `a leader key of another controller gives no term`() {
         val membership = Membership(testSettings(), clock, AcceptingStore(20L), NoOpProcessControl, { emptyMap() }) {
--- a/src/test/kotlin/io/reedmast/cluster/RecordedShardsTest.kt
+++ b/src/test/kotlin/io/reedmast/cluster/RecordedShardsTest.kt
@@ -5,7 +5,7 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 
-/** Which shards' records name a machine, and who answers its worker: the same in whatever order the records came. */
+/** Which shards' records contain a machine, and who answers its worker, must not depend on the order of the records. */
 class RecordedShardsTest {
     private val orders = listOf(listOf(2, 0), listOf(0, 2))
 
