--- a/src/test/kotlin/io/reedmast/cluster/LeaderElectionTest.kt
+++ b/src/test/kotlin/io/reedmast/cluster/LeaderElectionTest.kt
@@ -10,17 +10,17 @@
 import org.junit.jupiter.api.Test
 
 /**
- * A snapshot of the cluster's keys is read page by page: it may show machines as they were before the last leader's last
- * write, and no leader any more. A controller that claims the key then, and is answered before its watch has caught up,
- * would assign a machine that the last leader has put into another shard.
+ * A snapshot of the cluster's keys is read page by page: it may show the machine lists from before the previous
+ * leader's last write, but no leader key any more. A controller that then claims the leader key, and gets the answer
+ * before its watch has caught up, would assign a machine that the previous leader has added to another shard.
  */
 class LeaderElectionTest {
     private val clock = SettableClock(1_000L)
 
     @Test
-    fun `the term counts once the watch has shown all that was stored before it`() {
+    fun `the term is known only once the watch has delivered everything stored before it`() {
         val store = AcceptingStore(revision = 20L)
-        val membership = Membership(testSettings(), clock, store, NoProcess, { emptyMap() }) {
+        val membership = Membership(testSettings(), clock, store, NoOpProcessControl, { emptyMap() }) {
             Precondition(Keys.ROLLOUT, 0L)
         }
         membership.reset(revision = 10L)
@@ -38,10 +38,10 @@
         assertEquals(membership.leaderVersion, membership.leaderTerm)
     }
 
-    /** A deposed leader's late answers must not be stored under the term of the leader that follows. */
+    /** Writes that a deposed leader makes when late answers arrive must not be stored under its successor's term. */
     @Test
-    fun `another controller's key gives no term`() {
-        val membership = Membership(testSettings(), clock, AcceptingStore(20L), NoProcess, { emptyMap() }) {
+    fun `a leader key of another controller gives no term`() {
+        val membership = Membership(testSettings(), clock, AcceptingStore(20L), NoOpProcessControl, { emptyMap() }) {
             Precondition(Keys.ROLLOUT, 0L)
         }
         membership.applyRecord(Keys.LEADER, mapOf("label" to "n1"), version = 15L)
