--- a/src/main/kotlin/io/reedmast/persistence/ConflictHandler.kt
+++ b/src/main/kotlin/io/reedmast/persistence/ConflictHandler.kt
@@ -20,20 +20,20 @@
 
     /** The preconditions on [failedPaths] of a job's final record did not hold. */
     fun onFinalRecordConflict(failedPaths: Set<String>) {
-        reportTermAndGates(failedPaths)
+        reportTermAndGatesConflicts(failedPaths)
         withdrawAndReadJobs(failedPaths, emptyList())
     }
 
     /** The preconditions on [failedPaths] of a write of [page] did not hold; [written] were to be stored by it. */
     fun onPageConflict(failedPaths: Set<String>, page: ProgressPage, written: List<Placement>) {
-        reportTermAndGates(failedPaths)
-        if (Keys.ROLLOUT in failedPaths) page.retryNotBefore = shardState.clock.now() + READ_GATES_DELAY_MS
+        reportTermAndGatesConflicts(failedPaths)
+        if (Keys.ROLLOUT in failedPaths) page.retryNotBefore = shardState.clock.now() + GATES_READ_DELAY_MS
         withdrawAndReadJobs(failedPaths, written)
         val path = pages.pathOf(page)
         if (path in failedPaths) store.refreshVersion(page, path)
     }
 
-    private fun reportTermAndGates(failedPaths: Set<String>) {
+    private fun reportTermAndGatesConflicts(failedPaths: Set<String>) {
         if (Keys.shard(shard) in failedPaths) listener.onTermConflict()
         if (Keys.ROLLOUT in failedPaths) listener.onGatesConflict()
     }
@@ -42,7 +42,7 @@
         for (path in failedPaths) {
             val jobId = jobIdOf(path) ?: continue
             withdrawPlacements(jobId, written)
-            shardState.jobs[jobId]?.let { it.notBefore = shardState.clock.now() + READ_JOB_DELAY_MS }
+            shardState.jobs[jobId]?.let { it.notBefore = shardState.clock.now() + JOB_READ_DELAY_MS }
             readJobRecord(path)
         }
     }
@@ -71,7 +71,7 @@
     }
 
     private companion object {
-        const val READ_JOB_DELAY_MS = 500L
-        const val READ_GATES_DELAY_MS = 150L
+        const val JOB_READ_DELAY_MS = 500L
+        const val GATES_READ_DELAY_MS = 150L
     }
 }
--- a/src/main/kotlin/io/reedmast/persistence/FinalRecordWriter.kt
+++ b/src/main/kotlin/io/reedmast/persistence/FinalRecordWriter.kt
@@ -32,7 +32,7 @@
     private var writesInFlight = 0
 
     /** Whether no final record waits to be stored or is on its way to the store. */
-    val isFullyStored: Boolean get() = writesInFlight == 0 && waitingJobs.isEmpty()
+    val isIdle: Boolean get() = writesInFlight == 0 && waitingJobs.isEmpty()
 
     /** The job is finished, and its final record is to be stored. */
     fun enqueue(job: Job) {
--- a/src/main/kotlin/io/reedmast/persistence/PageCommitter.kt
+++ b/src/main/kotlin/io/reedmast/persistence/PageCommitter.kt
@@ -22,28 +22,28 @@
      * Puts a new value of [page], which counts as being written until the store has answered.
      *
      * @param jobPreconditions further preconditions, on records of jobs
-     * @param valueIn the value in the form that is written now
+     * @param encode the value in the form that is written now
      * @param onOutcome is called with the store's answer, unless another owner has taken the shard by then
      */
     fun put(
         page: ProgressPage,
         priority: WritePriority,
         jobPreconditions: List<Precondition>,
-        valueIn: (PageFormat) -> Fields,
+        encode: (PageFormat) -> Fields,
         onOutcome: (CommitOutcome) -> Unit,
     ) {
         page.isWriteInFlight = true
         val path = pages.pathOf(page)
         // The form and the precondition that it is the right one come from one snapshot of the gates.
         val gates = shardState.gates()
-        val form = pages.formToWrite(gates)
+        val format = pages.formatToWrite(gates)
         val preconditions =
             listOf(shardState.termPrecondition, gates.precondition, Precondition(path, page.version)) + jobPreconditions
-        val put = Write.Put(path, valueIn(form))
+        val put = Write.Put(path, encode(format))
         val transaction = CasTransaction(preconditions, listOf(put), priority) { outcome ->
             page.isWriteInFlight = false
             if (shardState.dropped) return@CasTransaction
-            if (outcome is CommitOutcome.Applied) page.recordStored(outcome.revision, form)
+            if (outcome is CommitOutcome.Applied) page.recordStored(outcome.revision, format)
             onOutcome(outcome)
         }
         store.commit(transaction)
--- a/src/main/kotlin/io/reedmast/persistence/PageFormat.kt
+++ b/src/main/kotlin/io/reedmast/persistence/PageFormat.kt
@@ -22,7 +22,7 @@
     ;
 
     /** The most bytes that [chunk] may come to take once all its tasks are placed. */
-    fun reserveFor(chunk: Chunk): Int {
+    fun maxBytesFor(chunk: Chunk): Int {
         val resultBytes = chunk.size / TASKS_PER_HEX_DIGIT + 1
         return bytesPerChunk + chunk.job.spec.jobId.length + chunk.size * bytesPerPlacement + resultBytes
     }
@@ -36,7 +36,7 @@
     companion object {
         /** Results are stored as a bit set in hexadecimal. */
         private const val TASKS_PER_HEX_DIGIT = 4
-        private const val CHUNKS_PER_VALUE = 2
+        private const val MIN_CHUNKS_PER_VALUE = 2
 
         /** A multiple of a chunk's overhead is set aside, since the name of its job takes room too. */
         private const val OVERHEADS_PER_CHUNK = 3
@@ -44,10 +44,10 @@
         /** The room of one result, which is more than its bit takes. */
         private const val BYTES_PER_RESULT = 1
 
-        /** The form to write; [isSizeKnown]: every controller reads chunks that say how many tasks they cover. */
-        fun toWrite(gates: GateSnapshot, isSizeKnown: Boolean): PageFormat = when {
+        /** The form to write; [areSizesReadable]: every controller reads chunks that say how many tasks they cover. */
+        fun forWriting(gates: GateSnapshot, areSizesReadable: Boolean): PageFormat = when {
             gates.writes(DensePages.FEATURE) -> DENSE
-            isSizeKnown -> PLAIN_SIZED
+            areSizesReadable -> PLAIN_SIZED
             else -> PLAIN_UNSIZED
         }
 
@@ -70,7 +70,7 @@
 
         /** The most tasks that a chunk may have so that two of them fit a value of [valueBytes] in any form. */
         fun chunkSizeFor(valueBytes: Int): Int {
-            val bytesForTasks = valueBytes / CHUNKS_PER_VALUE - OVERHEADS_PER_CHUNK * PLAIN_SIZED.bytesPerChunk
+            val bytesForTasks = valueBytes / MIN_CHUNKS_PER_VALUE - OVERHEADS_PER_CHUNK * PLAIN_SIZED.bytesPerChunk
             return maxOf(1, bytesForTasks / (PLAIN_SIZED.bytesPerPlacement + BYTES_PER_RESULT))
         }
     }
--- a/src/main/kotlin/io/reedmast/persistence/PageMigrationAccess.kt
+++ b/src/main/kotlin/io/reedmast/persistence/PageMigrationAccess.kt
@@ -19,6 +19,6 @@
         page.isWriteInFlight = false
         if (version == null) return
         page.version = maxOf(page.version, version)
-        page.isStoredDense = pages.isWrittenDense()
+        page.isStoredDense = pages.writesDense()
     }
 }
--- a/src/main/kotlin/io/reedmast/persistence/PageReader.kt
+++ b/src/main/kotlin/io/reedmast/persistence/PageReader.kt
@@ -41,9 +41,9 @@
         page.version = item.version
         page.isStoredDense = DensePages.isDense(item.value)
         val chunks = chunksOf(item)
-        val mustBeDivided = isDividedOtherwise(chunks) || isOverfull(page, chunks) ||
+        val mustBeReplaced = hasOtherBoundaries(chunks) || isOverfull(page, chunks) ||
             BodyCodec.jsonSize(item.value) > shardState.limits.allowed.valueBytes
-        for (chunk in chunks) loadChunk(chunk, page, mustBeDivided)
+        for (chunk in chunks) loadChunk(chunk, page, mustBeReplaced)
     }
 
     private fun chunksOf(item: StoredItem): List<StoredChunk> = try {
@@ -61,15 +61,15 @@
         return false
     }
 
-    private fun isDividedOtherwise(chunks: List<StoredChunk>): Boolean = chunks.any { stored ->
+    private fun hasOtherBoundaries(chunks: List<StoredChunk>): Boolean = chunks.any { stored ->
         val chunk = jobOf(stored).chunkOf(stored.first)
         chunk.page != null || chunk.first != stored.first || chunk.size != tasksOf(stored).count()
     }
 
     /** Whether a dense page that is to be stored plainly holds more than that form can. */
     private fun isOverfull(page: ProgressPage, chunks: List<StoredChunk>): Boolean {
-        if (!page.isStoredDense || pages.isWrittenDense()) return false
-        return chunks.sumOf { PageFormat.PLAIN_SIZED.reserveFor(jobOf(it).chunkOf(it.first)) } > pages.capacityBytes
+        if (!page.isStoredDense || pages.writesDense()) return false
+        return chunks.sumOf { PageFormat.PLAIN_SIZED.maxBytesFor(jobOf(it).chunkOf(it.first)) } > pages.capacityBytes
     }
 
     private fun jobOf(stored: StoredChunk): Job = shardState.jobs.getValue(stored.jobId)
@@ -81,10 +81,10 @@
         return stored.first until minOf(taskCount, stored.first + size)
     }
 
-    private fun loadChunk(stored: StoredChunk, page: ProgressPage, mustBeDivided: Boolean) {
+    private fun loadChunk(stored: StoredChunk, page: ProgressPage, mustBeReplaced: Boolean) {
         val job = jobOf(stored)
         val tasks = tasksOf(stored)
-        if (mustBeDivided) {
+        if (mustBeReplaced) {
             val chunks = tasks.mapTo(LinkedHashSet()) { job.chunkOf(it) }
             chunks.forEach { supersededPages.supersede(page, it) }
         } else {
@@ -103,11 +103,15 @@
 
     /** Of placements, the newest copy of a task is right. */
     private fun restorePlacements(job: Job, stored: StoredChunk, tasks: IntRange) {
-        val newer = tasksRead.getOrPut(job) { BitSet() }
+        val tasksInNewerPages = tasksRead.getOrPut(job) { BitSet() }
         for (placement in stored.placements) {
-            if (placement.task in 0 until job.spec.taskCount && !newer.get(placement.task)) place(job, placement)
+            if (placement.task in 0 until job.spec.taskCount &&
+                !tasksInNewerPages.get(placement.task)
+            ) {
+                place(job, placement)
+            }
         }
-        newer.set(tasks.first, tasks.last + 1)
+        tasksInNewerPages.set(tasks.first, tasks.last + 1)
     }
 
     /**
--- a/src/main/kotlin/io/reedmast/persistence/PageWritePolicy.kt
+++ b/src/main/kotlin/io/reedmast/persistence/PageWritePolicy.kt
@@ -20,7 +20,7 @@
     /**
      * Permits up to this level are left to acceptances: each takes one, and its user waits, so it should find it.
      */
-    private const val LEVEL_LEFT_TO_ACCEPTANCES = 0.25
+    private const val LEVEL_RESERVED_FOR_ACCEPTANCES = 0.25
 
     /**
      * Results are handed over above this level, when there is room for them at once: while a page waits to be stored,
@@ -31,9 +31,9 @@
     /** Above this level pages of placements are written side by side, whatever waits for them. */
     private const val MIN_LEVEL_FOR_MANY_WRITES = 0.8
 
-    private const val MAX_AWAITED_WRITES = 8
-    private const val MAX_AWAITED_WRITES_FOR_URGENT = 5
-    private const val MAX_AWAITED_WRITES_FOR_ARRAYS = 2
+    private const val MAX_PLACEMENT_WRITES = 8
+    private const val MAX_PLACEMENT_WRITES_FOR_URGENT = 5
+    private const val MAX_PLACEMENT_WRITES_FOR_ARRAYS = 2
 
     /** Whether a page may be written at all after having differed from its stored value for [dirtyForMs]. */
     fun isDue(pendingWrite: PendingWrite, dirtyForMs: Long): Boolean =
@@ -43,22 +43,22 @@
      * The priority with which a page that is due is written now, or null if it is to wait.
      *
      * @param permitLevel the write permits that are left, as a part of a second's worth
-     * @param awaitedWrites how many writes of pages that placements wait for are in flight
+     * @param placementWritesInFlight how many writes of pages that placements wait for are in flight
      */
     fun priorityOf(
         pendingWrite: PendingWrite,
         dirtyForMs: Long,
         permitLevel: Double,
-        awaitedWrites: Int,
+        placementWritesInFlight: Int,
     ): WritePriority? = when (pendingWrite) {
         PendingWrite.RESULTS -> priorityOfResults(dirtyForMs, permitLevel)
 
         PendingWrite.ARRAY_PLACEMENTS, PendingWrite.URGENT_PLACEMENTS ->
-            WritePriority.URGENT.takeIf { mayWritePlacements(pendingWrite, permitLevel, awaitedWrites) }
+            WritePriority.URGENT.takeIf { mayWritePlacements(pendingWrite, permitLevel, placementWritesInFlight) }
     }
 
     private fun priorityOfResults(dirtyForMs: Long, permitLevel: Double): WritePriority? = when {
-        dirtyForMs >= RESULTS_OVERDUE_MS && permitLevel > LEVEL_LEFT_TO_ACCEPTANCES -> WritePriority.URGENT
+        dirtyForMs >= RESULTS_OVERDUE_MS && permitLevel > LEVEL_RESERVED_FOR_ACCEPTANCES -> WritePriority.URGENT
         dirtyForMs >= RESULTS_DELAY_MS && permitLevel > MIN_LEVEL_FOR_RESULTS -> WritePriority.DEFERRED
         else -> null
     }
@@ -67,12 +67,16 @@
      * Not with the permits that are left to acceptances. Nor are more writes in flight at once than a placement may
      * wait behind: what is placed meanwhile shares the page's next put.
      */
-    private fun mayWritePlacements(pendingWrite: PendingWrite, permitLevel: Double, awaitedWrites: Int): Boolean =
-        permitLevel > LEVEL_LEFT_TO_ACCEPTANCES && awaitedWrites < maxAwaitedWrites(pendingWrite, permitLevel)
+    private fun mayWritePlacements(
+        pendingWrite: PendingWrite,
+        permitLevel: Double,
+        placementWritesInFlight: Int,
+    ): Boolean = permitLevel > LEVEL_RESERVED_FOR_ACCEPTANCES &&
+        placementWritesInFlight < maxPlacementWrites(pendingWrite, permitLevel)
 
-    private fun maxAwaitedWrites(pendingWrite: PendingWrite, permitLevel: Double): Int = when {
-        permitLevel > MIN_LEVEL_FOR_MANY_WRITES -> MAX_AWAITED_WRITES
-        pendingWrite == PendingWrite.URGENT_PLACEMENTS -> MAX_AWAITED_WRITES_FOR_URGENT
-        else -> MAX_AWAITED_WRITES_FOR_ARRAYS
+    private fun maxPlacementWrites(pendingWrite: PendingWrite, permitLevel: Double): Int = when {
+        permitLevel > MIN_LEVEL_FOR_MANY_WRITES -> MAX_PLACEMENT_WRITES
+        pendingWrite == PendingWrite.URGENT_PLACEMENTS -> MAX_PLACEMENT_WRITES_FOR_URGENT
+        else -> MAX_PLACEMENT_WRITES_FOR_ARRAYS
     }
 }
--- a/src/main/kotlin/io/reedmast/persistence/PageWriter.kt
+++ b/src/main/kotlin/io/reedmast/persistence/PageWriter.kt
@@ -35,12 +35,12 @@
     /** Hands the present state of [page] to the store. */
     fun write(page: ProgressPage, priority: WritePriority) {
         val selection = selectPlacements(page)
-        recordHandedOver(page, selection)
+        recordSubmission(page, selection)
         committer.put(
             page,
             priority,
             preconditionsOn(selection.jobs),
-            valueIn = { form -> page.toFields(selection.excluded, form) },
+            encode = { format -> page.toFields(selection.excluded, format) },
             onOutcome = { outcome -> onOutcome(outcome, page, selection.included) },
         )
     }
@@ -54,8 +54,8 @@
         return PlacementSelection(jobs, included, excluded.toHashSet())
     }
 
-    private fun recordHandedOver(page: ProgressPage, selection: PlacementSelection) {
-        page.isLastWriteAwaited = page.pendingWrite != PendingWrite.RESULTS
+    private fun recordSubmission(page: ProgressPage, selection: PlacementSelection) {
+        page.isLastWriteForPlacements = page.pendingWrite != PendingWrite.RESULTS
         page.chunks.forEach { it.dirty = false }
         if (selection.excluded.isEmpty()) {
             page.dirtySince = 0L
@@ -94,8 +94,8 @@
     private fun scheduleRewrite(page: ProgressPage) {
         page.chunks.forEach { shardState.markDirty(it) }
         page.dirtySince = shardState.clock.now()
-        val mostPressing = page.chunks.maxOfOrNull { shardState.pendingWriteOf(it) } ?: PendingWrite.RESULTS
-        page.pendingWrite = maxOf(mostPressing, PendingWrite.ARRAY_PLACEMENTS)
+        val mostUrgent = page.chunks.maxOfOrNull { shardState.pendingWriteOf(it) } ?: PendingWrite.RESULTS
+        page.pendingWrite = maxOf(mostUrgent, PendingWrite.ARRAY_PLACEMENTS)
     }
 
     private companion object {
--- a/src/main/kotlin/io/reedmast/persistence/ProgressPage.kt
+++ b/src/main/kotlin/io/reedmast/persistence/ProgressPage.kt
@@ -47,7 +47,7 @@
      * Whether the last write of its chunks stored something that is waited for. It remains after that write, so it says
      * something of a write in flight only while [writing] holds.
      */
-    var isLastWriteAwaited = false
+    var isLastWriteForPlacements = false
 
     /** The most pressing of what waits for the page to be stored. */
     var pendingWrite = PendingWrite.RESULTS
@@ -62,44 +62,44 @@
     }
 
     /** The store holds the page in [form], as version [revision]. */
-    fun recordStored(revision: Long, form: PageFormat) {
+    fun recordStored(revision: Long, format: PageFormat) {
         version = revision
-        isStoredDense = form == PageFormat.DENSE
+        isStoredDense = format == PageFormat.DENSE
     }
 
     /** The bytes that its chunks may come to take in [form]. */
-    fun reservedIn(form: PageFormat): Int = reservedBytes[form] ?: 0
+    fun reservedIn(format: PageFormat): Int = reservedBytes[format] ?: 0
 
     /** Whether [chunk] may be added to a page that is to stay within [capacityBytes] in [form]. */
-    fun hasRoom(chunk: Chunk, capacityBytes: Int, form: PageFormat) =
-        supersededChunks.isEmpty() && reservedIn(form) + form.reserveFor(chunk) <= capacityBytes
+    fun hasRoom(chunk: Chunk, capacityBytes: Int, format: PageFormat) =
+        supersededChunks.isEmpty() && reservedIn(format) + format.maxBytesFor(chunk) <= capacityBytes
 
     /** Assigns [chunk] to this page and sets aside room for all its tasks. */
     fun add(chunk: Chunk) {
         chunk.page = this
         if (!chunks.add(chunk)) return
-        for (form in PageFormat.entries) reservedBytes[form] = reservedIn(form) + form.reserveFor(chunk)
+        for (format in PageFormat.entries) reservedBytes[format] = reservedIn(format) + format.maxBytesFor(chunk)
     }
 
     override fun remove(chunk: Chunk) {
         if (!chunks.remove(chunk)) return
-        for (form in PageFormat.entries) reservedBytes[form] = reservedIn(form) - form.reserveFor(chunk)
+        for (format in PageFormat.entries) reservedBytes[format] = reservedIn(format) - format.maxBytesFor(chunk)
     }
 
     /**
      * Its value in [form], without the [excluded] placements. A chunk that supersedes an older copy is stored even if
      * it is empty, or the older copy would seem to hold.
      */
-    fun toFields(excluded: Set<Placement>, form: PageFormat): Fields =
-        form.toFields(chunks.filter { hasContent(it) }.map { toStored(it, excluded, form) })
+    fun toFields(excluded: Set<Placement>, format: PageFormat): Fields =
+        format.toFields(chunks.filter { hasContent(it) }.map { toStored(it, excluded, format) })
 
     private fun hasContent(chunk: Chunk) =
         chunk.placements.isNotEmpty() || !chunk.done.isEmpty || chunk.supersededCopies > 0
 
-    private fun toStored(chunk: Chunk, excluded: Set<Placement>, form: PageFormat) = StoredChunk(
+    private fun toStored(chunk: Chunk, excluded: Set<Placement>, format: PageFormat) = StoredChunk(
         chunk.job.spec.jobId,
         chunk.first,
-        chunk.size.takeIf { form != PageFormat.PLAIN_UNSIZED },
+        chunk.size.takeIf { format != PageFormat.PLAIN_UNSIZED },
         chunk.done,
         chunk.placements.values.filter {
             it !in excluded
--- a/src/main/kotlin/io/reedmast/persistence/ProgressPages.kt
+++ b/src/main/kotlin/io/reedmast/persistence/ProgressPages.kt
@@ -19,16 +19,16 @@
     /**
      * Whether the pages were read when the reduced limits were known to hold, so that they were divided accordingly.
      */
-    private val isDividedForReduced = shardState.limits.isReduced
+    private val wereLimitsReducedBeforeLoad = shardState.limits.isReduced
 
     /**
      * Whether the pages are to be read again, since the limits were lowered after they were, and some of their content
      * is too large for them.
      */
-    val needsReload: Boolean get() = isUndivided || pages.any { isOverfull(it) }
+    val needsReload: Boolean get() = exceedsReducedLimits || pages.any { isOverfull(it) }
 
-    private val isUndivided: Boolean
-        get() = !isDividedForReduced && shardState.limits.isReduced &&
+    private val exceedsReducedLimits: Boolean
+        get() = !wereLimitsReducedBeforeLoad && shardState.limits.isReduced &&
             pages.any { it.reservedIn(PageFormat.PLAIN_SIZED) > capacityBytes || hasTooLargeChunk(it) }
 
     private fun hasTooLargeChunk(page: ProgressPage): Boolean {
@@ -41,13 +41,13 @@
      * several pages.
      */
     fun isOverfull(page: ProgressPage): Boolean =
-        page.isStoredDense && page.reservedIn(PageFormat.PLAIN_SIZED) > capacityBytes && !isWrittenDense()
+        page.isStoredDense && page.reservedIn(PageFormat.PLAIN_SIZED) > capacityBytes && !writesDense()
 
     /** The form in which pages are written while the gates stand like this. */
-    fun formToWrite(gates: GateSnapshot): PageFormat = PageFormat.toWrite(gates, shardState.limits.isReduced)
+    fun formatToWrite(gates: GateSnapshot): PageFormat = PageFormat.forWriting(gates, shardState.limits.isReduced)
 
     /** Whether the rollout has pages written in the dense form now. */
-    fun isWrittenDense(): Boolean = shardState.gates().writes(DensePages.FEATURE)
+    fun writesDense(): Boolean = shardState.gates().writes(DensePages.FEATURE)
 
     /** The key of the page. */
     fun pathOf(page: ProgressPage): String = Keys.page(shardState.index.value, page.index)
@@ -71,11 +71,11 @@
      * of a moment share a put.
      */
     fun assignPage(chunk: Chunk): ProgressPage {
-        val form = formToWrite(shardState.gates())
-        val open = pages.filter { !it.isWriteInFlight && it.hasRoom(chunk, capacityBytes, form) }
-        val page = open.firstOrNull { it.pendingWrite != PendingWrite.RESULTS }
-            ?: open.firstOrNull { it.dirtySince != 0L }
-            ?: open.firstOrNull()
+        val format = formatToWrite(shardState.gates())
+        val pagesWithRoom = pages.filter { !it.isWriteInFlight && it.hasRoom(chunk, capacityBytes, format) }
+        val page = pagesWithRoom.firstOrNull { it.pendingWrite != PendingWrite.RESULTS }
+            ?: pagesWithRoom.firstOrNull { it.dirtySince != 0L }
+            ?: pagesWithRoom.firstOrNull()
             ?: create()
         page.add(chunk)
         return page
--- a/src/main/kotlin/io/reedmast/persistence/ProgressStore.kt
+++ b/src/main/kotlin/io/reedmast/persistence/ProgressStore.kt
@@ -29,8 +29,8 @@
     val needsReload: Boolean get() = pages.needsReload
 
     /** Whether all that was decided is stored, and nothing is on its way to be. */
-    val isFullyStored: Boolean
-        get() = finalRecords.isFullyStored &&
+    val areDecisionsStored: Boolean
+        get() = finalRecords.isIdle &&
             pages.all.none { it.isWriteInFlight || it.pendingWrite != PendingWrite.RESULTS }
 
     /**
@@ -69,14 +69,19 @@
     }
 
     private fun writeDuePages(now: Long) {
-        var awaitedWrites = pages.all.count { it.isWriteInFlight && it.isLastWriteAwaited }
+        var placementWritesInFlight = pages.all.count { it.isWriteInFlight && it.isLastWriteForPlacements }
         for (page in duePages(now)) {
             val dirtyForMs = now - page.dirtySince
             val priority =
-                PageWritePolicy.priorityOf(page.pendingWrite, dirtyForMs, store.writePermitLevel(), awaitedWrites)
+                PageWritePolicy.priorityOf(
+                    page.pendingWrite,
+                    dirtyForMs,
+                    store.writePermitLevel(),
+                    placementWritesInFlight,
+                )
                     ?: continue
             pageWriter.write(page, priority)
-            if (page.isLastWriteAwaited) awaitedWrites++
+            if (page.isLastWriteForPlacements) placementWritesInFlight++
         }
     }
 
--- a/src/main/kotlin/io/reedmast/persistence/SupersededPages.kt
+++ b/src/main/kotlin/io/reedmast/persistence/SupersededPages.kt
@@ -45,7 +45,7 @@
             page,
             WritePriority.DEFERRED,
             jobPreconditions = emptyList(),
-            valueIn = { form -> form.toFields(emptyList()) },
+            encode = { format -> format.toFields(emptyList()) },
             onOutcome = { outcome -> onOutcome(outcome, page) },
         )
     }
--- a/src/test/kotlin/io/reedmast/persistence/DensePagesProperties.kt
+++ b/src/test/kotlin/io/reedmast/persistence/DensePagesProperties.kt
@@ -96,11 +96,11 @@
 
     @Property(tries = 200, seed = "105")
     fun `the token counter goes forward and back`(@ForAll @LongRange(min = 0) token: Long) {
-        val open = stored(mapOf("token" to token))
-        val fenced = stored(TokenCounter.forward(open))
+        val unfenced = stored(mapOf("token" to token))
+        val fenced = stored(TokenCounter.forward(unfenced))
         assertThrows<MalformedException> { TokenCounter.back(mapOf("form" to 0L)) }
         assertTrue("token" !in fenced)
-        assertEquals(open, stored(TokenCounter.back(fenced)))
+        assertEquals(unfenced, stored(TokenCounter.back(fenced)))
         assertEquals(token, TokenCounter.tokenOf(fenced))
     }
 
@@ -111,7 +111,7 @@
     fun `a full page fits its value`(
         @ForAll("taskCounts") taskCounts: List<Int>,
         @ForAll("attempts") attempts: Long,
-        @ForAll("forms") form: PageFormat,
+        @ForAll("forms") format: PageFormat,
     ) {
         val page = ProgressPage(0)
         var machineCount = 0
@@ -126,7 +126,7 @@
                 )
             for (first in 0 until taskCount step PageFormat.chunkSizeFor(VALUE_BYTES)) {
                 val chunk = job.chunkOf(first)
-                if (!page.hasRoom(chunk, VALUE_BYTES * 95 / 100, form)) continue
+                if (!page.hasRoom(chunk, VALUE_BYTES * 95 / 100, format)) continue
                 page.add(chunk)
                 for (task in first until first + chunk.size) {
                     val machine =
@@ -140,7 +140,7 @@
                             ) {
                                 attempts
                             } else {
-                                attempts + LARGEST_DISTANCE
+                                attempts + LARGEST_ATTEMPT_DIFFERENCE
                             },
                             machine,
                             0L,
@@ -149,9 +149,9 @@
                 }
             }
         }
-        val put = Write.Put("page/0/0", page.toFields(emptySet(), form))
+        val put = Write.Put("page/0/0", page.toFields(emptySet(), format))
         val size = put.storedSize("mastil-0-abcdefgh-abcdefghijkl-99999")
-        assertTrue(size <= VALUE_BYTES, "$form takes $size bytes")
+        assertTrue(size <= VALUE_BYTES, "$format takes $size bytes")
     }
 
     @Provide
@@ -170,6 +170,6 @@
         const val VALUE_BYTES = 2 * 1024
 
         /** Attempts of one page lie no further apart than some hundred thousand takings of shards. */
-        const val LARGEST_DISTANCE = 900_000_000_000L
+        const val LARGEST_ATTEMPT_DIFFERENCE = 900_000_000_000L
     }
 }
--- a/src/test/kotlin/io/reedmast/persistence/PageDivisionTest.kt
+++ b/src/test/kotlin/io/reedmast/persistence/PageSplitTest.kt
@@ -32,7 +32,7 @@
  * A page of an earlier version is divided for reduced limits: two pages speak for the same tasks until the old one is
  * cleared.
  */
-class PageDivisionTest {
+class PageSplitTest {
     private var now = 10_000L
     private val clock = object : Clock {
         override fun now() = now
@@ -44,13 +44,13 @@
         storeLimits = StoreLimits(100.0, 50.0, 32 * 1024, 16),
         nextStoreLimits = StoreLimits(100.0, 35.0, 2 * 1024, 5),
     )
-    private val out = RecordingGateway()
+    private val gateway = RecordingGateway()
     private val limits = EffectiveLimits(settings.storeLimits, settings.nextStoreLimits).apply { reduce() }
     private val shardState = ShardState(ShardId(0), settings, Tuning(), clock, { emptyList() }, { true }, limits)
     private val launchable = ArrayList<Placement>()
     private val store = ProgressStore(
         shardState,
-        out,
+        gateway,
         object : ProgressListener {
             override fun onPlacementStored(placement: Placement) {
                 launchable.add(placement)
@@ -86,12 +86,12 @@
     private fun tasksPlaced() = job.placements().map { it.task }.toList()
 
     private fun flush(): List<CasTransaction> {
-        val before = out.commits.size
+        val before = gateway.commits.size
         store.flush(now)
         // What nobody waits for is stored a little later.
         now += 10_000
         store.flush(now)
-        return out.commits.drop(before)
+        return gateway.commits.drop(before)
     }
 
     private fun putOf(change: CasTransaction) = change.writes.single() as Write.Put
--- a/src/test/kotlin/io/reedmast/persistence/PageWritePolicyTest.kt
+++ b/src/test/kotlin/io/reedmast/persistence/PageWritePolicyTest.kt
@@ -10,11 +10,11 @@
 
 /** Which pages may be written with the permits that are left, and in which order of priority. */
 class PageWritePolicyTest {
-    private fun placements(pendingWrite: PendingWrite, permitLevel: Double, awaitedWrites: Int) =
-        PageWritePolicy.priorityOf(pendingWrite, dirtyForMs = 0, permitLevel, awaitedWrites)
+    private fun placements(pendingWrite: PendingWrite, permitLevel: Double, placementWritesInFlight: Int) =
+        PageWritePolicy.priorityOf(pendingWrite, dirtyForMs = 0, permitLevel, placementWritesInFlight)
 
     private fun results(dirtyForMs: Long, permitLevel: Double) =
-        PageWritePolicy.priorityOf(PendingWrite.RESULTS, dirtyForMs, permitLevel, awaitedWrites = 0)
+        PageWritePolicy.priorityOf(PendingWrite.RESULTS, dirtyForMs, permitLevel, placementWritesInFlight = 0)
 
     @Test
     fun `results wait for those that follow, placements do not`() {
@@ -27,9 +27,11 @@
     @Test
     fun `the last permits are left to acceptances`() {
         PendingWrite.entries.forEach {
-            assertNull(PageWritePolicy.priorityOf(it, dirtyForMs = 60_000, permitLevel = 0.25, awaitedWrites = 0))
+            assertNull(
+                PageWritePolicy.priorityOf(it, dirtyForMs = 60_000, permitLevel = 0.25, placementWritesInFlight = 0),
+            )
         }
-        assertEquals(WritePriority.URGENT, placements(PendingWrite.ARRAY_PLACEMENTS, 0.26, awaitedWrites = 0))
+        assertEquals(WritePriority.URGENT, placements(PendingWrite.ARRAY_PLACEMENTS, 0.26, placementWritesInFlight = 0))
     }
 
     @Test
@@ -41,11 +43,11 @@
 
     @Test
     fun `the fewer permits are left, the fewer pages of arrays are written side by side`() {
-        assertEquals(WritePriority.URGENT, placements(PendingWrite.ARRAY_PLACEMENTS, 0.5, awaitedWrites = 1))
-        assertNull(placements(PendingWrite.ARRAY_PLACEMENTS, 0.5, awaitedWrites = 2))
-        assertEquals(WritePriority.URGENT, placements(PendingWrite.URGENT_PLACEMENTS, 0.5, awaitedWrites = 4))
-        assertNull(placements(PendingWrite.URGENT_PLACEMENTS, 0.5, awaitedWrites = 5))
-        assertEquals(WritePriority.URGENT, placements(PendingWrite.ARRAY_PLACEMENTS, 0.81, awaitedWrites = 7))
-        assertNull(placements(PendingWrite.ARRAY_PLACEMENTS, 0.81, awaitedWrites = 8))
+        assertEquals(WritePriority.URGENT, placements(PendingWrite.ARRAY_PLACEMENTS, 0.5, placementWritesInFlight = 1))
+        assertNull(placements(PendingWrite.ARRAY_PLACEMENTS, 0.5, placementWritesInFlight = 2))
+        assertEquals(WritePriority.URGENT, placements(PendingWrite.URGENT_PLACEMENTS, 0.5, placementWritesInFlight = 4))
+        assertNull(placements(PendingWrite.URGENT_PLACEMENTS, 0.5, placementWritesInFlight = 5))
+        assertEquals(WritePriority.URGENT, placements(PendingWrite.ARRAY_PLACEMENTS, 0.81, placementWritesInFlight = 7))
+        assertNull(placements(PendingWrite.ARRAY_PLACEMENTS, 0.81, placementWritesInFlight = 8))
     }
 }
