--- a/src/main/kotlin/io/reedmast/persistence/ConflictHandler.kt
+++ b/src/main/kotlin/io/reedmast/persistence/ConflictHandler.kt
@@ -7,8 +7,9 @@
 import io.reedmast.ports.KeyValueStore
 
 /**
- * Handles preconditions that did not hold: the term had moved on, a gate of the rollout, a job that its user has
- * cancelled, or the page, if an answer to this controller was lost. What has moved is read again before the next write.
+ * Handles transactions whose preconditions failed: because the shard's term or a gate of the rollout has changed, a
+ * user has cancelled the job, or the page has another version, which can happen when an answer to this controller was
+ * lost. Whatever has changed is read again before the next write.
  */
 internal class ConflictHandler(
     private val shardState: ShardState,
@@ -18,13 +19,16 @@
 ) {
     private val shard = shardState.index.value
 
-    /** The preconditions on [failedPaths] of a job's final record did not hold. */
+    /** Handles the failed preconditions on [failedPaths] of the transaction with a job's final record. */
     fun onFinalRecordConflict(failedPaths: Set<String>) {
         reportTermAndGatesConflicts(failedPaths)
         withdrawAndReadJobs(failedPaths, emptyList())
     }
 
-    /** The preconditions on [failedPaths] of a write of [page] did not hold; [written] were to be stored by it. */
+    /**
+     * Handles the failed preconditions on [failedPaths] of a write of [page], which was to store the placements
+     * [written].
+     */
     fun onPageConflict(failedPaths: Set<String>, page: ProgressPage, written: List<Placement>) {
         reportTermAndGatesConflicts(failedPaths)
         if (Keys.ROLLOUT in failedPaths) page.retryNotBefore = shardState.clock.now() + GATES_READ_DELAY_MS
@@ -47,13 +51,16 @@
         }
     }
 
-    /** The job whose record has this path; null if it is the path of something else. */
+    /** The ID of the job whose record has the key [path]; null if the key is not that of a job's record. */
     private fun jobIdOf(path: String): String? {
         val prefix = Keys.live(shard, "")
         return if (path.startsWith(prefix)) path.removePrefix(prefix) else null
     }
 
-    /** Sent again as they are, they would only fail again: nothing is placed before the job's record is known. */
+    /**
+     * Withdraws the placements of the job among [written] that are not stored: with the same precondition their write
+     * would fail again, and nothing of the job is placed before its record is known.
+     */
     private fun withdrawPlacements(jobId: String, written: List<Placement>) {
         val uncommitted = written.filter { it.job.spec.jobId == jobId && !it.committed }
         uncommitted.forEach { shardState.finish(it, done = false) }
--- a/src/main/kotlin/io/reedmast/persistence/DensePages.kt
+++ b/src/main/kotlin/io/reedmast/persistence/DensePages.kt
@@ -9,14 +9,14 @@
 import io.reedmast.wire.list
 
 /**
- * The codec of dense pages, and the migration between them and plain ones.
+ * The codec of dense pages, and the migration between dense and plain pages.
  *
- * Machines stand in a table of the page, attempts are counted from the page's lowest one, tasks from the chunk's first
- * one, and chunks are lists without names for their values. Both forms hold the same, so either can be made from the
- * other.
+ * A dense page has a table of machine names, to which placements refer by index. Attempts are relative to the lowest
+ * attempt in the page and tasks to the first task of their chunk; chunks are lists without field names. Both formats
+ * hold the same information, so either can be converted to the other.
  */
 object DensePages : RecordMigration {
-    /** The feature whose gate decides whether pages are written in this form. */
+    /** The feature whose gate decides whether pages are written in the dense format. */
     val FEATURE = FeatureName("dense-pages")
     override val scope = MigrationScope.SHARD
     private const val MACHINES = "machines"
@@ -45,10 +45,10 @@
         PlainPages.chunksOf(record)
     }
 
-    /** Whether the stored page has the dense form. */
+    /** Whether the stored page has the dense format. */
     fun isDense(record: Fields): Boolean = CHUNKS in record
 
-    /** A page with [chunks] in the dense form. */
+    /** Encodes a page with [chunks] in the dense format. */
     fun toFields(chunks: List<StoredChunk>): Fields {
         val machineNames = chunks.flatMap { chunk -> chunk.placements.map { it.machineName } }.distinct()
         val machineIndexes = machineNames.withIndex().associate { (index, name) -> name to index.toLong() }
@@ -61,11 +61,13 @@
     }
 
     /**
-     * The chunks of a dense page. A malformed chunk is reported to [onMalformed] and left out, and the others are read
-     * all the same. Throws [MalformedException] if the page itself is malformed, or what [onMalformed] throws.
+     * Decodes the chunks of a dense page. A malformed chunk is reported to [onMalformed] and skipped; the others are
+     * still decoded. Throws [MalformedException] if the page itself is malformed, or whatever [onMalformed] throws.
      */
     fun chunksOf(record: Fields, onMalformed: (MalformedException) -> Unit = { throw it }): List<StoredChunk> {
-        val machineNames = record.list(MACHINES).map { (it as? String).orMalformed("$MACHINES holds no name") }
+        val machineNames = record.list(MACHINES).map {
+            (it as? String).orMalformed("$MACHINES has an entry that is not a string")
+        }
         val lowestAttempt = integerOf(record[LOWEST_ATTEMPT])
         return record.list(CHUNKS).parseChunks(onMalformed) { chunk ->
             DenseChunks.parse((chunk as? List<*>).orMalformed("a chunk is not a list"), machineNames, lowestAttempt)
--- a/src/main/kotlin/io/reedmast/persistence/FinalRecordWriter.kt
+++ b/src/main/kotlin/io/reedmast/persistence/FinalRecordWriter.kt
@@ -14,11 +14,11 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Stores the final states of jobs: one transaction puts the record of a job's end and deletes that of the unfinished
- * job.
+ * Stores the final states of jobs: one transaction puts the final record of a job and deletes the record of the
+ * unfinished job.
  *
- * Those of jobs that are done are stored at once, since their users wait; those of cancelled ones, whose users know,
- * when there is room.
+ * Final records of completed jobs are stored at once, because their users wait for them. Those of cancelled jobs, whose
+ * users already know that the job has ended, are stored when enough write permits are left.
  */
 internal class FinalRecordWriter(
     private val shardState: ShardState,
@@ -31,20 +31,20 @@
     private val waitingJobs = LinkedHashSet<Job>()
     private var writesInFlight = 0
 
-    /** Whether no final record waits to be stored or is on its way to the store. */
+    /** Whether no final record is queued or being written. */
     val isIdle: Boolean get() = writesInFlight == 0 && waitingJobs.isEmpty()
 
-    /** The job is finished, and its final record is to be stored. */
+    /** Queues the final record of a finished job. */
     fun enqueue(job: Job) {
         waitingJobs.add(job)
     }
 
-    /** The job needs no final record any more. */
+    /** Removes the job from the queue, as it needs no final record any more. */
     fun forget(job: Job) {
         waitingJobs.remove(job)
     }
 
-    /** Writes the final records that are due, as many at once as are allowed. */
+    /** Writes the final records that are due, with at most [MAX_WRITES_IN_FLIGHT] writes in flight. */
     fun writeDue() {
         val iterator = waitingJobs.iterator()
         while (iterator.hasNext() && writesInFlight < MAX_WRITES_IN_FLIGHT) {
@@ -98,7 +98,7 @@
             }
 
             is CommitOutcome.Refused -> {
-                log.error("job {}: the store refuses its final record: {}", job.spec.jobId, outcome.reason)
+                log.error("job {}: store refused the final record: {}", job.spec.jobId, outcome.reason)
                 retryLater(job, REFUSED_DELAY_MS)
             }
         }
@@ -114,7 +114,10 @@
         const val NOT_STORED = 0L
         const val MAX_WRITES_IN_FLIGHT = 64
 
-        /** Cancelled jobs wait for this part of a second's worth of write permits: their users know of the end. */
+        /**
+         * Final records of cancelled jobs wait until this fraction of one second's write permits is left: their users
+         * already know that the job has ended.
+         */
         const val MIN_LEVEL_FOR_CANCELLED = 0.5
         const val CONFLICT_DELAY_MS = 500L
         const val REFUSED_DELAY_MS = 30_000L
--- a/src/main/kotlin/io/reedmast/persistence/PageCommitter.kt
+++ b/src/main/kotlin/io/reedmast/persistence/PageCommitter.kt
@@ -10,8 +10,8 @@
 import io.reedmast.wire.Fields
 
 /**
- * Puts values of pages under the preconditions that all such writes have: the shard's term, the rollout's gates and the
- * page's version.
+ * Stores values of pages under the preconditions that all such writes share: the shard's term, the rollout's gates and
+ * the page's version.
  */
 internal class PageCommitter(
     private val shardState: ShardState,
@@ -19,11 +19,11 @@
     private val pages: ProgressPages,
 ) {
     /**
-     * Puts a new value of [page], which counts as being written until the store has answered.
+     * Stores a new value of [page], which counts as being written until the store has answered.
      *
      * @param jobPreconditions further preconditions, on records of jobs
-     * @param encode the value in the form that is written now
-     * @param onOutcome is called with the store's answer, unless another owner has taken the shard by then
+     * @param encode returns the value in the format that is to be written now
+     * @param onOutcome called with the store's answer, unless another owner has acquired the shard by then
      */
     fun put(
         page: ProgressPage,
@@ -34,7 +34,7 @@
     ) {
         page.isWriteInFlight = true
         val path = pages.pathOf(page)
-        // The form and the precondition that it is the right one come from one snapshot of the gates.
+        // The format and the precondition that guards it must come from the same snapshot of the gates.
         val gates = shardState.gates()
         val format = pages.formatToWrite(gates)
         val preconditions =
--- a/src/main/kotlin/io/reedmast/persistence/PageFormat.kt
+++ b/src/main/kotlin/io/reedmast/persistence/PageFormat.kt
@@ -6,28 +6,32 @@
 import io.reedmast.wire.MalformedException
 
 /**
- * The record formats of [ProgressPage]. All are read at any time; which one is written depends on the rollout.
+ * The record formats of [ProgressPage]. Each of them can be read at any time; which one is written depends on the
+ * rollout.
  *
  * Sizes are in bytes, as the store counts them: see [io.reedmast.wire.BodyCodec.jsonSize].
  */
 enum class PageFormat(private val bytesPerChunk: Int, private val bytesPerPlacement: Int) {
-    /** Chunks do not say how many tasks they cover: it is the chunk size in the job's record. */
+    /**
+     * Plain pages (see [PlainPages]) whose chunks do not say how many tasks they cover: the chunk size is in the job's
+     * record.
+     */
     PLAIN_UNSIZED(bytesPerChunk = 64, bytesPerPlacement = 48),
 
-    /** As [PLAIN_UNSIZED], and each chunk has its size. */
+    /** Like [PLAIN_UNSIZED], but each chunk includes its size. */
     PLAIN_SIZED(bytesPerChunk = 64, bytesPerPlacement = 48),
 
     /** See [DensePages]. */
     DENSE(bytesPerChunk = 28, bytesPerPlacement = 38),
     ;
 
-    /** The most bytes that [chunk] may come to take once all its tasks are placed. */
+    /** An upper bound of the bytes that [chunk] takes once all its tasks are placed. */
     fun maxBytesFor(chunk: Chunk): Int {
         val resultBytes = chunk.size / TASKS_PER_HEX_DIGIT + 1
         return bytesPerChunk + chunk.job.spec.jobId.length + chunk.size * bytesPerPlacement + resultBytes
     }
 
-    /** A page with [chunks] as it is stored in this form. */
+    /** Encodes a page with [chunks] in this format. */
     fun toFields(chunks: List<StoredChunk>): Fields = when (this) {
         PLAIN_UNSIZED, PLAIN_SIZED -> PlainPages.toFields(chunks)
         DENSE -> DensePages.toFields(chunks)
@@ -38,13 +42,16 @@
         private const val TASKS_PER_HEX_DIGIT = 4
         private const val MIN_CHUNKS_PER_VALUE = 2
 
-        /** A multiple of a chunk's overhead is set aside, since the name of its job takes room too. */
+        /** A multiple of a chunk's overhead is reserved, since the job ID takes space too. */
         private const val OVERHEADS_PER_CHUNK = 3
 
-        /** The room of one result, which is more than its bit takes. */
+        /** The space reserved for one result, more than the bit that it takes. */
         private const val BYTES_PER_RESULT = 1
 
-        /** The form to write; [areSizesReadable]: every controller reads chunks that say how many tasks they cover. */
+        /**
+         * The format to write. [areSizesReadable] is true if every controller can read chunks that say how many tasks
+         * they cover.
+         */
         fun forWriting(gates: GateSnapshot, areSizesReadable: Boolean): PageFormat = when {
             gates.writes(DensePages.FEATURE) -> DENSE
             areSizesReadable -> PLAIN_SIZED
@@ -52,8 +59,8 @@
         }
 
         /**
-         * The chunks of a stored page, whatever its form. A malformed chunk is reported to [onMalformed] and left out,
-         * and the others are read all the same. Throws [MalformedException] if the page itself is malformed.
+         * Decodes the chunks of a stored page of any format. A malformed chunk is reported to [onMalformed] and
+         * skipped; the others are still decoded. Throws [MalformedException] if the page itself is malformed.
          */
         fun chunksOf(page: Fields, onMalformed: (MalformedException) -> Unit): List<StoredChunk> =
             if (DensePages.isDense(page)) {
@@ -63,12 +70,12 @@
             }
 
         /**
-         * Whether a version that divides pages for reduced limits has stored the page. Throws [MalformedException] if
-         * the page is malformed.
+         * Whether the page was stored by a version that splits pages for reduced limits: only such versions write chunk
+         * sizes or dense pages. Throws [MalformedException] if the page is malformed.
          */
         fun hasChunkSizes(page: Fields): Boolean = DensePages.isDense(page) || PlainPages.hasChunkSizes(page)
 
-        /** The most tasks that a chunk may have so that two of them fit a value of [valueBytes] in any form. */
+        /** The maximum number of tasks in a chunk so that two chunks fit into a value of [valueBytes] in any format. */
         fun chunkSizeFor(valueBytes: Int): Int {
             val bytesForTasks = valueBytes / MIN_CHUNKS_PER_VALUE - OVERHEADS_PER_CHUNK * PLAIN_SIZED.bytesPerChunk
             return maxOf(1, bytesForTasks / (PLAIN_SIZED.bytesPerPlacement + BYTES_PER_RESULT))
--- a/src/main/kotlin/io/reedmast/persistence/PageMigrationAccess.kt
+++ b/src/main/kotlin/io/reedmast/persistence/PageMigrationAccess.kt
@@ -3,8 +3,8 @@
 import io.reedmast.rollout.RecordAccess
 
 /**
- * How a migration of records gets at the pages. One that is to be written anyway takes the form that the rollout wants
- * by that write, and is not given to the migration before.
+ * Gives record migrations access to the pages. A page that is about to be written anyway gets the format that the
+ * rollout requires by that write, and is not released to the migration before that write.
  */
 internal class PageMigrationAccess(private val pages: ProgressPages) : RecordAccess {
     override fun tryAcquire(path: String): Boolean {
--- a/src/main/kotlin/io/reedmast/persistence/PageParsing.kt
+++ b/src/main/kotlin/io/reedmast/persistence/PageParsing.kt
@@ -2,12 +2,15 @@
 
 import io.reedmast.wire.MalformedException
 
-/** The value itself, or a [MalformedException] with [message] if it is null: missing, or of another type. */
+/**
+ * Returns the value, or throws [MalformedException] with [message] if it is null because it is missing or of another
+ * type.
+ */
 internal fun <T : Any> T?.orMalformed(message: String): T = this ?: throw MalformedException(message)
 
 /**
- * Parses each stored chunk. One that is malformed is reported to [onMalformed] and left out, and the others are read
- * all the same.
+ * Decodes each stored chunk with [parse]. A malformed chunk is reported to [onMalformed] and skipped; the others are
+ * still decoded.
  */
 internal fun <T> List<T>.parseChunks(
     onMalformed: (MalformedException) -> Unit,
--- a/src/main/kotlin/io/reedmast/persistence/PageReader.kt
+++ b/src/main/kotlin/io/reedmast/persistence/PageReader.kt
@@ -11,11 +11,12 @@
 /**
  * Restores a shard's progress from its stored pages.
  *
- * A page whose division is not today's is read, and its content goes to other pages: see [SupersededPages]. Until it
- * has been cleared, two pages cover the same tasks, and the newer one is right.
+ * A page that would be split differently today is read, and its content is stored in other pages: see
+ * [SupersededPages]. Until the old page has been cleared, two pages cover the same tasks, and the newer one is
+ * authoritative for their placements.
  *
- * @param chunkSizes the sizes of chunks by the jobs' records, by job id
- * @param place restores each placement
+ * @param chunkSizes the chunk sizes from the jobs' records, by job ID
+ * @param place restores one placement
  */
 internal class PageReader(
     private val shardState: ShardState,
@@ -26,10 +27,13 @@
 ) {
     private val log = LoggerFactory.getLogger("shard")
 
-    /** The tasks for which a newer copy has been read, by job. */
+    /** The tasks whose newest copy has been read, by job. */
     private val tasksRead = HashMap<Job, BitSet>()
 
-    /** Restores what [items] hold, the newest first. Jobs that are not in the shard's state are over. */
+    /**
+     * Restores the progress in [items], the newest page first. Chunks of jobs that are not in the shard's state are
+     * skipped, since those jobs are over.
+     */
     fun load(items: List<StoredItem>) {
         for (item in items.sortedByDescending { it.version }) {
             val page = pages.getOrCreate(item.path) ?: continue
@@ -53,11 +57,14 @@
         emptyList()
     }
 
-    /** A job that is over needs no clearing from its page: the next write leaves it out. */
+    /**
+     * Whether the chunk belongs to an unfinished job. A chunk of a job that is over need not be cleared from its page:
+     * the page's next write leaves it out.
+     */
     private fun isOfUnfinishedJob(stored: StoredChunk, path: String): Boolean {
         val job = shardState.jobs[stored.jobId] ?: return false
         if (stored.first in 0 until job.spec.taskCount) return true
-        onUnreadable(path, MalformedException("first is out of range"))
+        onUnreadable(path, MalformedException("first is out of the range of the job's tasks"))
         return false
     }
 
@@ -66,7 +73,7 @@
         chunk.page != null || chunk.first != stored.first || chunk.size != tasksOf(stored).count()
     }
 
-    /** Whether a dense page that is to be stored plainly holds more than that form can. */
+    /** Whether a dense page that is to be written in the plain format holds more than a plain page can. */
     private fun isOverfull(page: ProgressPage, chunks: List<StoredChunk>): Boolean {
         if (!page.isStoredDense || pages.writesDense()) return false
         return chunks.sumOf { PageFormat.PLAIN_SIZED.maxBytesFor(jobOf(it).chunkOf(it.first)) } > pages.capacityBytes
@@ -95,31 +102,32 @@
         shardState.changed.add(job)
     }
 
-    /** What is done stays done, whichever copy says so. */
+    /** A task is done if any copy says so. */
     private fun restoreResults(job: Job, stored: StoredChunk) {
         val doneTasks = stored.done.stream().map { stored.first + it }
         doneTasks.forEach { if (it < job.spec.taskCount) job.markDone(it) }
     }
 
-    /** Of placements, the newest copy of a task is right. */
+    /** For placements, only the newest copy of a task counts. */
     private fun restorePlacements(job: Job, stored: StoredChunk, tasks: IntRange) {
-        val tasksInNewerPages = tasksRead.getOrPut(job) { BitSet() }
+        val alreadyRead = tasksRead.getOrPut(job) { BitSet() }
         for (placement in stored.placements) {
-            if (placement.task in 0 until job.spec.taskCount &&
-                !tasksInNewerPages.get(placement.task)
-            ) {
-                place(job, placement)
-            }
+            if (placement.task in 0 until job.spec.taskCount && !alreadyRead.get(placement.task)) place(job, placement)
         }
-        tasksInNewerPages.set(tasks.first, tasks.last + 1)
+        alreadyRead.set(tasks.first, tasks.last + 1)
     }
 
     /**
-     * Something stored cannot be read, so tasks may run that nobody knows of. Nothing is placed before their workers
-     * have been told to stop them, or have lost their leases.
+     * Handles a malformed record or chunk: tasks may be running that are not known here. No task is placed until the
+     * workers of such tasks have been told to stop them, or have lost their leases.
      */
     private fun onUnreadable(path: String, e: MalformedException) {
-        log.error("shard {}: record {} cannot be read: {}", shardState.index.value, path, e.message)
+        log.error(
+            "shard {}: record {} is malformed, delaying all placements: {}",
+            shardState.index.value,
+            path,
+            e.message,
+        )
         val waitMs = shardState.settings.workers.leaseS * LEASES_UNTIL_UNKNOWN_WORK_IS_GONE * MS_PER_S
         shardState.passNotBefore = shardState.clock.now() + waitMs.toLong()
     }
--- a/src/main/kotlin/io/reedmast/persistence/PageVersionRefresh.kt
+++ b/src/main/kotlin/io/reedmast/persistence/PageVersionRefresh.kt
@@ -4,7 +4,7 @@
 import io.reedmast.ports.KeyValueStore
 
 /**
- * Reads the version of a page whose precondition on it did not hold. Nobody else writes the page under this term: an
+ * Reads the version of a page whose precondition failed. No other controller writes the page under this term, so an
  * answer to this controller may have been lost. Until the store has answered, the page counts as being written.
  */
 internal fun KeyValueStore.refreshVersion(page: ProgressPage, path: String) {
--- a/src/main/kotlin/io/reedmast/persistence/PageWriter.kt
+++ b/src/main/kotlin/io/reedmast/persistence/PageWriter.kt
@@ -11,9 +11,9 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Writes one page and handles what becomes of the write.
+ * Writes one page and handles the outcome.
  *
- * Each job that is placed anew is a precondition of the write, so nothing is placed after a cancellation.
+ * The record of each job with new placements is a precondition of the write, so nothing is placed after a cancellation.
  */
 internal class PageWriter(
     private val shardState: ShardState,
@@ -25,14 +25,14 @@
     private val log = LoggerFactory.getLogger("shard")
 
     /**
-     * What one write stores of the placements that the store does not hold yet.
+     * Which of the placements that are not stored yet are included in one write.
      *
-     * @property jobs the jobs of the [included] ones
-     * @property excluded those that are left to the next write
+     * @property jobs the jobs of the [included] placements
+     * @property excluded the placements left to the next write
      */
     private class PlacementSelection(val jobs: List<Job>, val included: List<Placement>, val excluded: Set<Placement>)
 
-    /** Hands the present state of [page] to the store. */
+    /** Submits the current state of [page] to the store. */
     fun write(page: ProgressPage, priority: WritePriority) {
         val selection = selectPlacements(page)
         recordSubmission(page, selection)
@@ -45,7 +45,10 @@
         )
     }
 
-    /** Each job that is placed anew is a precondition, and a transaction takes only so many. */
+    /**
+     * Limits the number of jobs with new placements, since each is a precondition and the preconditions of a
+     * transaction are limited.
+     */
     private fun selectPlacements(page: ProgressPage): PlacementSelection {
         val maxJobs = shardState.limits.target.writesPerTransaction * CONDITIONAL_JOBS_PER_WRITE
         val uncommitted = page.chunks.flatMap { chunk -> chunk.placements.values.filter { !it.committed } }
@@ -79,9 +82,13 @@
         }
     }
 
-    /** The page is tried again soon; the placements that were new in it are withdrawn, and their jobs wait. */
+    /** Schedules a retry of the page soon, withdraws its new placements and delays the jobs of these. */
     private fun onRefused(outcome: CommitOutcome.Refused, page: ProgressPage, written: List<Placement>) {
-        log.error("record {}: refused by the store: {}", pages.pathOf(page), outcome.reason)
+        log.error(
+            "record {}: store refused the write, withdrawing its new placements: {}",
+            pages.pathOf(page),
+            outcome.reason,
+        )
         page.retryNotBefore = shardState.clock.now() + REWRITE_DELAY_MS
         scheduleRewrite(page)
         for (placement in written) {
@@ -90,7 +97,7 @@
         }
     }
 
-    /** Has all of the page written again, at least as urgently as placements of arrays. */
+    /** Schedules a write of all chunks of the page, with at least the urgency of placements of arrays. */
     private fun scheduleRewrite(page: ProgressPage) {
         page.chunks.forEach { shardState.markDirty(it) }
         page.dirtySince = shardState.clock.now()
@@ -100,8 +107,9 @@
 
     private companion object {
         /**
-         * Jobs that are placed anew by one put are preconditions of it, of which a transaction takes four for each
-         * write ([io.reedmast.kvstore.EffectiveLimits.CONDITIONS_PER_CHANGE]); the shard's own need room too.
+         * How many jobs with new placements one put may store, for each write that a transaction may hold. Each job is
+         * a precondition, of which a transaction may hold four for each write
+         * ([io.reedmast.settings.StoreLimits.maxPreconditions]); the shard's own preconditions count as well.
          */
         const val CONDITIONAL_JOBS_PER_WRITE = 3
         const val REWRITE_DELAY_MS = 500L
--- a/src/main/kotlin/io/reedmast/persistence/PlainPages.kt
+++ b/src/main/kotlin/io/reedmast/persistence/PlainPages.kt
@@ -8,16 +8,16 @@
 internal object PlainPages {
     private const val CHUNKS = "chunks"
 
-    /** A page with [chunks] in the plain form. */
+    /** Encodes a page with [chunks] in the plain format. */
     fun toFields(chunks: List<StoredChunk>): Fields = mapOf(CHUNKS to chunks.map { it.toFields() })
 
     /**
-     * The chunks of a plain page. A malformed chunk is reported to [onMalformed] and left out. Throws
-     * [MalformedException] if the page itself is malformed, or what [onMalformed] throws.
+     * Decodes the chunks of a plain page. A malformed chunk is reported to [onMalformed] and skipped. Throws
+     * [MalformedException] if the page itself is malformed, or whatever [onMalformed] throws.
      */
     fun chunksOf(page: Fields, onMalformed: (MalformedException) -> Unit = { throw it }): List<StoredChunk> =
         page.maps(CHUNKS).parseChunks(onMalformed) { StoredChunk.parse(it) }
 
-    /** Whether some chunk of a plain page says how many tasks it covers. */
+    /** Whether at least one chunk of a plain page says how many tasks it covers. */
     fun hasChunkSizes(page: Fields): Boolean = page.maps(CHUNKS).any { StoredChunk.hasSize(it) }
 }
--- a/src/main/kotlin/io/reedmast/persistence/ProgressListener.kt
+++ b/src/main/kotlin/io/reedmast/persistence/ProgressListener.kt
@@ -5,25 +5,25 @@
 import io.reedmast.model.Job
 import io.reedmast.model.Placement
 
-/** What [ProgressStore] reports to the shard's owner, on the deciding thread. */
+/** Receives events of [ProgressStore] for the shard's owner, on the deciding thread. */
 interface ProgressListener {
-    /** The store holds the placement now, so it may be launched. */
+    /** The placement is stored, so it may be launched. */
     fun onPlacementStored(placement: Placement)
 
-    /** The precondition on the shard's record did not hold: another controller may own the shard under a newer term. */
+    /** The precondition on the shard's record failed: another controller may own the shard under a newer term. */
     fun onTermConflict()
 
-    /** The precondition on the rollout's record did not hold: a gate has moved. */
+    /** The precondition on the rollout's record failed: a gate has changed. */
     fun onGatesConflict()
 
     /**
-     * The record of an unfinished job was read again, since a precondition on it did not hold.
+     * The record of an unfinished job was read again because a precondition on it had failed.
      *
      * @param path the record's key
-     * @param item the record as it now stands; null if it is gone
+     * @param item the current record; null if it no longer exists
      */
     fun onJobRecordChanged(path: String, item: StoredItem?)
 
-    /** The job's final record [end] is stored, as [revision], and the record of the unfinished job is deleted. */
+    /** The job's final record [end] is stored at [revision], and the record of the unfinished job is deleted. */
     fun onJobEnded(job: Job, end: EndRecord, revision: Long)
 }
--- a/src/main/kotlin/io/reedmast/persistence/ProgressPage.kt
+++ b/src/main/kotlin/io/reedmast/persistence/ProgressPage.kt
@@ -10,13 +10,14 @@
 /**
  * One stored value with the progress of several jobs of a shard.
  *
- * Progress is what a shard's next owner has to know of its jobs' tasks: which have completed (results) and which are
- * placed where (placements). It is stored in two units. A *chunk* is the progress of consecutive tasks of one job; a
- * *page* is one value of the store, under the key `page/SHARD/INDEX`, with chunks of several jobs. Each put counts
- * against the store's limit, whatever its size: a record for each job cost several puts a second where one does.
+ * Progress is what the next owner of a shard has to know about the tasks of its jobs: which have completed (results),
+ * and which are placed on which machines (placements). It is stored in two units. A *chunk* is the progress of
+ * consecutive tasks of one job. A *page* is one value of the store, under the key `page/SHARD/INDEX`, with chunks of
+ * several jobs. The store's limit counts each put, whatever its size: with one record per job, several puts a second
+ * were needed where one put of a page is enough.
  *
- * A chunk is assigned to a page with its first change and stays in it; room for all its tasks is set aside then. What a
- * page still holds of a job that is over is ignored, and left out of its next write.
+ * A chunk is assigned to a page at its first change and stays there; space for all its tasks is reserved at that time.
+ * The content of a job that is over is ignored when a page is read, and left out of the page's next write.
  *
  * @property index the number of the page in its shard
  */
@@ -25,31 +26,38 @@
     var version = 0L
     override var isWriteInFlight = false
 
-    /** What is written to the page. */
+    /** The chunks that are written to the page. */
     val chunks = LinkedHashSet<Chunk>()
     private val reservedBytes = EnumMap<PageFormat, Int>(PageFormat::class.java)
 
-    /** Whether the store holds it in the dense form. */
+    /** Whether the stored value has the dense format. */
     var isStoredDense = false
 
-    /** Since when something in it is not stored, in milliseconds of the shard's clock; 0 if all is. */
+    /**
+     * The time, in milliseconds of the shard's clock, since which the page has had content that was not submitted to
+     * the store; 0 if it has none.
+     */
     var dirtySince = 0L
 
     /**
-     * What is stored under its key in another division than today's: it is cleared once all of this is in other pages.
+     * Chunks of which the stored value holds an older copy, because the value is to be split differently: it is
+     * cleared once all of them are stored in other pages.
      */
     val supersededChunks = LinkedHashSet<Chunk>()
 
-    /** The store has refused it, or the rollout's gates have to be read first: until then it is not tried again. */
+    /**
+     * The page is not written again before this time: the store refused it, or the rollout's gates have to be read
+     * first.
+     */
     var retryNotBefore = 0L
 
     /**
-     * Whether the last write of its chunks stored something that is waited for. It remains after that write, so it says
-     * something of a write in flight only while [writing] holds.
+     * Whether the last write of the page's chunks was one that placements wait for. The value remains after that write,
+     * so it describes a write in flight only while [isWriteInFlight] is true.
      */
     var isLastWriteForPlacements = false
 
-    /** The most pressing of what waits for the page to be stored. */
+    /** The most urgent content of the page that waits to be stored. */
     var pendingWrite = PendingWrite.RESULTS
 
     override fun markDirty(now: Long) {
@@ -61,20 +69,20 @@
         this.pendingWrite = maxOf(this.pendingWrite, pendingWrite)
     }
 
-    /** The store holds the page in [form], as version [revision]. */
+    /** Records that the store holds the page in [format], as version [revision]. */
     fun recordStored(revision: Long, format: PageFormat) {
         version = revision
         isStoredDense = format == PageFormat.DENSE
     }
 
-    /** The bytes that its chunks may come to take in [form]. */
+    /** The number of bytes reserved for the page's chunks in [format]. */
     fun reservedIn(format: PageFormat): Int = reservedBytes[format] ?: 0
 
-    /** Whether [chunk] may be added to a page that is to stay within [capacityBytes] in [form]. */
+    /** Whether [chunk] may be added while the page is to stay within [capacityBytes] in [format]. */
     fun hasRoom(chunk: Chunk, capacityBytes: Int, format: PageFormat) =
         supersededChunks.isEmpty() && reservedIn(format) + format.maxBytesFor(chunk) <= capacityBytes
 
-    /** Assigns [chunk] to this page and sets aside room for all its tasks. */
+    /** Assigns [chunk] to this page and reserves space for all its tasks. */
     fun add(chunk: Chunk) {
         chunk.page = this
         if (!chunks.add(chunk)) return
@@ -87,8 +95,8 @@
     }
 
     /**
-     * Its value in [form], without the [excluded] placements. A chunk that supersedes an older copy is stored even if
-     * it is empty, or the older copy would seem to hold.
+     * Encodes the page in [format], without the [excluded] placements. A chunk that supersedes an older copy is stored
+     * even if it is empty; otherwise the older copy would still count.
      */
     fun toFields(excluded: Set<Placement>, format: PageFormat): Fields =
         format.toFields(chunks.filter { hasContent(it) }.map { toStored(it, excluded, format) })
--- a/src/main/kotlin/io/reedmast/persistence/ProgressStore.kt
+++ b/src/main/kotlin/io/reedmast/persistence/ProgressStore.kt
@@ -8,7 +8,7 @@
 import io.reedmast.rollout.RecordAccess
 
 /**
- * Stores the progress of one shard: its tasks' results and placements in pages (see [ProgressPage]), and the final
+ * Stores the progress of one shard: results and placements of its tasks in pages (see [ProgressPage]), and final
  * records of its jobs. Runs on the deciding thread.
  */
 class ProgressStore(private val shardState: ShardState, private val store: KeyValueStore, listener: ProgressListener) {
@@ -19,30 +19,33 @@
     private val pageWriter = PageWriter(shardState, committer, pages, conflicts, listener)
     private val finalRecords = FinalRecordWriter(shardState, store, conflicts, listener)
 
-    /** How a migration of records gets at the pages. */
+    /** Gives record migrations access to the pages. */
     val migrationAccess: RecordAccess = PageMigrationAccess(pages)
 
     /**
-     * Whether what it holds is to be read again, since the limits were lowered after it was, and some of it is too
-     * large for them.
+     * Whether the stored progress has to be read again because some of it no longer fits: the limits were reduced after
+     * it had been read, or a dense page that is too full for the plain format has to be written in that.
      */
     val needsReload: Boolean get() = pages.needsReload
 
-    /** Whether all that was decided is stored, and nothing is on its way to be. */
+    /** Whether all decisions are stored and no write is in flight. Results may still be waiting to be written. */
     val areDecisionsStored: Boolean
         get() = finalRecords.isIdle &&
             pages.all.none { it.isWriteInFlight || it.pendingWrite != PendingWrite.RESULTS }
 
     /**
-     * Restores the progress that the listed pages hold.
+     * Restores the progress in the listed pages.
      *
-     * @param chunkSizes the sizes of chunks by the jobs' records, by job id
-     * @param place restores each placement
+     * @param chunkSizes the chunk sizes from the jobs' records, by job ID
+     * @param place restores one placement
      */
     fun load(items: List<StoredItem>, chunkSizes: Map<String, Int>, place: (Job, StoredPlacement) -> Unit) =
         PageReader(shardState, pages, supersededPages, chunkSizes, place).load(items)
 
-    /** Stores what differs from what is stored, as far as the write permits allow; [now] is the shard's clock. */
+    /**
+     * Stores changes that are not stored yet, as far as the write permits allow; [now] is the time of the shard's
+     * clock.
+     */
     fun flush(now: Long) {
         requestWritesOfChangedJobs(now)
         if (!shardState.isCurrent()) return
@@ -85,17 +88,17 @@
         }
     }
 
-    /** The pages that may be written now, in the order in which they take the permits. */
+    /** The pages that may be written now, in the order in which they get write permits. */
     private fun duePages(now: Long): List<ProgressPage> = pages.all
         .filter { it.dirtySince != 0L && !it.isWriteInFlight && now >= it.retryNotBefore }
         .filter { PageWritePolicy.isDue(it.pendingWrite, now - it.dirtySince) && !pages.isOverfull(it) }
         .sortedWith(compareByDescending<ProgressPage> { it.pendingWrite }.thenBy { it.dirtySince })
 
-    /** The job is over, and nothing of it is stored any more. */
+    /** Drops the state of a job that is over: nothing of it is stored any more. */
     fun forget(job: Job) {
         finalRecords.forget(job)
         for (chunk in job.chunks) {
-            // What a page still holds of a job that is over is ignored: there is nothing left to store.
+            // Content of the job that a page still holds is ignored, so there is nothing left to store.
             chunk?.page?.remove(chunk)
             chunk?.page = null
             chunk?.dirty = false
--- a/src/main/kotlin/io/reedmast/persistence/StoredChunk.kt
+++ b/src/main/kotlin/io/reedmast/persistence/StoredChunk.kt
@@ -9,11 +9,12 @@
 import java.util.HexFormat
 
 /**
- * One chunk as a page holds it: the results and placements of consecutive tasks of a job.
+ * A chunk as stored in a page: the results and placements of consecutive tasks of a job.
  *
  * @property first the number of the chunk's first task
- * @property size how many tasks it covers; null in records of a version that knew only the size in the job's record
- * @property done the tasks that have completed, counted from [first]
+ * @property size the number of tasks in the chunk; null in records of a version that had the size only in the job's
+ * record
+ * @property done the completed tasks, counted from [first]
  */
 data class StoredChunk(
     val jobId: String,
@@ -22,7 +23,7 @@
     val done: BitSet,
     val placements: List<StoredPlacement>,
 ) {
-    /** The chunk as a plain page holds it. */
+    /** Encodes the chunk for a plain page. */
     fun toFields(): Fields {
         val fields = mapOf(
             JOB to jobId,
@@ -40,13 +41,13 @@
         private const val DONE = "done"
         private const val PLACEMENTS = "on"
 
-        /** A stored placement takes three values of a flat list: task, attempt and machine. */
+        /** A placement is stored as three values of a flat list: task, attempt and machine. */
         internal const val VALUES_PER_PLACEMENT = 3
 
-        /** Reads a chunk of a plain page. Throws [MalformedException] if it has not the form of one. */
+        /** Decodes a chunk of a plain page. Throws [MalformedException] if it is malformed. */
         fun parse(fields: Fields): StoredChunk {
             val placements = fields.list(PLACEMENTS)
-            if (placements.size % VALUES_PER_PLACEMENT != 0) throw MalformedException("on is cut short")
+            if (placements.size % VALUES_PER_PLACEMENT != 0) throw MalformedException("last placement is incomplete")
             val size = if (hasSize(fields)) fields.count(SIZE).toInt() else null
             return StoredChunk(
                 fields.text(JOB),
@@ -65,15 +66,15 @@
         internal fun decodeDone(hex: String): BitSet = try {
             BitSet.valueOf(HexFormat.of().parseHex(hex))
         } catch (e: IllegalArgumentException) {
-            throw MalformedException("done is no bit set: ${e.message}").apply { initCause(e) }
+            throw MalformedException("done is not a hexadecimal bit set: ${e.message}").apply { initCause(e) }
         }
 
         private fun parsePlacement(values: List<Any?>): StoredPlacement {
             val (task, attempt, machineName) = values
             return StoredPlacement(
-                (task as? Long).orMalformed("task is no integer").toInt(),
-                (attempt as? Long).orMalformed("attempt is no integer"),
-                (machineName as? String).orMalformed("host is no text"),
+                (task as? Long).orMalformed("task of a placement is not an integer").toInt(),
+                (attempt as? Long).orMalformed("attempt of a placement is not an integer"),
+                (machineName as? String).orMalformed("machine name of a placement is not a string"),
             )
         }
     }
--- a/src/main/kotlin/io/reedmast/persistence/SupersededPages.kt
+++ b/src/main/kotlin/io/reedmast/persistence/SupersededPages.kt
@@ -7,11 +7,11 @@
 import io.reedmast.ports.KeyValueStore
 
 /**
- * Clears stored pages whose content has been divided anew.
+ * Clears stored pages whose content is split anew and stored in other pages.
  *
- * A page that an earlier version stored may be larger than the reduced limits allow: it can then be replaced by a small
- * value only. So each of its parts is first stored in another page. Until all are, the old page stays as it is, and
- * whoever reads both takes the newer copy of a task. Any step may be the last that is carried out.
+ * A page that an earlier version stored may be larger than the reduced limits allow; it can then only be replaced by a
+ * small value. Therefore each of its parts is first stored in another page. Until all parts are, the old page is left
+ * unchanged, and a reader of both uses the newer copy of each task. The procedure may be interrupted after any step.
  */
 internal class SupersededPages(
     private val shardState: ShardState,
@@ -19,7 +19,7 @@
     private val pages: ProgressPages,
     private val committer: PageCommitter,
 ) {
-    /** [chunk] covers tasks of which the stored value of [page] holds an older copy. */
+    /** Records that the stored value of [page] holds an older copy of tasks that [chunk] covers. */
     fun supersede(page: ProgressPage, chunk: Chunk) {
         if (!page.supersededChunks.add(chunk)) return
         chunk.supersededCopies++
@@ -27,7 +27,7 @@
         shardState.changed.add(chunk.job)
     }
 
-    /** Clears the pages all of whose content is stored in other ones. */
+    /** Clears the pages whose entire content is stored in other pages. */
     fun clearReplaced() {
         for (page in pages.all) {
             if (page.supersededChunks.isEmpty() || page.isWriteInFlight) continue
--- a/src/test/kotlin/io/reedmast/ProductionFormatTest.kt
+++ b/src/test/kotlin/io/reedmast/ProductionFormatTest.kt
@@ -31,15 +31,16 @@
 import java.nio.file.Path
 
 /**
- * Records and frames that the version in production wrote (`writtenBy` in the file names its commit) are read as it
- * meant them, and written again form for form: while both versions serve, each reads what the other has stored.
+ * Records and frames written by the version in production (`writtenBy` in the file names its commit) are read with
+ * the meaning they had there, and written back in the same form: while both versions serve, each reads what the other
+ * has stored.
  */
 class ProductionFormatTest {
     private val records = BodyCodec.readJson(Files.readAllBytes(Path.of("src/test/resources/production/records.json")))
 
     private fun record(name: String): Fields = records.map(name)
 
-    /** As it comes back from the store. */
+    /** The record as read back from the store. */
     private fun stored(fields: Fields): Fields = BodyCodec.readCbor(BodyCodec.writeCbor(fields))
 
     private fun assertSameForm(name: String, written: Fields) = assertEquals(record(name), stored(written), name)
@@ -69,8 +70,8 @@
     }
 
     /**
-     * Without the field that tells of the format: production reads past it, and tells by the key alone that a
-     * controller is there.
+     * Production writes no field with the format. It ignores that field when it reads the key, and concludes from the
+     * existence of the key alone that a controller is there.
      */
     @Test
     fun `the key of a controller`() {
--- a/src/test/kotlin/io/reedmast/persistence/DensePagesProperties.kt
+++ b/src/test/kotlin/io/reedmast/persistence/DensePagesProperties.kt
@@ -23,9 +23,9 @@
 import org.junit.jupiter.api.assertThrows
 import java.util.BitSet
 
-/** The steps between the forms of pages: nothing is lost either way, and every half-migrated state reads the same. */
+/** Conversions between page formats lose nothing in either direction, and every half-migrated state reads the same. */
 class DensePagesProperties {
-    /** As it comes back from the store. */
+    /** The record as read back from the store. */
     private fun stored(fields: Fields): Fields = BodyCodec.readCbor(BodyCodec.writeCbor(fields))
 
     private fun plain(chunks: List<StoredChunk>): Fields = stored(PageFormat.PLAIN_SIZED.toFields(chunks))
@@ -61,13 +61,13 @@
     }
 
     @Property(tries = 300, seed = "102")
-    fun `both forms read the same`(@ForAll("chunks") chunks: List<StoredChunk>) {
+    fun `both formats read the same`(@ForAll("chunks") chunks: List<StoredChunk>) {
         assertEquals(chunks, read(plain(chunks)))
         assertEquals(chunks, read(stored(DensePages.forward(plain(chunks)))))
     }
 
     @Property(tries = 100, seed = "103")
-    fun `each step leaves a record as it is that has the wanted form already`(
+    fun `each conversion leaves a record unchanged that already has the target format`(
         @ForAll("chunks") chunks: List<StoredChunk>,
     ) {
         val dense = stored(DensePages.forward(plain(chunks)))
@@ -105,7 +105,8 @@
     }
 
     /**
-     * What a page sets aside for its chunks is enough, in each form, when every task is placed on a machine of its own.
+     * The space that a page reserves for its chunks is enough in each format, even if each task is placed on a
+     * different machine.
      */
     @Property(tries = 60, seed = "106")
     fun `a full page fits its value`(
@@ -169,7 +170,7 @@
     private companion object {
         const val VALUE_BYTES = 2 * 1024
 
-        /** Attempts of one page lie no further apart than some hundred thousand takings of shards. */
+        /** Attempts in one page differ by no more than a few hundred thousand acquisitions of shards. */
         const val LARGEST_ATTEMPT_DIFFERENCE = 900_000_000_000L
     }
 }
--- a/src/test/kotlin/io/reedmast/persistence/PageSplitTest.kt
+++ b/src/test/kotlin/io/reedmast/persistence/PageSplitTest.kt
@@ -29,7 +29,7 @@
 import org.junit.jupiter.api.Test
 
 /**
- * A page of an earlier version is divided for reduced limits: two pages speak for the same tasks until the old one is
+ * Splitting a page of an earlier version for reduced limits: two pages cover the same tasks until the old one is
  * cleared.
  */
 class PageSplitTest {
@@ -88,7 +88,7 @@
     private fun flush(): List<CasTransaction> {
         val before = gateway.commits.size
         store.flush(now)
-        // What nobody waits for is stored a little later.
+        // Changes that no placement waits for are written only after a delay.
         now += 10_000
         store.flush(now)
         return gateway.commits.drop(before)
@@ -105,7 +105,7 @@
     }
 
     @Test
-    fun `a part that has become empty is stored all the same while an older copy is there`() {
+    fun `a chunk that has become empty is still stored while an older copy exists`() {
         load(page(0, 5L, chunk(0, null, 0L, 7L, "host-1")))
         shardState.finish(job.placements().first(), done = false)
         val chunks = flush().map { putOf(it) }.filter { it.path != Keys.page(0, 0) }.flatMap { it.value.maps("chunks") }
@@ -118,7 +118,7 @@
     }
 
     @Test
-    fun `the old page is cleared once all of it is in other pages, and not before`() {
+    fun `the old page is cleared only once all of its content is stored in other pages`() {
         load(page(0, 5L, chunk(0, null, 0L, 7L, "host-1", 40L, 9L, "host-3")))
         val first = flush()
         assertTrue(
@@ -138,7 +138,7 @@
     }
 
     @Test
-    fun `no value is larger than the lowered limits allow`() {
+    fun `no value is larger than the reduced limits allow`() {
         load(
             page(
                 0,
--- a/src/test/kotlin/io/reedmast/persistence/PageWritePolicyTest.kt
+++ b/src/test/kotlin/io/reedmast/persistence/PageWritePolicyTest.kt
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** Which pages may be written with the permits that are left, and in which order of priority. */
+/** Which pages may be written with the permits that are left, and with which priority. */
 class PageWritePolicyTest {
     private fun placements(pendingWrite: PendingWrite, permitLevel: Double, placementWritesInFlight: Int) =
         PageWritePolicy.priorityOf(pendingWrite, dirtyForMs = 0, permitLevel, placementWritesInFlight)
@@ -17,7 +17,7 @@
         PageWritePolicy.priorityOf(PendingWrite.RESULTS, dirtyForMs, permitLevel, placementWritesInFlight = 0)
 
     @Test
-    fun `results wait for those that follow, placements do not`() {
+    fun `results wait for further results to share their write, placements do not`() {
         assertFalse(PageWritePolicy.isDue(PendingWrite.RESULTS, dirtyForMs = 699))
         assertTrue(PageWritePolicy.isDue(PendingWrite.RESULTS, dirtyForMs = 700))
         assertTrue(PageWritePolicy.isDue(PendingWrite.ARRAY_PLACEMENTS, dirtyForMs = 0))
@@ -25,7 +25,7 @@
     }
 
     @Test
-    fun `the last permits are left to acceptances`() {
+    fun `the last permits are reserved for acceptances`() {
         PendingWrite.entries.forEach {
             assertNull(
                 PageWritePolicy.priorityOf(it, dirtyForMs = 60_000, permitLevel = 0.25, placementWritesInFlight = 0),
@@ -35,14 +35,14 @@
     }
 
     @Test
-    fun `results are deferred writes that need room, until they are overdue`() {
+    fun `results are deferred writes that need spare permits, until they are overdue`() {
         assertNull(results(dirtyForMs = 700, permitLevel = 0.65))
         assertEquals(WritePriority.DEFERRED, results(dirtyForMs = 700, permitLevel = 0.66))
         assertEquals(WritePriority.URGENT, results(dirtyForMs = 8_000, permitLevel = 0.26))
     }
 
     @Test
-    fun `the fewer permits are left, the fewer pages of arrays are written side by side`() {
+    fun `the fewer permits are left, the fewer pages with placements are written concurrently`() {
         assertEquals(WritePriority.URGENT, placements(PendingWrite.ARRAY_PLACEMENTS, 0.5, placementWritesInFlight = 1))
         assertNull(placements(PendingWrite.ARRAY_PLACEMENTS, 0.5, placementWritesInFlight = 2))
         assertEquals(WritePriority.URGENT, placements(PendingWrite.URGENT_PLACEMENTS, 0.5, placementWritesInFlight = 4))
