--- a/src/test/kotlin/io/reedmast/persistence/DensePagesProperties.kt
+++ b/src/test/kotlin/io/reedmast/persistence/DensePagesProperties.kt
@@ -23,9 +23,9 @@
 import org.junit.jupiter.api.assertThrows
 import java.util.BitSet
 
-/** The steps between the forms of pages: nothing is lost either way, and every half-migrated state reads the same. */
+/** Conversions between page formats lose nothing in either direction, and every half-migrated state reads the same. */
 class DensePagesProperties {
-    /** As it comes back from the store. */
+    /** The record as read back from the store. */
     private fun stored(fields: Fields): Fields = BodyCodec.readCbor(BodyCodec.writeCbor(fields))
 
     private fun plain(chunks: List<StoredChunk>): Fields = stored(PageFormat.PLAIN_SIZED.toFields(chunks))
@@ -61,13 +61,13 @@
     }
 
     @Property(tries = 300, seed = "102")
-    fun `both forms read the same`(@ForAll("chunks") chunks: List<StoredChunk>) {
+    fun `both formats read the same`(@ForAll("chunks") chunks: List<StoredChunk>) {
         assertEquals(chunks, read(plain(chunks)))
         assertEquals(chunks, read(stored(DensePages.forward(plain(chunks)))))
     }
 
     @Property(tries = 100, seed = "103")
-    fun `each step leaves a record as it is that has the wanted form already`(
+    fun `each conversion leaves a record unchanged that already has the target format`(
         @ForAll("chunks") chunks: List<StoredChunk>,
     ) {
         val dense = stored(DensePages.forward(plain(chunks)))
@@ -96,22 +96,23 @@
 
     @Property(tries = 200, seed = "105")
     fun `the token counter goes forward and back`(@ForAll @LongRange(min = 0) token: Long) {
-        val open = stored(mapOf("token" to token))
-        val fenced = stored(TokenCounter.forward(open))
+        val unfenced = stored(mapOf("token" to token))
+        val fenced = stored(TokenCounter.forward(unfenced))
         assertThrows<MalformedException> { TokenCounter.back(mapOf("form" to 0L)) }
         assertTrue("token" !in fenced)
-        assertEquals(open, stored(TokenCounter.back(fenced)))
+        assertEquals(unfenced, stored(TokenCounter.back(fenced)))
         assertEquals(token, TokenCounter.tokenOf(fenced))
     }
 
     /**
-     * What a page sets aside for its chunks is enough, in each form, when every task is placed on a machine of its own.
+     * The space that a page reserves for its chunks is enough in each format, even if each task is placed on a
+     * different machine.
      */
     @Property(tries = 60, seed = "106")
     fun `a full page fits its value`(
         @ForAll("taskCounts") taskCounts: List<Int>,
         @ForAll("attempts") attempts: Long,
-        @ForAll("forms") form: PageFormat,
+        @ForAll("forms") format: PageFormat,
     ) {
         val page = ProgressPage(0)
         var machineCount = 0
@@ -126,7 +127,7 @@
                 )
             for (first in 0 until taskCount step PageFormat.chunkSizeFor(VALUE_BYTES)) {
                 val chunk = job.chunkOf(first)
-                if (!page.hasRoom(chunk, VALUE_BYTES * 95 / 100, form)) continue
+                if (!page.hasRoom(chunk, VALUE_BYTES * 95 / 100, format)) continue
                 page.add(chunk)
                 for (task in first until first + chunk.size) {
                     val machine =
@@ -140,7 +141,7 @@
                             ) {
                                 attempts
                             } else {
-                                attempts + LARGEST_DISTANCE
+                                attempts + LARGEST_ATTEMPT_DIFFERENCE
                             },
                             machine,
                             0L,
@@ -149,9 +150,9 @@
                 }
             }
         }
-        val put = Write.Put("page/0/0", page.toFields(emptySet(), form))
+        val put = Write.Put("page/0/0", page.toFields(emptySet(), format))
         val size = put.storedSize("mastil-0-abcdefgh-abcdefghijkl-99999")
-        assertTrue(size <= VALUE_BYTES, "$form takes $size bytes")
+        assertTrue(size <= VALUE_BYTES, "$format takes $size bytes")
     }
 
     @Provide
@@ -169,7 +170,7 @@
     private companion object {
         const val VALUE_BYTES = 2 * 1024
 
-        /** Attempts of one page lie no further apart than some hundred thousand takings of shards. */
-        const val LARGEST_DISTANCE = 900_000_000_000L
+        /** Attempts in one page differ by no more than a few hundred thousand acquisitions of shards. */
+        const val LARGEST_ATTEMPT_DIFFERENCE = 900_000_000_000L
     }
 }
--- a/src/test/kotlin/io/reedmast/persistence/PageDivisionTest.kt
+++ b/src/test/kotlin/io/reedmast/persistence/PageSplitTest.kt
@@ -29,10 +29,10 @@
 import org.junit.jupiter.api.Test
 
 /**
- * A page of an earlier version is divided for reduced limits: two pages speak for the same tasks until the old one is
+ * Splitting a page of an earlier version for reduced limits: two pages cover the same tasks until the old one is
  * cleared.
  */
-class PageDivisionTest {
+class PageSplitTest {
     private var now = 10_000L
     private val clock = object : Clock {
         override fun now() = now
@@ -44,13 +44,13 @@
         storeLimits = StoreLimits(100.0, 50.0, 32 * 1024, 16),
         nextStoreLimits = StoreLimits(100.0, 35.0, 2 * 1024, 5),
     )
-    private val out = RecordingGateway()
+    private val gateway = RecordingGateway()
     private val limits = EffectiveLimits(settings.storeLimits, settings.nextStoreLimits).apply { reduce() }
     private val shardState = ShardState(ShardId(0), settings, Tuning(), clock, { emptyList() }, { true }, limits)
     private val launchable = ArrayList<Placement>()
     private val store = ProgressStore(
         shardState,
-        out,
+        gateway,
         object : ProgressListener {
             override fun onPlacementStored(placement: Placement) {
                 launchable.add(placement)
@@ -86,12 +86,12 @@
     private fun tasksPlaced() = job.placements().map { it.task }.toList()
 
     private fun flush(): List<CasTransaction> {
-        val before = out.commits.size
+        val before = gateway.commits.size
         store.flush(now)
-        // What nobody waits for is stored a little later.
+        // Changes that no placement waits for are written only after a delay.
         now += 10_000
         store.flush(now)
-        return out.commits.drop(before)
+        return gateway.commits.drop(before)
     }
 
     private fun putOf(change: CasTransaction) = change.writes.single() as Write.Put
@@ -105,7 +105,7 @@
     }
 
     @Test
-    fun `a part that has become empty is stored all the same while an older copy is there`() {
+    fun `a chunk that has become empty is still stored while an older copy exists`() {
         load(page(0, 5L, chunk(0, null, 0L, 7L, "host-1")))
         shardState.finish(job.placements().first(), done = false)
         val chunks = flush().map { putOf(it) }.filter { it.path != Keys.page(0, 0) }.flatMap { it.value.maps("chunks") }
@@ -118,7 +118,7 @@
     }
 
     @Test
-    fun `the old page is cleared once all of it is in other pages, and not before`() {
+    fun `the old page is cleared only once all of its content is stored in other pages`() {
         load(page(0, 5L, chunk(0, null, 0L, 7L, "host-1", 40L, 9L, "host-3")))
         val first = flush()
         assertTrue(
@@ -138,7 +138,7 @@
     }
 
     @Test
-    fun `no value is larger than the lowered limits allow`() {
+    fun `no value is larger than the reduced limits allow`() {
         load(
             page(
                 0,
