--- a/src/main/kotlin/io/reedmast/app/ControllerProcess.kt
+++ b/src/main/kotlin/io/reedmast/app/ControllerProcess.kt
@@ -84,7 +84,7 @@
 
         /** Time of day and process start tell two processes of a controller apart. */
         fun incarnationOf(label: String): String {
-            val startedAt = java.lang.Long.toString(SystemClock.wall(), RADIX)
+            val startedAt = java.lang.Long.toString(SystemClock.wallTime(), RADIX)
             val steadyTime = java.lang.Long.toString(System.nanoTime(), RADIX)
             return "$label-$startedAt-$steadyTime"
         }
--- a/src/main/kotlin/io/reedmast/app/NetworkGateway.kt
+++ b/src/main/kotlin/io/reedmast/app/NetworkGateway.kt
@@ -39,13 +39,13 @@
     fun start() = store.start()
 
     override fun shareLimits(aliveControllers: Int, leading: Boolean) {
-        client.shareAmong(aliveControllers)
+        client.shareLimits(aliveControllers)
         cloud.shareLimit(aliveControllers, leading)
     }
 
     override fun expectMachines(count: Int) = workers.expectMachines(count)
 
-    override fun end(reason: String) = onEnd(reason)
+    override fun terminate(reason: String) = onEnd(reason)
 
     companion object {
         /**
--- a/src/main/kotlin/io/reedmast/app/StoreGateway.kt
+++ b/src/main/kotlin/io/reedmast/app/StoreGateway.kt
@@ -31,7 +31,7 @@
     private val reads = WorkPool("read", READ_THREADS, MAX_QUEUED_READS)
     private val leases = WorkPool("lease", LEASE_THREADS, MAX_QUEUED_LEASE_CALLS)
 
-    override val isAvailable: Boolean get() = committer.answering
+    override val isAvailable: Boolean get() = committer.isStoreAvailable
 
     /** Starts the threads that commit; they run until the process ends. */
     fun start() {
@@ -59,7 +59,7 @@
 
     private fun renewLease(lease: Long): LeaseState = when (client.extendLease(lease)) {
         LeaseExtension.EXTENDED -> LeaseState.Held(lease, isNew = false)
-        LeaseExtension.EXPIRED -> LeaseState.Lost
+        LeaseExtension.EXPIRED -> LeaseState.Expired
         LeaseExtension.UNKNOWN -> LeaseState.Unknown
     }
 
--- a/src/main/kotlin/io/reedmast/app/SystemClock.kt
+++ b/src/main/kotlin/io/reedmast/app/SystemClock.kt
@@ -7,5 +7,5 @@
 internal object SystemClock : Clock {
     override fun now(): Long = TimeUnit.NANOSECONDS.toMillis(System.nanoTime())
 
-    override fun wall(): Long = System.currentTimeMillis()
+    override fun wallTime(): Long = System.currentTimeMillis()
 }
--- a/src/main/kotlin/io/reedmast/app/Watches.kt
+++ b/src/main/kotlin/io/reedmast/app/Watches.kt
@@ -46,7 +46,7 @@
      * never so long that the next question would wait for it in vain.
      */
     private val jobsWatch = Watch(
-        Keys.LIVE,
+        Keys.LIVE_JOBS,
         Keys.JOBS,
         minIntervalMs = JOBS_INTERVAL_MS,
         holdMs = { if (handle.questionsWait()) 0 else JOBS_HOLD_MS },
--- a/src/main/kotlin/io/reedmast/autoscaling/DemandCalculation.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/DemandCalculation.kt
@@ -14,7 +14,7 @@
 ) {
     private val cpuQuota = RemainingCpuQuota(shardState)
     private val throughput = ArrayThroughput(shardState, arrivals, bootingCapacity)
-    private val wallMs = shardState.clock.wall()
+    private val wallMs = shardState.clock.wallTime()
     private val zones = DemandZones(shardState)
 
     /** The demand of all jobs that wait, added up by kind. To be called once. */
--- a/src/main/kotlin/io/reedmast/autoscaling/UsageSummaryWriter.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/UsageSummaryWriter.kt
@@ -76,7 +76,7 @@
 
     /** The fair-share ratio of the team with pending tasks that is furthest below its share; 0 if there is none. */
     private fun lowestRatio(): Double {
-        val wallMs = shardState.clock.wall()
+        val wallMs = shardState.clock.wallTime()
         val waitingTeams = shardState.jobs.values.filter { it.pendingCount > 0 }.mapTo(HashSet()) { it.team }
         return waitingTeams.minOfOrNull { shardState.fairShare.usageRatio(it, wallMs) } ?: 0.0
     }
@@ -96,7 +96,7 @@
                 writing = false
                 if (shardState.dropped) return@CasTransaction
                 if (outcome is CommitOutcome.Applied) storedVersion = outcome.revision
-                if (outcome is CommitOutcome.Conflict) onConflict(outcome.failed)
+                if (outcome is CommitOutcome.Conflict) onConflict(outcome.failedPaths)
             },
         )
     }
--- a/src/main/kotlin/io/reedmast/cluster/ClusterRollout.kt
+++ b/src/main/kotlin/io/reedmast/cluster/ClusterRollout.kt
@@ -43,7 +43,7 @@
     private val coordinator = RolloutCoordinator(
         options.registry,
         settings.label,
-        clock::wall,
+        clock::wallTime,
         rolloutStore,
         view,
         limits.target.maxPreconditions,
@@ -114,7 +114,7 @@
     private fun end(reason: String) {
         if (isEnding) return
         isEnding = true
-        process.end(reason)
+        process.terminate(reason)
     }
 
     /**
--- a/src/main/kotlin/io/reedmast/cluster/ControllerLease.kt
+++ b/src/main/kotlin/io/reedmast/cluster/ControllerLease.kt
@@ -37,7 +37,7 @@
                 id = state.lease
             }
 
-            LeaseState.Lost -> {
+            LeaseState.Expired -> {
                 id = null
                 onReplaced()
                 renewalDueAt = 0
--- a/src/main/kotlin/io/reedmast/cluster/MachineAssignment.kt
+++ b/src/main/kotlin/io/reedmast/cluster/MachineAssignment.kt
@@ -80,7 +80,7 @@
             tokenRenewal = renewal,
         )
         writer.write(change) { outcome ->
-            if (outcome != MachineListOutcome.Stored && renewal != null) reread(Keys.TOKEN) {}
+            if (outcome != MachineListOutcome.Stored && renewal != null) reread(Keys.TOKEN_COUNTER) {}
             onDone(resultOf(outcome, added))
         }
     }
--- a/src/main/kotlin/io/reedmast/cluster/MachineTransfer.kt
+++ b/src/main/kotlin/io/reedmast/cluster/MachineTransfer.kt
@@ -57,7 +57,7 @@
         val keys: List<String> get() = listOf(
             Keys.shard(source.shard.value),
             Keys.shard(destination.shard.value),
-            Keys.TOKEN,
+            Keys.TOKEN_COUNTER,
             source.path,
             destination.path,
         )
--- a/src/main/kotlin/io/reedmast/cluster/PeerMessageHandler.kt
+++ b/src/main/kotlin/io/reedmast/cluster/PeerMessageHandler.kt
@@ -43,7 +43,7 @@
         incarnation = query.incarnation,
         sequence = query.sequence,
         uptimeMs = clock.now() - startedAt,
-        storeAgeMs = staleness.ageMs(),
+        storeViewAgeMs = staleness.ageMs(),
         cancellations = jobs.cancellations().takeIf { it.size <= PeerMessage.MAX_CANCELLATIONS },
     )
 
--- a/src/main/kotlin/io/reedmast/cluster/PeerStatuses.kt
+++ b/src/main/kotlin/io/reedmast/cluster/PeerStatuses.kt
@@ -57,7 +57,7 @@
         val askedAt = askedAtBySequence[report.sequence] ?: return
         if (askedAt < (peer.askedAt ?: askedAt)) return
         peer.askedAt = askedAt
-        peer.storeAgeMs = report.storeAgeMs
+        peer.storeAgeMs = report.storeViewAgeMs
         if (report.cancellations != null && wasRunningAt(observedThrough, report, now)) peer.confirmedAt = askedAt
     }
 
--- a/src/main/kotlin/io/reedmast/cluster/ShardAcquirer.kt
+++ b/src/main/kotlin/io/reedmast/cluster/ShardAcquirer.kt
@@ -86,8 +86,8 @@
         // Mostly another controller took the token we wanted.
         attempts.retrySoon(acquisition.shard)
         reread(Keys.shard(acquisition.shard.value))
-        reread(Keys.TOKEN)
-        if (outcome is CommitOutcome.Conflict && Keys.ROLLOUT in outcome.failed) rollout.refreshGates()
+        reread(Keys.TOKEN_COUNTER)
+        if (outcome is CommitOutcome.Conflict && Keys.ROLLOUT in outcome.failedPaths) rollout.refreshGates()
     }
 
     /**
--- a/src/main/kotlin/io/reedmast/cluster/ShardTable.kt
+++ b/src/main/kotlin/io/reedmast/cluster/ShardTable.kt
@@ -39,7 +39,7 @@
     /** Applies the value under [path], if it is one of this table's keys; a deletion changes nothing. */
     fun applyRecord(path: String, value: Fields?, version: Long) {
         if (value == null) return
-        if (path == Keys.TOKEN) {
+        if (path == Keys.TOKEN_COUNTER) {
             applyToken(TokenCounter.tokenOf(value), version)
         } else if (path.startsWith(Keys.SHARDS)) {
             val shard = path.removePrefix(Keys.SHARDS).toIntOrNull() ?: return
--- a/src/main/kotlin/io/reedmast/cluster/TokenCounter.kt
+++ b/src/main/kotlin/io/reedmast/cluster/TokenCounter.kt
@@ -21,7 +21,7 @@
     private const val FENCED_FIELD = "fencedToken"
     override val scope = MigrationScope.CLUSTER
 
-    override fun prefix(shard: Int): String = Keys.TOKEN
+    override fun prefix(shard: Int): String = Keys.TOKEN_COUNTER
 
     override fun forward(record: Fields): Fields =
         if (isFenced(record)) record else mapOf(FENCED_FIELD to record.count(OPEN_FIELD))
@@ -40,8 +40,8 @@
     internal fun moveTo(token: Long, version: Long, gates: GateSnapshot): TokenCounterUpdate {
         val field = if (gates.writes(ClusterFeatures.FENCED_TOKENS)) FENCED_FIELD else OPEN_FIELD
         return TokenCounterUpdate(
-            listOf(Precondition(Keys.TOKEN, version), gates.precondition),
-            Write.Put(Keys.TOKEN, mapOf(field to token)),
+            listOf(Precondition(Keys.TOKEN_COUNTER, version), gates.precondition),
+            Write.Put(Keys.TOKEN_COUNTER, mapOf(field to token)),
         )
     }
 
--- a/src/main/kotlin/io/reedmast/jobs/JobIndex.kt
+++ b/src/main/kotlin/io/reedmast/jobs/JobIndex.kt
@@ -101,7 +101,7 @@
      * been told of its end.
      */
     fun applyRecord(path: String, value: Fields?, version: Long) {
-        if (path.startsWith(Keys.LIVE)) {
+        if (path.startsWith(Keys.LIVE_JOBS)) {
             val jobId = jobIdOf(path)
             val isObserved = version <= observedRevision
             if (value == null && !isObserved) ended.recordRemoval(jobId, version)
@@ -114,14 +114,14 @@
     private fun accept(path: String, value: Fields?, version: Long) {
         try {
             when {
-                path.startsWith(Keys.ENDS) -> value?.let { ended.record(jobIdOf(path), FinalRecord.parse(it)) }
-                !path.startsWith(Keys.LIVE) -> Unit
+                path.startsWith(Keys.ENDED_JOBS) -> value?.let { ended.record(jobIdOf(path), FinalRecord.parse(it)) }
+                !path.startsWith(Keys.LIVE_JOBS) -> Unit
                 value == null -> remove(jobIdOf(path), version)
                 else -> acceptLive(path, value, version)
             }
         } catch (e: MalformedException) {
             unreadable.report(path, e.message)
-            if (path.startsWith(Keys.LIVE)) unreadableLive[jobIdOf(path)] = version
+            if (path.startsWith(Keys.LIVE_JOBS)) unreadableLive[jobIdOf(path)] = version
         }
     }
 
@@ -138,7 +138,7 @@
     private fun jobIdOf(path: String): String = path.substringAfterLast('/')
 
     private fun shardOf(path: String): ShardId {
-        val number = path.removePrefix(Keys.LIVE).substringBefore('/').toIntOrNull()
+        val number = path.removePrefix(Keys.LIVE_JOBS).substringBefore('/').toIntOrNull()
         if (number == null || number !in 0 until settings.shardCount) {
             throw MalformedException("the job belongs to no shard")
         }
--- a/src/main/kotlin/io/reedmast/kvstore/CommitOutcome.kt
+++ b/src/main/kotlin/io/reedmast/kvstore/CommitOutcome.kt
@@ -11,7 +11,7 @@
      * A transaction that was applied, but whose answer was lost and whose puts have all been replaced since, is
      * reported in the same way: read the keys again before deciding anything.
      */
-    data class Conflict(val failed: Set<String>) : CommitOutcome
+    data class Conflict(val failedPaths: Set<String>) : CommitOutcome
 
     /** The store finds the transaction itself impossible, for [reason]. */
     data class Refused(val reason: String) : CommitOutcome
--- a/src/main/kotlin/io/reedmast/kvstore/Committer.kt
+++ b/src/main/kotlin/io/reedmast/kvstore/Committer.kt
@@ -24,10 +24,10 @@
     private val queue = CommitQueue(limits.target, client.writeLimiter, maxQueued, ::monotonicMs)
 
     @Volatile
-    private var lastAnswered = true
+    private var availableAtLastCommit = true
 
     /** False while the store does not take transactions: new submissions need not wait to find out. */
-    val answering: Boolean get() = lastAnswered
+    val isStoreAvailable: Boolean get() = availableAtLastCommit
 
     /** False if the queue is full; only transactions asked for from outside may be [refusable]. */
     fun offer(transaction: CasTransaction, refusable: Boolean): Boolean {
@@ -58,15 +58,15 @@
     private fun resolve(batch: List<CasTransaction>) {
         val resolution = InDoubtResolution(batch, ids, ThreadLocalRandom.current()::nextDouble, deliver)
         while (true) {
-            when (val step = resolution.next()) {
+            when (val step = resolution.nextStep()) {
                 is ResolutionStep.Send -> {
-                    Thread.sleep(step.afterMs)
-                    resolution.replied(send(step.transaction))
+                    Thread.sleep(step.pauseMs)
+                    resolution.onReply(send(step.transaction))
                 }
 
                 is ResolutionStep.Read -> {
-                    Thread.sleep(step.afterMs)
-                    resolution.read(client.get(step.path))
+                    Thread.sleep(step.pauseMs)
+                    resolution.onReadResult(client.get(step.path))
                 }
 
                 ResolutionStep.Done -> return
@@ -76,7 +76,7 @@
 
     private fun send(storeTransaction: StoreTransaction): CommitReply {
         val reply = commitOrUnknown(storeTransaction)
-        lastAnswered = reply !is CommitReply.NotExecuted && reply !is CommitReply.Unknown
+        availableAtLastCommit = reply !is CommitReply.NotExecuted && reply !is CommitReply.Unknown
         if (reply is CommitReply.Malformed && limits.exceedsOnlyReduced(storeTransaction)) {
             log.info("store: its limits have been reduced, it refuses what it used to accept")
             limits.reduce()
--- a/src/main/kotlin/io/reedmast/kvstore/InDoubtResolution.kt
+++ b/src/main/kotlin/io/reedmast/kvstore/InDoubtResolution.kt
@@ -48,8 +48,8 @@
     private var pauseMs = 0L
     private var backoffMs = FIRST_BACKOFF_MS
 
-    /** What the caller has to do now; its result goes to [replied] or [read]. */
-    fun next(): ResolutionStep {
+    /** What the caller has to do now; its result goes to [onReply] or [onReadResult]. */
+    fun nextStep(): ResolutionStep {
         val group = groups.firstOrNull() ?: return ResolutionStep.Done
         appliedCheck?.let { return ResolutionStep.Read(it.unreadPaths.first(), pauseMs) }
         val attempt = storeTransaction ?: newStoreTransaction(group).also { storeTransaction = it }
@@ -63,7 +63,7 @@
     )
 
     /** The store's reply to the transaction of the last [ResolutionStep.Send]. */
-    fun replied(reply: CommitReply) {
+    fun onReply(reply: CommitReply) {
         val group = groups.first()
         pauseMs = 0L
         when (reply) {
@@ -96,7 +96,7 @@
     }
 
     /** The value under the key of the last [ResolutionStep.Read]. */
-    fun read(result: ReadResult) {
+    fun onReadResult(result: ReadResult) {
         val check = appliedCheck ?: return
         pauseMs = 0L
         when (result) {
--- a/src/main/kotlin/io/reedmast/kvstore/Keys.kt
+++ b/src/main/kotlin/io/reedmast/kvstore/Keys.kt
@@ -9,7 +9,7 @@
     const val LEADER = "c/leader"
 
     /** The counter from which fencing tokens are allocated. */
-    const val TOKEN = "c/token"
+    const val TOKEN_COUNTER = "c/token"
 
     /** The record format that every controller reads. */
     const val FORMAT = "c/format"
@@ -36,10 +36,10 @@
     const val JOBS = "j/"
 
     /** Unfinished jobs, by shard. */
-    const val LIVE = "j/live/"
+    const val LIVE_JOBS = "j/live/"
 
     /** Ended jobs. */
-    const val ENDS = "j/end/"
+    const val ENDED_JOBS = "j/end/"
 
     /** Usage summaries of the shards. */
     const val USAGE_SUMMARIES = "totals/"
@@ -62,10 +62,10 @@
     fun drain(label: String) = "$DRAINS$label"
 
     /** An unfinished job of a shard. */
-    fun live(shard: Int, jobId: String) = "$LIVE$shard/$jobId"
+    fun liveJob(shard: Int, jobId: String) = "$LIVE_JOBS$shard/$jobId"
 
     /** An ended job. */
-    fun end(jobId: String) = "$ENDS$jobId"
+    fun endedJob(jobId: String) = "$ENDED_JOBS$jobId"
 
     /** The prefix of all progress pages of a shard. */
     fun pagesOf(shard: Int) = "$PAGES$shard/"
--- a/src/main/kotlin/io/reedmast/kvstore/StoreClient.kt
+++ b/src/main/kotlin/io/reedmast/kvstore/StoreClient.kt
@@ -19,7 +19,7 @@
  * A call that did not succeed is reported in its result and throws nothing; the caller decides whether to ask again.
  *
  * @param address the store's address, such as `10.0.0.1:8080`.
- * @param controllers how many controllers share the limits at first, see [shareAmong].
+ * @param controllers how many controllers share the limits at first, see [shareLimits].
  */
 class StoreClient(
     private val address: String,
@@ -34,7 +34,7 @@
     val writeLimiter = WriteRateLimiter(writesPerS(controllers), ::monotonicMs)
 
     /** Controllers that are down leave their part of the limits to the others, of which there are [controllers]. */
-    fun shareAmong(controllers: Int) {
+    fun shareLimits(controllers: Int) {
         requestLimiter.rate = requestsPerS(controllers)
         writeLimiter.setRate(writesPerS(controllers))
     }
--- a/src/main/kotlin/io/reedmast/model/FairShare.kt
+++ b/src/main/kotlin/io/reedmast/model/FairShare.kt
@@ -28,7 +28,7 @@
                 if (isCharged(placement)) rates[placement.job.team.value] += chargedCpus(placement.job.spec, type)
             }
         }
-        val wall = clock.wall()
+        val wall = clock.wallTime()
         for (team in teams) if (rates[team.value] > 0) usage.charge(team, rates[team.value] * seconds, wall)
     }
 
--- a/src/main/kotlin/io/reedmast/model/JobUrgency.kt
+++ b/src/main/kotlin/io/reedmast/model/JobUrgency.kt
@@ -30,7 +30,7 @@
     /** Whether the deadline is over; a job that has none of its own is given some time more. */
     fun isPastDeadline(job: Job): Boolean {
         val graceMs = if (job.spec.deadlineS == null) GRACE_WITHOUT_DEADLINE_MS else 0L
-        return clock.wall() > deadlineMs(job) + graceMs
+        return clock.wallTime() > deadlineMs(job) + graceMs
     }
 
     /**
--- a/src/main/kotlin/io/reedmast/peers/PeerCodec.kt
+++ b/src/main/kotlin/io/reedmast/peers/PeerCodec.kt
@@ -89,7 +89,7 @@
     private fun writeControllerStatusReport(sink: BufferedSink, report: PeerMessage.ControllerStatusReport) {
         val frame = Buffer().writeByte(STATUS_REPORT)
         frame.writeInt(report.from.value).writeText(report.incarnation).writeLong(report.sequence)
-        frame.writeLong(report.uptimeMs).writeLong(report.storeAgeMs ?: NEVER_HEARD)
+        frame.writeLong(report.uptimeMs).writeLong(report.storeViewAgeMs ?: NEVER_HEARD)
         val cancellations = report.cancellations
         frame.writeInt(cancellations?.size ?: NO_CANCELLATION_LIST)
         cancellations?.forEach { frame.writeText(it.jobId).writeLong(it.version) }
--- a/src/main/kotlin/io/reedmast/persistence/ConflictHandler.kt
+++ b/src/main/kotlin/io/reedmast/persistence/ConflictHandler.kt
@@ -49,7 +49,7 @@
 
     /** The job whose record has this path; null if it is the path of something else. */
     private fun jobIdOf(path: String): String? {
-        val prefix = Keys.live(shard, "")
+        val prefix = Keys.liveJob(shard, "")
         return if (path.startsWith(prefix)) path.removePrefix(prefix) else null
     }
 
--- a/src/main/kotlin/io/reedmast/persistence/FinalRecordWriter.kt
+++ b/src/main/kotlin/io/reedmast/persistence/FinalRecordWriter.kt
@@ -78,13 +78,13 @@
 
     private fun preconditionsOf(job: Job) = listOf(
         shardState.termPrecondition,
-        Precondition(Keys.live(shard, job.spec.jobId), job.version),
-        Precondition(Keys.end(job.spec.jobId), NOT_STORED),
+        Precondition(Keys.liveJob(shard, job.spec.jobId), job.version),
+        Precondition(Keys.endedJob(job.spec.jobId), NOT_STORED),
     )
 
     private fun writesOf(job: Job, record: FinalRecord) = listOf(
-        Write.Put(Keys.end(job.spec.jobId), record.toFields()),
-        Write.Delete(Keys.live(shard, job.spec.jobId)),
+        Write.Put(Keys.endedJob(job.spec.jobId), record.toFields()),
+        Write.Delete(Keys.liveJob(shard, job.spec.jobId)),
     )
 
     private fun onOutcome(outcome: CommitOutcome, job: Job, record: FinalRecord) {
@@ -94,7 +94,7 @@
 
             is CommitOutcome.Conflict -> {
                 retryLater(job, CONFLICT_DELAY_MS)
-                conflicts.onFinalRecordConflict(outcome.failed)
+                conflicts.onFinalRecordConflict(outcome.failedPaths)
             }
 
             is CommitOutcome.Refused -> {
--- a/src/main/kotlin/io/reedmast/persistence/PageWriter.kt
+++ b/src/main/kotlin/io/reedmast/persistence/PageWriter.kt
@@ -64,7 +64,7 @@
     }
 
     private fun preconditionsOn(jobs: List<Job>) =
-        jobs.map { Precondition(Keys.live(shardState.index.value, it.spec.jobId), it.version) }
+        jobs.map { Precondition(Keys.liveJob(shardState.index.value, it.spec.jobId), it.version) }
 
     private fun onOutcome(outcome: CommitOutcome, page: ProgressPage, written: List<Placement>) {
         when (outcome) {
@@ -72,7 +72,7 @@
 
             is CommitOutcome.Conflict -> {
                 scheduleRewrite(page)
-                conflicts.onPageConflict(outcome.failed, page, written)
+                conflicts.onPageConflict(outcome.failedPaths, page, written)
             }
 
             is CommitOutcome.Refused -> onRefused(outcome, page, written)
--- a/src/main/kotlin/io/reedmast/ports/Clock.kt
+++ b/src/main/kotlin/io/reedmast/ports/Clock.kt
@@ -6,5 +6,5 @@
     fun now(): Long
 
     /** Time of day in milliseconds since 1970; it may jump, and differs between controllers. */
-    fun wall(): Long
+    fun wallTime(): Long
 }
--- a/src/main/kotlin/io/reedmast/ports/LeaseState.kt
+++ b/src/main/kotlin/io/reedmast/ports/LeaseState.kt
@@ -6,7 +6,7 @@
     data class Held(val lease: Long, val isNew: Boolean) : LeaseState
 
     /** The store says that the lease has ended. */
-    data object Lost : LeaseState
+    data object Expired : LeaseState
 
     /** The store did not answer: the lease may or may not have been created or renewed. */
     data object Unknown : LeaseState
--- a/src/main/kotlin/io/reedmast/ports/PeerMessage.kt
+++ b/src/main/kotlin/io/reedmast/ports/PeerMessage.kt
@@ -36,7 +36,7 @@
         /** How long the answering process has been running, in milliseconds. */
         val uptimeMs: Long,
         /** How many milliseconds ago it last had answers of the store on both watches; null if it never did. */
-        val storeAgeMs: Long?,
+        val storeViewAgeMs: Long?,
         /**
          * All cancellations that it may have confirmed to a user, of jobs that are not over; null if there are too
          * many.
--- a/src/main/kotlin/io/reedmast/ports/ProcessControl.kt
+++ b/src/main/kotlin/io/reedmast/ports/ProcessControl.kt
@@ -9,7 +9,7 @@
     fun shareLimits(aliveControllers: Int, leading: Boolean)
 
     /** This process must not go on, for [reason]: it ends without touching anything more. */
-    fun end(reason: String)
+    fun terminate(reason: String)
 
     /** Tells that there are [count] machines, each of which may have a connection to this controller. */
     fun expectMachines(count: Int)
--- a/src/main/kotlin/io/reedmast/requests/JobLookup.kt
+++ b/src/main/kotlin/io/reedmast/requests/JobLookup.kt
@@ -41,20 +41,21 @@
     }
 
     /** Not among the unfinished: it ended long ago, or nobody has submitted it. */
-    private fun readEnd(jobId: String, onResult: (JobLookupResult) -> Unit) = store.get(Keys.end(jobId)) { fetched ->
-        when (fetched) {
-            is ReadResult.Failed -> onResult(JobLookupResult.Unavailable)
-            is ReadResult.Missing -> onResult(JobLookupResult.Unknown)
-            is ReadResult.Found -> onResult(parseEnd(jobId, fetched))
+    private fun readEnd(jobId: String, onResult: (JobLookupResult) -> Unit) =
+        store.get(Keys.endedJob(jobId)) { fetched ->
+            when (fetched) {
+                is ReadResult.Failed -> onResult(JobLookupResult.Unavailable)
+                is ReadResult.Missing -> onResult(JobLookupResult.Unknown)
+                is ReadResult.Found -> onResult(parseEnd(jobId, fetched))
+            }
         }
-    }
 
     private fun parseEnd(jobId: String, found: ReadResult.Found): JobLookupResult = try {
         val end = FinalRecord.parse(found.item.value)
         jobs.ended.record(jobId, end)
         JobLookupResult.Ended(end)
     } catch (e: MalformedException) {
-        jobs.unreadable.report(Keys.end(jobId), e.message)
+        jobs.unreadable.report(Keys.endedJob(jobId), e.message)
         JobLookupResult.Unavailable
     }
 }
--- a/src/main/kotlin/io/reedmast/requests/JobRequestHandler.kt
+++ b/src/main/kotlin/io/reedmast/requests/JobRequestHandler.kt
@@ -96,11 +96,11 @@
 
     private fun storeJob(spec: JobSpec, team: TeamId, answer: (UserAnswer) -> Unit) {
         val submittedAt = clock.now()
-        val path = Keys.live(settings.shardOf(team).value, spec.jobId)
+        val path = Keys.liveJob(settings.shardOf(team).value, spec.jobId)
         val record = newRecord(spec)
         val transaction = CasTransaction(
             // A late copy of a submission must not bring back a job that is over: its end is a condition too.
-            listOf(Precondition(path, ABSENT), Precondition(Keys.end(spec.jobId), ABSENT)),
+            listOf(Precondition(path, ABSENT), Precondition(Keys.endedJob(spec.jobId), ABSENT)),
             listOf(Write.Put(path, record)),
             WritePriority.USER,
         ) { outcome ->
@@ -121,7 +121,7 @@
 
     private fun newRecord(spec: JobSpec): Fields {
         val chunkSize = PageFormat.chunkSizeFor(limits.target.valueBytes)
-        return LiveRecord(spec, chunkSize, clock.wall(), isCancelled = false).toFields()
+        return LiveRecord(spec, chunkSize, clock.wallTime(), isCancelled = false).toFields()
     }
 
     private fun logAccepted(spec: JobSpec) = log.info(
@@ -164,7 +164,7 @@
 
     /** Stores that the job is cancelled; looks at it anew if somebody else has changed its record meanwhile. */
     private fun storeCancellation(jobId: String, job: LiveJob, remainingTries: Int, answer: (UserAnswer) -> Unit) {
-        val path = Keys.live(job.shard.value, jobId)
+        val path = Keys.liveJob(job.shard.value, jobId)
         val record = job.record.cancelled().toFields()
         val transaction = CasTransaction(
             listOf(Precondition(path, job.version)),
--- a/src/main/kotlin/io/reedmast/rollout/RolloutAdministration.kt
+++ b/src/main/kotlin/io/reedmast/rollout/RolloutAdministration.kt
@@ -192,7 +192,7 @@
         commit(transaction) { outcome ->
             when (outcome) {
                 is CommitOutcome.Applied -> act.done(ActResult.Done)
-                is CommitOutcome.Conflict -> onConflict(act, outcome.failed, attemptsLeft)
+                is CommitOutcome.Conflict -> onConflict(act, outcome.failedPaths, attemptsLeft)
                 is CommitOutcome.Refused -> act.done(ActResult.Refused(outcome.reason))
             }
         }
--- a/src/main/kotlin/io/reedmast/scheduling/Scheduler.kt
+++ b/src/main/kotlin/io/reedmast/scheduling/Scheduler.kt
@@ -72,7 +72,7 @@
         val machines = candidateMachines(shardState.machines.values, shardState.heartbeatLateMs, nowMs)
         reservations.removeExpired(nowMs)
         reserveForExpectedGangs(machines, nowMs)
-        return SchedulingPass(nowMs, shardState.clock.wall(), machines, serviceHeadroom(machines, nowMs))
+        return SchedulingPass(nowMs, shardState.clock.wallTime(), machines, serviceHeadroom(machines, nowMs))
     }
 
     /** Reserves machines for as many gangs as arrive while capacity for one becomes free, judged by recent arrivals. */
--- a/src/main/kotlin/io/reedmast/shard/ShardRestoration.kt
+++ b/src/main/kotlin/io/reedmast/shard/ShardRestoration.kt
@@ -68,6 +68,6 @@
      */
     private fun countWaitFromAcceptance(job: Job) {
         if (job.placedCount > 0 || job.doneCount > 0) return
-        job.restartWaiting(clock.now() - maxOf(0L, clock.wall() - job.acceptedAtMs))
+        job.restartWaiting(clock.now() - maxOf(0L, clock.wallTime() - job.acceptedAtMs))
     }
 }
--- a/src/main/kotlin/io/reedmast/shard/StoredProgressListener.kt
+++ b/src/main/kotlin/io/reedmast/shard/StoredProgressListener.kt
@@ -63,7 +63,7 @@
         val jobId = job.spec.jobId
         log.info("job {}: {}", jobId, if (job.isCancelled) "cancellation complete" else "done")
         jobs.forget(job)
-        records.jobs.applyRecord(Keys.end(jobId), end.toFields(), revision)
-        records.jobs.applyRecord(Keys.live(shard.value, jobId), null, revision)
+        records.jobs.applyRecord(Keys.endedJob(jobId), end.toFields(), revision)
+        records.jobs.applyRecord(Keys.liveJob(shard.value, jobId), null, revision)
     }
 }
--- a/src/test/kotlin/io/reedmast/app/EventLoopTest.kt
+++ b/src/test/kotlin/io/reedmast/app/EventLoopTest.kt
@@ -20,7 +20,7 @@
     private object SteadyClock : Clock {
         override fun now(): Long = System.nanoTime() / 1_000_000
 
-        override fun wall(): Long = System.currentTimeMillis()
+        override fun wallTime(): Long = System.currentTimeMillis()
     }
 
     private fun eventLoop(tickMs: Long, runOnce: () -> Unit) = EventLoop(SteadyClock, 2).also { eventLoop ->
--- a/src/test/kotlin/io/reedmast/app/SocketTest.kt
+++ b/src/test/kotlin/io/reedmast/app/SocketTest.kt
@@ -38,7 +38,7 @@
     private object SystemClock : Clock {
         override fun now(): Long = System.nanoTime() / 1_000_000
 
-        override fun wall(): Long = System.currentTimeMillis()
+        override fun wallTime(): Long = System.currentTimeMillis()
     }
 
     private val stored = HashMap<String, Pair<Any?, Long>>()
--- a/src/test/kotlin/io/reedmast/cluster/AcceptingStore.kt
+++ b/src/test/kotlin/io/reedmast/cluster/AcceptingStore.kt
@@ -34,7 +34,7 @@
 internal object NoProcess : ProcessControl {
     override fun shareLimits(aliveControllers: Int, leading: Boolean) = Unit
 
-    override fun end(reason: String) = Unit
+    override fun terminate(reason: String) = Unit
 
     override fun expectMachines(count: Int) = Unit
 }
--- a/src/test/kotlin/io/reedmast/cluster/ShardAcquisitionTest.kt
+++ b/src/test/kotlin/io/reedmast/cluster/ShardAcquisitionTest.kt
@@ -23,7 +23,7 @@
     private val clock = object : Clock {
         override fun now() = now
 
-        override fun wall() = now
+        override fun wallTime() = now
     }
     private val settings = testSettings(controllers = listOf("n0", "n1"))
     private val out = RecordingGateway()
--- a/src/test/kotlin/io/reedmast/cluster/WatchStalenessTest.kt
+++ b/src/test/kotlin/io/reedmast/cluster/WatchStalenessTest.kt
@@ -12,7 +12,7 @@
     private val clock = object : Clock {
         override fun now() = now
 
-        override fun wall() = now
+        override fun wallTime() = now
     }
     private val staleness = WatchStaleness(clock, WorkerRules(3.0, 16.0, 41.0))
     private val answers = ArrayList<Boolean>()
--- a/src/test/kotlin/io/reedmast/commands/CommandDispatcherTest.kt
+++ b/src/test/kotlin/io/reedmast/commands/CommandDispatcherTest.kt
@@ -22,7 +22,7 @@
     private val clock = object : Clock {
         override fun now() = 10_000L
 
-        override fun wall() = 10_000L
+        override fun wallTime() = 10_000L
     }
     private val machineType = MachineType("m", 4.0, 0.0, 64.0, 50.0, 0.5, 1.0, 0.3, 5.0, listOf("x"))
     private val settings = testSettings()
--- a/src/test/kotlin/io/reedmast/kvstore/InDoubtResolutionTest.kt
+++ b/src/test/kotlin/io/reedmast/kvstore/InDoubtResolutionTest.kt
@@ -40,15 +40,15 @@
         }) { transaction, outcome -> transaction.done(outcome) }
 
     private fun InDoubtResolution.reply(reply: CommitReply) {
-        sent.add((next() as ResolutionStep.Send).transaction)
-        replied(reply)
+        sent.add((nextStep() as ResolutionStep.Send).transaction)
+        onReply(reply)
     }
 
     private fun InDoubtResolution.find(vararg values: Pair<String, StoredItem?>) {
         val known = values.toMap()
         while (true) {
-            val step = next() as? ResolutionStep.Read ?: return
-            read(known[step.path]?.let { ReadResult.Found(it) } ?: ReadResult.Missing)
+            val step = nextStep() as? ResolutionStep.Read ?: return
+            onReadResult(known[step.path]?.let { ReadResult.Found(it) } ?: ReadResult.Missing)
         }
     }
 
@@ -71,7 +71,7 @@
         resolution.reply(CommitReply.PreconditionFailed(setOf("a", "b", "c", "end/c")))
         resolution.find("a" to stored("a", 9, sent[0].id))
         assertEquals(List(3) { CommitOutcome.Applied(9) }, outcomes.values.toList())
-        assertEquals(ResolutionStep.Done, resolution.next())
+        assertEquals(ResolutionStep.Done, resolution.nextStep())
     }
 
     @Test
@@ -89,7 +89,7 @@
         resolution.reply(CommitReply.Unknown)
         resolution.reply(CommitReply.PreconditionFailed(setOf("a")))
         // The key whose precondition holds is read first, and has not moved: the others need not be read.
-        assertEquals(ResolutionStep.Read("end/c", 0), resolution.next())
+        assertEquals(ResolutionStep.Read("end/c", 0), resolution.nextStep())
         resolution.find("a" to stored("a", 9, "other"), "end/c" to stored("end/c", 4, "older"))
         assertEquals(mapOf("cancel" to CommitOutcome.Conflict(setOf("a"))), outcomes)
         resolution.reply(CommitReply.Applied(12))
@@ -159,7 +159,7 @@
         val resolution = resolution(accept)
         resolution.reply(CommitReply.Unknown)
         resolution.reply(CommitReply.PreconditionFailed(setOf("b")))
-        repeat(3) { resolution.read(ReadResult.Failed) }
+        repeat(3) { resolution.onReadResult(ReadResult.Failed) }
         assertEquals(emptyMap<String, CommitOutcome>(), outcomes)
         resolution.find("b" to stored("b", 9, "other"))
         assertEquals(mapOf("accept" to CommitOutcome.Conflict(setOf("b"))), outcomes)
@@ -170,7 +170,7 @@
         val resolution = resolution(accept)
         val pauses = List(3) {
             resolution.reply(CommitReply.NotExecuted)
-            (resolution.next() as ResolutionStep.Send).afterMs
+            (resolution.nextStep() as ResolutionStep.Send).pauseMs
         }
         assertEquals(pauses.sorted().distinct(), pauses)
         resolution.reply(CommitReply.PreconditionFailed(setOf("b")))
--- a/src/test/kotlin/io/reedmast/peers/PeerCodecTest.kt
+++ b/src/test/kotlin/io/reedmast/peers/PeerCodecTest.kt
@@ -28,7 +28,11 @@
             PeerMessage.ControllerStatusReport(ControllerId(0), "n2-abc-1", 7, 123_456, 0, it)
         }
         val others = listOf(query, PeerMessage.FailoverRequest(ShardId(1), Long.MAX_VALUE))
-        for (message in reports + reports[1].copy(storeAgeMs = null) + others) assertEquals(message, through(message))
+        for (message in reports + reports[1].copy(
+            storeViewAgeMs = null,
+        ) + others) {
+            assertEquals(message, through(message))
+        }
     }
 
     @Test
--- a/src/test/kotlin/io/reedmast/persistence/PageDivisionTest.kt
+++ b/src/test/kotlin/io/reedmast/persistence/PageDivisionTest.kt
@@ -37,7 +37,7 @@
     private val clock = object : Clock {
         override fun now() = now
 
-        override fun wall() = now
+        override fun wallTime() = now
     }
     private val settings = testSettings(
         team = TeamShare("a", 800.0, 1200.0, 0.0, 0.0),
--- a/src/test/kotlin/io/reedmast/scheduling/SchedulingFixtures.kt
+++ b/src/test/kotlin/io/reedmast/scheduling/SchedulingFixtures.kt
@@ -11,7 +11,7 @@
 class SettableClock(var nowMs: Long = 0L) : Clock {
     override fun now(): Long = nowMs
 
-    override fun wall(): Long = nowMs
+    override fun wallTime(): Long = nowMs
 }
 
 /** The state of a shard with one team and no machines. */
--- a/src/test/kotlin/io/reedmast/sim/RecordingGateway.kt
+++ b/src/test/kotlin/io/reedmast/sim/RecordingGateway.kt
@@ -50,7 +50,7 @@
 
     override fun shareLimits(aliveControllers: Int, leading: Boolean) = Unit
 
-    override fun end(reason: String) = Unit
+    override fun terminate(reason: String) = Unit
 
     override fun expectMachines(count: Int) = Unit
 }
--- a/src/test/kotlin/io/reedmast/sim/RolloutRules.kt
+++ b/src/test/kotlin/io/reedmast/sim/RolloutRules.kt
@@ -20,7 +20,7 @@
 
     private fun state(path: String, value: Fields) = when {
         path.startsWith("page/") -> DensePages.FEATURE to DensePages.isDense(value)
-        path == Keys.TOKEN -> ClusterFeatures.FENCED_TOKENS to ("fencedToken" in value)
+        path == Keys.TOKEN_COUNTER -> ClusterFeatures.FENCED_TOKENS to ("fencedToken" in value)
         else -> null
     }
 
@@ -30,8 +30,8 @@
         val (feature, isNew) = state(path, value) ?: return
         val now = record.stateOf(feature)
         val newAllowed = now == GateState.ENABLED || now == GateState.FINALIZED
-        if (path == Keys.TOKEN && !isNew && takesOpenCounter(value)) return
-        if (path == Keys.TOKEN) counterIsOpen = !isNew
+        if (path == Keys.TOKEN_COUNTER && !isNew && takesOpenCounter(value)) return
+        if (path == Keys.TOKEN_COUNTER) counterIsOpen = !isNew
         if (isNew !=
             newAllowed
         ) {
@@ -111,7 +111,7 @@
     }
 
     private companion object {
-        val conditional = listOf(Keys.MEMBERS, Keys.LEADER, Keys.TOKEN, "page/", Keys.ROLLOUT, Keys.MIGRATIONS)
+        val conditional = listOf(Keys.MEMBERS, Keys.LEADER, Keys.TOKEN_COUNTER, "page/", Keys.ROLLOUT, Keys.MIGRATIONS)
         val allowed = mapOf(
             GateState.DORMANT to setOf(GateState.READY),
             GateState.READY to setOf(GateState.DORMANT, GateState.ENABLED),
--- a/src/test/kotlin/io/reedmast/sim/RuleChecker.kt
+++ b/src/test/kotlin/io/reedmast/sim/RuleChecker.kt
@@ -154,8 +154,8 @@
         }
     }
 
-    private fun isStored(jobId: String): Boolean = world.store.get(Keys.end(jobId)) != null ||
-        (0 until world.settings.shardCount).any { world.store.get(Keys.live(it, jobId)) != null }
+    private fun isStored(jobId: String): Boolean = world.store.get(Keys.endedJob(jobId)) != null ||
+        (0 until world.settings.shardCount).any { world.store.get(Keys.liveJob(it, jobId)) != null }
 
     // ---- what becomes of accepted jobs
     // --------------------------------------------------------------------------------
--- a/src/test/kotlin/io/reedmast/sim/RuleCheckerTest.kt
+++ b/src/test/kotlin/io/reedmast/sim/RuleCheckerTest.kt
@@ -30,8 +30,8 @@
         world.store.commit(
             StoreTransaction(
                 "t",
-                listOf(Precondition(Keys.live(0, "wk-1"), 0)),
-                listOf(Write.Put(Keys.live(0, "wk-1"), emptyMap())),
+                listOf(Precondition(Keys.liveJob(0, "wk-1"), 0)),
+                listOf(Write.Put(Keys.liveJob(0, "wk-1"), emptyMap())),
             ),
         )
     }
--- a/src/test/kotlin/io/reedmast/sim/SimController.kt
+++ b/src/test/kotlin/io/reedmast/sim/SimController.kt
@@ -60,7 +60,7 @@
     private val clock = object : Clock {
         override fun now() = world.now()
 
-        override fun wall() = world.wall() + clockErrorMs
+        override fun wallTime() = world.wallTime() + clockErrorMs
     }
 
     /** What its deploy file wishes. */
@@ -160,7 +160,7 @@
         val askedAt = world.now()
         list(of, Keys.CLUSTER) { cluster ->
             val jobsAskedAt = world.now()
-            list(of, Keys.LIVE) { jobs ->
+            list(of, Keys.LIVE_JOBS) { jobs ->
                 if (cluster is ListResult.Listing && jobs is ListResult.Listing) {
                     loaded = true
                     watchedTo = cluster.revision
@@ -261,7 +261,7 @@
         /** What a version before formats and rollouts writes, and sees, of a record. */
         fun asBeforeRollouts(path: String, value: Fields): Fields = when {
             path.startsWith(Keys.MEMBERS) -> value.filterKeys { it == "label" || it == "txn" }
-            path == Keys.TOKEN && "fencedToken" in value -> mapOf("form" to 0L)
+            path == Keys.TOKEN_COUNTER && "fencedToken" in value -> mapOf("form" to 0L)
             else -> value
         }
 
--- a/src/test/kotlin/io/reedmast/sim/SimGateway.kt
+++ b/src/test/kotlin/io/reedmast/sim/SimGateway.kt
@@ -112,23 +112,23 @@
     }
 
     private fun resolve(resolution: InDoubtResolution) {
-        when (val step = resolution.next()) {
-            is ResolutionStep.Send -> controller.later(step.afterMs) {
+        when (val step = resolution.nextStep()) {
+            is ResolutionStep.Send -> controller.later(step.pauseMs) {
                 if (controller.life == life) {
                     send(step.transaction) {
                         isAvailable = it !is CommitReply.NotExecuted && it !is CommitReply.Unknown
                         if (it is CommitReply.Malformed && limits.exceedsOnlyReduced(step.transaction)) limits.reduce()
                         if (it is CommitReply.RateLimited) writeLimiter.empty()
-                        resolution.replied(it)
+                        resolution.onReply(it)
                         resolve(resolution)
                     }
                 }
             }
 
-            is ResolutionStep.Read -> controller.later(step.afterMs) {
+            is ResolutionStep.Read -> controller.later(step.pauseMs) {
                 if (controller.life == life) {
                     get(step.path) {
-                        resolution.read(it)
+                        resolution.onReadResult(it)
                         resolve(resolution)
                     }
                 }
@@ -220,7 +220,7 @@
                 !reachable -> LeaseState.Unknown
                 lease == null -> LeaseState.Held(store.lease(lifeMs), true)
                 store.extend(lease, lifeMs) -> LeaseState.Held(lease, false)
-                else -> LeaseState.Lost
+                else -> LeaseState.Expired
             }
         }
     }
@@ -277,7 +277,7 @@
         }
     }
 
-    override fun end(reason: String) {
+    override fun terminate(reason: String) {
         record("end", emptyMap())
         controller.endUnfit(reason)
     }
--- a/src/test/kotlin/io/reedmast/sim/SimOperator.kt
+++ b/src/test/kotlin/io/reedmast/sim/SimOperator.kt
@@ -65,7 +65,7 @@
             ClusterFeatures.registry,
             configured,
             StoredClusterRecords(world.controllers.size),
-            world::wall,
+            world::wallTime,
             store,
         )
     }
@@ -129,7 +129,15 @@
     /** The forms in which pages, or the token counter, are stored. */
     fun formsOf(what: String): Set<String> = when (what) {
         "pages" -> world.store.all("page/").mapTo(HashSet()) { if (DensePages.isDense(it.value)) "dense" else "plain" }
-        "token" -> world.store.all(Keys.TOKEN).mapTo(HashSet()) { if ("fencedToken" in it.value) "fenced" else "open" }
+        "token" -> world.store.all(Keys.TOKEN_COUNTER).mapTo(HashSet()) {
+            if ("fencedToken" in
+                it.value
+            ) {
+                "fenced"
+            } else {
+                "open"
+            }
+        }
         else -> error("nothing has the form of $what")
     }
 }
--- a/src/test/kotlin/io/reedmast/sim/SimStore.kt
+++ b/src/test/kotlin/io/reedmast/sim/SimStore.kt
@@ -235,7 +235,7 @@
         for ((page, attempts) in placed) {
             if (page.startsWith("page/$shard/")) continue
             val of = page.removePrefix("page/").substringBefore('/').toInt()
-            attempts.filter { it.third in machineNames && Keys.live(of, it.first.jobId) in entries }
+            attempts.filter { it.third in machineNames && Keys.liveJob(of, it.first.jobId) in entries }
                 .forEach {
                     world.rules.breach("moved_while_placed ${it.third} to shard $shard, ${it.first} of shard $of")
                 }
--- a/src/test/kotlin/io/reedmast/sim/World.kt
+++ b/src/test/kotlin/io/reedmast/sim/World.kt
@@ -83,7 +83,7 @@
 
     override fun now(): Long = time
 
-    override fun wall(): Long = 1_700_000_000_000L + time
+    override fun wallTime(): Long = 1_700_000_000_000L + time
 
     fun after(ms: Long, work: () -> Unit) {
         events.add(Event(time + ms, sequence++, work))
