--- a/src/main/kotlin/io/reedmast/cluster/ClusterRollout.kt
+++ b/src/main/kotlin/io/reedmast/cluster/ClusterRollout.kt
@@ -46,7 +46,7 @@
     private val coordinator = RolloutCoordinator(
         options.registry,
         settings.label,
-        clock::wall,
+        clock::wallTime,
         rolloutStore,
         view,
         limits.target.maxPreconditions,
@@ -120,7 +120,7 @@
     private fun end(reason: String) {
         if (isEnding) return
         isEnding = true
-        process.end(reason)
+        process.terminate(reason)
     }
 
     /**
--- a/src/main/kotlin/io/reedmast/cluster/ShardAcquirer.kt
+++ b/src/main/kotlin/io/reedmast/cluster/ShardAcquirer.kt
@@ -86,8 +86,8 @@
         // In most cases another controller has taken the token that this acquisition needed.
         attempts.retrySoon(acquisition.shard)
         reread(Keys.shard(acquisition.shard.value))
-        reread(Keys.TOKEN)
-        if (outcome is CommitOutcome.Conflict && Keys.ROLLOUT in outcome.failed) rollout.refreshGates()
+        reread(Keys.TOKEN_COUNTER)
+        if (outcome is CommitOutcome.Conflict && Keys.ROLLOUT in outcome.failedPaths) rollout.refreshGates()
     }
 
     /**
--- a/src/main/kotlin/io/reedmast/jobs/JobIndex.kt
+++ b/src/main/kotlin/io/reedmast/jobs/JobIndex.kt
@@ -99,7 +99,7 @@
      * Adding it again would report it as queued to a user who has already been told that it ended.
      */
     fun applyRecord(path: String, value: Fields?, version: Long) {
-        if (path.startsWith(Keys.LIVE)) {
+        if (path.startsWith(Keys.LIVE_JOBS)) {
             val jobId = jobIdOf(path)
             val isObserved = version <= observedRevision
             if (value == null && !isObserved) ended.recordRemoval(jobId, version)
@@ -112,14 +112,14 @@
     private fun dispatchRecord(path: String, value: Fields?, version: Long) {
         try {
             when {
-                path.startsWith(Keys.ENDS) -> value?.let { ended.record(jobIdOf(path), FinalRecord.parse(it)) }
-                !path.startsWith(Keys.LIVE) -> Unit
+                path.startsWith(Keys.ENDED_JOBS) -> value?.let { ended.record(jobIdOf(path), FinalRecord.parse(it)) }
+                !path.startsWith(Keys.LIVE_JOBS) -> Unit
                 value == null -> remove(jobIdOf(path), version)
                 else -> applyLiveRecord(path, value, version)
             }
         } catch (e: MalformedException) {
             unreadable.report(path, e.message)
-            if (path.startsWith(Keys.LIVE)) unreadableLive[jobIdOf(path)] = version
+            if (path.startsWith(Keys.LIVE_JOBS)) unreadableLive[jobIdOf(path)] = version
         }
     }
 
@@ -136,7 +136,7 @@
     private fun jobIdOf(path: String): String = path.substringAfterLast('/')
 
     private fun shardOf(path: String): ShardId {
-        val number = path.removePrefix(Keys.LIVE).substringBefore('/').toIntOrNull()
+        val number = path.removePrefix(Keys.LIVE_JOBS).substringBefore('/').toIntOrNull()
         if (number == null || number !in 0 until settings.shardCount) {
             throw MalformedException("live record is stored under an unknown shard")
         }
--- a/src/main/kotlin/io/reedmast/persistence/ConflictHandler.kt
+++ b/src/main/kotlin/io/reedmast/persistence/ConflictHandler.kt
@@ -53,7 +53,7 @@
 
     /** The ID of the job whose record has the key [path]; null if the key is not that of a job's record. */
     private fun jobIdOf(path: String): String? {
-        val prefix = Keys.live(shard, "")
+        val prefix = Keys.liveJob(shard, "")
         return if (path.startsWith(prefix)) path.removePrefix(prefix) else null
     }
 
--- a/src/main/kotlin/io/reedmast/scheduling/Scheduler.kt
+++ b/src/main/kotlin/io/reedmast/scheduling/Scheduler.kt
@@ -75,7 +75,7 @@
         val machines = candidateMachines(shardState.machines.values, shardState.heartbeatLateMs, nowMs)
         reservations.removeExpired(nowMs)
         reserveForExpectedGangs(machines, nowMs)
-        return SchedulingPass(nowMs, shardState.clock.wall(), machines, serviceHeadroom(machines, nowMs))
+        return SchedulingPass(nowMs, shardState.clock.wallTime(), machines, serviceHeadroom(machines, nowMs))
     }
 
     /**
