--- a/src/main/kotlin/io/reedmast/commands/CommandDispatcher.kt
+++ b/src/main/kotlin/io/reedmast/commands/CommandDispatcher.kt
@@ -29,16 +29,16 @@
     private val callPolicy = DirectCallPolicy(shardState)
     private val replies = DirectReplyHandler(shardState, onStatusReport)
     private val announcer = TokenAnnouncer(shardState, cloud, workers, replies)
-    private val contestedObserver = ContestedMachineObserver(shardState, workers, replies)
+    private val contestedMachinePoller = ContestedMachinePoller(shardState, workers, replies)
 
     /** The shard has just been acquired. */
-    fun begin() = announcer.begin()
+    fun start() = announcer.start()
 
     /** Called periodically: shows our token to machines that have sent no heartbeat since the shard was acquired. */
     fun announceToken(now: Long) = announcer.runOnce(now)
 
     /** Called periodically: asks what is on machines whose workers another shard's owner answers. */
-    fun observeContested(now: Long) = contestedObserver.runOnce(now)
+    fun pollContestedMachines(now: Long) = contestedMachinePoller.runOnce(now)
 
     /** Queues the launch of a stored placement, unless it is not known what is on its machine. */
     fun launch(placement: Placement) {
--- a/src/main/kotlin/io/reedmast/commands/ContestedMachineObserver.kt
+++ b/src/main/kotlin/io/reedmast/commands/ContestedMachinePoller.kt
@@ -13,7 +13,7 @@
  * The call carries a token and an epoch that no worker has: nothing is executed, and the refusal is the worker's newest
  * status (PROTOCOL, POST /do).
  */
-internal class ContestedMachineObserver(
+internal class ContestedMachinePoller(
     private val shardState: ShardState,
     private val workers: WorkerTransport,
     private val replies: DirectReplyHandler,
--- a/src/main/kotlin/io/reedmast/commands/TokenAnnouncer.kt
+++ b/src/main/kotlin/io/reedmast/commands/TokenAnnouncer.kt
@@ -27,7 +27,7 @@
     private var isListing = false
 
     /** The shard has just been acquired: workers whose address is known are called at once. */
-    fun begin() {
+    fun start() {
         listDue = shardState.clock.now() + FIRST_LIST_AFTER_MS
         for (machine in shardState.machines.values.toList()) {
             if (machine.isStateKnown || machine.decommissionReason != null) continue
--- a/src/main/kotlin/io/reedmast/shard/ShardOwner.kt
+++ b/src/main/kotlin/io/reedmast/shard/ShardOwner.kt
@@ -118,7 +118,7 @@
         shardState.active = true
         shardState.activeAt = clock.now()
         shardState.schedulingPassRequested = true
-        dispatcher.begin()
+        dispatcher.start()
         log.info(
             "shard {}: acquired, token {}, {} jobs, {} machines",
             shard,
@@ -177,7 +177,7 @@
         jobIndexComparison.runIfDue(now)
         usageCharging.runIfDue(now)
         dispatcher.announceToken(now)
-        dispatcher.observeContested(now)
+        dispatcher.pollContestedMachines(now)
         lifecycle.runOnce(now)
         requestPassForPendingTasks()
         writeUsageSummary(now)
