--- a/src/main/kotlin/io/reedmast/app/Controller.kt
+++ b/src/main/kotlin/io/reedmast/app/Controller.kt
@@ -87,7 +87,7 @@
         }
         machineTypesDue = clock.now() + MACHINE_TYPES_EVERY_MS
         machineTypes = listed.associateBy { it.label }
-        cluster.activeOwners().forEach { it.machineTypesChanged() }
+        cluster.activeOwners().forEach { it.onMachineTypesChanged() }
     }
 
     /**
--- a/src/main/kotlin/io/reedmast/cluster/Cluster.kt
+++ b/src/main/kotlin/io/reedmast/cluster/Cluster.kt
@@ -202,7 +202,7 @@
     private fun releaseShards(now: Long) {
         if (!rollout.isDraining || now < releaseDueAt) return
         releaseDueAt = now + RELEASE_INTERVAL_MS
-        activeOwners().filter { it.isSettled }.forEach { requestFailover(it.index) }
+        activeOwners().filter { it.isReadyForHandover }.forEach { requestFailover(it.index) }
     }
 
     /**
@@ -230,7 +230,7 @@
         gateway.broadcast(PeerMessage.FailoverRequest(shard, term))
     }
 
-    override fun refresh(shard: ShardId) = shards.refresh(shard, watchResults::applyReadResult)
+    override fun refreshShardRecord(shard: ShardId) = shards.refresh(shard, watchResults::applyReadResult)
 
     override fun removeMachines(shard: ShardId, machineNames: Set<String>) =
         assignment.removeMachines(shard, machineNames)
--- a/src/main/kotlin/io/reedmast/shard/ShardOwner.kt
+++ b/src/main/kotlin/io/reedmast/shard/ShardOwner.kt
@@ -65,7 +65,7 @@
     private val usageSummaryWriter =
         UsageSummaryWriter(shardState, gateway, demandEstimator, scaleInPolicy, {
             records.machinesVersion(index)
-        }, { records.refresh(index) })
+        }, { records.refreshShardRecord(index) })
 
     /** Decides what runs where. */
     val scheduler = Scheduler(shardState, dispatcher, demandEstimator, scaleInPolicy)
@@ -107,7 +107,7 @@
     /**
      * Whether nothing of what was decided here is yet to be stored: the shard may then change hands without a trace.
      */
-    val isSettled: Boolean get() = active && progressStore.isFullyStored && !migration.inDoubt
+    val isReadyForHandover: Boolean get() = active && progressStore.isFullyStored && !migration.inDoubt
 
     /**
      * Restores the shard from what is stored of it, and begins to act: [pages] were listed, and [live] is at least as
@@ -147,7 +147,7 @@
     fun syncMachines() = machines.syncWithRecords()
 
     /** The cloud's machine types, or their prices, have changed. */
-    fun machineTypesChanged() = machines.onMachineTypesChanged()
+    fun onMachineTypesChanged() = machines.onMachineTypesChanged()
 
     override fun onJobChanged(live: LiveJob) = jobs.onJobChanged(live)
 
--- a/src/main/kotlin/io/reedmast/shard/ShardRecords.kt
+++ b/src/main/kotlin/io/reedmast/shard/ShardRecords.kt
@@ -37,7 +37,7 @@
     fun renewToken(shard: ShardId)
 
     /** The term may have moved on: read the record again. */
-    fun refresh(shard: ShardId)
+    fun refreshShardRecord(shard: ShardId)
 
     /** Asks the other controllers to acquire the shard, since its workers do not reach this one. */
     fun requestFailover(shard: ShardId)
--- a/src/main/kotlin/io/reedmast/shard/StoredProgressListener.kt
+++ b/src/main/kotlin/io/reedmast/shard/StoredProgressListener.kt
@@ -47,7 +47,7 @@
         }
     }
 
-    override fun onTermConflict() = records.refresh(shard)
+    override fun onTermConflict() = records.refreshShardRecord(shard)
 
     override fun onGatesConflict() = records.rollout.refreshGates()
 
