--- a/src/main/kotlin/io/reedmast/autoscaling/AbandonedMachines.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/AbandonedMachines.kt
@@ -42,7 +42,7 @@
     }
 
     private fun isUnassigned(machineName: String, expectedNames: Set<String>): Boolean =
-        fleet.shardOfMachine(machineName) == null && !fleet.departedLately(machineName) &&
+        fleet.shardOfMachine(machineName) == null && !fleet.departedRecently(machineName) &&
             machineName !in expectedNames
 
     private fun isAbandoned(machine: ListedMachine, now: Long): Boolean {
--- a/src/main/kotlin/io/reedmast/autoscaling/FleetView.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/FleetView.kt
@@ -39,7 +39,7 @@
     fun machinesVersion(shard: ShardId): Long
 
     /** Whether the machine has left all shards lately: lists and late copies of heartbeats may still show it. */
-    fun departedLately(machineName: String): Boolean
+    fun departedRecently(machineName: String): Boolean
 
     /** A machine of no shard is gone: lists and late messages that still show it count for nothing. */
     fun recordDeparture(machineName: String)
@@ -47,8 +47,13 @@
     /** Whether the machine is to leave the shard for another one as soon as it is empty. */
     fun isMarkedForTransfer(shard: ShardId, machineName: String): Boolean
 
-    /** Adds machines to a shard; [seen] is the highest token that any of their workers has seen. */
-    fun addMachines(shard: ShardId, records: List<MachineRecord>, seen: Long, done: (AddMachinesResult) -> Unit)
+    /** Adds machines to a shard; [highestTokenSeen] is the highest token that any of their workers has seen. */
+    fun addMachines(
+        shard: ShardId,
+        records: List<MachineRecord>,
+        highestTokenSeen: Long,
+        onDone: (AddMachinesResult) -> Unit,
+    )
 
     /** Marks machines that are to leave for another shard as soon as they are empty. */
     fun markForTransfer(shard: ShardId, machineNames: Collection<String>, to: ShardId)
--- a/src/main/kotlin/io/reedmast/autoscaling/MachineIntake.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/MachineIntake.kt
@@ -44,7 +44,7 @@
         summary.machinesVersion >= (lastChangedVersion[summary.shard] ?: 0L)
 
     /** Whether the machine is being returned, or has left all shards lately. */
-    fun isLeaving(machineName: String): Boolean = machineName in pendingReturns || fleet.departedLately(machineName)
+    fun isLeaving(machineName: String): Boolean = machineName in pendingReturns || fleet.departedRecently(machineName)
 
     /**
      * A machine is offered to [shard]; [seenToken] is the highest token that its worker has seen. What a rental says of
--- a/src/main/kotlin/io/reedmast/autoscaling/ScaleInPolicy.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/ScaleInPolicy.kt
@@ -15,7 +15,7 @@
             neededCpus > 0.0 && !machine.record.spot && freeCpus - machine.freeCpus < neededCpus
 
         /** The machine is being removed. */
-        fun without(machine: Machine) {
+        fun remove(machine: Machine) {
             if (!machine.record.spot) freeCpus -= machine.freeCpus
         }
     }
--- a/src/main/kotlin/io/reedmast/autoscaling/ShardUsageSummary.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/ShardUsageSummary.kt
@@ -49,7 +49,7 @@
     )
 
     /** The summary with as much left out, machines before demand, as it takes to fit into [maxBytes] once stored. */
-    fun within(maxBytes: Int): ShardUsageSummary {
+    fun truncatedTo(maxBytes: Int): ShardUsageSummary {
         var summary = this
         while (BodyCodec.jsonSize(summary.toFields()) > maxBytes) summary = summary.shortened() ?: return summary
         return summary
--- a/src/main/kotlin/io/reedmast/autoscaling/UsageSummaryWriter.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/UsageSummaryWriter.kt
@@ -72,7 +72,7 @@
         drainable = drainCandidates.select(now),
         starving = starving,
         unavailableZones = zoneAvailability.unavailableZones(now),
-    ).within(shardState.limits.target.valueBytes * MAX_FILLED_PERCENT / PERCENT - ENVELOPE_BYTES)
+    ).truncatedTo(shardState.limits.target.valueBytes * MAX_FILLED_PERCENT / PERCENT - ENVELOPE_BYTES)
 
     /** The fair-share ratio of the team with pending tasks that is furthest below its share; 0 if there is none. */
     private fun lowestRatio(): Double {
--- a/src/main/kotlin/io/reedmast/cluster/Cluster.kt
+++ b/src/main/kotlin/io/reedmast/cluster/Cluster.kt
@@ -148,7 +148,7 @@
 
     override fun hasObserved(time: Long): Boolean = staleness.observedThrough?.let { it > time } ?: false
 
-    override fun departedLately(machineName: String): Boolean = machineName in departedMachines
+    override fun departedRecently(machineName: String): Boolean = machineName in departedMachines
 
     override fun recordDeparture(machineName: String) = departedMachines.add(machineName)
 
@@ -247,9 +247,9 @@
     override fun addMachines(
         shard: ShardId,
         records: List<MachineRecord>,
-        seen: Long,
-        done: (AddMachinesResult) -> Unit,
-    ) = assignment.addMachines(shard, records, seen, done)
+        highestTokenSeen: Long,
+        onDone: (AddMachinesResult) -> Unit,
+    ) = assignment.addMachines(shard, records, highestTokenSeen, onDone)
 
     override fun markForTransfer(shard: ShardId, machineNames: Collection<String>, to: ShardId) =
         assignment.markForTransfer(shard, machineNames, to)
--- a/src/main/kotlin/io/reedmast/machines/MachineLifecycle.kt
+++ b/src/main/kotlin/io/reedmast/machines/MachineLifecycle.kt
@@ -119,7 +119,7 @@
             machine.name,
             secondsSince(machine.emptySince, now),
         )
-        headroom.without(machine)
+        headroom.remove(machine)
         machine.decommissionReason = DecommissionReason.IDLE
         returner.returnMachine(machine)
     }
--- a/src/test/kotlin/io/reedmast/ProductionFormatTest.kt
+++ b/src/test/kotlin/io/reedmast/ProductionFormatTest.kt
@@ -70,7 +70,7 @@
         val totals = ShardUsageSummary.parse(ShardId(1), record("totals"))
         val usage = ChargedUsage(SIX_HOURS_MS).apply { load(totals.usage) }
         assertEquals(record("totals").map("usage"), stored(usage.toFields(listOf(TeamId(0), TeamId(3)))))
-        assertSameForm("totals", totals.within(VALUE_BYTES).toFields() + ("term" to record("totals")["term"]))
+        assertSameForm("totals", totals.truncatedTo(VALUE_BYTES).toFields() + ("term" to record("totals")["term"]))
     }
 
     /**
--- a/src/test/kotlin/io/reedmast/autoscaling/FakeFleet.kt
+++ b/src/test/kotlin/io/reedmast/autoscaling/FakeFleet.kt
@@ -35,7 +35,7 @@
 
     override fun machinesVersion(shard: ShardId) = 1L
 
-    override fun departedLately(machineName: String) = machineName in departed
+    override fun departedRecently(machineName: String) = machineName in departed
 
     override fun recordDeparture(machineName: String) {
         departed.add(machineName)
@@ -46,12 +46,12 @@
     override fun addMachines(
         shard: ShardId,
         records: List<MachineRecord>,
-        seen: Long,
-        done: (AddMachinesResult) -> Unit,
+        highestTokenSeen: Long,
+        onDone: (AddMachinesResult) -> Unit,
     ) {
         records.forEach { additions.add(it.name to shard.value) }
         addedRecords.addAll(records)
-        pendingAnswers.add(done)
+        pendingAnswers.add(onDone)
     }
 
     override fun markForTransfer(shard: ShardId, machineNames: Collection<String>, to: ShardId) {
