--- a/src/test/kotlin/io/reedmast/ProductionFormatTest.kt
+++ b/src/test/kotlin/io/reedmast/ProductionFormatTest.kt
@@ -22,13 +22,13 @@
 import io.reedmast.wire.map
 import io.reedmast.wire.maps
 import io.reedmast.wire.text
-import java.nio.file.Files
-import java.nio.file.Path
 import okio.Buffer
 import okio.ByteString.Companion.decodeHex
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Test
+import java.nio.file.Files
+import java.nio.file.Path
 
 /**
  * Records and frames written by the version in production (`writtenBy` in the file names its commit) are read with
