--- a/src/main/kotlin/io/reedmast/cli/RolloutCommand.kt
+++ b/src/main/kotlin/io/reedmast/cli/RolloutCommand.kt
@@ -11,8 +11,8 @@
 import com.github.ajalt.clikt.parameters.options.required
 import io.reedmast.cluster.ClusterFeatures
 import io.reedmast.cluster.StoredClusterRecords
-import io.reedmast.rollout.Act
-import io.reedmast.rollout.ActResult
+import io.reedmast.rollout.AdministrationResult
+import io.reedmast.rollout.Attribution
 import io.reedmast.rollout.FeatureName
 import io.reedmast.rollout.MigrationProgress
 import io.reedmast.rollout.Readiness
@@ -108,9 +108,9 @@
         throw ProgramResult(ExitCodes.REFUSED)
     }
 
-    protected fun report(result: ActResult) = when (result) {
-        ActResult.Done -> println("done")
-        is ActResult.Refused -> refuse(result.reason)
+    protected fun report(result: AdministrationResult) = when (result) {
+        AdministrationResult.Done -> println("done")
+        is AdministrationResult.Refused -> refuse(result.reason)
     }
 
     private companion object {
@@ -136,7 +136,7 @@
             status.view.progressOf(feature.name, unit)?.let { unit.key to it.progress }
         }
         val migration = progress.joinToString("") { (unit, stored) -> " [$unit: ${describe(stored)}]" }
-        "feature ${feature.name}: $state$migration" + status.waiting[feature.name]?.let { "; waits: $it" }.orEmpty()
+        "feature ${feature.name}: $state$migration" + status.waitReasons[feature.name]?.let { "; waits: $it" }.orEmpty()
     }
 
     private fun describe(progress: MigrationProgress): String {
@@ -150,14 +150,16 @@
     private fun controllers(status: RolloutStatus): List<String> = status.snapshot.configured.sorted().map { label ->
         val versions = status.snapshot.present[label]?.versions
         val shards = status.snapshot.shards.withIndex().filter { it.value?.owner == label }.map { it.index }
-        val excluded = status.view.gates.record.excluded[label]?.let { ", excluded by ${it.by}: ${it.why}" }.orEmpty()
+        val excluded = status.view.gates.record.excluded[label]?.let {
+            ", excluded by ${it.by}: ${it.reason}"
+        }.orEmpty()
         val drain = if (status.isDraining(label)) ", draining" else ""
         val presence = versions?.let { "versions ${it.range}" } ?: "silent"
         "controller $label: $presence, shards $shards$drain$excluded"
     }
 
     private fun history(status: RolloutStatus): List<String> = status.view.gates.record.history.map {
-        "${Instant.ofEpochMilli(it.made.atMs)} ${it.what} by ${it.made.by}: ${it.made.why}"
+        "${Instant.ofEpochMilli(it.provenance.atMs)} ${it.change} by ${it.provenance.by}: ${it.provenance.reason}"
     }
 }
 
@@ -167,20 +169,20 @@
     private val by by option("--by", help = "Who asks for it").required()
     private val why by option("--why", help = "The reason, which is kept").required()
 
-    override fun run() = administration().wish(FeatureName(feature), target, Act(by, why), ::report)
+    override fun run() = administration().setTarget(FeatureName(feature), target, Attribution(by, why), ::report)
 }
 
 private class ControllerCommand(
     openStore: StoreOpener,
     name: String,
     helpText: String,
-    private val act: RolloutAdministration.(String, Act, (ActResult) -> Unit) -> Unit,
+    private val act: RolloutAdministration.(String, Attribution, (AdministrationResult) -> Unit) -> Unit,
 ) : AdministrationCommand(openStore, name, helpText) {
     private val controller by argument("CONTROLLER")
     private val by by option("--by", help = "Who asks for it").default("operator")
     private val why by option("--why", help = "The reason, which is kept").required()
 
-    override fun run() = administration().act(controller, Act(by, why), ::report)
+    override fun run() = administration().act(controller, Attribution(by, why), ::report)
 }
 
 private class ReadyCommand(openStore: StoreOpener) :
--- a/src/main/kotlin/io/reedmast/cluster/ClusterRollout.kt
+++ b/src/main/kotlin/io/reedmast/cluster/ClusterRollout.kt
@@ -64,19 +64,19 @@
      */
     val mayAcknowledgeHeartbeats: Boolean
         get() = when (view.admission) {
-            Admission.Admitted, is Admission.Withheld -> true
-            Admission.Excluded, is Admission.Unfit -> false
+            Admission.Admitted, is Admission.RecordUnreadable -> true
+            Admission.Excluded, is Admission.Incompatible -> false
         }
 
     /** Whether an operator has ordered this process to release its shards. */
-    val isDraining: Boolean get() = view.drainOf(settings.label)?.order?.incarnation == incarnation
+    val isDraining: Boolean get() = view.drainOrderOf(settings.label)?.order?.incarnation == incarnation
 
     /**
      * The labels of the controllers whose current processes have been ordered to release their shards; they acquire
      * none.
      */
     fun draining(): Set<String> = view.members.filter { (label, member) ->
-        val drained = view.drainOf(label)?.order?.incarnation
+        val drained = view.drainOrderOf(label)?.order?.incarnation
         drained != null && drained == member.versions.incarnation
     }.keys
 
@@ -111,9 +111,9 @@
      */
     fun checkAdmission() {
         when (val admission = view.admission) {
-            Admission.Admitted, is Admission.Withheld -> Unit
+            Admission.Admitted, is Admission.RecordUnreadable -> Unit
             Admission.Excluded -> coordinator.rejoin()
-            is Admission.Unfit -> end(admission.reason)
+            is Admission.Incompatible -> end(admission.reason)
         }
     }
 
--- a/src/main/kotlin/io/reedmast/cluster/TokenCounter.kt
+++ b/src/main/kotlin/io/reedmast/cluster/TokenCounter.kt
@@ -28,7 +28,7 @@
         if (isFenced(record)) record else mapOf(FENCED_FIELD to record.count(OPEN_FIELD))
 
     /** Also validates a record that is already in the open form, so that a malformed one does not count as migrated. */
-    override fun back(record: Fields): Fields =
+    override fun backward(record: Fields): Fields =
         if (isFenced(record)) mapOf(OPEN_FIELD to record.count(FENCED_FIELD)) else record.also { it.count(OPEN_FIELD) }
 
     /** The counter's value in either form. */
@@ -39,7 +39,7 @@
      * gates have not changed.
      */
     internal fun updateTo(token: Long, version: Long, gates: GateSnapshot): TokenCounterUpdate {
-        val field = if (gates.writes(ClusterFeatures.FENCED_TOKENS)) FENCED_FIELD else OPEN_FIELD
+        val field = if (gates.writesNewFormat(ClusterFeatures.FENCED_TOKENS)) FENCED_FIELD else OPEN_FIELD
         return TokenCounterUpdate(
             listOf(Precondition(Keys.TOKEN, version), gates.precondition),
             Write.Put(Keys.TOKEN, mapOf(field to token)),
--- a/src/main/kotlin/io/reedmast/deploy/RolloutFile.kt
+++ b/src/main/kotlin/io/reedmast/deploy/RolloutFile.kt
@@ -97,8 +97,8 @@
         if (fields["pace"] == null) return default
         val pace = fields.map("pace")
         return MigrationPace(
-            pace.optionalAmount("record_every_ms")?.toLong() ?: default.everyMs,
-            pace.optionalAmount("least_budget") ?: default.leastFullness,
+            pace.optionalAmount("record_every_ms")?.toLong() ?: default.recordIntervalMs,
+            pace.optionalAmount("least_budget") ?: default.minPermitLevel,
         )
     }
 }
--- a/src/main/kotlin/io/reedmast/persistence/DensePages.kt
+++ b/src/main/kotlin/io/reedmast/persistence/DensePages.kt
@@ -31,7 +31,7 @@
         return record
     }
 
-    override fun back(record: Fields): Fields {
+    override fun backward(record: Fields): Fields {
         if (isDense(record)) return PlainPages.toFields(chunksOf(record))
         requireReadablePlain(record)
         return record
--- a/src/main/kotlin/io/reedmast/persistence/PageFormat.kt
+++ b/src/main/kotlin/io/reedmast/persistence/PageFormat.kt
@@ -53,7 +53,7 @@
          * they cover.
          */
         fun forWriting(gates: GateSnapshot, areSizesReadable: Boolean): PageFormat = when {
-            gates.writes(DensePages.FEATURE) -> DENSE
+            gates.writesNewFormat(DensePages.FEATURE) -> DENSE
             areSizesReadable -> PLAIN_SIZED
             else -> PLAIN_UNSIZED
         }
--- a/src/main/kotlin/io/reedmast/persistence/ProgressPages.kt
+++ b/src/main/kotlin/io/reedmast/persistence/ProgressPages.kt
@@ -51,7 +51,7 @@
     fun formatToWrite(gates: GateSnapshot): PageFormat = PageFormat.forWriting(gates, shardState.limits.isReduced)
 
     /** Whether the rollout currently requires pages to be written in the dense format. */
-    fun writesDense(): Boolean = shardState.gates().writes(DensePages.FEATURE)
+    fun writesDense(): Boolean = shardState.gates().writesNewFormat(DensePages.FEATURE)
 
     /** The key of the page in the store. */
     fun pathOf(page: ProgressPage): String = Keys.page(shardState.index.value, page.index)
--- a/src/main/kotlin/io/reedmast/rollout/Admission.kt
+++ b/src/main/kotlin/io/reedmast/rollout/Admission.kt
@@ -6,13 +6,13 @@
     data object Admitted : Admission
 
     /** The record cannot be read: nothing is written until it can be, and users are sent away for a while. */
-    data class Withheld(val reason: String) : Admission
+    data class RecordUnreadable(val reason: String) : Admission
 
     /** It was excluded, and its versions fit: it may ask to count again, and does nothing else before that. */
     data object Excluded : Admission
 
     /** Its versions do not fit what is stored: the process must end without touching anything. */
-    data class Unfit(val reason: String) : Admission
+    data class Incompatible(val reason: String) : Admission
 
     companion object {
         /** Decides for the controller [self], whose process reads and writes [range]. */
@@ -21,10 +21,12 @@
             val finalized = record.finalizedVersion
             val excluded = record.excluded[self]
             return when {
-                required > range.newest -> Unfit("the cluster requires version $required, this process has $range")
+                required > range.newest -> Incompatible(
+                    "the cluster requires version $required, this process has $range",
+                )
                 finalized < range.oldest && isInUse(
                     record,
-                ) -> Unfit("records of version $finalized may be stored, this process has $range")
+                ) -> Incompatible("records of version $finalized may be stored, this process has $range")
                 excluded != null -> Excluded
                 else -> Admitted
             }
--- a/src/main/kotlin/io/reedmast/rollout/ClusterSnapshot.kt
+++ b/src/main/kotlin/io/reedmast/rollout/ClusterSnapshot.kt
@@ -41,14 +41,14 @@
     }
 
     /** The controllers that count: all that are configured, but for those that an operator has excluded. */
-    fun counted(record: RolloutRecord): Set<String> = configured - record.excluded.keys
+    fun participants(record: RolloutRecord): Set<String> = configured - record.excluded.keys
 
     /**
      * Conditions that every counted controller is still the process that was seen, and every shard still has the owner
      * that was seen.
      */
     fun preconditions(record: RolloutRecord): List<Precondition> =
-        memberPreconditions(counted(record)) + shardPreconditions()
+        memberPreconditions(participants(record)) + shardPreconditions()
 
     /** Conditions that [label] has the membership key that was seen, or none, and that no shard has changed hands. */
     fun preconditionsOf(label: String): List<Precondition> = memberPreconditions(setOf(label)) + shardPreconditions()
--- a/src/main/kotlin/io/reedmast/rollout/DrainOrder.kt
+++ b/src/main/kotlin/io/reedmast/rollout/DrainOrder.kt
@@ -5,9 +5,9 @@
 import io.reedmast.wire.text
 
 /** An operator's order that one process give its shards up before it is stopped. */
-data class DrainOrder(val incarnation: String, val made: Provenance) {
+data class DrainOrder(val incarnation: String, val provenance: Provenance) {
     /** The stored form. */
-    fun toFields(): Fields = mapOf("incarnation" to incarnation, "made" to made.toFields())
+    fun toFields(): Fields = mapOf("incarnation" to incarnation, "made" to provenance.toFields())
 
     companion object {
         fun parse(fields: Fields) = DrainOrder(fields.text("incarnation"), Provenance.parse(fields.map("made")))
@@ -15,4 +15,4 @@
 }
 
 /** A drain order as stored, with the version of its key. */
-data class StoredDrain(val order: DrainOrder, val version: Long)
+data class StoredDrainOrder(val order: DrainOrder, val version: Long)
--- a/src/main/kotlin/io/reedmast/rollout/Feature.kt
+++ b/src/main/kotlin/io/reedmast/rollout/Feature.kt
@@ -58,7 +58,7 @@
     fun forward(record: Fields): Fields
 
     /** The old form of [record]. */
-    fun back(record: Fields): Fields
+    fun backward(record: Fields): Fields
 }
 
 /**
--- a/src/main/kotlin/io/reedmast/rollout/GateSnapshot.kt
+++ b/src/main/kotlin/io/reedmast/rollout/GateSnapshot.kt
@@ -16,13 +16,13 @@
     val precondition = Precondition(Keys.ROLLOUT, version)
 
     /** Whether new records have the form of [feature]. */
-    fun writes(feature: FeatureName): Boolean = when (record.stateOf(feature)) {
+    fun writesNewFormat(feature: FeatureName): Boolean = when (record.stateOf(feature)) {
         GateState.ENABLED, GateState.FINALIZED -> true
         GateState.DORMANT, GateState.READY, GateState.REVERTING -> false
     }
 
     /** Whether records in the form of [feature] are being brought back to the old one. */
-    fun reverts(feature: FeatureName): Boolean = record.stateOf(feature) == GateState.REVERTING
+    fun isReverting(feature: FeatureName): Boolean = record.stateOf(feature) == GateState.REVERTING
 
     companion object {
         /** Nothing has ever been rolled out. */
--- a/src/main/kotlin/io/reedmast/rollout/MigrationPace.kt
+++ b/src/main/kotlin/io/reedmast/rollout/MigrationPace.kt
@@ -3,12 +3,12 @@
 /** How fast records are migrated. */
 data class MigrationPace(
     /** The least time between two records. */
-    val everyMs: Long = 100L,
+    val recordIntervalMs: Long = 100L,
     /** Nothing is migrated while less than this part of a second's worth of changes is left. */
-    val leastFullness: Double = 0.7,
+    val minPermitLevel: Double = 0.7,
     /**
      * A record goes all the same once this time has passed without one: where there is never much left, migrations must
      * end too.
      */
-    val lateMs: Long = 5_000L,
+    val maxRecordDelayMs: Long = 5_000L,
 )
--- a/src/main/kotlin/io/reedmast/rollout/MigrationProgress.kt
+++ b/src/main/kotlin/io/reedmast/rollout/MigrationProgress.kt
@@ -9,14 +9,14 @@
 /** Which way records are migrated. */
 enum class Direction(val storedName: String) {
     FORWARD("forward"),
-    BACK("back"),
+    BACKWARD("back"),
     ;
 
     companion object {
         /** The way that a gate in [state] has its records go; null if it leaves them as they are. */
         fun of(state: GateState): Direction? = when (state) {
             GateState.ENABLED -> FORWARD
-            GateState.REVERTING -> BACK
+            GateState.REVERTING -> BACKWARD
             GateState.DORMANT, GateState.READY, GateState.FINALIZED -> null
         }
     }
--- a/src/main/kotlin/io/reedmast/rollout/MigrationReconciler.kt
+++ b/src/main/kotlin/io/reedmast/rollout/MigrationReconciler.kt
@@ -54,11 +54,11 @@
     private var pass: Pass? = null
     private var busy = false
     private var due = 0L
-    private var overdueAt = now() + pace.lateMs
+    private var overdueAt = now() + pace.maxRecordDelayMs
     private val retryAt = HashMap<FeatureName, Long>()
 
     /** Whether a write of this migration is on its way, so that what is stored is not certain. */
-    val inDoubt: Boolean get() = busy
+    val isWriteInFlight: Boolean get() = busy
 
     /** Does the next piece of work. [fence] proves that this process may still write the unit's records. */
     fun runOnce(gates: GateSnapshot, fence: Precondition, view: RolloutView) {
@@ -67,12 +67,12 @@
             pass?.takeIf { it.gates.version == gates.version && it.fence == fence } ?: begin(gates, fence, view)
         pass = current
         if (current == null) return
-        due = now() + pace.everyMs
+        due = now() + pace.recordIntervalMs
         val keys = current.keys
         if (keys == null) list(current) else next(current, keys)
     }
 
-    private fun isAffordable() = store.writePermitLevel() >= pace.leastFullness || now() >= overdueAt
+    private fun isAffordable() = store.writePermitLevel() >= pace.minPermitLevel || now() >= overdueAt
 
     private fun begin(gates: GateSnapshot, fence: Precondition, view: RolloutView): Pass? =
         registry.inOrder.firstNotNullOfOrNull { feature ->
@@ -134,7 +134,7 @@
         val targetForm = try {
             when (current.progress.direction) {
                 Direction.FORWARD -> current.migration.forward(record)
-                Direction.BACK -> current.migration.back(record)
+                Direction.BACKWARD -> current.migration.backward(record)
             }
         } catch (e: MalformedException) {
             log.error(
@@ -157,7 +157,7 @@
 
     private fun write(current: Pass, item: StoredItem, targetForm: Fields) {
         busy = true
-        overdueAt = now() + pace.lateMs
+        overdueAt = now() + pace.maxRecordDelayMs
         val unchanged = Precondition(item.path, item.version)
         val preconditions = listOf(current.fence, current.gates.precondition, unchanged).distinct()
         store.commit(
--- a/src/main/kotlin/io/reedmast/rollout/Readiness.kt
+++ b/src/main/kotlin/io/reedmast/rollout/Readiness.kt
@@ -15,7 +15,7 @@
          */
         fun of(label: String, status: RolloutStatus): Readiness {
             val snapshot = status.snapshot
-            val others = snapshot.counted(status.view.gates.record) - label
+            val others = snapshot.participants(status.view.gates.record) - label
             val reasons = ArrayList<String>()
             if (label !in snapshot.configured) reasons.add("there is no controller $label")
             others.filter { it !in snapshot.present }.forEach { reasons.add("$it is silent") }
--- a/src/main/kotlin/io/reedmast/rollout/RolloutAdministration.kt
+++ b/src/main/kotlin/io/reedmast/rollout/RolloutAdministration.kt
@@ -29,28 +29,35 @@
     fun status(done: (StatusResult) -> Unit) = store.list(Keys.CLUSTER) { done(statusOf(it)) }
 
     /** Records that [feature] is to come to [target]; the leader moves its gate as soon as that is possible. */
-    fun wish(feature: FeatureName, target: Target, act: Act, done: (ActResult) -> Unit) = change(done) { status ->
-        val known = registry[feature] ?: return@change refused(
-            "there is no feature $feature; known are ${registry.inOrder.joinToString { it.name.value }}",
-        )
-        val record = status.view.gates.record
-        val refusal = when {
-            feature in status.snapshot.externallyFinalized -> "$feature is finalized"
-            target == Target.DORMANT -> Reversal.refusal(registry, known, record)
-            else -> dependencyNotWished(known, record, status)
+    fun setTarget(feature: FeatureName, target: Target, act: Attribution, done: (AdministrationResult) -> Unit) =
+        change(done) { status ->
+            val known = registry[feature] ?: return@change refused(
+                "there is no feature $feature; known are ${registry.inOrder.joinToString { it.name.value }}",
+            )
+            val record = status.view.gates.record
+            val refusal = when {
+                feature in status.snapshot.externallyFinalized -> "$feature is finalized"
+                target == Target.DORMANT -> Reversal.refusal(registry, known, record)
+                else -> dependencyNotWished(known, record, status)
+            }
+            if (refusal !=
+                null
+            ) {
+                refused(refusal)
+            } else {
+                Planned.Put(record.withTargetOverride(feature, target, provenanceOf(act)), emptyList())
+            }
         }
-        if (refusal != null) refused(refusal) else Planned.Put(record.wishing(feature, target, made(act)), emptyList())
-    }
 
     private fun dependencyNotWished(feature: Feature, record: RolloutRecord, status: RolloutStatus): String? {
         fun isWishedDormant(name: FeatureName) =
-            record.wishes[name]?.target == Target.DORMANT && !status.snapshot.stateOf(name, record).isActive
+            record.targetOverrides[name]?.target == Target.DORMANT && !status.snapshot.stateOf(name, record).isActive
         val dependency = feature.dependsOn.firstOrNull(::isWishedDormant) ?: return null
         return "${feature.name} depends on $dependency, which is wished dormant"
     }
 
     /** [label] does not count any more: it must be silent, must own nothing, and must not be the last one. */
-    fun exclude(label: String, act: Act, done: (ActResult) -> Unit) = change(done) { status ->
+    fun exclude(label: String, act: Attribution, done: (AdministrationResult) -> Unit) = change(done) { status ->
         val record = status.view.gates.record
         val owned = status.snapshot.shards.indexOfFirst { it?.owner == label }
         when {
@@ -58,28 +65,28 @@
                 refused("there is no controller $label; known are ${configured.sorted().joinToString()}")
             }
             label in record.excluded -> refused("$label is excluded already")
-            status.snapshot.counted(record).size == 1 -> refused("$label is the last controller that counts")
+            status.snapshot.participants(record).size == 1 -> refused("$label is the last controller that counts")
             label in status.snapshot.present -> refused("$label is alive; stop it first")
             owned >= 0 -> refused("$label still owns shard $owned; another controller takes it within seconds")
             // Its key must not be there, and no shard may have been taken, at the moment of the change.
-            else -> Planned.Put(record.excluding(label, made(act)), status.snapshot.preconditionsOf(label))
+            else -> Planned.Put(record.withExcluded(label, provenanceOf(act)), status.snapshot.preconditionsOf(label))
         }
     }
 
     /** [label] counts again. */
-    fun include(label: String, act: Act, done: (ActResult) -> Unit) = change(done) { status ->
+    fun include(label: String, act: Attribution, done: (AdministrationResult) -> Unit) = change(done) { status ->
         val record = status.view.gates.record
         if (label !in record.excluded) {
             refused("$label is not excluded")
         } else {
-            Planned.Put(record.including(label, made(act)), emptyList())
+            Planned.Put(record.withIncluded(label, provenanceOf(act)), emptyList())
         }
     }
 
     /** The process that runs as [label] now gives its shards up; the order ends with that process. */
-    fun drain(label: String, act: Act, done: (ActResult) -> Unit) = change(done) { status ->
+    fun drain(label: String, act: Attribution, done: (AdministrationResult) -> Unit) = change(done) { status ->
         val incarnation = status.snapshot.present[label]?.versions?.incarnation
-        val others = status.snapshot.counted(status.view.gates.record) - label
+        val others = status.snapshot.participants(status.view.gates.record) - label
         val absent = others.firstOrNull { it !in status.snapshot.present }
         val draining = others.firstOrNull { status.isDraining(it) }
         when {
@@ -88,13 +95,17 @@
             others.isEmpty() -> refused("$label is the last controller that counts")
             absent != null -> refused("$absent is silent; its shards would come to fewer controllers still")
             draining != null -> refused("$draining is being drained; one at a time")
-            else -> Planned.Drain(label, DrainOrder(incarnation, made(act)), status.view.drainOf(label)?.version ?: 0L)
+            else -> Planned.Drain(
+                label,
+                DrainOrder(incarnation, provenanceOf(act)),
+                status.view.drainOrderOf(label)?.version ?: 0L,
+            )
         }
     }
 
     /** [label] takes shards again. */
-    fun endDrain(label: String, done: (ActResult) -> Unit) = change(done) { status ->
-        val stored = status.view.drainOf(label)
+    fun endDrain(label: String, done: (AdministrationResult) -> Unit) = change(done) { status ->
+        val stored = status.view.drainOrderOf(label)
         if (stored == null) refused("$label is not being drained") else Planned.EndDrain(label, stored.version)
     }
 
@@ -107,7 +118,7 @@
         done(readiness)
     }
 
-    private fun made(act: Act) = Provenance.of(act.by, wall(), act.why)
+    private fun provenanceOf(act: Attribution) = Provenance.of(act.by, wall(), act.reason)
 
     /** What an act is about to store. */
     private sealed interface Planned {
@@ -135,48 +146,51 @@
         val view = RolloutView(registry, OPERATOR)
         items.forEach { view.applyRecord(it.path, it.value, it.version) }
         val snapshot = view.snapshot(configured, records.shardOwners(items), records.externallyFinalized(items))
-        return RolloutStatus(view, snapshot, GateDecision(registry).plan(view.gates.record, snapshot).waiting)
+        return RolloutStatus(view, snapshot, RolloutPlanner(registry).plan(view.gates.record, snapshot).waitReasons)
     }
 
     /** Plans an act on what is stored now, and stores it. */
-    private fun change(done: (ActResult) -> Unit, plan: (RolloutStatus) -> Planned) =
+    private fun change(done: (AdministrationResult) -> Unit, plan: (RolloutStatus) -> Planned) =
         attempt(PendingAct(done, plan), MAX_ATTEMPTS)
 
     /** An act whose result is not known yet. */
-    private class PendingAct(val done: (ActResult) -> Unit, val plan: (RolloutStatus) -> Planned) {
+    private class PendingAct(val done: (AdministrationResult) -> Unit, val plan: (RolloutStatus) -> Planned) {
         /** What operators had decided when the act was first planned. */
         var decisionsSeen: OperatorDecisions? = null
     }
 
     /** What operators have decided of the rollout, as opposed to the moves of the leader. */
-    private data class OperatorDecisions(val wishes: Map<FeatureName, Wish>, val excluded: Map<String, Provenance>)
+    private data class OperatorDecisions(
+        val targetOverrides: Map<FeatureName, TargetOverride>,
+        val excluded: Map<String, Provenance>,
+    )
 
     private fun attempt(act: PendingAct, attemptsLeft: Int) = status { result ->
         when (result) {
             is StatusResult.Known -> attempt(act, result.status, attemptsLeft)
-            is StatusResult.Unknown -> act.done(ActResult.Refused(result.reason))
+            is StatusResult.Unknown -> act.done(AdministrationResult.Refused(result.reason))
         }
     }
 
     private fun attempt(act: PendingAct, status: RolloutStatus, attemptsLeft: Int) {
         val record = status.view.gates.record
-        val decisions = OperatorDecisions(record.wishes, record.excluded)
+        val decisions = OperatorDecisions(record.targetOverrides, record.excluded)
         val seen = act.decisionsSeen ?: decisions.also { act.decisionsSeen = it }
         when (val admission = status.view.admission) {
-            is Admission.Withheld -> act.done(ActResult.Refused(admission.reason))
-            is Admission.Unfit -> act.done(ActResult.Refused(admission.reason))
+            is Admission.RecordUnreadable -> act.done(AdministrationResult.Refused(admission.reason))
+            is Admission.Incompatible -> act.done(AdministrationResult.Refused(admission.reason))
             Admission.Admitted, Admission.Excluded ->
                 if (decisions == seen) {
                     store(act, status, attemptsLeft)
                 } else {
-                    act.done(ActResult.Refused(changedMeanwhile(setOf(Keys.ROLLOUT))))
+                    act.done(AdministrationResult.Refused(changedMeanwhile(setOf(Keys.ROLLOUT))))
                 }
         }
     }
 
     private fun store(act: PendingAct, status: RolloutStatus, attemptsLeft: Int) {
         val transaction = when (val planned = act.plan(status)) {
-            is Planned.Refused -> return act.done(ActResult.Refused(planned.reason))
+            is Planned.Refused -> return act.done(AdministrationResult.Refused(planned.reason))
             is Planned.Put -> PlannedWrite(
                 planned.preconditions + status.view.gates.precondition,
                 Write.Put(Keys.ROLLOUT, planned.record.toFields()),
@@ -191,9 +205,9 @@
         }
         commit(transaction) { outcome ->
             when (outcome) {
-                is CommitOutcome.Applied -> act.done(ActResult.Done)
+                is CommitOutcome.Applied -> act.done(AdministrationResult.Done)
                 is CommitOutcome.Conflict -> onConflict(act, outcome.failed, attemptsLeft)
-                is CommitOutcome.Refused -> act.done(ActResult.Refused(outcome.reason))
+                is CommitOutcome.Refused -> act.done(AdministrationResult.Refused(outcome.reason))
             }
         }
     }
@@ -203,7 +217,7 @@
         if (failedPaths == setOf(Keys.ROLLOUT) && attemptsLeft > 1) {
             attempt(act, attemptsLeft - 1)
         } else {
-            act.done(ActResult.Refused(changedMeanwhile(failedPaths)))
+            act.done(AdministrationResult.Refused(changedMeanwhile(failedPaths)))
         }
     }
 
--- a/src/main/kotlin/io/reedmast/rollout/RolloutCoordinator.kt
+++ b/src/main/kotlin/io/reedmast/rollout/RolloutCoordinator.kt
@@ -28,12 +28,12 @@
     private val reread: () -> Unit,
 ) {
     private val log = LoggerFactory.getLogger("rollout")
-    private val decision = GateDecision(registry)
+    private val decision = RolloutPlanner(registry)
     private var loggedReasons: Map<FeatureName, String> = emptyMap()
     private var storing = false
 
     /** Why gates stay as they are although somebody wishes otherwise. */
-    val waiting: Map<FeatureName, String> get() = loggedReasons
+    val waitReasons: Map<FeatureName, String> get() = loggedReasons
 
     /**
      * Called regularly while this controller leads, hears the store and is admitted; [leaderVersion] is the
@@ -43,18 +43,18 @@
         if (storing) return
         val gates = view.gates
         val plan = decision.plan(gates.record, snapshot)
-        report(plan.waiting)
+        report(plan.waitReasons)
         plan.move?.let { store(it, gates, leaderVersion) }
     }
 
-    private fun report(waiting: Map<FeatureName, String>) {
-        for ((feature, reason) in waiting) {
+    private fun report(waitReasons: Map<FeatureName, String>) {
+        for ((feature, reason) in waitReasons) {
             if (loggedReasons[feature] != reason) log.info("feature {}: waits, {}", feature, reason)
         }
-        loggedReasons = waiting
+        loggedReasons = waitReasons
     }
 
-    private fun store(move: GateMove, gates: GateSnapshot, leaderVersion: Long) {
+    private fun store(move: GateTransition, gates: GateSnapshot, leaderVersion: Long) {
         val preconditions = listOf(Precondition(Keys.LEADER, leaderVersion), gates.precondition) + move.preconditions
         if (preconditions.size > maxPreconditions) {
             val reason = "${preconditions.size} conditions are needed, a transaction takes $maxPreconditions"
@@ -62,7 +62,7 @@
             return
         }
         storing = true
-        val moved = gates.record.moved(move.feature, move.to, Provenance.of(self, wall(), move.why))
+        val moved = gates.record.withGateState(move.feature, move.to, Provenance.of(self, wall(), move.reason))
         store.commit(
             CasTransaction(
                 preconditions,
@@ -75,9 +75,9 @@
         )
     }
 
-    private fun onMoveResolved(move: GateMove, moved: RolloutRecord, outcome: CommitOutcome) = when (outcome) {
+    private fun onMoveResolved(move: GateTransition, moved: RolloutRecord, outcome: CommitOutcome) = when (outcome) {
         is CommitOutcome.Applied -> {
-            log.info("feature {}: {}, since {}", move.feature.name, move.to.storedName, move.why)
+            log.info("feature {}: {}, since {}", move.feature.name, move.to.storedName, move.reason)
             view.applyRecord(Keys.ROLLOUT, moved.toFields(), outcome.revision)
         }
 
@@ -94,8 +94,11 @@
         storing = true
         val gates = view.gates
         val by = gates.record.excluded[self]
-        log.info("controller: excluded by {} ({}), asks to be included again", by?.by, by?.why)
-        val included = gates.record.including(self, Provenance.of(self, wall(), "back with versions ${registry.range}"))
+        log.info("controller: excluded by {} ({}), asks to be included again", by?.by, by?.reason)
+        val included = gates.record.withIncluded(
+            self,
+            Provenance.of(self, wall(), "back with versions ${registry.range}"),
+        )
         store.commit(
             CasTransaction(
                 listOf(gates.precondition),
--- a/src/main/kotlin/io/reedmast/rollout/GateDecision.kt
+++ b/src/main/kotlin/io/reedmast/rollout/RolloutPlanner.kt
@@ -7,22 +7,22 @@
  *
  * @property preconditions what must still hold when the move is stored, besides the leader's key and the record itself
  */
-class GateMove(val feature: Feature, val to: GateState, val why: String, val preconditions: List<Precondition>)
+class GateTransition(val feature: Feature, val to: GateState, val reason: String, val preconditions: List<Precondition>)
 
 /**
  * What follows from a snapshot of the cluster: at most one move, and why the other gates stay as they are although they
  * should not.
  */
-class RolloutPlan(val move: GateMove?, val waiting: Map<FeatureName, String>)
+class RolloutPlan(val move: GateTransition?, val waitReasons: Map<FeatureName, String>)
 
 /**
  * Decides which gate moves next. Pure: the leader stores the move under its term, on condition that what it saw still
  * holds.
  */
-class GateDecision(private val registry: FeatureRegistry) {
+class RolloutPlanner(private val registry: FeatureRegistry) {
     /** Why a gate stays, or the move that it makes. */
     private sealed interface Verdict {
-        class Moves(val move: GateMove) : Verdict
+        class Moves(val move: GateTransition) : Verdict
 
         class Waits(val reason: String) : Verdict
 
@@ -31,17 +31,17 @@
 
     /** The first gate that can move, in the order of dependencies, and why the gates before it wait. */
     fun plan(record: RolloutRecord, snapshot: ClusterSnapshot): RolloutPlan {
-        val waiting = LinkedHashMap<FeatureName, String>()
+        val waitReasons = LinkedHashMap<FeatureName, String>()
         // What is taken back is taken back from the end of the dependencies.
         for (feature in registry.inOrder) {
             if (feature.name in snapshot.externallyFinalized) continue
             when (val verdict = FeatureEvaluation(feature, record, snapshot).verdict()) {
-                is Verdict.Moves -> return RolloutPlan(verdict.move, waiting)
-                is Verdict.Waits -> waiting[feature.name] = verdict.reason
+                is Verdict.Moves -> return RolloutPlan(verdict.move, waitReasons)
+                is Verdict.Waits -> waitReasons[feature.name] = verdict.reason
                 Verdict.Stays -> Unit
             }
         }
-        return RolloutPlan(null, waiting)
+        return RolloutPlan(null, waitReasons)
     }
 
     /** One feature in one snapshot. */
@@ -50,7 +50,7 @@
         private val record: RolloutRecord,
         private val snapshot: ClusterSnapshot,
     ) {
-        private val counted = snapshot.counted(record)
+        private val counted = snapshot.participants(record)
         private val unfit = counted.firstOrNull { label ->
             snapshot.present[label]?.let { feature.requires !in it.versions.range } ?: false
         }
@@ -71,8 +71,8 @@
             }
         }
 
-        private fun moves(to: GateState, why: String, preconditions: List<Precondition> = emptyList()) =
-            Verdict.Moves(GateMove(feature, to, why, preconditions))
+        private fun moves(to: GateState, reason: String, preconditions: List<Precondition> = emptyList()) =
+            Verdict.Moves(GateTransition(feature, to, reason, preconditions))
 
         private fun ready(): Verdict = missing()?.let { Verdict.Waits(it) }
             ?: moves(GateState.READY, "every controller reads version ${feature.requires}", preconditions())
@@ -94,7 +94,7 @@
             else -> (missing() ?: dependenciesMissing(finalized = false) ?: shardInOtherHands())?.let {
                 Verdict.Waits(it)
             }
-                ?: moves(GateState.ENABLED, target.why, preconditions())
+                ?: moves(GateState.ENABLED, target.reason, preconditions())
         }
 
         private fun dependenciesMissing(finalized: Boolean): String? = feature.dependsOn.firstNotNullOfOrNull { name ->
@@ -122,7 +122,7 @@
 
         private fun reverting(target: TargetRequest): Verdict {
             val refusal = Reversal.refusal(registry, feature, record)
-            return if (refusal != null) Verdict.Waits(refusal) else moves(GateState.REVERTING, target.why)
+            return if (refusal != null) Verdict.Waits(refusal) else moves(GateState.REVERTING, target.reason)
         }
 
         private fun finalizing(target: TargetRequest): Verdict {
@@ -130,7 +130,7 @@
             return if (reason != null) {
                 Verdict.Waits(reason)
             } else {
-                moves(GateState.FINALIZED, target.why, preconditions())
+                moves(GateState.FINALIZED, target.reason, preconditions())
             }
         }
 
@@ -142,7 +142,7 @@
 
         private fun revertingNext(target: TargetRequest): Verdict = when {
             target.wantsEnabled -> missing()?.let { Verdict.Waits(it) }
-                ?: moves(GateState.ENABLED, target.why, preconditions())
+                ?: moves(GateState.ENABLED, target.reason, preconditions())
             else -> migrationMissing()?.let { Verdict.Waits(it) }
                 ?: moves(GateState.DORMANT, "all records have the old form again")
         }
@@ -152,8 +152,8 @@
          * of the leader.
          */
         private fun target(): TargetRequest {
-            record.wishes[feature.name]?.let { wish ->
-                return TargetRequest(wish.target, "wished by ${wish.made.by}: ${wish.made.why}")
+            record.targetOverrides[feature.name]?.let { wish ->
+                return TargetRequest(wish.target, "wished by ${wish.provenance.by}: ${wish.provenance.reason}")
             }
             val desires = counted.associateWith { snapshot.present[it]?.versions?.desired?.get(feature.name) }
             val distinct = desires.values.toSet()
@@ -169,7 +169,7 @@
     }
 
     /** What is wished of a gate, and for what reason; [contradiction] if the wishes do not agree. */
-    private class TargetRequest(val requested: Target?, val why: String, val contradiction: String? = null) {
+    private class TargetRequest(val requested: Target?, val reason: String, val contradiction: String? = null) {
         val wantsEnabled get() = requested == Target.ENABLED || requested == Target.FINALIZED
 
         fun orStays(): Verdict = contradiction?.let { Verdict.Waits(it) } ?: Verdict.Stays
--- a/src/main/kotlin/io/reedmast/rollout/RolloutRecord.kt
+++ b/src/main/kotlin/io/reedmast/rollout/RolloutRecord.kt
@@ -47,15 +47,15 @@
 }
 
 /** Who changed something, when by the time of day, and for what reason. */
-data class Provenance(val by: String, val atMs: Long, val why: String) {
+data class Provenance(val by: String, val atMs: Long, val reason: String) {
     /** The stored form. */
-    fun toFields(): Fields = mapOf("by" to by, "at" to atMs, "why" to why)
+    fun toFields(): Fields = mapOf("by" to by, "at" to atMs, "why" to reason)
 
     companion object {
         private const val LONGEST_REASON = 80
 
         /** Reasons come from operators: a long one must not keep the record from being stored. */
-        fun of(by: String, atMs: Long, why: String) = Provenance(by, atMs, why.take(LONGEST_REASON))
+        fun of(by: String, atMs: Long, reason: String) = Provenance(by, atMs, reason.take(LONGEST_REASON))
 
         fun parse(fields: Fields) = Provenance(fields.text("by"), fields.count("at"), fields.text("why"))
     }
@@ -88,19 +88,20 @@
 }
 
 /** What an operator wishes a gate to come to; it goes before what the deploy files say. */
-data class Wish(val target: Target, val made: Provenance) {
+data class TargetOverride(val target: Target, val provenance: Provenance) {
     /** The stored form. */
-    fun toFields(): Fields = mapOf("target" to target.storedName, "made" to made.toFields())
+    fun toFields(): Fields = mapOf("target" to target.storedName, "made" to provenance.toFields())
 
     companion object {
-        fun parse(fields: Fields) = Wish(Target.of(fields.text("target")), Provenance.parse(fields.map("made")))
+        fun parse(fields: Fields) =
+            TargetOverride(Target.of(fields.text("target")), Provenance.parse(fields.map("made")))
     }
 }
 
 /** One line of the rollout's history. */
-data class HistoryEntry(val what: String, val made: Provenance) {
+data class HistoryEntry(val change: String, val provenance: Provenance) {
     /** The stored form. */
-    fun toFields(): Fields = mapOf("what" to what, "made" to made.toFields())
+    fun toFields(): Fields = mapOf("what" to change, "made" to provenance.toFields())
 
     companion object {
         fun parse(fields: Fields) = HistoryEntry(fields.text("what"), Provenance.parse(fields.map("made")))
@@ -114,7 +115,7 @@
  */
 data class RolloutRecord(
     val gates: Map<FeatureName, Gate> = emptyMap(),
-    val wishes: Map<FeatureName, Wish> = emptyMap(),
+    val targetOverrides: Map<FeatureName, TargetOverride> = emptyMap(),
     val excluded: Map<String, Provenance> = emptyMap(),
     val history: List<HistoryEntry> = emptyList(),
 ) {
@@ -131,27 +132,28 @@
             ?: FormatVersion.NONE
 
     /** With [feature]'s gate moved to [state]. */
-    fun moved(feature: Feature, state: GateState, made: Provenance): RolloutRecord {
+    fun withGateState(feature: Feature, state: GateState, provenance: Provenance): RolloutRecord {
         val generation = (gates[feature.name]?.generation ?: 0L) + 1
         return copy(
-            gates = gates + (feature.name to Gate(state, feature.requires, generation, made)),
-        ).noting("${feature.name} ${state.storedName}", made)
+            gates = gates + (feature.name to Gate(state, feature.requires, generation, provenance)),
+        ).withHistoryEntry("${feature.name} ${state.storedName}", provenance)
     }
 
     /** With an operator's [target] for [feature]. */
-    fun wishing(feature: FeatureName, target: Target, made: Provenance): RolloutRecord =
-        copy(wishes = wishes + (feature to Wish(target, made))).noting("$feature wished ${target.storedName}", made)
+    fun withTargetOverride(feature: FeatureName, target: Target, provenance: Provenance): RolloutRecord = copy(
+        targetOverrides = targetOverrides + (feature to TargetOverride(target, provenance)),
+    ).withHistoryEntry("$feature wished ${target.storedName}", provenance)
 
     /** With the controller [label] not counted. */
-    fun excluding(label: String, made: Provenance): RolloutRecord =
-        copy(excluded = excluded + (label to made)).noting("$label excluded", made)
+    fun withExcluded(label: String, provenance: Provenance): RolloutRecord =
+        copy(excluded = excluded + (label to provenance)).withHistoryEntry("$label excluded", provenance)
 
     /** With the controller [label] counted again. */
-    fun including(label: String, made: Provenance): RolloutRecord =
-        copy(excluded = excluded - label).noting("$label included", made)
+    fun withIncluded(label: String, provenance: Provenance): RolloutRecord =
+        copy(excluded = excluded - label).withHistoryEntry("$label included", provenance)
 
-    private fun noting(what: String, made: Provenance) =
-        copy(history = (history + HistoryEntry(what, made)).takeLast(LONGEST_HISTORY))
+    private fun withHistoryEntry(change: String, provenance: Provenance) =
+        copy(history = (history + HistoryEntry(change, provenance)).takeLast(LONGEST_HISTORY))
 
     /** As it is stored: with as much of the history as leaves it small enough for the smallest values. */
 
@@ -165,7 +167,7 @@
     private fun fieldsWith(kept: List<HistoryEntry>): Fields = mapOf(
         "layout" to LAYOUT,
         "gates" to gates.entries.associate { it.key.value to it.value.toFields() },
-        "wishes" to wishes.entries.associate { it.key.value to it.value.toFields() },
+        "wishes" to targetOverrides.entries.associate { it.key.value to it.value.toFields() },
         "excluded" to excluded.mapValues { it.value.toFields() },
         "history" to kept.map { it.toFields() },
     )
@@ -185,7 +187,7 @@
             if (layout != LAYOUT) throw MalformedException("its layout is $layout, this version reads $LAYOUT")
             return RolloutRecord(
                 named(fields.map("gates")) { Gate.parse(it) },
-                named(fields.map("wishes")) { Wish.parse(it) },
+                named(fields.map("wishes")) { TargetOverride.parse(it) },
                 fields.map("excluded").mapValues { Provenance.parse(asFields(it.value)) },
                 fields.maps("history").map { HistoryEntry.parse(it) },
             )
--- a/src/main/kotlin/io/reedmast/rollout/RolloutView.kt
+++ b/src/main/kotlin/io/reedmast/rollout/RolloutView.kt
@@ -17,7 +17,7 @@
     private val log = LoggerFactory.getLogger("rollout")
     private val present = HashMap<String, PresentMember>()
     private val progress = HashMap<Pair<FeatureName, MigrationUnit>, StoredProgress>()
-    private val drains = HashMap<String, StoredDrain>()
+    private val drains = HashMap<String, StoredDrainOrder>()
     private var appliedVersion = 0L
 
     /**
@@ -40,9 +40,9 @@
     fun progressOf(feature: FeatureName, unit: MigrationUnit): StoredProgress? = progress[feature to unit]
 
     /** The drain order for the controller [label]; null if there is none. */
-    fun drainOf(label: String): StoredDrain? = drains[label]
+    fun drainOrderOf(label: String): StoredDrainOrder? = drains[label]
 
-    val drainOrders: Map<String, StoredDrain> get() = drains
+    val drainOrders: Map<String, StoredDrainOrder> get() = drains
 
     /** All keys are about to be told anew: what is not among them is gone. */
     fun reset() {
@@ -70,7 +70,7 @@
             accept(if (value == null) GateSnapshot.NONE else GateSnapshot(RolloutRecord.parse(value), version))
         } catch (e: MalformedException) {
             val reason = "${Keys.ROLLOUT} cannot be read: ${e.message}"
-            admission = Admission.Withheld(reason)
+            admission = Admission.RecordUnreadable(reason)
             log.error("{}; nothing is written until it can be", reason)
         }
     }
@@ -107,7 +107,7 @@
     }
 
     private fun applyDrain(label: String, value: Fields?, version: Long) {
-        if (value == null) drains.remove(label) else drains[label] = StoredDrain(DrainOrder.parse(value), version)
+        if (value == null) drains.remove(label) else drains[label] = StoredDrainOrder(DrainOrder.parse(value), version)
     }
 
     /**
--- a/src/main/kotlin/io/reedmast/shard/ShardOwner.kt
+++ b/src/main/kotlin/io/reedmast/shard/ShardOwner.kt
@@ -107,7 +107,7 @@
     /**
      * Whether nothing of what was decided here is yet to be stored: the shard may then change hands without a trace.
      */
-    val isSettled: Boolean get() = active && progressStore.areDecisionsStored && !migration.inDoubt
+    val isSettled: Boolean get() = active && progressStore.areDecisionsStored && !migration.isWriteInFlight
 
     /**
      * Restores the shard from what is stored of it, and begins to act: [pages] were listed, and [live] is at least as
--- a/src/test/kotlin/io/reedmast/persistence/DensePagesProperties.kt
+++ b/src/test/kotlin/io/reedmast/persistence/DensePagesProperties.kt
@@ -57,7 +57,7 @@
         val page = plain(chunks)
         val dense = stored(DensePages.forward(page))
         assertTrue(DensePages.isDense(dense))
-        assertEquals(page, stored(DensePages.back(dense)))
+        assertEquals(page, stored(DensePages.backward(dense)))
     }
 
     @Property(tries = 300, seed = "102")
@@ -72,7 +72,7 @@
     ) {
         val dense = stored(DensePages.forward(plain(chunks)))
         assertEquals(dense, DensePages.forward(dense))
-        assertEquals(plain(chunks), DensePages.back(plain(chunks)))
+        assertEquals(plain(chunks), DensePages.backward(plain(chunks)))
     }
 
     @Property(tries = 100, seed = "104")
@@ -98,9 +98,9 @@
     fun `the token counter goes forward and back`(@ForAll @LongRange(min = 0) token: Long) {
         val unfenced = stored(mapOf("token" to token))
         val fenced = stored(TokenCounter.forward(unfenced))
-        assertThrows<MalformedException> { TokenCounter.back(mapOf("form" to 0L)) }
+        assertThrows<MalformedException> { TokenCounter.backward(mapOf("form" to 0L)) }
         assertTrue("token" !in fenced)
-        assertEquals(unfenced, stored(TokenCounter.back(fenced)))
+        assertEquals(unfenced, stored(TokenCounter.backward(fenced)))
         assertEquals(token, TokenCounter.tokenOf(fenced))
     }
 
--- a/src/test/kotlin/io/reedmast/rollout/EmbeddedRolloutTest.kt
+++ b/src/test/kotlin/io/reedmast/rollout/EmbeddedRolloutTest.kt
@@ -23,7 +23,7 @@
             else -> throw MalformedException("no count")
         }
 
-        override fun back(record: Fields): Fields = mapOf("count" to record["count"].toString())
+        override fun backward(record: Fields): Fields = mapOf("count" to record["count"].toString())
     }
 
     private object Free : RecordAccess {
@@ -49,12 +49,12 @@
     }
 
     private fun gate(state: GateState) {
-        store.put(Keys.ROLLOUT, view.gates.record.moved(feature, state, act).toFields())
+        store.put(Keys.ROLLOUT, view.gates.record.withGateState(feature, state, act).toFields())
         refresh()
     }
 
     private fun reconciler(valueBytes: Int = 8_192) =
-        MigrationReconciler(MigrationUnit.Shard(0), registry, store, Free, MigrationPace(everyMs = 10), {
+        MigrationReconciler(MigrationUnit.Shard(0), registry, store, Free, MigrationPace(recordIntervalMs = 10), {
             now
         }) { valueBytes }
 
@@ -79,7 +79,7 @@
         gate(GateState.REVERTING)
         reconciler().run(10)
         assertEquals((0 until 5).map { "$it" }, counts())
-        assertEquals(Direction.BACK, progress()?.direction)
+        assertEquals(Direction.BACKWARD, progress()?.direction)
     }
 
     @Test
@@ -190,6 +190,6 @@
         val few = RolloutCoordinator(registry, "a", { now }, store, view, maxPreconditions = 3) {}
         few.runOnce(store.items.getValue(Keys.LEADER).version, snapshot())
         assertEquals(GateState.READY, view.gates.record.stateOf(feature.name))
-        assertTrue("4 conditions" in few.waiting.getValue(feature.name))
+        assertTrue("4 conditions" in few.waitReasons.getValue(feature.name))
     }
 }
--- a/src/test/kotlin/io/reedmast/rollout/RolloutAdministrationTest.kt
+++ b/src/test/kotlin/io/reedmast/rollout/RolloutAdministrationTest.kt
@@ -25,19 +25,19 @@
         override fun externallyFinalized(items: List<StoredItem>) = emptySet<FeatureName>()
     }
     private val administration = RolloutAdministration(registry, setOf("n0", "n1"), records, { 0L }, store)
-    private val act = Act("somebody", "a reason")
+    private val act = Attribution("somebody", "a reason")
 
     private fun present(label: String, drained: Boolean = false) =
         store.put(Keys.member(label), MemberVersions(registry.range, emptyMap(), "$label-life", drained).toFields())
 
-    private fun result(act: (((ActResult) -> Unit)) -> Unit): ActResult? {
-        var result: ActResult? = null
+    private fun result(act: (((AdministrationResult) -> Unit)) -> Unit): AdministrationResult? {
+        var result: AdministrationResult? = null
         act { result = it }
         return result
     }
 
-    private fun refused(reason: String, act: (((ActResult) -> Unit)) -> Unit) {
-        val refused = result(act) as? ActResult.Refused
+    private fun refused(reason: String, act: (((AdministrationResult) -> Unit)) -> Unit) {
+        val refused = result(act) as? AdministrationResult.Refused
         assertTrue(refused?.reason?.contains(reason) ?: false, "$refused")
     }
 
@@ -53,10 +53,10 @@
         store.items.remove(Keys.member("n1"))
         refused("still owns shard 1") { administration.exclude("n1", act, it) }
         owners = listOf("n0", "n0")
-        assertEquals(ActResult.Done, result { administration.exclude("n1", act, it) })
+        assertEquals(AdministrationResult.Done, result { administration.exclude("n1", act, it) })
         refused("excluded already") { administration.exclude("n1", act, it) }
         refused("the last controller") { administration.exclude("n0", act, it) }
-        assertEquals(ActResult.Done, result { administration.include("n1", act, it) })
+        assertEquals(AdministrationResult.Done, result { administration.include("n1", act, it) })
         refused("not excluded") { administration.include("n1", act, it) }
     }
 
@@ -65,12 +65,15 @@
         owners = listOf("n0", "n0")
         present("n0")
         val held = ArrayList<() -> Unit>().also { store.hold = it }
-        var result: ActResult? = null
+        var result: AdministrationResult? = null
         administration.exclude("n1", act) { result = it }
         store.hold = null
         present("n1")
         held.forEach { it() }
-        assertTrue((result as? ActResult.Refused)?.reason?.contains("c/node/n1 changed meanwhile") ?: false, "$result")
+        assertTrue(
+            (result as? AdministrationResult.Refused)?.reason?.contains("c/node/n1 changed meanwhile") ?: false,
+            "$result",
+        )
     }
 
     @Test
@@ -78,19 +81,19 @@
         present("n0")
         present("n1")
         val held = ArrayList<() -> Unit>().also { store.hold = it }
-        var first: ActResult? = null
-        administration.wish(base.name, Target.ENABLED, Act("first", "early"), { first = it })
+        var first: AdministrationResult? = null
+        administration.setTarget(base.name, Target.ENABLED, Attribution("first", "early"), { first = it })
         store.hold = null
         assertEquals(
-            ActResult.Done,
+            AdministrationResult.Done,
             result {
-                administration.wish(base.name, Target.DORMANT, Act("second", "late"), it)
+                administration.setTarget(base.name, Target.DORMANT, Attribution("second", "late"), it)
             },
         )
         held.forEach { it() }
-        assertTrue((first as? ActResult.Refused)?.reason?.contains("changed meanwhile") ?: false, "$first")
-        assertEquals("second", record().wishes.getValue(base.name).made.by)
-        assertEquals(listOf("base wished dormant"), record().history.map { it.what })
+        assertTrue((first as? AdministrationResult.Refused)?.reason?.contains("changed meanwhile") ?: false, "$first")
+        assertEquals("second", record().targetOverrides.getValue(base.name).provenance.by)
+        assertEquals(listOf("base wished dormant"), record().history.map { it.change })
     }
 
     /**
@@ -104,16 +107,16 @@
     fun `an act that meets a move of the leader's goes through`() {
         present("n0")
         present("n1")
-        assertEquals(ActResult.Done, result { administration.wish(base.name, Target.ENABLED, act, it) })
-        val made = Provenance.of("leader n0", 0L, "all controllers read it")
+        assertEquals(AdministrationResult.Done, result { administration.setTarget(base.name, Target.ENABLED, act, it) })
+        val provenance = Provenance.of("leader n0", 0L, "all controllers read it")
         val held = ArrayList<() -> Unit>().also { store.hold = it }
-        var result: ActResult? = null
-        administration.wish(feature.name, Target.ENABLED, act) { result = it }
+        var result: AdministrationResult? = null
+        administration.setTarget(feature.name, Target.ENABLED, act) { result = it }
         store.hold = null
-        store.put(Keys.ROLLOUT, record().moved(base, GateState.READY, made).toFields())
+        store.put(Keys.ROLLOUT, record().withGateState(base, GateState.READY, provenance).toFields())
         held.forEach { it() }
-        assertEquals(ActResult.Done, result)
-        assertEquals(setOf(base.name, feature.name), record().wishes.keys)
+        assertEquals(AdministrationResult.Done, result)
+        assertEquals(setOf(base.name, feature.name), record().targetOverrides.keys)
         assertEquals(GateState.READY, record().gates.getValue(base.name).state)
     }
 
@@ -122,29 +125,29 @@
     fun `an act that meets moves again and again is refused in the end`() {
         present("n0")
         present("n1")
-        assertEquals(ActResult.Done, result { administration.wish(base.name, Target.ENABLED, act, it) })
-        val made = Provenance.of("leader n0", 0L, "a move")
+        assertEquals(AdministrationResult.Done, result { administration.setTarget(base.name, Target.ENABLED, act, it) })
+        val provenance = Provenance.of("leader n0", 0L, "a move")
         var moves = 0
         val held = ArrayList<() -> Unit>().also { store.hold = it }
-        var result: ActResult? = null
+        var result: AdministrationResult? = null
         administration.drain("n1", act) { result = it }
         while (held.isNotEmpty()) {
-            store.put(Keys.ROLLOUT, record().moved(base, GateState.READY, made).toFields())
+            store.put(Keys.ROLLOUT, record().withGateState(base, GateState.READY, provenance).toFields())
             moves++
             held.removeFirst()()
         }
-        assertTrue((result as? ActResult.Refused)?.reason?.contains("changed meanwhile") ?: false, "$result")
+        assertTrue((result as? AdministrationResult.Refused)?.reason?.contains("changed meanwhile") ?: false, "$result")
         assertTrue(moves in 2..10, "$moves")
     }
 
     @Test
     fun `wishes that cannot come true are refused`() {
-        refused("there is no feature") { administration.wish(FeatureName("other"), Target.ENABLED, act, it) }
-        assertEquals(ActResult.Done, result { administration.wish(base.name, Target.DORMANT, act, it) })
-        refused("base, which is wished dormant") { administration.wish(feature.name, Target.ENABLED, act, it) }
-        val made = Provenance.of("a test", 0L, "a reason")
-        store.put(Keys.ROLLOUT, record().moved(base, GateState.FINALIZED, made).toFields())
-        refused("is finalized") { administration.wish(base.name, Target.DORMANT, act, it) }
+        refused("there is no feature") { administration.setTarget(FeatureName("other"), Target.ENABLED, act, it) }
+        assertEquals(AdministrationResult.Done, result { administration.setTarget(base.name, Target.DORMANT, act, it) })
+        refused("base, which is wished dormant") { administration.setTarget(feature.name, Target.ENABLED, act, it) }
+        val provenance = Provenance.of("a test", 0L, "a reason")
+        store.put(Keys.ROLLOUT, record().withGateState(base, GateState.FINALIZED, provenance).toFields())
+        refused("is finalized") { administration.setTarget(base.name, Target.DORMANT, act, it) }
     }
 
     @Test
@@ -158,14 +161,14 @@
         assertTrue("n1 is silent" in reasons("n0"))
         present("n1")
         assertTrue("n1 owns shard 1" in reasons("n1"))
-        assertEquals(ActResult.Done, result { administration.drain("n1", act, it) })
+        assertEquals(AdministrationResult.Done, result { administration.drain("n1", act, it) })
         refused("n1 is being drained") { administration.drain("n0", act, it) }
         assertTrue("n1 is being drained" in reasons("n0"))
         owners = listOf("n0", "n0")
         assertTrue("has not said that it is drained" in reasons("n1"))
         present("n1", drained = true)
         assertEquals("", reasons("n1"))
-        assertEquals(ActResult.Done, result { administration.endDrain("n1", it) })
+        assertEquals(AdministrationResult.Done, result { administration.endDrain("n1", it) })
         refused("not being drained") { administration.endDrain("n1", it) }
     }
 
@@ -189,7 +192,7 @@
     fun `nothing is changed while the record of the rollout cannot be read`() {
         store.put(Keys.ROLLOUT, mapOf("layout" to 99L))
         val before = store.items.toMap()
-        refused("its layout is 99") { administration.wish(base.name, Target.ENABLED, act, it) }
+        refused("its layout is 99") { administration.setTarget(base.name, Target.ENABLED, act, it) }
         refused("its layout is 99") { administration.exclude("n1", act, it) }
         assertEquals(before, store.items.toMap())
     }
@@ -199,17 +202,21 @@
     fun `long reasons do not make the record too large`() {
         var record = RolloutRecord()
         repeat(40) { i ->
-            val made = Provenance.of("operator-$i", Long.MAX_VALUE, "x".repeat(500))
+            val provenance = Provenance.of("operator-$i", Long.MAX_VALUE, "x".repeat(500))
             record =
-                record.wishing(
+                record.withTargetOverride(
                     base.name,
                     Target.ENABLED,
-                    made,
-                ).moved(
+                    provenance,
+                ).withGateState(
                     base,
                     GateState.READY,
-                    made,
-                ).wishing(feature.name, Target.ENABLED, made).moved(feature, GateState.READY, made)
+                    provenance,
+                ).withTargetOverride(
+                    feature.name,
+                    Target.ENABLED,
+                    provenance,
+                ).withGateState(feature, GateState.READY, provenance)
         }
         val size = io.reedmast.wire.BodyCodec.jsonSize(record.toFields())
         assertTrue(size < 2_000, "$size")
--- a/src/test/kotlin/io/reedmast/sim/SimOperator.kt
+++ b/src/test/kotlin/io/reedmast/sim/SimOperator.kt
@@ -10,8 +10,8 @@
 import io.reedmast.kvstore.ReadResult
 import io.reedmast.kvstore.StoreTransaction
 import io.reedmast.persistence.DensePages
-import io.reedmast.rollout.Act
-import io.reedmast.rollout.ActResult
+import io.reedmast.rollout.AdministrationResult
+import io.reedmast.rollout.Attribution
 import io.reedmast.rollout.FeatureName
 import io.reedmast.rollout.Readiness
 import io.reedmast.rollout.RolloutAdministration
@@ -76,14 +76,14 @@
      */
     fun act(words: List<String>) {
         val refusal = words.firstOrNull { it.startsWith("refused=") }?.substringAfter('=')?.replace('_', ' ')
-        val by = Act(words.firstOrNull { it.startsWith("by=") }?.substringAfter('=') ?: "operator", "a test")
-        var result: ActResult? = null
-        val done = { of: ActResult -> result = of }
+        val by = Attribution(words.firstOrNull { it.startsWith("by=") }?.substringAfter('=') ?: "operator", "a test")
+        var result: AdministrationResult? = null
+        val done = { of: AdministrationResult -> result = of }
         val administration = administration()
         when (words[0]) {
-            "enable" -> administration.wish(FeatureName(words[1]), Target.ENABLED, by, done)
-            "finalize" -> administration.wish(FeatureName(words[1]), Target.FINALIZED, by, done)
-            "revert" -> administration.wish(FeatureName(words[1]), Target.DORMANT, by, done)
+            "enable" -> administration.setTarget(FeatureName(words[1]), Target.ENABLED, by, done)
+            "finalize" -> administration.setTarget(FeatureName(words[1]), Target.FINALIZED, by, done)
+            "revert" -> administration.setTarget(FeatureName(words[1]), Target.DORMANT, by, done)
             "exclude" -> administration.exclude(words[1], by, done)
             "include" -> administration.include(words[1], by, done)
             "drain" -> administration.drain(words[1], by, done)
@@ -97,15 +97,15 @@
         if (refusal ==
             null
         ) {
-            assertEquals(ActResult.Done, result, at)
+            assertEquals(AdministrationResult.Done, result, at)
         } else {
-            assertTrue((result as? ActResult.Refused)?.reason?.contains(refusal) ?: false, at)
+            assertTrue((result as? AdministrationResult.Refused)?.reason?.contains(refusal) ?: false, at)
         }
     }
 
-    private fun asResult(readiness: Readiness): ActResult = when (readiness) {
-        Readiness.Ready -> ActResult.Done
-        is Readiness.NotReady -> ActResult.Refused(readiness.reasons.joinToString("; "))
+    private fun asResult(readiness: Readiness): AdministrationResult = when (readiness) {
+        Readiness.Ready -> AdministrationResult.Done
+        is Readiness.NotReady -> AdministrationResult.Refused(readiness.reasons.joinToString("; "))
     }
 
     private fun status(): RolloutStatus {
@@ -124,7 +124,7 @@
             ?: false
     }
 
-    fun waiting(): String = status().waiting.toString()
+    fun waiting(): String = status().waitReasons.toString()
 
     /** The forms in which pages, or the token counter, are stored. */
     fun formsOf(what: String): Set<String> = when (what) {
