--- a/src/main/kotlin/io/reedmast/commands/CommandDispatcher.kt
+++ b/src/main/kotlin/io/reedmast/commands/CommandDispatcher.kt
@@ -89,14 +89,14 @@
     /** Sends the queued commands: one call for each machine that may be called, and none for the others. */
     fun send() {
         for ((machine, queued) in queue.drain()) {
-            val commands = queued.filter { it !is WorkerCommand.StartTask || isStillDue(machine, it) }
+            val commands = queued.filter { it !is WorkerCommand.StartTask || isStillValid(machine, it) }
             val addr = machine.addr
             if (commands.isNotEmpty() && addr != null && callPolicy.mayCall(machine)) call(machine, addr, commands)
         }
     }
 
     /** Since the launch was decided, a status may have ended its placement, or the job may have been cancelled. */
-    private fun isStillDue(machine: Machine, launch: WorkerCommand.StartTask): Boolean {
+    private fun isStillValid(machine: Machine, launch: WorkerCommand.StartTask): Boolean {
         val placement = machine.placements[launch.id] ?: return false
         return placement.attempt == launch.attempt && placement.stopReason == null
     }
--- a/src/main/kotlin/io/reedmast/commands/ContestedMachinePoller.kt
+++ b/src/main/kotlin/io/reedmast/commands/ContestedMachinePoller.kt
@@ -18,21 +18,24 @@
     private val workers: WorkerTransport,
     private val replies: DirectReplyHandler,
 ) {
-    private val askedAt = HashMap<String, Long>()
+    private val lastPolledAt = HashMap<String, Long>()
     private val intervalMs = (shardState.settings.workers.reportS * MS_PER_S).toLong()
 
     /** Calls the workers that are due. Called periodically. */
     fun runOnce(now: Long) {
-        val observed = shardState.machines.values.filter { it.recordConflict == RecordConflict.ANSWERED_ELSEWHERE }
-        askedAt.keys.retainAll(observed.mapTo(HashSet()) { it.name })
-        observed.filter { it.placements.isNotEmpty() && now - (askedAt[it.name] ?: 0L) >= intervalMs }
-            .take(MAX_CALLS)
-            .forEach { ask(it, now) }
+        val answeredElsewhere = shardState.machines.values.filter {
+            it.recordConflict ==
+                RecordConflict.ANSWERED_ELSEWHERE
+        }
+        lastPolledAt.keys.retainAll(answeredElsewhere.mapTo(HashSet()) { it.name })
+        answeredElsewhere.filter { it.placements.isNotEmpty() && now - (lastPolledAt[it.name] ?: 0L) >= intervalMs }
+            .take(MAX_CALLS_PER_RUN)
+            .forEach { poll(it, now) }
     }
 
-    private fun ask(machine: Machine, now: Long) {
+    private fun poll(machine: Machine, now: Long) {
         val addr = machine.addr ?: return
-        askedAt[machine.name] = now
+        lastPolledAt[machine.name] = now
         workers.call(addr, 0L, 0L, emptyList()) { reply ->
             if (reply is Reply.Answer) replies.onReply(machine, reply)
         }
@@ -40,6 +43,6 @@
 
     private companion object {
         const val MS_PER_S = 1000.0
-        const val MAX_CALLS = 16
+        const val MAX_CALLS_PER_RUN = 16
     }
 }
--- a/src/main/kotlin/io/reedmast/commands/DirectCallPolicy.kt
+++ b/src/main/kotlin/io/reedmast/commands/DirectCallPolicy.kt
@@ -7,7 +7,7 @@
 internal class DirectCallPolicy(private val shardState: ShardState) {
     /** Whether commands may be sent to [machine]; what is not sent now goes out with the answers to its heartbeats. */
     fun mayCall(machine: Machine): Boolean = machine.isStateKnown &&
-        machine.pendingDirectCalls < MAX_DIRECT_CALLS &&
+        machine.pendingDirectCalls < MAX_PENDING_DIRECT_CALLS &&
         shardState.isCurrent() &&
         !seemsUnreachable(machine)
 
@@ -21,6 +21,6 @@
 
     private companion object {
         /** How many direct calls to one worker may be unanswered at once. */
-        const val MAX_DIRECT_CALLS = 3
+        const val MAX_PENDING_DIRECT_CALLS = 3
     }
 }
--- a/src/main/kotlin/io/reedmast/commands/TokenAnnouncer.kt
+++ b/src/main/kotlin/io/reedmast/commands/TokenAnnouncer.kt
@@ -23,12 +23,12 @@
     private val replies: DirectReplyHandler,
 ) {
     /** When the cloud's list is next asked for addresses; 0 once that is not needed any more. */
-    private var listDue = 0L
+    private var nextListingAt = 0L
     private var isListing = false
 
     /** The shard has just been acquired: workers whose address is known are called at once. */
     fun start() {
-        listDue = shardState.clock.now() + FIRST_LIST_AFTER_MS
+        nextListingAt = shardState.clock.now() + FIRST_LISTING_DELAY_MS
         for (machine in shardState.machines.values.toList()) {
             if (machine.isStateKnown || machine.decommissionReason != null) continue
             machine.addr?.let { announce(machine, it) }
@@ -37,26 +37,26 @@
 
     /** Calls the others too, at the addresses in the cloud's list. Called periodically. */
     fun runOnce(now: Long) {
-        if (listDue == 0L || now < listDue || isListing) return
-        if (shardState.machines.values.none { lacksToken(it) }) {
-            if (now - shardState.activeAt > LIST_FOR_MS) listDue = 0L
+        if (nextListingAt == 0L || now < nextListingAt || isListing) return
+        if (shardState.machines.values.none { needsAnnouncement(it) }) {
+            if (now - shardState.activeAt > LISTING_PERIOD_MS) nextListingAt = 0L
             return
         }
         isListing = true
-        listDue = now + LIST_EVERY_MS
+        nextListingAt = now + LISTING_INTERVAL_MS
         cloud.listMachines { listing ->
             isListing = false
             if (listing is CloudListing.Complete && !shardState.dropped) listing.items.forEach { announce(it) }
         }
     }
 
-    private fun lacksToken(machine: Machine) =
+    private fun needsAnnouncement(machine: Machine) =
         !machine.isStateKnown && machine.decommissionReason == null && machine.placements.isNotEmpty()
 
     private fun announce(listed: ListedMachine) {
         val machine = shardState.machines[listed.name] ?: return
         val addr = listed.addr ?: return
-        if (lacksToken(machine)) announce(machine, addr)
+        if (needsAnnouncement(machine)) announce(machine, addr)
     }
 
     private fun announce(machine: Machine, addr: String) = call(machine, addr, machine.epoch) { status ->
@@ -71,10 +71,10 @@
     }
 
     private companion object {
-        const val FIRST_LIST_AFTER_MS = 2_500L
-        const val LIST_EVERY_MS = 4_000L
+        const val FIRST_LISTING_DELAY_MS = 2_500L
+        const val LISTING_INTERVAL_MS = 4_000L
 
         /** How long after the acquisition machines may still appear whose workers lack the token. */
-        const val LIST_FOR_MS = 30_000L
+        const val LISTING_PERIOD_MS = 30_000L
     }
 }
--- a/src/main/kotlin/io/reedmast/heartbeats/FailureTracker.kt
+++ b/src/main/kotlin/io/reedmast/heartbeats/FailureTracker.kt
@@ -33,7 +33,7 @@
         // they made an unhealthy machine look like a job with a mistake, and the machine was kept.
         if (job.failedOn.add(machine)) job.consecutiveFailures++
         if (shardState.urgency.isSuspectedFaulty(job)) {
-            holdBackFaultyJob(job, now)
+            delayFaultyJob(job, now)
         } else {
             decommissionIfUnhealthy(machine, now)
         }
@@ -48,11 +48,11 @@
     }
 
     /** It fails wherever it runs: the job has a mistake, and the machines have not. */
-    private fun holdBackFaultyJob(job: Job, now: Long) {
+    private fun delayFaultyJob(job: Job, now: Long) {
         job.failedOn.forEach { it.failedJobs.remove(job.spec.jobId) }
         job.failedOn.clear()
         val doublings = minOf(MAX_DOUBLINGS, job.consecutiveFailures / FAILURES_PER_DOUBLING)
-        job.placementNotBefore = now + minOf(MAX_RETRY_MS, FIRST_RETRY_MS shl doublings)
+        job.placementNotBefore = now + minOf(MAX_RETRY_DELAY_MS, FIRST_RETRY_DELAY_MS shl doublings)
     }
 
     private fun decommissionIfUnhealthy(machine: Machine, now: Long) {
@@ -67,22 +67,22 @@
      */
     private fun isUnhealthy(machine: Machine, now: Long): Boolean {
         val failedJobs = machine.failedJobs
-        if (failedJobs.size < MIN_FAILED_JOBS_WITH_PROVEN_ONE) return false
-        return failedJobs.size >= MIN_FAILED_JOBS_IN_ANY_CASE ||
-            failedJobs.any { jobId -> shardState.jobs[jobId]?.let { isProven(it, now) } == true }
+        if (failedJobs.size < MIN_FAILED_JOBS_WITH_KNOWN_GOOD) return false
+        return failedJobs.size >= MIN_FAILED_JOBS_WITHOUT_KNOWN_GOOD ||
+            failedJobs.any { jobId -> shardState.jobs[jobId]?.let { isKnownGood(it, now) } == true }
     }
 
     /** Whether the job is known to run on some machine, so that it has no mistake. */
-    private fun isProven(job: Job, now: Long) =
-        job.hasSucceeded || job.placements().any { it.running && now - it.runningSince > RUN_THAT_PROVES_JOB_MS }
+    private fun isKnownGood(job: Job, now: Long) =
+        job.hasSucceeded || job.placements().any { it.running && now - it.runningSince > KNOWN_GOOD_RUN_MS }
 
     private companion object {
-        const val FIRST_RETRY_MS = 2_000L
-        const val MAX_RETRY_MS = 30_000L
+        const val FIRST_RETRY_DELAY_MS = 2_000L
+        const val MAX_RETRY_DELAY_MS = 30_000L
         const val MAX_DOUBLINGS = 5
         const val FAILURES_PER_DOUBLING = 4
-        const val MIN_FAILED_JOBS_WITH_PROVEN_ONE = 2
-        const val MIN_FAILED_JOBS_IN_ANY_CASE = 4
-        const val RUN_THAT_PROVES_JOB_MS = 10_000L
+        const val MIN_FAILED_JOBS_WITH_KNOWN_GOOD = 2
+        const val MIN_FAILED_JOBS_WITHOUT_KNOWN_GOOD = 4
+        const val KNOWN_GOOD_RUN_MS = 10_000L
     }
 }
--- a/src/main/kotlin/io/reedmast/heartbeats/HeartbeatHandler.kt
+++ b/src/main/kotlin/io/reedmast/heartbeats/HeartbeatHandler.kt
@@ -21,13 +21,13 @@
     dispatcher: CommandDispatcher,
     gangs: GangCoordinator,
     /** Whether a job of any shard is known to be cancelled or over. */
-    isKnownOver: (jobId: String) -> Boolean,
+    isCancelledOrEnded: (jobId: String) -> Boolean,
     /** Asks for a fresh token for the shard: a worker has seen a higher one than this owner's. */
     renewToken: () -> Unit,
 ) {
     private val statusEvaluator = StatusEvaluator(shardState, renewToken)
     private val reportedTasks = ReportedTaskHandler(dispatcher, TaskEndHandler(shardState, gangs))
-    private val unknownTasks = UnknownTaskHandler(shardState, isKnownOver)
+    private val unknownTasks = UnknownTaskHandler(shardState, isCancelledOrEnded)
     private val missingTasks = MissingTaskHandler(shardState, dispatcher, gangs)
 
     /** Applies a heartbeat and returns the commands for its answer: none for a machine that the shard does not have. */
@@ -57,10 +57,10 @@
             }
         }
         val missing = machine.placements.values.filter { it.committed && it.id !in listed }
-        val isAnswerLost = source == StatusSource.HEARTBEAT && isLaunchIgnored(missing)
+        val isAnswerPresumedLost = source == StatusSource.HEARTBEAT && hasUnconfirmedLaunch(missing)
         missing.flatMapTo(commands) { missingTasks.onMissing(it, status, source) }
         // Counted last: for what is missing now, the machine is as usable as it was before this status.
-        if (isAnswerLost) machine.unacknowledgedAnswers++
+        if (isAnswerPresumedLost) machine.unacknowledgedAnswers++
         return commands
     }
 
@@ -69,6 +69,6 @@
         machine.placements[reported.id]?.takeIf { it.attempt == reported.attempt && it.committed }
 
     /** Whether an earlier answer carried the launch of a task that is still missing: it seems not to have arrived. */
-    private fun isLaunchIgnored(missing: List<Placement>) =
+    private fun hasUnconfirmedLaunch(missing: List<Placement>) =
         missing.any { it.launchesSentSinceReported > 0 } && shardState.isCurrent()
 }
--- a/src/main/kotlin/io/reedmast/heartbeats/MissingTask.kt
+++ b/src/main/kotlin/io/reedmast/heartbeats/MissingTask.kt
@@ -32,7 +32,7 @@
     DIRECT_CALL_PENDING,
 
     /** It is to be stopped, but a direct launch of it, or a copy of one, may still arrive. */
-    STOPPED_BEFORE_LATE_LAUNCH,
+    LATE_LAUNCH_POSSIBLE,
 
     /** It is to be stopped, and this status is no newer than the one whose answer last carried its launch. */
     ANSWER_PENDING,
@@ -48,11 +48,11 @@
          */
         fun of(placement: Placement, status: WorkerStatus, source: StatusSource, highestOwnToken: Long): MissingTask {
             val machine = placement.machine
-            val mayLaunchLate = machine.mayStillLaunch(placement.id, placement.attempt)
-            val wasSent = placement.launchEpoch != 0L
+            val mayLaunchArriveLate = machine.mayStillLaunch(placement.id, placement.attempt)
+            val wasLaunchSent = placement.launchEpoch != 0L
             return when {
                 // A later epoch: everything of the earlier one was killed, and its launches are refused.
-                wasSent && placement.launchEpoch < status.epoch && !mayLaunchLate ->
+                wasLaunchSent && placement.launchEpoch < status.epoch && !mayLaunchArriveLate ->
                     if (isRestartable(placement)) LOST_AND_RESTARTABLE else LOST
 
                 machine.recordConflict == RecordConflict.ANSWERED_ELSEWHERE && status.token > highestOwnToken ->
@@ -62,9 +62,9 @@
 
                 placement.stopReason == null -> LAUNCH_DUE
 
-                mayLaunchLate -> if (machine.pendingDirectCalls > 0) DIRECT_CALL_PENDING else STOPPED_BEFORE_LATE_LAUNCH
+                mayLaunchArriveLate -> if (machine.pendingDirectCalls > 0) DIRECT_CALL_PENDING else LATE_LAUNCH_POSSIBLE
 
-                wasSent && status.sequence <= placement.launchSequence -> ANSWER_PENDING
+                wasLaunchSent && status.sequence <= placement.launchSequence -> ANSWER_PENDING
 
                 else -> STOPPED
             }
--- a/src/main/kotlin/io/reedmast/heartbeats/MissingTaskHandler.kt
+++ b/src/main/kotlin/io/reedmast/heartbeats/MissingTaskHandler.kt
@@ -35,7 +35,7 @@
             MissingTask.LAUNCH_DUE -> launchIfAllowed(placement, status)
 
             // Launched and stopped here, the attempt is known to the worker as ended: a late launch has no effect.
-            MissingTask.STOPPED_BEFORE_LATE_LAUNCH ->
+            MissingTask.LATE_LAUNCH_POSSIBLE ->
                 listOf(launch(placement, status), dispatcher.stopCommand(placement))
 
             MissingTask.SUPERSEDED, MissingTask.STOPPED -> {
--- a/src/main/kotlin/io/reedmast/heartbeats/ReportedTaskHandler.kt
+++ b/src/main/kotlin/io/reedmast/heartbeats/ReportedTaskHandler.kt
@@ -12,7 +12,7 @@
 internal class ReportedTaskHandler(private val dispatcher: CommandDispatcher, private val taskEnds: TaskEndHandler) {
     /** Records what [reported] shows of [placement], and returns the commands for the answer. */
     fun onReported(placement: Placement, reported: TaskStatus, now: Long): List<WorkerCommand> {
-        recordSeen(placement)
+        recordReported(placement)
         when (reported.state) {
             TaskState.FETCHING -> {}
 
@@ -31,7 +31,7 @@
         return if (isStopDue(placement, isSaving)) listOf(dispatcher.stopCommand(placement)) else emptyList()
     }
 
-    private fun recordSeen(placement: Placement) {
+    private fun recordReported(placement: Placement) {
         placement.isReported = true
         placement.launchEpoch = placement.machine.epoch
         if (placement.launchesSentSinceReported > 0) {
--- a/src/main/kotlin/io/reedmast/heartbeats/StatusEvaluator.kt
+++ b/src/main/kotlin/io/reedmast/heartbeats/StatusEvaluator.kt
@@ -61,11 +61,11 @@
             status.token > FencingToken.lastOfRange(shardState.token)
 
     private fun recordMachineState(machine: Machine, status: WorkerStatus, now: Long) {
-        if (status.epoch > machine.epoch && machine.everReported) onEpochLost(machine, now)
+        if (status.epoch > machine.epoch && machine.everReported) onLeaseExpired(machine, now)
         machine.addr = status.addr
         machine.recordReportedToken(status)
         machine.sequence = status.sequence
-        recordNotice(machine, status.noticeS, now)
+        recordReclaimNotice(machine, status.noticeS, now)
     }
 
     /**
@@ -74,17 +74,17 @@
      *
      * A machine that hung, or was cut off, has sent nothing for a whole lease.
      */
-    private fun onEpochLost(machine: Machine, now: Long) {
-        val wasAnsweredLately = now - machine.answeredAt < leaseMs / 2
-        val wasAnsweredThroughout = now - machine.regularHeartbeatsSince > leaseMs * MIN_ANSWERED_PART_OF_LEASE
-        if (wasAnsweredLately && wasAnsweredThroughout) {
+    private fun onLeaseExpired(machine: Machine, now: Long) {
+        val wasAnsweredRecently = now - machine.answeredAt < leaseMs / 2
+        val wasAnsweredThroughout = now - machine.regularHeartbeatsSince > leaseMs * MIN_ANSWERED_LEASE_FRACTION
+        if (wasAnsweredRecently && wasAnsweredThroughout) {
             machine.unacknowledgedAnswers = maxOf(machine.unacknowledgedAnswers, Machine.UNREACHABLE_AFTER_ANSWERS)
             log.info("machine {}: its lease expired although its heartbeats were answered", machine.name)
         }
     }
 
     /** Records in how many seconds the cloud takes the machine back; null if it has given no notice. */
-    private fun recordNotice(machine: Machine, noticeS: Double?, now: Long) {
+    private fun recordReclaimNotice(machine: Machine, noticeS: Double?, now: Long) {
         if (noticeS == null) {
             machine.reclaimAt = 0L
             return
@@ -116,6 +116,6 @@
         const val MS_PER_S = 1000.0
 
         /** Of a lease that expired, the part for which heartbeats must have been answered to blame the answers. */
-        const val MIN_ANSWERED_PART_OF_LEASE = 0.8
+        const val MIN_ANSWERED_LEASE_FRACTION = 0.8
     }
 }
--- a/src/main/kotlin/io/reedmast/heartbeats/UnknownTaskHandler.kt
+++ b/src/main/kotlin/io/reedmast/heartbeats/UnknownTaskHandler.kt
@@ -13,9 +13,9 @@
 internal class UnknownTaskHandler(
     private val shardState: ShardState,
     /** Whether a job of any shard is known to be cancelled or over. */
-    private val isKnownOver: (jobId: String) -> Boolean,
+    private val isCancelledOrEnded: (jobId: String) -> Boolean,
 ) {
-    private val minMsBetweenRaises = shardState.settings.workers.leaseS * MS_PER_S / 2
+    private val minMsBetweenTokenRaises = shardState.settings.workers.leaseS * MS_PER_S / 2
 
     /** Called before the tasks of a new status are handled: it says anew what unknown tasks use on the machine. */
     fun resetUnknownUsage(machine: Machine) {
@@ -44,7 +44,7 @@
      * shard's owner has stored them. Cancelled work is stopped by whoever answers the worker.
      */
     private fun onTaskOfOtherShard(reported: TaskStatus): WorkerCommand? {
-        if (reported.state == TaskState.ENDED || !isKnownOver(reported.id.jobId)) return null
+        if (reported.state == TaskState.ENDED || !isCancelledOrEnded(reported.id.jobId)) return null
         return WorkerCommand.StopTask(reported.id, reported.attempt, graceS = 0.0)
     }
 
@@ -77,7 +77,7 @@
      */
     private fun raiseToken(machine: Machine) {
         val now = shardState.clock.now()
-        if (machine.pendingDirectCalls > 0 || now - machine.tokenRaisedAt < minMsBetweenRaises) return
+        if (machine.pendingDirectCalls > 0 || now - machine.tokenRaisedAt < minMsBetweenTokenRaises) return
         val raised = shardState.tokenFor(machine) + 1
         if (raised > FencingToken.lastOfRange(shardState.token)) return
         machine.raisedToken = raised
--- a/src/main/kotlin/io/reedmast/requests/JobLookup.kt
+++ b/src/main/kotlin/io/reedmast/requests/JobLookup.kt
@@ -19,10 +19,10 @@
 
     /** Calls [onResult] once, at once or when the store has answered. */
     fun find(jobId: String, onResult: (JobLookupResult) -> Unit) {
-        val end = jobs.ended[jobId]
+        val finalRecord = jobs.ended[jobId]
         when {
             !JobSpec.isJobId(jobId) -> onResult(JobLookupResult.Unknown)
-            end != null -> onResult(JobLookupResult.Ended(end))
+            finalRecord != null -> onResult(JobLookupResult.Ended(finalRecord))
             !cluster.isCurrent() -> onResult(JobLookupResult.Unavailable)
             else -> cluster.staleness.awaitJobsBarrier { isUpToDate -> findInIndex(jobId, isUpToDate, onResult) }
         }
@@ -30,30 +30,30 @@
 
     private fun findInIndex(jobId: String, isUpToDate: Boolean, onResult: (JobLookupResult) -> Unit) {
         val job = jobs.liveJob(jobId)
-        val end = jobs.ended[jobId]
+        val finalRecord = jobs.ended[jobId]
         when {
             !isUpToDate -> onResult(JobLookupResult.Unavailable)
-            end != null -> onResult(JobLookupResult.Ended(end))
+            finalRecord != null -> onResult(JobLookupResult.Ended(finalRecord))
             job != null -> onResult(JobLookupResult.Unfinished(job))
             jobs.isUnreadable(jobId) -> onResult(JobLookupResult.Unavailable)
-            else -> readEnd(jobId, onResult)
+            else -> readFinalRecord(jobId, onResult)
         }
     }
 
     /** Not among the unfinished: it ended long ago, or nobody has submitted it. */
-    private fun readEnd(jobId: String, onResult: (JobLookupResult) -> Unit) =
+    private fun readFinalRecord(jobId: String, onResult: (JobLookupResult) -> Unit) =
         store.get(Keys.endedJob(jobId)) { fetched ->
             when (fetched) {
                 is ReadResult.Failed -> onResult(JobLookupResult.Unavailable)
                 is ReadResult.Missing -> onResult(JobLookupResult.Unknown)
-                is ReadResult.Found -> onResult(parseEnd(jobId, fetched))
+                is ReadResult.Found -> onResult(parseFinalRecord(jobId, fetched))
             }
         }
 
-    private fun parseEnd(jobId: String, found: ReadResult.Found): JobLookupResult = try {
-        val end = FinalRecord.parse(found.item.value)
-        jobs.ended.record(jobId, end)
-        JobLookupResult.Ended(end)
+    private fun parseFinalRecord(jobId: String, found: ReadResult.Found): JobLookupResult = try {
+        val finalRecord = FinalRecord.parse(found.item.value)
+        jobs.ended.record(jobId, finalRecord)
+        JobLookupResult.Ended(finalRecord)
     } catch (e: MalformedException) {
         jobs.unreadable.report(Keys.endedJob(jobId), e.message)
         JobLookupResult.Unavailable
--- a/src/main/kotlin/io/reedmast/requests/JobLookupResult.kt
+++ b/src/main/kotlin/io/reedmast/requests/JobLookupResult.kt
@@ -9,7 +9,7 @@
     data class Unfinished(val job: LiveJob) : JobLookupResult
 
     /** The job is over, and will stay so. */
-    data class Ended(val end: FinalRecord) : JobLookupResult
+    data class Ended(val finalRecord: FinalRecord) : JobLookupResult
 
     /** Nobody has submitted such a job. */
     data object Unknown : JobLookupResult
--- a/src/main/kotlin/io/reedmast/requests/JobRequestHandler.kt
+++ b/src/main/kotlin/io/reedmast/requests/JobRequestHandler.kt
@@ -42,9 +42,9 @@
 
     /** Accepts a job, or answers with the state of the one that was accepted under the same name before. */
     fun submit(spec: JobSpec, answer: (UserAnswer) -> Unit) {
-        val end = jobs.ended[spec.jobId]
+        val finalRecord = jobs.ended[spec.jobId]
         when {
-            end != null -> answer(UserAnswers.ended(spec.jobId, end))
+            finalRecord != null -> answer(UserAnswers.ended(spec.jobId, finalRecord))
 
             // Before anything that could refuse it: an accepted job's submission may be repeated at any time.
             jobs.liveJob(spec.jobId) != null -> poll(spec.jobId, answer)
@@ -67,7 +67,7 @@
                 UserAnswers.unfinished(jobId, found.job)
             }
 
-        is JobLookupResult.Ended -> UserAnswers.ended(jobId, found.end)
+        is JobLookupResult.Ended -> UserAnswers.ended(jobId, found.finalRecord)
 
         JobLookupResult.Unknown -> UserAnswers.unknown()
 
@@ -137,7 +137,7 @@
      * cancelled and ended through other controllers since, and its present state is the answer.
      */
     private fun answerAccepted(jobId: String, submittedAt: Long, answer: (UserAnswer) -> Unit) {
-        if (clock.now() - submittedAt > LATE_ANSWER_MS) {
+        if (clock.now() - submittedAt > LATE_OUTCOME_MS) {
             poll(jobId, answer)
         } else {
             answer(UserAnswers.accepted(jobId))
@@ -190,6 +190,6 @@
         const val MAX_CANCELLATION_TRIES = 4
 
         /** Later than any answer of the store that was not lost, and sooner than a user turns to another controller. */
-        const val LATE_ANSWER_MS = 1_500L
+        const val LATE_OUTCOME_MS = 1_500L
     }
 }
--- a/src/main/kotlin/io/reedmast/requests/UserAnswers.kt
+++ b/src/main/kotlin/io/reedmast/requests/UserAnswers.kt
@@ -21,9 +21,9 @@
     fun accepted(jobId: String) = UserAnswer(CREATED, JobStatus(jobId, JobState.QUEUED))
 
     /** The job is over. */
-    fun ended(jobId: String, end: FinalRecord): UserAnswer {
-        val done = if (end.state == JobState.DONE) end.taskCount else 0
-        return UserAnswer(OK, JobStatus(jobId, end.state, done, running = 0))
+    fun ended(jobId: String, finalRecord: FinalRecord): UserAnswer {
+        val done = if (finalRecord.state == JobState.DONE) finalRecord.taskCount else 0
+        return UserAnswer(OK, JobStatus(jobId, finalRecord.state, done, running = 0))
     }
 
     /** The job is cancelled, though tasks of it may still be stopping. */
--- a/src/test/kotlin/io/reedmast/commands/CommandDispatcherTest.kt
+++ b/src/test/kotlin/io/reedmast/commands/CommandDispatcherTest.kt
@@ -45,7 +45,7 @@
     }
 
     @Test
-    fun `a launch that was decided is sent`() {
+    fun `a queued launch is sent`() {
         val placement = placed()
         dispatcher.send()
         assertEquals(listOf<WorkerCommand>(WorkerCommand.StartTask(placement.id, 1)), out.directCommands)
@@ -57,7 +57,7 @@
      * elsewhere.
      */
     @Test
-    fun `a launch whose placement has ended meanwhile is not sent`() {
+    fun `a queued launch whose placement has ended is not sent`() {
         val placement = placed()
         dispatcher.stop(placement, StopReason.CANCELLED)
         shardState.finish(placement, done = false)
@@ -66,7 +66,7 @@
     }
 
     @Test
-    fun `a launch whose placement is to be stopped is not sent`() {
+    fun `a queued launch whose placement is to be stopped is not sent`() {
         dispatcher.stop(placed(), StopReason.DRAINED)
         dispatcher.send()
         assertEquals(emptyList<WorkerCommand>(), out.directCommands)
--- a/src/test/kotlin/io/reedmast/heartbeats/MissingTaskTest.kt
+++ b/src/test/kotlin/io/reedmast/heartbeats/MissingTaskTest.kt
@@ -23,12 +23,12 @@
     }
 
     @Test
-    fun `a launch that the worker refuses for a higher token is over`() {
+    fun `a placement whose launch is refused for a higher token is superseded`() {
         assertEquals(MissingTask.SUPERSEDED, caseOf(tokenSeen = 11L, RecordConflict.ANSWERED_ELSEWHERE))
     }
 
     @Test
-    fun `a launch that may still arrive is not over`() {
+    fun `a placement whose launch may still arrive is not superseded`() {
         assertEquals(MissingTask.NO_ANSWER_POSSIBLE, caseOf(tokenSeen = 10L, RecordConflict.ANSWERED_ELSEWHERE))
         assertEquals(MissingTask.NO_ANSWER_POSSIBLE, caseOf(tokenSeen = 11L, RecordConflict.NONE))
     }
