--- a/src/main/kotlin/io/reedmast/commands/CommandDispatcher.kt
+++ b/src/main/kotlin/io/reedmast/commands/CommandDispatcher.kt
@@ -13,7 +13,7 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Direct commands to workers (PROTOCOL, POST /do), collected as they are decided and sent together.
+ * Sends commands to workers directly (PROTOCOL, POST /do): they are queued as they are decided, and sent together.
  *
  * Launches and stops also go out with the answers to heartbeats, so a direct command that is lost does no harm.
  */
@@ -21,7 +21,7 @@
     private val shardState: ShardState,
     cloud: Cloud,
     private val workers: WorkerTransport,
-    /** Applies the status that a direct call to the machine was answered with. */
+    /** Applies the status in the reply to a direct call to the machine. */
     onStatusReport: (Machine, WorkerStatus) -> Unit,
 ) {
     private val log = LoggerFactory.getLogger("shard")
@@ -31,26 +31,29 @@
     private val announcer = TokenAnnouncer(shardState, cloud, workers, replies)
     private val contestedMachinePoller = ContestedMachinePoller(shardState, workers, replies)
 
-    /** The shard has just been acquired. */
+    /** Called when the shard has just been acquired and restored. */
     fun start() = announcer.start()
 
-    /** Called periodically: shows our token to machines that have sent no heartbeat since the shard was acquired. */
+    /**
+     * Called periodically: announces this owner's token to machines that have sent no heartbeat since the shard was
+     * acquired.
+     */
     fun announceToken(now: Long) = announcer.runOnce(now)
 
-    /** Called periodically: asks what is on machines whose workers another shard's owner answers. */
+    /** Called periodically: polls the workers that another shard's owner answers for what is on their machines. */
     fun pollContestedMachines(now: Long) = contestedMachinePoller.runOnce(now)
 
-    /** Queues the launch of a stored placement, unless it is not known what is on its machine. */
+    /** Queues the launch of a stored placement, but only if it is known what is on its machine. */
     fun launch(placement: Placement) {
         if (!placement.machine.isStateKnown) return
         queue.add(placement.machine, WorkerCommand.StartTask(placement.id, placement.attempt))
     }
 
-    /** Stops an attempt, and with a task of a gang all of it: each has to save at the same time. */
+    /** Stops an attempt; for a task of a gang, the whole gang, whose tasks have to save at the same time. */
     fun stop(placement: Placement, reason: StopReason) {
         val isFirstStop = placement.stopReason == null
         stopOne(placement, reason)
-        // Whatever stopped the first task of a gang has stopped all.
+        // If the task was to be stopped already, that earlier stop included the rest of its gang.
         if (!isFirstStop || !placement.job.spec.isGang) return
         val otherTasks = placement.job.placements().filter { it.stopReason == null }.toList()
         otherTasks.forEach { stopOne(it, reason) }
@@ -82,11 +85,14 @@
         return WorkerCommand.StopTask(placement.id, placement.attempt, graceS)
     }
 
-    /** The progress is of no use to anybody, or is lost already. */
+    /** Whether the progress of a stopped attempt is of no use to anybody, or is lost already. */
     private fun isProgressUseless(reason: StopReason?) =
         reason == StopReason.CANCELLED || reason == StopReason.GANG_INCOMPLETE
 
-    /** Sends the queued commands: one call for each machine that may be called, and none for the others. */
+    /**
+     * Sends the queued commands in one call for each machine; those for machines that may not be called now are
+     * dropped.
+     */
     fun send() {
         for ((machine, queued) in queue.drain()) {
             val commands = queued.filter { it !is WorkerCommand.StartTask || isStillValid(machine, it) }
@@ -95,7 +101,10 @@
         }
     }
 
-    /** Since the launch was decided, a status may have ended its placement, or the job may have been cancelled. */
+    /**
+     * Whether a queued launch is still valid: since it was decided, a status may have ended its placement, or a stop
+     * may have been decided, for instance because the job was cancelled.
+     */
     private fun isStillValid(machine: Machine, launch: WorkerCommand.StartTask): Boolean {
         val placement = machine.placements[launch.id] ?: return false
         return placement.attempt == launch.attempt && placement.stopReason == null
@@ -129,7 +138,7 @@
     }
 
     private companion object {
-        /** Given to a task beyond the time that its job states for saving. */
+        /** Grace that a task is given beyond the time that its job specifies for saving. */
         const val GRACE_SLACK_S = 1.0
     }
 }
--- a/src/main/kotlin/io/reedmast/commands/ContestedMachinePoller.kt
+++ b/src/main/kotlin/io/reedmast/commands/ContestedMachinePoller.kt
@@ -7,11 +7,11 @@
 import io.reedmast.wire.Reply
 
 /**
- * Asks the workers of machines that another shard's owner answers what is on them, as long as this shard has work
- * there.
+ * Polls the workers that another shard's owner answers for what is on their machines, as long as this shard has
+ * placements there.
  *
- * The call carries a token and an epoch that no worker has: nothing is executed, and the refusal is the worker's newest
- * status (PROTOCOL, POST /do).
+ * The call carries token 0 and epoch 0, which no worker has: nothing is executed, and the refusal contains the worker's
+ * newest status (PROTOCOL, POST /do).
  */
 internal class ContestedMachinePoller(
     private val shardState: ShardState,
--- a/src/main/kotlin/io/reedmast/commands/DirectReplyHandler.kt
+++ b/src/main/kotlin/io/reedmast/commands/DirectReplyHandler.kt
@@ -10,27 +10,28 @@
 import java.net.HttpURLConnection.HTTP_OK
 
 /**
- * Replies to direct calls: each call that was executed or refused is answered with the worker's newest status
+ * Handles the replies to direct calls: a worker replies with its newest status to each call that it executed or refused
  * (PROTOCOL, POST /do).
  */
 internal class DirectReplyHandler(
     private val shardState: ShardState,
-    /** Applies the status that a call to the machine was answered with. */
+    /** Applies the status in the reply to a direct call to the machine. */
     private val onStatusReport: (Machine, WorkerStatus) -> Unit,
 ) {
     private val log = LoggerFactory.getLogger("shard")
 
     /**
-     * Applies the status that [reply] carries, unless it is another machine's, which has got the address of [machine].
+     * Applies the status in [reply], unless it is that of another machine, which now has the address of [machine].
      *
-     * Returns the status; null if the shard has changed hands, or there is none that can be read.
+     * Returns the status, also that of another machine; null if another owner has acquired the shard, or if the reply
+     * contains no status that can be read.
      */
     fun onReply(machine: Machine, reply: Reply.Answer): WorkerStatus? {
         if (shardState.dropped || (reply.status != HTTP_OK && reply.status != HTTP_CONFLICT)) return null
         return try {
             WorkerStatus.parse(reply.body).also { if (it.machineName == machine.name) onStatusReport(machine, it) }
         } catch (e: MalformedException) {
-            log.error("machine {}: malformed answer: {}", machine.name, e.message)
+            log.error("machine {}: malformed reply to a direct call: {}", machine.name, e.message)
             null
         }
     }
--- a/src/main/kotlin/io/reedmast/commands/TokenAnnouncer.kt
+++ b/src/main/kotlin/io/reedmast/commands/TokenAnnouncer.kt
@@ -10,11 +10,12 @@
 import io.reedmast.wire.WorkerStatus
 
 /**
- * Shows a new owner's token to the machines of its shard.
+ * Announces a new owner's token to the workers of its shard.
  *
- * Their workers may still send heartbeats to the old owner, which answers them as long as it does not know better;
- * having seen our token they drop its answers, and its commands reach them no more (PROTOCOL, Tokens). Without it a
- * machine takes no work before it has sent two heartbeats, which is several seconds for each failover.
+ * The workers may still send heartbeats to the previous owner, which answers them until it learns that it has lost the
+ * shard. Once a worker has seen the new token, it drops the answers of the previous owner and refuses its commands
+ * (PROTOCOL, Tokens). Without the announcement, a machine takes no work before it has sent two heartbeats, which costs
+ * several seconds on each failover.
  */
 internal class TokenAnnouncer(
     private val shardState: ShardState,
@@ -22,11 +23,13 @@
     private val workers: WorkerTransport,
     private val replies: DirectReplyHandler,
 ) {
-    /** When the cloud's list is next asked for addresses; 0 once that is not needed any more. */
+    /** When the cloud's machine list is next read for addresses; 0 once that is no longer needed. */
     private var nextListingAt = 0L
     private var isListing = false
 
-    /** The shard has just been acquired: workers whose address is known are called at once. */
+    /**
+     * Called when the shard has just been acquired and restored: calls the workers with known addresses immediately.
+     */
     fun start() {
         nextListingAt = shardState.clock.now() + FIRST_LISTING_DELAY_MS
         for (machine in shardState.machines.values.toList()) {
@@ -35,7 +38,7 @@
         }
     }
 
-    /** Calls the others too, at the addresses in the cloud's list. Called periodically. */
+    /** Called periodically: calls the other workers, at the addresses in the cloud's machine list. */
     fun runOnce(now: Long) {
         if (nextListingAt == 0L || now < nextListingAt || isListing) return
         if (shardState.machines.values.none { needsAnnouncement(it) }) {
@@ -60,7 +63,7 @@
     }
 
     private fun announce(machine: Machine, addr: String) = call(machine, addr, machine.epoch) { status ->
-        // Refused for its epoch, which the answer states: called once more with that.
+        // The call was refused because of its epoch; it is repeated once with the epoch that the reply states.
         if (status.token < shardState.token) call(machine, addr, status.epoch)
     }
 
@@ -74,7 +77,7 @@
         const val FIRST_LISTING_DELAY_MS = 2_500L
         const val LISTING_INTERVAL_MS = 4_000L
 
-        /** How long after the acquisition machines may still appear whose workers lack the token. */
+        /** For how long after the shard became active machines may still appear whose workers lack the token. */
         const val LISTING_PERIOD_MS = 30_000L
     }
 }
--- a/src/main/kotlin/io/reedmast/heartbeats/FailureTracker.kt
+++ b/src/main/kotlin/io/reedmast/heartbeats/FailureTracker.kt
@@ -8,13 +8,16 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Tells faulty jobs from unhealthy machines by where tasks fail: a job with a mistake fails wherever it runs, and on an
+ * Distinguishes faulty jobs from unhealthy machines by where tasks fail: a faulty job fails wherever it runs, and on an
  * unhealthy machine several jobs fail.
  */
 internal class FailureTracker(private val shardState: ShardState) {
     private val log = LoggerFactory.getLogger("shard")
 
-    /** A task has completed: neither its machine nor its job is at fault. Machines on which the job failed may be. */
+    /**
+     * Called when a task has completed. This shows that neither its machine nor its job is at fault, and that the
+     * machines on which the job failed may be.
+     */
     fun recordSuccess(placement: Placement, now: Long) {
         val job = placement.job
         placement.machine.failedJobs.clear()
@@ -23,14 +26,17 @@
         job.failedOn.forEach { decommissionIfUnhealthy(it, now) }
     }
 
-    /** A task has failed by itself: holds back its job if that seems faulty, or gives up its machine if that does. */
+    /**
+     * Called when a task has failed on its own: delays its job if the job seems faulty; otherwise decommissions the
+     * machine if the machine seems unhealthy.
+     */
     fun recordFailure(placement: Placement, now: Long) {
         if (!countsAsFailure(placement)) return
         val job = placement.job
         val machine = placement.machine
         machine.failedJobs.add(job.spec.jobId)
-        // Several tasks that fail together on one machine say no more of the job than one does: counted each,
-        // they made an unhealthy machine look like a job with a mistake, and the machine was kept.
+        // Several tasks of a job that fail together on one machine say no more about the job than one failure does.
+        // When each of them was counted, an unhealthy machine made the job look faulty, and the machine was kept.
         if (job.failedOn.add(machine)) job.consecutiveFailures++
         if (shardState.urgency.isSuspectedFaulty(job)) {
             delayFaultyJob(job, now)
@@ -39,7 +45,10 @@
         }
     }
 
-    /** Several tasks of a gang fail together where the gang has a mistake: that says no more than one failure does. */
+    /**
+     * Whether the failure is counted. For a gang, only the first failure of an attempt is: the tasks of a faulty gang
+     * fail together, which says no more than one failure does.
+     */
     private fun countsAsFailure(placement: Placement): Boolean {
         val job = placement.job
         val isFirstOfAttempt = !job.spec.isGang || job.lastFailedAttempt != placement.attempt
@@ -47,7 +56,10 @@
         return isFirstOfAttempt
     }
 
-    /** It fails wherever it runs: the job has a mistake, and the machines have not. */
+    /**
+     * Delays a job that fails wherever it runs. The fault is the job's, so its failures no longer count against the
+     * machines.
+     */
     private fun delayFaultyJob(job: Job, now: Long) {
         job.failedOn.forEach { it.failedJobs.remove(job.spec.jobId) }
         job.failedOn.clear()
@@ -57,13 +69,14 @@
 
     private fun decommissionIfUnhealthy(machine: Machine, now: Long) {
         if (machine.decommissionReason != null || !isUnhealthy(machine, now)) return
-        log.info("machine {}: unhealthy, every task fails there, decommissioned", machine.name)
+        log.info("machine {}: unhealthy, tasks of several jobs failed there, decommissioned", machine.name)
         machine.decommissionReason = DecommissionReason.UNHEALTHY
     }
 
     /**
-     * Tasks of several jobs failed there since the last success, and one of the jobs is known to run elsewhere. Without
-     * that, a few jobs with a mistake that met on one machine had it returned.
+     * Whether tasks of several jobs failed on the machine since the last success there, and one of the jobs is known to
+     * run elsewhere. Without the second condition, a few faulty jobs that were placed on the same machine caused it to
+     * be returned to the cloud. From [MIN_FAILED_JOBS_WITHOUT_KNOWN_GOOD] jobs on, the condition is not needed.
      */
     private fun isUnhealthy(machine: Machine, now: Long): Boolean {
         val failedJobs = machine.failedJobs
@@ -72,7 +85,7 @@
             failedJobs.any { jobId -> shardState.jobs[jobId]?.let { isKnownGood(it, now) } == true }
     }
 
-    /** Whether the job is known to run on some machine, so that it has no mistake. */
+    /** Whether the job is known to run on some machine, so that it is not faulty. */
     private fun isKnownGood(job: Job, now: Long) =
         job.hasSucceeded || job.placements().any { it.running && now - it.runningSince > KNOWN_GOOD_RUN_MS }
 
--- a/src/main/kotlin/io/reedmast/heartbeats/HeartbeatHandler.kt
+++ b/src/main/kotlin/io/reedmast/heartbeats/HeartbeatHandler.kt
@@ -11,18 +11,18 @@
 import io.reedmast.wire.WorkerStatus
 
 /**
- * What the workers' statuses prove, and the commands that answer their heartbeats (PROTOCOL, POST /checkin).
+ * Applies the statuses of workers, and decides on the commands that answer their heartbeats (PROTOCOL, POST /checkin).
  *
- * Only a status made under this owner's token counts: an older owner's commands may reach the worker until it has seen
- * that token.
+ * Only a status made under this owner's token counts: until the worker has seen that token, an earlier owner's commands
+ * may still reach it.
  */
 class HeartbeatHandler(
     private val shardState: ShardState,
     dispatcher: CommandDispatcher,
     gangs: GangCoordinator,
-    /** Whether a job of any shard is known to be cancelled or over. */
+    /** Whether a job, of any shard, is known to be cancelled or to have ended. */
     isCancelledOrEnded: (jobId: String) -> Boolean,
-    /** Asks for a fresh token for the shard: a worker has seen a higher one than this owner's. */
+    /** Requests a new token for the shard, because a worker has seen a higher one than this owner's. */
     renewToken: () -> Unit,
 ) {
     private val statusEvaluator = StatusEvaluator(shardState, renewToken)
@@ -30,13 +30,13 @@
     private val unknownTasks = UnknownTaskHandler(shardState, isCancelledOrEnded)
     private val missingTasks = MissingTaskHandler(shardState, dispatcher, gangs)
 
-    /** Applies a heartbeat and returns the commands for its answer: none for a machine that the shard does not have. */
+    /** Applies a heartbeat and returns the commands for its answer; none if the machine is not one of the shard's. */
     fun onHeartbeat(status: WorkerStatus): List<WorkerCommand> {
         val machine = shardState.machines[status.machineName] ?: return emptyList()
         return apply(machine, status, StatusSource.HEARTBEAT)
     }
 
-    /** Applies the status of [machine] that came as the reply to a direct call, which nothing can answer. */
+    /** Applies the status of [machine] that came as the reply to a direct call, to which no answer can be sent. */
     fun onStatusReport(machine: Machine, status: WorkerStatus) {
         apply(machine, status, StatusSource.DIRECT_CALL)
     }
@@ -59,16 +59,16 @@
         val missing = machine.placements.values.filter { it.committed && it.id !in listed }
         val isAnswerPresumedLost = source == StatusSource.HEARTBEAT && hasUnconfirmedLaunch(missing)
         missing.flatMapTo(commands) { missingTasks.onMissing(it, status, source) }
-        // Counted last: for what is missing now, the machine is as usable as it was before this status.
+        // Counted last, so that the missing tasks above are handled with Machine.usable as it was before this status.
         if (isAnswerPresumedLost) machine.unacknowledgedAnswers++
         return commands
     }
 
-    /** The stored placement that accounts for a reported task; null if there is none. */
+    /** The stored placement of the reported attempt; null if there is none. */
     private fun placementOf(machine: Machine, reported: TaskStatus): Placement? =
         machine.placements[reported.id]?.takeIf { it.attempt == reported.attempt && it.committed }
 
-    /** Whether an earlier answer carried the launch of a task that is still missing: it seems not to have arrived. */
+    /** Whether an earlier answer carried the launch of a task that is still missing, and so seems to be lost. */
     private fun hasUnconfirmedLaunch(missing: List<Placement>) =
         missing.any { it.launchesSentSinceReported > 0 } && shardState.isCurrent()
 }
--- a/src/main/kotlin/io/reedmast/heartbeats/MissingTaskHandler.kt
+++ b/src/main/kotlin/io/reedmast/heartbeats/MissingTaskHandler.kt
@@ -9,7 +9,7 @@
 import io.reedmast.wire.WorkerStatus
 import org.slf4j.LoggerFactory
 
-/** Stored placements that the newest status of their machine's worker does not list. */
+/** Handles stored placements whose tasks are absent from the newest status of their machine. */
 internal class MissingTaskHandler(
     private val shardState: ShardState,
     private val dispatcher: CommandDispatcher,
@@ -17,7 +17,7 @@
 ) {
     private val log = LoggerFactory.getLogger("shard")
 
-    /** Does what [status] lets happen next with [placement], and returns the commands for the answer. */
+    /** Takes the next step for [placement] that [status] allows, and returns the commands for the answer. */
     fun onMissing(placement: Placement, status: WorkerStatus, source: StatusSource): List<WorkerCommand> =
         when (MissingTask.of(placement, status, source, FencingToken.lastOfRange(shardState.token))) {
             MissingTask.LOST -> {
@@ -34,7 +34,7 @@
 
             MissingTask.LAUNCH_DUE -> launchIfAllowed(placement, status)
 
-            // Launched and stopped here, the attempt is known to the worker as ended: a late launch has no effect.
+            // Once launched and stopped, the attempt is known to the worker as ended, so a late launch has no effect.
             MissingTask.LATE_LAUNCH_POSSIBLE ->
                 listOf(launch(placement, status), dispatcher.stopCommand(placement))
 
@@ -47,15 +47,15 @@
         }
 
     private fun logLost(placement: Placement) = log.info(
-        "task {} attempt {}: lost with an epoch of {}",
+        "task {} attempt {}: lost when an epoch of machine {} ended",
         placement.id,
         placement.attempt,
         placement.machine.name,
     )
 
     /**
-     * Through an outage of the store, heartbeats are still answered for the sake of what runs, but nothing starts: its
-     * user may have been told that it is cancelled.
+     * The launch, if it may be sent now. During a store outage, heartbeats are still answered so that running tasks
+     * keep running, but no task is started: its user may have been told that its job is cancelled.
      */
     private fun launchIfAllowed(placement: Placement, status: WorkerStatus): List<WorkerCommand> =
         if (shardState.isCurrent() && gangs.mayLaunch(placement)) listOf(launch(placement, status)) else emptyList()
--- a/src/main/kotlin/io/reedmast/heartbeats/ReportedTaskHandler.kt
+++ b/src/main/kotlin/io/reedmast/heartbeats/ReportedTaskHandler.kt
@@ -8,9 +8,9 @@
 import io.reedmast.wire.TaskStatus
 import io.reedmast.wire.WorkerCommand
 
-/** Tasks that a worker's status lists and a stored placement accounts for. */
+/** Handles the tasks in a worker's status that have a stored placement. */
 internal class ReportedTaskHandler(private val dispatcher: CommandDispatcher, private val taskEnds: TaskEndHandler) {
-    /** Records what [reported] shows of [placement], and returns the commands for the answer. */
+    /** Records what [reported] shows about [placement], and returns the commands for the answer. */
     fun onReported(placement: Placement, reported: TaskStatus, now: Long): List<WorkerCommand> {
         recordReported(placement)
         when (reported.state) {
@@ -26,7 +26,8 @@
             }
         }
         val isSaving = reported.state == TaskState.SAVING
-        // An owner before us has begun to stop the gang: its other tasks must be stopped in time, or nothing is saved.
+        // If this owner did not ask for it, an earlier owner has begun to stop the gang: its other tasks must be
+        // stopped in time, or nothing is saved.
         if (placement.job.spec.isGang && isSaving) dispatcher.stop(placement, StopReason.DRAINED)
         return if (isStopDue(placement, isSaving)) listOf(dispatcher.stopCommand(placement)) else emptyList()
     }
@@ -49,7 +50,7 @@
     private fun recordImage(placement: Placement) =
         placement.machine.recordImage(placement.job.spec.image, placement.job.spec.imageGb)
 
-    /** A task that saves is let finish that, unless its job is cancelled: then what it saves is of no use. */
+    /** A task that is saving its progress may finish, unless its job is cancelled: saved progress is of no use then. */
     private fun isStopDue(placement: Placement, isSaving: Boolean) = when (placement.stopReason) {
         null -> false
         StopReason.CANCELLED -> true
--- a/src/main/kotlin/io/reedmast/heartbeats/StatusEvaluator.kt
+++ b/src/main/kotlin/io/reedmast/heartbeats/StatusEvaluator.kt
@@ -8,21 +8,21 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Decides what a worker's status proves, and records what it shows of the machine itself: its epoch, address, notice
- * and token. The tasks that it lists are not looked at here.
+ * Decides what a worker's status proves, and records what it shows about the machine itself: its epoch, address,
+ * reclaim notice and token. The tasks in the status are not handled here.
  *
- * Only a status made under this owner's token counts: an older owner's commands may reach the worker until it has seen
- * that token (PROTOCOL, Tokens).
+ * Only a status made under this owner's token counts: until the worker has seen that token, an earlier owner's commands
+ * may still reach it (PROTOCOL, Tokens).
  */
 internal class StatusEvaluator(
     private val shardState: ShardState,
-    /** Asks for a fresh token for the shard: a worker has seen a higher one than this owner's. */
+    /** Requests a new token for the shard, because a worker has seen a higher one than this owner's. */
     private val renewToken: () -> Unit,
 ) {
     private val log = LoggerFactory.getLogger("shard")
     private val leaseMs = shardState.settings.workers.leaseS * MS_PER_S
 
-    /** Records what [status] shows of [machine], and returns what it proves. */
+    /** Records what [status] shows about [machine], and returns what it proves. */
     fun evaluate(machine: Machine, status: WorkerStatus, source: StatusSource, now: Long): StatusEvidence {
         val evidence = evidenceOf(machine, status)
         if (evidence == StatusEvidence.OUTDATED) return evidence
@@ -53,8 +53,9 @@
     }
 
     /**
-     * Whether the worker has seen the higher token of another shard's owner, which answers it: earlier owners of this
-     * shard are as void as under our own token, and a higher one of ours would only take the worker from that owner.
+     * Whether the worker has seen the higher token of another shard's owner, which answers it. That token invalidates
+     * the commands of earlier owners of this shard as well as this owner's token would, and a higher token of this
+     * owner would only take the worker away from the other one.
      */
     private fun isTokenOfAnsweringShard(machine: Machine, status: WorkerStatus) =
         machine.recordConflict == RecordConflict.ANSWERED_ELSEWHERE &&
@@ -69,10 +70,10 @@
     }
 
     /**
-     * The worker's lease expired (PROTOCOL, Leases). While its heartbeats came and were answered, that means that our
-     * answers do not arrive.
+     * Called when the worker's lease has expired (PROTOCOL, Leases). If its heartbeats arrived and were answered all
+     * the while, the answers do not reach the worker.
      *
-     * A machine that hung, or was cut off, has sent nothing for a whole lease.
+     * A machine that hung or was cut off has, in contrast, sent nothing for a whole lease.
      */
     private fun onLeaseExpired(machine: Machine, now: Long) {
         val wasAnsweredRecently = now - machine.answeredAt < leaseMs / 2
@@ -83,25 +84,28 @@
         }
     }
 
-    /** Records in how many seconds the cloud takes the machine back; null if it has given no notice. */
+    /** Records that the cloud reclaims the machine in [noticeS] seconds; null if it has given no notice. */
     private fun recordReclaimNotice(machine: Machine, noticeS: Double?, now: Long) {
         if (noticeS == null) {
             machine.reclaimAt = 0L
             return
         }
         if (machine.reclaimAt == 0L) {
-            log.info("machine {}: the cloud takes it back in {} s", machine.name, noticeS)
+            log.info("machine {}: to be reclaimed by the cloud in {} s", machine.name, noticeS)
         }
         machine.reclaimAt = now + (noticeS * MS_PER_S).toLong()
     }
 
-    /** The heartbeat is answered now. A gap of half a lease interrupts the regular answers. */
+    /** Records that a heartbeat is answered now. A gap of more than half a lease restarts the regular heartbeats. */
     private fun recordAnswer(machine: Machine, now: Long) {
         if (now - machine.answeredAt > leaseMs / 2) machine.regularHeartbeatsSince = now
         machine.answeredAt = now
     }
 
-    /** The worker is alive under our token. From its first such status on, what is on the machine is known. */
+    /**
+     * Records that a current status proves the worker to be alive. From the first one on, it is known what is on the
+     * machine.
+     */
     private fun recordContact(machine: Machine, now: Long) {
         machine.lastHeartbeatAt = now
         machine.everReported = true
@@ -115,7 +119,9 @@
     private companion object {
         const val MS_PER_S = 1000.0
 
-        /** Of a lease that expired, the part for which heartbeats must have been answered to blame the answers. */
+        /**
+         * The part of an expired lease for which heartbeats must have been answered to conclude that answers were lost.
+         */
         const val MIN_ANSWERED_LEASE_FRACTION = 0.8
     }
 }
--- a/src/main/kotlin/io/reedmast/heartbeats/TaskEndHandler.kt
+++ b/src/main/kotlin/io/reedmast/heartbeats/TaskEndHandler.kt
@@ -7,12 +7,15 @@
 import io.reedmast.wire.TaskEndCause
 import org.slf4j.LoggerFactory
 
-/** The end of a task on its machine: by its cause, when its job may be tried again, and whose fault a failure is. */
+/**
+ * Handles the end of a task on its machine: its cause decides when the job may be tried again, and whether a failure is
+ * blamed on the job or the machine.
+ */
 internal class TaskEndHandler(private val shardState: ShardState, private val gangs: GangCoordinator) {
     private val log = LoggerFactory.getLogger("shard")
     private val failures = FailureTracker(shardState)
 
-    /** The worker reports that the attempt of [placement] has ended, which is the evidence that finishes it. */
+    /** Called when the worker reports that the attempt of [placement] has ended: the evidence that finishes it. */
     fun onEnded(placement: Placement, cause: TaskEndCause, now: Long) {
         val job = placement.job
         logUnexpectedEnd(placement, cause)
@@ -33,7 +36,7 @@
         if (job.spec.isGang) {
             gangs.onTaskEnded(placement, cause)
         } else {
-            // A service has no end that counts as its result: a replica that ended is placed anew.
+            // The end of a service's replica is no result: the replica is placed again.
             shardState.finish(placement, done = cause == TaskEndCause.DONE && !job.spec.isService)
         }
     }
@@ -55,10 +58,10 @@
     }
 
     private companion object {
-        /** After a refusal for lack of room, or because another attempt is still there. */
+        /** After a refusal for lack of room, or because another attempt at the task is still on the machine. */
         const val RETRY_AFTER_REFUSAL_MS = 500L
 
-        /** The worker found no description of the job yet. */
+        /** After a refusal because the worker has not found a description of the job yet. */
         const val RETRY_OF_UNKNOWN_JOB_MS = 2_000L
     }
 }
--- a/src/main/kotlin/io/reedmast/heartbeats/UnknownTaskHandler.kt
+++ b/src/main/kotlin/io/reedmast/heartbeats/UnknownTaskHandler.kt
@@ -9,15 +9,15 @@
 import io.reedmast.wire.TaskStatus
 import io.reedmast.wire.WorkerCommand
 
-/** Tasks on a machine that no stored placement accounts for: they are stopped, and forgotten once they have ended. */
+/** Handles tasks on a machine that have no stored placement: they are stopped, and forgotten once they have ended. */
 internal class UnknownTaskHandler(
     private val shardState: ShardState,
-    /** Whether a job of any shard is known to be cancelled or over. */
+    /** Whether a job, of any shard, is known to be cancelled or to have ended. */
     private val isCancelledOrEnded: (jobId: String) -> Boolean,
 ) {
     private val minMsBetweenTokenRaises = shardState.settings.workers.leaseS * MS_PER_S / 2
 
-    /** Called before the tasks of a new status are handled: it says anew what unknown tasks use on the machine. */
+    /** Called before the tasks of a new status are handled, from which the usage of unknown tasks is summed up anew. */
     fun resetUnknownUsage(machine: Machine) {
         machine.unknownTaskCpus = 0.0
         machine.unknownTaskGpus = 0.0
@@ -40,8 +40,9 @@
     }
 
     /**
-     * Another shard's record names the machine too: its work there is left alone, and its ends are kept until that
-     * shard's owner has stored them. Cancelled work is stopped by whoever answers the worker.
+     * Handles a task on a machine that another shard's record names too: that shard's tasks are left alone, and those
+     * that have ended are kept until its owner has stored their ends. Tasks of jobs that are cancelled or have ended
+     * are stopped by whichever owner answers the worker.
      */
     private fun onTaskOfOtherShard(reported: TaskStatus): WorkerCommand? {
         if (reported.state == TaskState.ENDED || !isCancelledOrEnded(reported.id.jobId)) return null
@@ -54,7 +55,10 @@
         machine.unknownTaskMemoryGb += job.spec.memoryGb
     }
 
-    /** Once forgotten, the attempt would start again if its launch came late; and its result must be stored first. */
+    /**
+     * Forgets an ended attempt, but only after its result is stored, and not while a direct launch of it may still
+     * arrive: a late launch would start a forgotten attempt again.
+     */
     private fun forget(machine: Machine, reported: TaskStatus, job: Job?): WorkerCommand? {
         if (job != null && !isResultStored(job, reported.id)) return null
         if (machine.mayStillLaunch(reported.id, reported.attempt)) {
@@ -68,12 +72,15 @@
         id.task < job.spec.taskCount && job.chunkOf(id.task).isStored && !job.isFinalRecordInFlight
 
     /**
-     * Makes earlier direct calls to the worker void, so that their attempts can be forgotten.
+     * Raises the worker's token to invalidate earlier direct calls, so that the attempts they launched can be
+     * forgotten.
+     *
+     * Calls that were carried out are sometimes repeated, minutes later (PROTOCOL, Delayed messages): the copy of a
+     * launch starts its attempt again once that is forgotten, wherever the task then runs and even if its job was
+     * cancelled.
      *
-     * Calls that were carried out are repeated at times, minutes later (PROTOCOL, Delayed messages): the copy of a
-     * launch starts its attempt anew once it is forgotten, wherever the task then runs and even if its job was
-     * cancelled. A worker sends a heartbeat for a new token no more than once in half a lease, and no call of ours must
-     * be on its way that the new token would refuse.
+     * A worker sends a heartbeat for a new token at most once in half a lease, so the token is not raised more often.
+     * It is not raised either while a direct call by this owner is pending, which the worker would then refuse.
      */
     private fun raiseToken(machine: Machine) {
         val now = shardState.clock.now()
--- a/src/main/kotlin/io/reedmast/requests/AdmissionPolicy.kt
+++ b/src/main/kotlin/io/reedmast/requests/AdmissionPolicy.kt
@@ -15,7 +15,7 @@
     /** Whether this controller takes part in the cluster and reaches the store. */
     private val isReady: () -> Boolean,
 ) {
-    /** What to do with a job of which no record is known. */
+    /** Decides on a submitted job of which no record is known. */
     fun decide(spec: JobSpec): AdmissionDecision {
         val team = settings.teamsByName[spec.teamName] ?: return AdmissionDecision.Rejected("unknown team")
         val types = machineTypes().values
@@ -29,13 +29,13 @@
         }
     }
 
-    /** Whether the job can never run within its team's limit: the tasks of an array may run one by one. */
+    /** Whether the job can never run within its team's limit, given that the tasks of an array may run one by one. */
     private fun exceedsLimit(spec: JobSpec, share: TeamShare): Boolean {
         val tasksAtOnce = if (spec.shape == JobShape.ARRAY) 1.0 else spec.taskCount.toDouble()
         return exceeds(spec.cpus * tasksAtOnce, share.maxCpus) || exceeds(spec.gpus * tasksAtOnce, share.maxGpus)
     }
 
-    /** A limit of 0 is none. */
+    /** A limit of 0 means that there is none. */
     private fun exceeds(amount: Double, limit: Double): Boolean = limit > 0 && amount > limit + ROUNDING_TOLERANCE
 
     private fun zonesOf(types: Collection<MachineType>): Set<String> = types.flatMapTo(HashSet()) { it.zones }
--- a/src/main/kotlin/io/reedmast/requests/JobLookup.kt
+++ b/src/main/kotlin/io/reedmast/requests/JobLookup.kt
@@ -9,15 +9,15 @@
 import io.reedmast.wire.MalformedException
 
 /**
- * Finds a job, whatever its state, so that the result agrees with everything that any controller has answered before.
+ * Looks up a job in any state, so that the result agrees with everything that any controller has answered before.
  *
- * A lookup waits until this controller knows all that was stored when it began. Only final states are returned from
- * memory at once, since they never change.
+ * A lookup waits until this controller knows everything that was stored when the lookup began. Only final states are
+ * returned from memory immediately, since they never change.
  */
 internal class JobLookup(private val store: KeyValueStore, private val cluster: Cluster) {
     private val jobs get() = cluster.jobs
 
-    /** Calls [onResult] once, at once or when the store has answered. */
+    /** Calls [onResult] exactly once, either immediately or when the store has answered. */
     fun find(jobId: String, onResult: (JobLookupResult) -> Unit) {
         val finalRecord = jobs.ended[jobId]
         when {
@@ -40,7 +40,7 @@
         }
     }
 
-    /** Not among the unfinished: it ended long ago, or nobody has submitted it. */
+    /** Reads the final record of a job that is not among the unfinished: it ended long ago or was never submitted. */
     private fun readFinalRecord(jobId: String, onResult: (JobLookupResult) -> Unit) =
         store.get(Keys.endedJob(jobId)) { fetched ->
             when (fetched) {
--- a/src/main/kotlin/io/reedmast/requests/JobLookupResult.kt
+++ b/src/main/kotlin/io/reedmast/requests/JobLookupResult.kt
@@ -3,15 +3,15 @@
 import io.reedmast.jobs.FinalRecord
 import io.reedmast.jobs.LiveJob
 
-/** What this controller knows of a job that a user asks for. */
+/** What this controller knows about a job that a user asks for. */
 internal sealed interface JobLookupResult {
     /** The job is unfinished; its user may have cancelled it. */
     data class Unfinished(val job: LiveJob) : JobLookupResult
 
-    /** The job is over, and will stay so. */
+    /** The job has ended, and its state is final. */
     data class Ended(val finalRecord: FinalRecord) : JobLookupResult
 
-    /** Nobody has submitted such a job. */
+    /** No such job has been submitted. */
     data object Unknown : JobLookupResult
 
     /** The answer cannot be given now: the store, or the job's record, could not be read. */
--- a/src/main/kotlin/io/reedmast/requests/JobRequestHandler.kt
+++ b/src/main/kotlin/io/reedmast/requests/JobRequestHandler.kt
@@ -22,10 +22,11 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Submissions, polls and cancellations, on any controller.
+ * Handles submissions, polls and cancellations, on any controller.
  *
- * What a user is told is stored before, and a poll waits until this controller knows all that was stored when it came,
- * so every later answer of every controller agrees with it. Each request is answered exactly once.
+ * What a user is told has been stored before, and a poll waits until this controller knows everything that was stored
+ * when the poll arrived. So every later answer, by any controller, agrees with what a user was told. Each request is
+ * answered exactly once.
  */
 class JobRequestHandler(
     private val settings: Settings,
@@ -40,13 +41,14 @@
     private val admission = AdmissionPolicy(settings, machineTypes) { cluster.ready && store.isAvailable }
     private val lookup = JobLookup(store, cluster)
 
-    /** Accepts a job, or answers with the state of the one that was accepted under the same name before. */
+    /** Accepts a job, or answers with the state of the one that was accepted under the same id before. */
     fun submit(spec: JobSpec, answer: (UserAnswer) -> Unit) {
         val finalRecord = jobs.ended[spec.jobId]
         when {
             finalRecord != null -> answer(UserAnswers.ended(spec.jobId, finalRecord))
 
-            // Before anything that could refuse it: an accepted job's submission may be repeated at any time.
+            // Checked before anything that could refuse the submission: an accepted job may be submitted again at any
+            // time.
             jobs.liveJob(spec.jobId) != null -> poll(spec.jobId, answer)
 
             else -> submitUnknown(spec, answer)
@@ -56,7 +58,7 @@
     /** Answers with the state of a job. */
     fun poll(jobId: String, answer: (UserAnswer) -> Unit) = lookup.find(jobId) { answer(answerTo(jobId, it)) }
 
-    /** Cancels a job, for good; one that is over keeps its state. */
+    /** Cancels a job, which cannot be undone; a job that has ended keeps its state. */
     fun cancel(jobId: String, answer: (UserAnswer) -> Unit) = cancel(jobId, MAX_CANCELLATION_TRIES, answer)
 
     private fun answerTo(jobId: String, found: JobLookupResult): UserAnswer = when (found) {
@@ -74,9 +76,7 @@
         JobLookupResult.Unavailable -> UserAnswers.undecided()
     }
 
-    // ---- submission -------------------------------------------------------------------------------------------------
-
-    /** Submits a job that this controller does not know: it may have been accepted before, all the same. */
+    /** Submits a job that this controller does not know, although it may have been accepted before. */
     private fun submitUnknown(spec: JobSpec, answer: (UserAnswer) -> Unit) {
         when (val decision = admission.decide(spec)) {
             is AdmissionDecision.Admitted -> storeJob(spec, decision.team, answer)
@@ -86,8 +86,8 @@
     }
 
     /**
-     * Rejects the submission, unless the job was accepted before: a process that has just started, or has let go of an
-     * ended job, must look first.
+     * Rejects the submission, unless the job was accepted before. That must be looked up first, since a process that
+     * has just started, or has dropped an ended job from memory, does not know such a job.
      */
     private fun reject(jobId: String, reason: String, answer: (UserAnswer) -> Unit) = lookup.find(jobId) { found ->
         val isUnknown = found is JobLookupResult.Unknown
@@ -99,7 +99,8 @@
         val path = Keys.liveJob(settings.shardOf(team).value, spec.jobId)
         val record = newRecord(spec)
         val transaction = CasTransaction(
-            // A late copy of a submission must not bring back a job that is over: its end is a condition too.
+            // A delayed copy of a submission must not bring back a job that has ended: the absence of its final record
+            // is a precondition too.
             listOf(Precondition(path, ABSENT), Precondition(Keys.endedJob(spec.jobId), ABSENT)),
             listOf(Write.Put(path, record)),
             WritePriority.USER,
@@ -133,8 +134,9 @@
     )
 
     /**
-     * The job's record is stored. Where that was found out only after a lost answer, the job may have been seen,
-     * cancelled and ended through other controllers since, and its present state is the answer.
+     * Answers a submission whose record is stored. If the store's answer was lost and the outcome was found out later,
+     * the job may have been seen, cancelled and ended through other controllers in the meantime, so its present state
+     * is the answer.
      */
     private fun answerAccepted(jobId: String, submittedAt: Long, answer: (UserAnswer) -> Unit) {
         if (clock.now() - submittedAt > LATE_OUTCOME_MS) {
@@ -144,14 +146,12 @@
         }
     }
 
-    /** The job was accepted before, so one that cannot be found now is not unknown. */
+    /** Answers for a job that was accepted before: if it cannot be found now, it must still not be called unknown. */
     private fun answerExisting(jobId: String, answer: (UserAnswer) -> Unit) = lookup.find(jobId) { found ->
         val isUnknown = found is JobLookupResult.Unknown
         answer(if (isUnknown) UserAnswers.undecided() else answerTo(jobId, found))
     }
 
-    // ---- cancellation -----------------------------------------------------------------------------------------------
-
     private fun cancel(jobId: String, remainingTries: Int, answer: (UserAnswer) -> Unit): Unit =
         lookup.find(jobId) { found ->
             when {
@@ -162,7 +162,7 @@
             }
         }
 
-    /** Stores that the job is cancelled; looks at it anew if somebody else has changed its record meanwhile. */
+    /** Stores that the job is cancelled; looks the job up again if others have changed its record meanwhile. */
     private fun storeCancellation(jobId: String, job: LiveJob, remainingTries: Int, answer: (UserAnswer) -> Unit) {
         val path = Keys.liveJob(job.shard.value, jobId)
         val record = job.record.cancelled().toFields()
@@ -189,7 +189,10 @@
         const val ABSENT = 0L
         const val MAX_CANCELLATION_TRIES = 4
 
-        /** Later than any answer of the store that was not lost, and sooner than a user turns to another controller. */
+        /**
+         * Longer than the store takes for any answer that is not lost, and shorter than a user waits before turning to
+         * another controller.
+         */
         const val LATE_OUTCOME_MS = 1_500L
     }
 }
--- a/src/main/kotlin/io/reedmast/requests/UserAnswers.kt
+++ b/src/main/kotlin/io/reedmast/requests/UserAnswers.kt
@@ -17,36 +17,39 @@
     private const val UNAVAILABLE = 503
     private const val RETRY_AFTER_S = 1
 
-    /** The job was accepted just now. */
+    /** The job has just been accepted. */
     fun accepted(jobId: String) = UserAnswer(CREATED, JobStatus(jobId, JobState.QUEUED))
 
-    /** The job is over. */
+    /** The job has ended. */
     fun ended(jobId: String, finalRecord: FinalRecord): UserAnswer {
         val done = if (finalRecord.state == JobState.DONE) finalRecord.taskCount else 0
         return UserAnswer(OK, JobStatus(jobId, finalRecord.state, done, running = 0))
     }
 
-    /** The job is cancelled, though tasks of it may still be stopping. */
+    /** The job is cancelled, although some of its tasks may still be stopping. */
     fun cancelled(jobId: String) = ended(jobId, FinalRecord(JobState.CANCELLED, 0))
 
-    /** Counts are for display; a job whose owner has published none is shown as queued, which is never too new. */
+    /**
+     * The state of an unfinished job, with counts for display. A job whose owner has published no counts is shown as
+     * queued, which may be out of date but is never ahead of the actual state.
+     */
     fun unfinished(jobId: String, job: LiveJob): UserAnswer {
         val state = if (job.running > 0) JobState.RUNNING else JobState.QUEUED
         return UserAnswer(OK, JobStatus(jobId, state, job.done, job.running))
     }
 
-    /** Nobody has submitted such a job. */
+    /** No such job has been submitted. */
     fun unknown() = UserAnswer(NOT_FOUND, error = "no such job")
 
-    /** The submission is refused for good. */
+    /** The submission is rejected permanently. */
     fun rejected(reason: String) = UserAnswer(UNPROCESSABLE, error = reason)
 
-    /** The store refuses the job's record for its size. */
+    /** The store refused the job's record because of its size. */
     fun tooLarge() = UserAnswer(CONTENT_TOO_LARGE, error = "the job's description is too large")
 
-    /** Too many submissions wait for the store. */
+    /** Too many submissions are waiting for the store. */
     fun overloaded() = UserAnswer(TOO_MANY_REQUESTS, error = "overloaded", retryAfterS = RETRY_AFTER_S)
 
-    /** This controller cannot answer now; it, or another one, can later. */
+    /** This controller cannot answer now; the same or another controller can later. */
     fun undecided() = UserAnswer(UNAVAILABLE, error = "cannot decide yet", retryAfterS = RETRY_AFTER_S)
 }
--- a/src/test/kotlin/io/reedmast/commands/CommandDispatcherTest.kt
+++ b/src/test/kotlin/io/reedmast/commands/CommandDispatcherTest.kt
@@ -52,9 +52,9 @@
     }
 
     /**
-     * Launches wait for the next tick, which at size comes late. Meanwhile the job is cancelled, and a report without
-     * the task ends its placement: sent after that, the launch started a cancelled task, or one that was already placed
-     * elsewhere.
+     * A queued launch waits for the next tick, which comes late in a large cluster. If meanwhile the job is cancelled
+     * and a status without the task ends its placement, the launch, sent after that, started a cancelled task, or one
+     * that was already placed elsewhere.
      */
     @Test
     fun `a queued launch whose placement has ended is not sent`() {
--- a/src/test/kotlin/io/reedmast/heartbeats/MissingTaskTest.kt
+++ b/src/test/kotlin/io/reedmast/heartbeats/MissingTaskTest.kt
@@ -8,8 +8,8 @@
 import org.junit.jupiter.api.Test
 
 /**
- * A placement on a machine whose worker another shard's owner answers, and whose launch never arrived: the worker has
- * seen the other owner's higher token and refuses every launch of ours, so that the task would wait there for ever.
+ * A placement whose launch never arrived, on a machine whose worker another shard's owner answers: the worker has seen
+ * that owner's higher token and refuses every launch by this owner, so the task would wait there forever.
  */
 class MissingTaskTest {
     private val machine = PlacementFixtures.machine()
