--- a/src/test/kotlin/io/reedmast/commands/CommandDispatcherTest.kt
+++ b/src/test/kotlin/io/reedmast/commands/CommandDispatcherTest.kt
@@ -45,19 +45,19 @@
     }
 
     @Test
-    fun `a launch that was decided is sent`() {
+    fun `a queued launch is sent`() {
         val placement = placed()
         dispatcher.send()
         assertEquals(listOf<WorkerCommand>(WorkerCommand.StartTask(placement.id, 1)), out.directCommands)
     }
 
     /**
-     * Launches wait for the next tick, which at size comes late. Meanwhile the job is cancelled, and a report without
-     * the task ends its placement: sent after that, the launch started a cancelled task, or one that was already placed
-     * elsewhere.
+     * A queued launch waits for the next tick, which comes late in a large cluster. If meanwhile the job is cancelled
+     * and a status without the task ends its placement, the launch, sent after that, started a cancelled task, or one
+     * that was already placed elsewhere.
      */
     @Test
-    fun `a launch whose placement has ended meanwhile is not sent`() {
+    fun `a queued launch whose placement has ended is not sent`() {
         val placement = placed()
         dispatcher.stop(placement, StopReason.CANCELLED)
         shardState.finish(placement, done = false)
@@ -66,7 +66,7 @@
     }
 
     @Test
-    fun `a launch whose placement is to be stopped is not sent`() {
+    fun `a queued launch whose placement is to be stopped is not sent`() {
         dispatcher.stop(placed(), StopReason.DRAINED)
         dispatcher.send()
         assertEquals(emptyList<WorkerCommand>(), out.directCommands)
--- a/src/test/kotlin/io/reedmast/heartbeats/MissingTaskTest.kt
+++ b/src/test/kotlin/io/reedmast/heartbeats/MissingTaskTest.kt
@@ -8,8 +8,8 @@
 import org.junit.jupiter.api.Test
 
 /**
- * A placement on a machine whose worker another shard's owner answers, and whose launch never arrived: the worker has
- * seen the other owner's higher token and refuses every launch of ours, so that the task would wait there for ever.
+ * A placement whose launch never arrived, on a machine whose worker another shard's owner answers: the worker has seen
+ * that owner's higher token and refuses every launch by this owner, so the task would wait there forever.
  */
 class MissingTaskTest {
     private val machine = PlacementFixtures.machine()
@@ -23,12 +23,12 @@
     }
 
     @Test
-    fun `a launch that the worker refuses for a higher token is over`() {
+    fun `a placement whose launch is refused for a higher token is superseded`() {
         assertEquals(MissingTask.SUPERSEDED, caseOf(tokenSeen = 11L, RecordConflict.ANSWERED_ELSEWHERE))
     }
 
     @Test
-    fun `a launch that may still arrive is not over`() {
+    fun `a placement whose launch may still arrive is not superseded`() {
         assertEquals(MissingTask.NO_ANSWER_POSSIBLE, caseOf(tokenSeen = 10L, RecordConflict.ANSWERED_ELSEWHERE))
         assertEquals(MissingTask.NO_ANSWER_POSSIBLE, caseOf(tokenSeen = 11L, RecordConflict.NONE))
     }
