--- a/src/main/kotlin/io/reedmast/kvstore/CommitQueue.kt
+++ b/src/main/kotlin/io/reedmast/kvstore/CommitQueue.kt
@@ -4,11 +4,11 @@
 import java.util.ArrayDeque
 
 /**
- * Transactions that wait for the store, and which of them are sent together next. Not thread-safe.
+ * Holds the transactions that wait to be sent, and decides which are sent together next. Not thread-safe.
  *
- * @param limits what one batch has to fit.
- * @param writeLimiter pays for every write that [poll] hands out.
- * @param maxQueued a refusable transaction is refused when so many of its priority wait.
+ * @param limits the limits that one batch must fit.
+ * @param writeLimiter grants the permits for all writes that [poll] returns.
+ * @param maxQueued a refusable transaction is refused while this many of its priority are waiting.
  * @param nowMs a monotonic clock, in milliseconds.
  */
 class CommitQueue(
@@ -17,21 +17,21 @@
     private val maxQueued: Int,
     private val nowMs: () -> Long,
 ) {
-    /** What [poll] found. */
+    /** The result of [poll]. */
     sealed interface Polled {
-        /** The permits of these transactions are acquired, and they fit one [StoreTransaction]. */
+        /** Transactions that fit into one [StoreTransaction]; the permits for their writes have been acquired. */
         data class Batch(val transactions: List<CasTransaction>) : Polled
 
         /** The write limiter allows none of the waiting transactions for this many milliseconds. */
         data class Wait(val forMs: Long) : Polled
 
-        /** Nothing waits. */
+        /** No transaction is waiting. */
         data object Empty : Polled
     }
 
     private class Queued(val transaction: CasTransaction, val queuedAtMs: Long)
 
-    /** A queue that may go next, and the priority by which the write limiter is asked for its transactions. */
+    /** A queue that the next batch may come from, and the priority with which permits for its writes are acquired. */
     private class Candidate(val queue: ArrayDeque<Queued>, val limiterPriority: WritePriority)
 
     private val queues = WritePriority.entries.map { ArrayDeque<Queued>() }
@@ -40,10 +40,10 @@
     private val deferredQueue = queues[WritePriority.DEFERRED.ordinal]
     private var batchCount = 0L
 
-    /** How many batches of users' transactions have gone since the last one of another priority. */
-    private var userBatchesInARow = 0
+    /** How many batches of users' transactions have been sent since the last batch of another priority. */
+    private var consecutiveUserBatches = 0
 
-    /** False if the queue is full; only transactions asked for from outside may be [refusable]. */
+    /** Returns false if the queue is full; only transactions that users request may be [refusable]. */
     fun offer(transaction: CasTransaction, refusable: Boolean): Boolean {
         val queue = queues[transaction.writePriority.ordinal]
         if (refusable && queue.size >= maxQueued) return false
@@ -51,7 +51,7 @@
         return true
     }
 
-    /** Removes what goes out next: as many transactions of one priority as fit together. */
+    /** Removes and returns the next batch: as many transactions of one priority as can be sent together. */
     fun poll(): Polled {
         var shortestWaitMs = Long.MAX_VALUE
         for (candidate in candidates()) {
@@ -65,10 +65,10 @@
     private fun acquirePermits(transaction: CasTransaction, candidate: Candidate): Long =
         writeLimiter.tryAcquire(transaction.writes.size, candidate.limiterPriority)
 
-    /** The first transaction of the candidate, whose permits are acquired, with those that can go with it. */
+    /** The candidate's first transaction, whose permits have been acquired, with those that can be sent with it. */
     private fun nextBatch(candidate: Candidate): List<CasTransaction> {
         batchCount++
-        userBatchesInARow = if (candidate.queue === userQueue) userBatchesInARow + 1 else 0
+        consecutiveUserBatches = if (candidate.queue === userQueue) consecutiveUserBatches + 1 else 0
         val queue = candidate.queue
         val batch = TransactionBatch(limits)
         do {
@@ -79,21 +79,21 @@
     }
 
     /**
-     * Users' transactions first, since users wait; but when urgent ones have waited behind some of them, those go next,
-     * whatever the limiter reserves for users: a burst of submissions must not hold up the placements of what was
-     * accepted.
+     * The queues to try next, in order. Users' transactions come first, since users wait for them. But urgent ones that
+     * have waited behind [MAX_CONSECUTIVE_USER_BATCHES] batches of them come next, and may use the permits that the
+     * limiter reserves for users: a burst of submissions must not delay the placements of accepted jobs.
      */
     private fun candidates(): List<Candidate> = when {
-        batchCount % OVERDUE_TURN == 0L && isDeferredOverdue() ->
+        batchCount % OVERDUE_BATCH_INTERVAL == 0L && isDeferredOverdue() ->
             listOf(Candidate(deferredQueue, WritePriority.URGENT))
 
-        urgentQueue.isNotEmpty() && userBatchesInARow >= MAX_USER_BATCHES_IN_A_ROW ->
+        urgentQueue.isNotEmpty() && consecutiveUserBatches >= MAX_CONSECUTIVE_USER_BATCHES ->
             listOf(Candidate(urgentQueue, WritePriority.USER))
 
         else -> candidatesByPriority()
     }
 
-    /** Users' and urgent transactions side by side; deferred ones only when no other waits. */
+    /** Users' transactions, then urgent ones; deferred ones only while no others are waiting. */
     private fun candidatesByPriority(): List<Candidate> {
         val candidates = ArrayList<Candidate>(2)
         if (userQueue.isNotEmpty()) candidates.add(Candidate(userQueue, WritePriority.USER))
@@ -105,21 +105,22 @@
     }
 
     /**
-     * Under a load in which urgent transactions never end, deferred ones that have waited for long get every eighth
-     * batch: a page that waits to be stored as deferred accepts no new placements, and their jobs would wait with it.
-     * When all overdue ones went before the urgent ones, a slow store had capacity for only a third of the acceptances.
+     * Whether a deferred transaction has waited so long that every eighth batch goes to deferred ones, even if urgent
+     * ones never stop coming. A progress page that waits to be stored with deferred priority accepts no new placements,
+     * and their jobs would wait with it. When all overdue transactions were sent before the urgent ones, a slow store
+     * had capacity for only a third of the acceptances.
      */
     private fun isDeferredOverdue(): Boolean {
         val oldest = deferredQueue.peek() ?: return false
-        return nowMs() - oldest.queuedAtMs > DEFERRED_MAX_MS
+        return nowMs() - oldest.queuedAtMs > MAX_DEFERRED_WAIT_MS
     }
 
     private companion object {
-        /** How long a deferred transaction waits behind urgent ones at most. */
-        const val DEFERRED_MAX_MS = 4_000L
+        /** A deferred transaction that has waited longer than this behind urgent ones is overdue. */
+        const val MAX_DEFERRED_WAIT_MS = 4_000L
 
-        /** One batch in so many goes to an overdue deferred transaction. */
-        const val OVERDUE_TURN = 8L
-        const val MAX_USER_BATCHES_IN_A_ROW = 2
+        /** One batch in this many goes to deferred transactions, if one is overdue. */
+        const val OVERDUE_BATCH_INTERVAL = 8L
+        const val MAX_CONSECUTIVE_USER_BATCHES = 2
     }
 }
--- a/src/main/kotlin/io/reedmast/kvstore/Committer.kt
+++ b/src/main/kotlin/io/reedmast/kvstore/Committer.kt
@@ -4,12 +4,12 @@
 import java.util.concurrent.ThreadLocalRandom
 
 /**
- * Sends transactions to the store, several together where they fit. Thread-safe.
+ * Sends transactions to the store, several in one request where they fit together. Thread-safe.
  *
- * A transaction stays here until what became of it is certain, which [InDoubtResolution] finds out; this class does the
- * waiting and the I/O.
+ * A transaction stays here until its outcome is certain. [InDoubtResolution] determines the outcome; this class does
+ * the waiting and the I/O.
  *
- * @param maxQueued a refusable transaction is refused when so many of its priority wait.
+ * @param maxQueued a refusable transaction is refused while this many of its priority are waiting.
  * @param deliver called on a committing thread with each transaction and its outcome.
  */
 class Committer(
@@ -26,10 +26,10 @@
     @Volatile
     private var availableAtLastCommit = true
 
-    /** False while the store does not take transactions: new submissions need not wait to find out. */
+    /** False while the store does not execute transactions; new submissions then need not wait to find that out. */
     val isStoreAvailable: Boolean get() = availableAtLastCommit
 
-    /** False if the queue is full; only transactions asked for from outside may be [refusable]. */
+    /** Returns false if the queue is full; only transactions that users request may be [refusable]. */
     fun offer(transaction: CasTransaction, refusable: Boolean): Boolean {
         synchronized(lock) {
             if (!queue.offer(transaction, refusable)) return false
@@ -78,10 +78,10 @@
         val reply = commitOrUnknown(storeTransaction)
         availableAtLastCommit = reply !is CommitReply.NotExecuted && reply !is CommitReply.Unknown
         if (reply is CommitReply.Malformed && limits.exceedsOnlyReduced(storeTransaction)) {
-            log.info("store: its limits have been reduced, it refuses what it used to accept")
+            log.info("store: limits have been reduced; a transaction that was within the old limits was refused")
             limits.reduce()
         }
-        // Sent again at once, it would only keep the limit exceeded.
+        // Sending the transaction again at once would only keep the limit exceeded.
         if (reply is CommitReply.RateLimited) client.writeLimiter.empty()
         return reply
     }
@@ -89,8 +89,8 @@
     private fun commitOrUnknown(storeTransaction: StoreTransaction): CommitReply = try {
         client.commit(storeTransaction)
     } catch (e: RuntimeException) {
-        // What became of it is not known; with the thread gone, its transactions would never be resolved.
-        log.error("store: a transaction failed in this process", e)
+        // The outcome is not known. If the exception ended this thread, its transactions would never be resolved.
+        log.error("store: exception in this process while sending a transaction", e)
         CommitReply.Unknown
     }
 }
--- a/src/main/kotlin/io/reedmast/kvstore/EffectiveLimits.kt
+++ b/src/main/kotlin/io/reedmast/kvstore/EffectiveLimits.kt
@@ -3,41 +3,41 @@
 import io.reedmast.settings.StoreLimits
 
 /**
- * Which limits of the store hold for this process, and with them whether every controller is known to have this
- * version. Thread-safe.
+ * The store's limits that this process applies, and whether every controller is known to run this version. Thread-safe.
  *
- * The store reduces its limits without notice, at some moment after all controllers have been upgraded. What is stored
- * anew keeps to [target], which both limits allow, from the start. What an earlier version has stored may be larger,
- * and is split only once no controller that cannot read split records reads it any more: see [isReduced].
+ * The store reduces its limits without notice, at some time after all controllers have been upgraded. Everything newly
+ * stored keeps from the start to [target], which both the current and the next limits allow. Records stored by an
+ * earlier version may be larger; they are split only once they are no longer read by any controller that cannot read
+ * split records: see [isReduced].
  *
  * @param current the limits in the settings.
- * @param next the limits that will hold from that moment; null if no change of limits is announced.
+ * @param next the limits after the reduction; null if no change of limits is announced.
  */
 class EffectiveLimits(private val current: StoreLimits, next: StoreLimits? = null) {
-    /** What all new records, transactions and pages are made to fit. */
+    /** The limits that all new records, transactions and pages are made to fit. */
     val target: StoreLimits = if (next == null) current else smallerOf(current, next)
 
     @Volatile
     private var reduced = false
 
     /**
-     * Whether every controller is known to have this version, so that the store may reduce its limits at any moment,
-     * or has.
+     * Whether every controller is known to run this version, so that the store may reduce its limits at any time or
+     * has already reduced them.
      */
     val isReduced: Boolean get() = reduced
 
-    /** What the store is assumed to accept. */
+    /** The limits that the store is assumed to apply. */
     val allowed: StoreLimits get() = if (reduced) target else current
 
     /**
-     * To be called when all controllers have been seen with this version, or when the store has refused what it used to
-     * accept: both prove the same.
+     * To be called when all controllers have been seen running this version, or when the store has refused what it used
+     * to accept, which proves the same.
      */
     fun reduce() {
         reduced = true
     }
 
-    /** Whether the store would have accepted the transaction before its limits were reduced, and does no more. */
+    /** Whether the transaction is within the limits from before the reduction, but not within the reduced ones. */
     fun exceedsOnlyReduced(transaction: StoreTransaction): Boolean =
         !isWithin(target, transaction) && isWithin(current, transaction)
 
--- a/src/main/kotlin/io/reedmast/kvstore/InDoubtResolution.kt
+++ b/src/main/kotlin/io/reedmast/kvstore/InDoubtResolution.kt
@@ -3,26 +3,28 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Finds out what became of a batch of transactions that are sent together, and reports each one once that is certain.
+ * Determines the outcomes of a batch of transactions that are sent together, and reports each outcome once it is
+ * certain.
  *
- * A [StoreTransaction] that got no answer is in doubt: it may have been executed, or may yet be. It is sent again as it
- * was, since its preconditions keep it from being applied twice. If the repeat fails, either the first copy was applied
- * or it never will be, and the keys that it puts are read: one that carries the transaction's id proves that all of it
- * was applied. Nothing else does. An equal value may have been stored by another controller, and must not pass for
- * transactions that merely shared the one that was sent.
+ * A [StoreTransaction] that got no answer is in doubt: it may have been executed, or may still be. It is sent again
+ * unchanged, since its preconditions keep it from being applied twice. If the repeat fails, either the first copy was
+ * applied or it never will be, and the keys that it puts are read: a value that carries the id of the
+ * [StoreTransaction] proves that all of it was applied. Nothing else proves that. In particular, an equal value may
+ * have been stored by another controller, and must not count as proof for transactions that were merely sent in the
+ * same [StoreTransaction].
  *
- * A transaction is reported as a conflict as well if it was applied and all that it put has been replaced since.
- * Whoever receives a conflict therefore reads the keys again before deciding anything.
+ * A transaction that was applied, but whose puts have all been replaced since, is also reported as a conflict. The
+ * receiver of a conflict must therefore read the keys again before deciding anything.
  *
  * This class does no I/O: the caller carries out each [ResolutionStep] and hands back the result. Not thread-safe.
  *
- * @param transactions at least one, and such that they can share a [StoreTransaction].
+ * @param transactions at least one; all of them must fit into one [StoreTransaction].
  * @param deliver called once for each of [transactions], with its outcome.
  */
 class InDoubtResolution(
     transactions: List<CasTransaction>,
     private val ids: TransactionIds,
-    /** A number from 0 to 1, anew with each call. */
+    /** Returns a random number from 0 to 1, a new one with each call. */
     private val jitter: () -> Double,
     private val deliver: (CasTransaction, CommitOutcome) -> Unit,
 ) {
@@ -31,7 +33,7 @@
     /** Transactions that are sent together, and the ids of the store transactions in doubt that hold them. */
     private class Group(val transactions: List<CasTransaction>, val idsInDoubt: Set<String>)
 
-    /** Keys still to be read for the id of a store transaction in doubt, and what follows if none carries it. */
+    /** Keys still to be read for the id of a store transaction in doubt, and what to do if none carries one. */
     private class AppliedCheck(
         val versionsByGuardedPath: Map<String, Long>,
         val unreadPaths: ArrayDeque<String>,
@@ -43,12 +45,12 @@
     /** What is sent for the first group; null until its first attempt. */
     private var storeTransaction: StoreTransaction? = null
 
-    /** Set while keys are read to find out whether the first group was applied. */
+    /** Not null while keys are read to find out whether the first group was applied. */
     private var appliedCheck: AppliedCheck? = null
     private var pauseMs = 0L
     private var backoffMs = FIRST_BACKOFF_MS
 
-    /** What the caller has to do now; its result goes to [onReply] or [onReadResult]. */
+    /** What the caller must do next; it passes the result to [onReply] or [onReadResult]. */
     fun nextStep(): ResolutionStep {
         val group = groups.firstOrNull() ?: return ResolutionStep.Done
         appliedCheck?.let { return ResolutionStep.Read(it.unreadPaths.first(), pauseMs) }
@@ -62,7 +64,7 @@
         writes = group.transactions.flatMap { it.writes },
     )
 
-    /** The store's reply to the transaction of the last [ResolutionStep.Send]. */
+    /** Handles the store's reply to the transaction of the last [ResolutionStep.Send]. */
     fun onReply(reply: CommitReply) {
         val group = groups.first()
         pauseMs = 0L
@@ -95,7 +97,7 @@
         backoffMs = minOf(backoffMs * 2, MAX_BACKOFF_MS)
     }
 
-    /** The value under the key of the last [ResolutionStep.Read]. */
+    /** Handles the result of reading the key of the last [ResolutionStep.Read]. */
     fun onReadResult(result: ReadResult) {
         val check = appliedCheck ?: return
         pauseMs = 0L
@@ -106,7 +108,7 @@
         }
     }
 
-    /** [item] is what stands under the first unread key; null: nothing. */
+    /** Handles [item], which is stored under the first unread key; null if that key is missing. */
     private fun evaluate(check: AppliedCheck, item: StoredItem?) {
         val group = groups.first()
         val path = check.unreadPaths.removeFirst()
@@ -116,8 +118,9 @@
                 finish(group, CommitOutcome.Applied(item.version))
             }
 
-            // A key that has not moved shows that the transaction was not applied, and no other key needs to be read.
-            // One that is missing shows nothing: a key under a lease is gone once the lease has ended.
+            // A key that still has the version of its precondition shows that the transaction was not applied, and no
+            // other key needs to be read. A missing key shows nothing: a key under a lease is deleted when the lease
+            // expires.
             check.unreadPaths.isEmpty() || (item != null && item.version == check.versionsByGuardedPath[path]) -> {
                 appliedCheck = null
                 check.onNotApplied()
@@ -126,11 +129,11 @@
     }
 
     /**
-     * Calls [onNotApplied] at once if no store transaction with these transactions is in doubt, or once it is certain
-     * that none was applied.
+     * Calls [onNotApplied] at once if no store transaction that contains these transactions is in doubt or if they put
+     * no keys; otherwise once it is certain that none was applied.
      *
-     * Keys whose preconditions are not among [failedPaths] are read first: one that has not moved saves reading the
-     * others.
+     * Keys whose preconditions are not among [failedPaths] are read first: if one still has the version of its
+     * precondition, the others need not be read.
      */
     private fun unlessApplied(group: Group, failedPaths: Set<String>, onNotApplied: () -> Unit) {
         val putPaths = group.transactions.flatMap { it.writes }.filterIsInstance<Write.Put>().map { it.path }
@@ -143,13 +146,13 @@
         appliedCheck = AppliedCheck(versions, ArrayDeque(unreadPaths), onNotApplied)
     }
 
-    /** Transactions whose preconditions failed are reported; the others are sent without them. */
+    /** Reports the transactions whose preconditions failed, and sends the others without them. */
     private fun conflict(group: Group, failedPaths: Set<String>) {
         val (failed, others) = group.transactions.partition { transaction ->
             transaction.preconditions.any { it.path in failedPaths }
         }
         if (failed.isEmpty()) {
-            log.error("store: a transaction was refused without naming one of its keys")
+            log.error("store: preconditions of a transaction failed, but none of the keys named is one of its own")
             finish(group, CommitOutcome.Conflict(failedPaths))
             return
         }
@@ -157,7 +160,7 @@
         failed.forEach { deliver(it, CommitOutcome.Conflict(failedPaths)) }
     }
 
-    /** Each transaction goes by itself: one of them keeps the others from being stored. */
+    /** Sends each transaction separately, because one of them keeps the others from being stored. */
     private fun split(group: Group) = replaceFirstGroup(group.transactions.map { Group(listOf(it), group.idsInDoubt) })
 
     private fun finish(group: Group, outcome: CommitOutcome) {
@@ -176,7 +179,7 @@
         const val FIRST_BACKOFF_MS = 50L
         const val MAX_BACKOFF_MS = 800L
 
-        /** A pause lies between half of the backoff and all of it. */
+        /** A pause lasts from half of the backoff to all of it. */
         const val JITTER_RANGE = 0.5
     }
 }
--- a/src/main/kotlin/io/reedmast/kvstore/Keys.kt
+++ b/src/main/kotlin/io/reedmast/kvstore/Keys.kt
@@ -1,6 +1,6 @@
 package io.reedmast.kvstore
 
-/** Where records are kept in the store. The key texts are part of the record format and never change. */
+/** The keys, and prefixes of keys, of the records in the store. They are part of the record format and never change. */
 object Keys {
     /** Shards, controllers, leader and token counter: few keys, watched by every controller. */
     const val CLUSTER = "c/"
@@ -14,16 +14,16 @@
     /** The record format that every controller reads. */
     const val FORMAT = "c/format"
 
-    /** The controllers that are alive, each under its label and its lease. */
+    /** The controllers that are alive, each with its label in the key and under its own lease. */
     const val MEMBERS = "c/node/"
 
-    /** Which features have been rolled out, and what operators request of them. */
+    /** Which features have been rolled out, and what operators have requested for them. */
     const val ROLLOUT = "c/rollout"
 
-    /** How far migrations of records have come. */
+    /** The progress of record migrations. */
     const val MIGRATIONS = "c/migration/"
 
-    /** Controllers that are to release their shards before they are stopped. */
+    /** Requests that controllers release their shards before they are stopped. */
     const val DRAINS = "c/drain/"
 
     /** Owner and fencing token of each shard. */
@@ -55,7 +55,7 @@
     /** The controller with this label. */
     fun member(label: String) = "$MEMBERS$label"
 
-    /** How far the migration of a feature has come in one unit, such as a shard. */
+    /** The progress of a feature's migration in one unit, such as a shard. */
     fun migration(feature: String, unit: String) = "$MIGRATIONS$feature/$unit"
 
     /** The request that the controller with this label releases its shards. */
--- a/src/main/kotlin/io/reedmast/kvstore/MonotonicTime.kt
+++ b/src/main/kotlin/io/reedmast/kvstore/MonotonicTime.kt
@@ -2,5 +2,5 @@
 
 import java.util.concurrent.TimeUnit
 
-/** The steady clock of this process in milliseconds, from an arbitrary origin. */
+/** The monotonic clock of this process, in milliseconds from an arbitrary origin. */
 internal fun monotonicMs(): Long = TimeUnit.NANOSECONDS.toMillis(System.nanoTime())
--- a/src/main/kotlin/io/reedmast/kvstore/Precondition.kt
+++ b/src/main/kotlin/io/reedmast/kvstore/Precondition.kt
@@ -1,4 +1,4 @@
 package io.reedmast.kvstore
 
-/** The condition that a key still has this version; 0: that it does not exist. */
+/** Requires that a key still has this [version]; 0 requires that it does not exist. */
 data class Precondition(val path: String, val version: Long)
--- a/src/main/kotlin/io/reedmast/kvstore/ReadResult.kt
+++ b/src/main/kotlin/io/reedmast/kvstore/ReadResult.kt
@@ -1,6 +1,6 @@
 package io.reedmast.kvstore
 
-/** What came of reading one key. */
+/** The result of reading one key. */
 sealed interface ReadResult {
     /** The key exists. */
     data class Found(val item: StoredItem) : ReadResult
@@ -8,6 +8,6 @@
     /** The key does not exist. */
     data object Missing : ReadResult
 
-    /** Nothing is known: the store did not answer, or refused to. */
+    /** Nothing is known: the store did not answer, or refused the request. */
     data object Failed : ReadResult
 }
--- a/src/main/kotlin/io/reedmast/kvstore/StoreClient.kt
+++ b/src/main/kotlin/io/reedmast/kvstore/StoreClient.kt
@@ -14,12 +14,12 @@
 import java.util.concurrent.TimeUnit
 
 /**
- * Blocking calls to the store, kept within this controller's part of its limits. Thread-safe.
+ * Blocking client of the store, which keeps within this controller's share of the store's rate limits. Thread-safe.
  *
- * A call that did not succeed is reported in its result and throws nothing; the caller decides whether to ask again.
+ * A failed call is reported in its result, not by an exception; the caller decides whether to repeat it.
  *
  * @param address the store's address, such as `10.0.0.1:8080`.
- * @param controllers how many controllers share the limits at first, see [shareLimits].
+ * @param controllers how many controllers share the limits initially, see [shareLimits].
  */
 class StoreClient(
     private val address: String,
@@ -30,18 +30,21 @@
     private val log = LoggerFactory.getLogger("store")
     private val requestLimiter = RateLimiter.create(requestsPerS(controllers))
 
-    /** Pays for the writes of [commit]: whoever calls that acquires their permits first. */
+    /** Limits the rate of writes: a caller of [commit] must first acquire the permits for its writes here. */
     val writeLimiter = WriteRateLimiter(writesPerS(controllers), ::monotonicMs)
 
-    /** Controllers that are down leave their part of the limits to the others, of which there are [controllers]. */
+    /**
+     * Divides the limits among the [controllers] controllers that are alive: those that are down leave their share to
+     * the others.
+     */
     fun shareLimits(controllers: Int) {
         requestLimiter.rate = requestsPerS(controllers)
         writeLimiter.setRate(writesPerS(controllers))
     }
 
-    private fun requestsPerS(controllers: Int) = limits.allowed.requestsPerS * SAFETY / controllers
+    private fun requestsPerS(controllers: Int) = limits.allowed.requestsPerS * SAFETY_FACTOR / controllers
 
-    private fun writesPerS(controllers: Int) = limits.allowed.writesPerS * SAFETY / controllers
+    private fun writesPerS(controllers: Int) = limits.allowed.writesPerS * SAFETY_FACTOR / controllers
 
     /** Reads one key. */
     fun get(path: String): ReadResult {
@@ -66,7 +69,10 @@
     /** The pages of a listing read so far; [revision] is that of the first one. */
     private class PartialListing(val items: MutableList<StoredItem>, val revision: Long, val hasMore: Boolean)
 
-    /** [previous] with the page that follows it, or the first page; null if that page could not be read. */
+    /**
+     * Reads the page that follows [previous] and returns it with [previous], or the first page if [previous] is null.
+     * Null if the page could not be read.
+     */
     private fun listPage(prefix: String, previous: PartialListing?): PartialListing? {
         if (previous != null && previous.items.isEmpty()) return null
         val after = if (previous == null) "" else "&after=${encoded(previous.items.last().path)}"
@@ -81,7 +87,7 @@
         }
     }
 
-    /** Sends a transaction once; the permits for its writes have been acquired from the [writeLimiter]. */
+    /** Sends a transaction once; the caller must have acquired the permits for its writes from [writeLimiter]. */
     fun commit(transaction: StoreTransaction): CommitReply {
         val conditions = transaction.preconditions.map { StoreMessages.precondition(it.path, it.version) }
         val body = StoreMessages.transaction(conditions, transaction.writes.map { encoded(it, transaction.id) })
@@ -101,14 +107,14 @@
         else -> CommitReply.Unknown
     }
 
-    /** Asks for a new lease that lasts [lifeMs] milliseconds unless it is extended. */
+    /** Requests a new lease that lasts [lifeMs] milliseconds unless it is extended. */
     fun grantLease(lifeMs: Long): LeaseGrant {
         val reply = call("POST", "/leases", StoreMessages.leaseRequest(lifeMs))
         if (reply !is Reply.Answer || reply.status != HttpStatus.OK) return LeaseGrant.Failed
         return parsed(LeaseGrant.Failed) { LeaseGrant.Granted(StoreReplies.lease(reply.body)) }
     }
 
-    /** Asks that a lease have its full time again. */
+    /** Extends a lease to its full duration again. */
     fun extendLease(lease: Long): LeaseExtension {
         val reply = call("POST", "/leases/$lease/extend")
         if (reply !is Reply.Answer) return LeaseExtension.UNKNOWN
@@ -119,11 +125,15 @@
         }
     }
 
-    /** The changes of a prefix since the revision [after]; waits up to [holdMs] milliseconds for the first of them. */
+    /**
+     * Returns the changes of keys with a prefix since the revision [after]; waits up to [holdMs] milliseconds for the
+     * first of them.
+     */
     fun watch(prefix: String, after: Long, holdMs: Int): WatchResult {
         val path = "/follow?prefix=${encoded(prefix)}&after=$after&holdMs=$holdMs"
         return when (val reply = call("GET", path, readTimeoutMs = holdMs + WATCH_GRACE_MS)) {
-            // Asked again, it would only have grown: reading all keys takes their present values alone, page by page.
+            // A repeated request would only return more changes. Reading all keys instead returns their current values
+            // alone, and page by page.
             is Reply.TooLarge -> WatchResult.Compacted
             is Reply.NotSent, is Reply.Unanswered -> WatchResult.Failed
             is Reply.Answer -> parsed(WatchResult.Failed) { watchResult(reply) }
@@ -158,7 +168,7 @@
         body: Fields? = null,
         readTimeoutMs: Int = httpCaller.readTimeoutMs,
     ): Reply {
-        if (!requestLimiter.tryAcquire(PERMIT_WAIT_MS, TimeUnit.MILLISECONDS)) {
+        if (!requestLimiter.tryAcquire(MAX_PERMIT_WAIT_MS, TimeUnit.MILLISECONDS)) {
             return Reply.NotSent("over this controller's part of the limit")
         }
         val reply = httpCaller.call(method, address, path, body, readTimeoutMs)
@@ -168,7 +178,7 @@
         return reply
     }
 
-    /** What [parse] makes of an answer, or [onMalformed] if the answer has not the form that it should have. */
+    /** Returns the result of [parse] for an answer of the store, or [onMalformed] if the answer is malformed. */
     private inline fun <T> parsed(onMalformed: T, parse: () -> T): T = try {
         parse()
     } catch (e: MalformedException) {
@@ -177,13 +187,13 @@
     }
 
     private companion object {
-        /** A little below the limits: the clocks of the two ends differ. */
-        const val SAFETY = 0.9
+        /** Keeps the rates slightly below the limits, because the clocks of the two ends differ. */
+        const val SAFETY_FACTOR = 0.9
 
-        /** How long a request waits for its permit. */
-        const val PERMIT_WAIT_MS = 1500L
+        /** A request that gets no permit within this time is not sent. */
+        const val MAX_PERMIT_WAIT_MS = 1500L
 
-        /** How much longer than a watch is held its answer is waited for. */
+        /** How long to wait for the answer to a watch beyond the time for which the store holds it. */
         const val WATCH_GRACE_MS = 1500
         const val ITEMS_PER_PAGE = 500
     }
--- a/src/main/kotlin/io/reedmast/kvstore/TransactionBatch.kt
+++ b/src/main/kotlin/io/reedmast/kvstore/TransactionBatch.kt
@@ -3,7 +3,7 @@
 import io.reedmast.settings.StoreLimits
 import io.reedmast.wire.BodyCodec
 
-/** Transactions that can be sent together, as far as [limits] and their keys allow. */
+/** Transactions to be sent together: they are within [limits], and their keys do not clash. */
 internal class TransactionBatch(private val limits: StoreLimits) {
     /** In the order in which they were added. */
     val transactions = ArrayList<CasTransaction>()
@@ -12,7 +12,7 @@
     private val versionsByGuardedPath = HashMap<String, Long>()
     private val writtenPaths = HashSet<String>()
 
-    /** Whether [transaction] can be added: it fits the limits, and no key stands against it. */
+    /** Whether [transaction] can be added: it fits the limits, and its keys do not clash with those of the batch. */
     fun accepts(transaction: CasTransaction): Boolean =
         fitsCounts(transaction) && !clashesWith(transaction) && bytes + sizeOf(transaction) <= MAX_BYTES
 
@@ -31,7 +31,10 @@
             versionsByGuardedPath.size + newPreconditions <= limits.maxPreconditions
     }
 
-    /** Two transactions that disagree about a key, or write the same one, cannot be sent together. */
+    /**
+     * Two transactions cannot be sent together if they expect different versions of a key, or if one writes a key that
+     * the other writes or has a precondition on.
+     */
     private fun clashesWith(transaction: CasTransaction): Boolean = transaction.preconditions.any { disagreesOn(it) } ||
         transaction.preconditions.any { it.path in writtenPaths } ||
         transaction.writes.any { it.path in versionsByGuardedPath }
@@ -50,10 +53,10 @@
     }
 
     private companion object {
-        /** Below the 64 KiB of a request body (PROTOCOL), with room for what surrounds the writes. */
+        /** Below the 64 KiB of a request body (PROTOCOL), to leave room for what is encoded around the writes. */
         const val MAX_BYTES = 56 * 1024
 
-        /** What a precondition is assumed to take of a request body. */
+        /** The assumed size of a precondition in a request body. */
         const val PRECONDITION_BYTES = 80
     }
 }
--- a/src/main/kotlin/io/reedmast/kvstore/TransactionIds.kt
+++ b/src/main/kotlin/io/reedmast/kvstore/TransactionIds.kt
@@ -1,9 +1,9 @@
 package io.reedmast.kvstore
 
 /**
- * Gives each transaction of this process an id that no other transaction has, of any process. Thread-safe.
+ * Generates transaction ids that are unique among the transactions of all processes. Thread-safe.
  *
- * @param incarnation a text that no other process has, nor any earlier one.
+ * @param incarnation a text that identifies this process; no other process, running or earlier, has the same.
  */
 class TransactionIds(private val incarnation: String) {
     private var lastNumber = 0L
--- a/src/main/kotlin/io/reedmast/kvstore/UnreadableRecordLog.kt
+++ b/src/main/kotlin/io/reedmast/kvstore/UnreadableRecordLog.kt
@@ -4,10 +4,10 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Logs which stored records cannot be read, each one once while it is remembered.
+ * Logs the stored records that cannot be read, each once while its path is remembered.
  *
- * The same record comes with every listing and every change of it: logged each time, one of an older format would fill
- * the log.
+ * A record is received again with every listing and every change to it. If it were logged each time, a record of an
+ * older format would fill the log.
  */
 class UnreadableRecordLog {
     private val log = LoggerFactory.getLogger("store")
--- a/src/main/kotlin/io/reedmast/kvstore/Write.kt
+++ b/src/main/kotlin/io/reedmast/kvstore/Write.kt
@@ -9,9 +9,9 @@
     /** The key written. */
     val path: String
 
-    /** Stores [value]; the key is deleted when [lease] ends, if there is one. */
+    /** Stores [value]; the key is deleted when [lease] expires, if there is one. */
     data class Put(override val path: String, val value: Fields, val lease: Long? = null) : Write {
-        /** The bytes that the store counts for the value, with the id of its transaction. */
+        /** The size in bytes that the store counts for the value, which includes the transaction's id. */
         fun storedSize(transactionId: String): Int = BodyCodec.jsonSize(StoreMessages.stored(value, transactionId))
     }
 
--- a/src/main/kotlin/io/reedmast/kvstore/WritePriority.kt
+++ b/src/main/kotlin/io/reedmast/kvstore/WritePriority.kt
@@ -1,13 +1,13 @@
 package io.reedmast.kvstore
 
-/** What goes first when the store takes fewer writes than there are. */
+/** Decides which transactions are sent first when more writes wait than the store accepts. */
 enum class WritePriority {
-    /** A user waits for it: an acceptance, a cancellation. It takes turns with urgent transactions. */
+    /** A user is waiting for it: an acceptance or a cancellation. Takes turns with [URGENT]. */
     USER,
 
-    /** Work waits for it: a placement, the end of a job, machines. */
+    /** Work is waiting for it: a placement, the end of a job or a change of machines. */
     URGENT,
 
-    /** It only saves repeated work, or clears away. */
+    /** Only avoids repeated work, or cleans up. */
     DEFERRED,
 }
--- a/src/main/kotlin/io/reedmast/kvstore/WriteRateLimiter.kt
+++ b/src/main/kotlin/io/reedmast/kvstore/WriteRateLimiter.kt
@@ -1,13 +1,13 @@
 package io.reedmast.kvstore
 
 /**
- * This controller's part of the store's limit on writes: a token bucket of permits, one a write, that is refilled at a
- * steady rate and holds a second's worth. Thread-safe.
+ * Enforces this controller's share of the store's limit on writes: a token bucket with one permit per write, which is
+ * refilled at a constant rate and holds the permits of one second. Thread-safe.
  *
- * A plain rate limiter would make an acceptance wait behind a large clean-up; here clean-up is asked to leave part of
- * the bucket, and only a transaction larger than the whole bucket draws it below zero.
+ * With a plain rate limiter, the acceptance of a job would wait behind a large clean-up. Here clean-up must leave part
+ * of the bucket, and only a transaction larger than the whole bucket takes its level below zero.
  *
- * @param permitsPerS how many permits a second come in.
+ * @param permitsPerS the refill rate, in permits per second.
  * @param nowMs a monotonic clock, in milliseconds.
  */
 class WriteRateLimiter(permitsPerS: Double, private val nowMs: () -> Long) {
@@ -19,21 +19,21 @@
 
     private val capacity: Double get() = maxOf(refillPerS, MIN_CAPACITY)
 
-    /** From now on so many permits a second come in. */
+    /** Sets the refill rate, from now on, to [permitsPerS] permits per second. */
     @Synchronized
     fun setRate(permitsPerS: Double) {
         refill()
         refillPerS = permitsPerS
     }
 
-    /** The part of a full bucket that is available, at most 1. */
+    /** The available fraction of a full bucket, at most 1; negative after a transaction larger than the bucket. */
     @Synchronized
     fun permitLevel(): Double {
         refill()
         return level / capacity
     }
 
-    /** Takes [count] permits and returns 0, or takes none and returns after how many milliseconds to ask again. */
+    /** Takes [count] permits and returns 0, or takes none and returns how many milliseconds to wait before a retry. */
     @Synchronized
     fun tryAcquire(count: Int, writePriority: WritePriority): Long {
         refill()
@@ -45,14 +45,17 @@
         return maxOf(1L, ((neededLevel - level) / refillPerS * MS_PER_S).toLong())
     }
 
-    /** The store refused for its limit: our count of it was wrong, or others took more than their part. */
+    /**
+     * Empties the bucket after the store has refused a request because of its rate limit: this controller's count was
+     * wrong, or other controllers took more than their share.
+     */
     @Synchronized
     fun empty() {
         refill()
         level = minOf(level, 0.0)
     }
 
-    /** The part of a full bucket that a transaction of this priority leaves to more pressing ones. */
+    /** The fraction of a full bucket that a transaction of this priority must leave to those of higher priorities. */
     private fun reservedFrom(writePriority: WritePriority) = when (writePriority) {
         WritePriority.USER -> 0.0
         WritePriority.URGENT -> RESERVED_FOR_USERS
@@ -68,16 +71,16 @@
     private companion object {
         const val MS_PER_S = 1_000.0
 
-        /** A single write must fit the bucket, however low the rate is. */
+        /** A single write must fit into the bucket, however low the rate is. */
         const val MIN_CAPACITY = 1.0
 
         /**
-         * A user's transaction is paid for at once, however many others there are: the rate at which these go is the
-         * same.
+         * With this reserve a user's transaction gets its permits at once, however many others are waiting; the rate
+         * at which the others are sent stays the same.
          */
         const val RESERVED_FOR_USERS = 0.3
 
-        /** For users and urgent transactions together. */
+        /** The reserve for users' and urgent transactions together. */
         const val RESERVED_FROM_DEFERRED = 0.45
     }
 }
--- a/src/main/kotlin/io/reedmast/ports/Clock.kt
+++ b/src/main/kotlin/io/reedmast/ports/Clock.kt
@@ -1,10 +1,10 @@
 package io.reedmast.ports
 
-/** Steady time, which decisions are made by, and time of day, which is stored and shown. */
+/** Monotonic time, which decisions are based on, and wall-clock time, which is stored and displayed. */
 interface Clock {
-    /** Steady time in milliseconds, from an arbitrary origin: only differences within one process mean anything. */
+    /** Monotonic time in milliseconds from an arbitrary origin: only differences within one process are meaningful. */
     fun now(): Long
 
-    /** Time of day in milliseconds since 1970; it may jump, and differs between controllers. */
+    /** Wall-clock time in milliseconds since 1970; it may jump, and differs between controllers. */
     fun wallTime(): Long
 }
--- a/src/main/kotlin/io/reedmast/ports/Cloud.kt
+++ b/src/main/kotlin/io/reedmast/ports/Cloud.kt
@@ -3,15 +3,15 @@
 import io.reedmast.wire.ListedMachine
 import io.reedmast.wire.MachineType
 
-/** The cloud that rents machines out; each call answers later, on the deciding thread. */
+/** The cloud from which machines are rented; each call delivers its result later, on the deciding thread. */
 interface Cloud {
     /**
-     * Rents the machines that [request] describes. Repeated with the same request name, it rents nothing twice; [done]
-     * gets [ProvisioningResult.Failed] if it is not known what became of it.
+     * Rents the machines that [request] describes. Repeating a call with the same request name rents nothing twice;
+     * [done] gets [ProvisioningResult.Failed] if the outcome is not known.
      */
     fun provision(request: ProvisioningRequest, done: (ProvisioningResult) -> Unit)
 
-    /** Returns machines; they are gone only if [done] gets [ReturnResult.CONFIRMED]. */
+    /** Returns machines to the cloud; they are sure to be gone only if [done] gets [ReturnResult.CONFIRMED]. */
     fun returnMachines(machineNames: List<String>, done: (ReturnResult) -> Unit)
 
     /** Lists all rented machines. */
--- a/src/main/kotlin/io/reedmast/ports/CloudListing.kt
+++ b/src/main/kotlin/io/reedmast/ports/CloudListing.kt
@@ -1,10 +1,10 @@
 package io.reedmast.ports
 
-/** What came of reading a list of [T] from the [Cloud]. */
+/** The result of reading a list of [T] from the [Cloud]. */
 sealed interface CloudListing<out T> {
     /** The whole list. */
     data class Complete<T>(val items: List<T>) : CloudListing<T>
 
-    /** It could not be read, or only a part of it; it may be asked for again. */
+    /** The list could not be read, or only a part of it; the call may be repeated. */
     data object Unavailable : CloudListing<Nothing>
 }
--- a/src/main/kotlin/io/reedmast/ports/Gateway.kt
+++ b/src/main/kotlin/io/reedmast/ports/Gateway.kt
@@ -1,10 +1,11 @@
 package io.reedmast.ports
 
 /**
- * All I/O that the decisions ask for: every port in one. Classes that decide take the narrow ports that they need.
+ * Every port in one interface: all I/O that decisions require. Classes that decide take the narrow ports that they
+ * need.
  *
- * No call of any port blocks: each answers later, on the deciding thread. The real gateway hands calls to threads;
- * tests have one of their own.
+ * No call of any port blocks: each delivers its result later, on the deciding thread (the event loop). The production
+ * implementation runs calls on other threads; tests have an implementation of their own.
  */
 interface Gateway :
     KeyValueStore,
--- a/src/main/kotlin/io/reedmast/ports/PeerTransport.kt
+++ b/src/main/kotlin/io/reedmast/ports/PeerTransport.kt
@@ -2,7 +2,7 @@
 
 import io.reedmast.settings.ControllerId
 
-/** Messages to the other controllers; no rule depends on the arrival of any. */
+/** Sends messages to the other controllers; correctness does not depend on the arrival of any message. */
 interface PeerTransport {
     /** Sends [message] to every other controller; it may be lost without notice. */
     fun broadcast(message: PeerMessage)
--- a/src/main/kotlin/io/reedmast/ports/ProcessControl.kt
+++ b/src/main/kotlin/io/reedmast/ports/ProcessControl.kt
@@ -1,16 +1,17 @@
 package io.reedmast.ports
 
-/** What decisions ask of the process that they run in. */
+/** What the deciding code requires from the process that it runs in. */
 interface ProcessControl {
     /**
-     * Tells that [aliveControllers] share the rate limits of the store and the cloud. With [leading] this controller
-     * gets the leader's part of the cloud's limit, which is the larger one.
+     * Sets this controller's share of the rate limits of the store and the cloud, which are shared by
+     * [aliveControllers] controllers. With [leading] it gets the leader's share of the cloud's limit, which is the
+     * larger one.
      */
     fun shareLimits(aliveControllers: Int, leading: Boolean)
 
-    /** This process must not go on, for [reason]: it ends without touching anything more. */
+    /** Terminates this process, which must not go on because of [reason], without any further action. */
     fun terminate(reason: String)
 
-    /** Tells that there are [count] machines, each of which may have a connection to this controller. */
+    /** Announces that there are [count] machines, each of which may have a connection to this controller. */
     fun expectMachines(count: Int)
 }
--- a/src/main/kotlin/io/reedmast/ports/ProvisioningRequest.kt
+++ b/src/main/kotlin/io/reedmast/ports/ProvisioningRequest.kt
@@ -3,7 +3,7 @@
 /**
  * A request to rent [count] machines.
  *
- * @property requestName makes repetitions idempotent: it is never used for another request, by any controller
+ * @property requestName makes repetitions idempotent: no controller ever uses it for another request
  * @property typeName the label of the machine type
  * @property spot whether the cloud may take the machines back at any time
  */
--- a/src/main/kotlin/io/reedmast/ports/ProvisioningResult.kt
+++ b/src/main/kotlin/io/reedmast/ports/ProvisioningResult.kt
@@ -1,6 +1,6 @@
 package io.reedmast.ports
 
-/** What became of a [ProvisioningRequest]. */
+/** The outcome of a [ProvisioningRequest]. */
 sealed interface ProvisioningResult {
     /** The machines that were rented, by name. */
     data class Machines(val names: List<String>) : ProvisioningResult
@@ -8,6 +8,6 @@
     /** The cloud has no such machines now, or refuses the request as it is. */
     data object NoCapacity : ProvisioningResult
 
-    /** Nothing is known, or nothing was done: the same request may be sent again. */
+    /** The outcome is not known, or nothing was done: the same request may be sent again. */
     data object Failed : ProvisioningResult
 }
--- a/src/main/kotlin/io/reedmast/ports/ReturnResult.kt
+++ b/src/main/kotlin/io/reedmast/ports/ReturnResult.kt
@@ -1,10 +1,10 @@
 package io.reedmast.ports
 
-/** What became of a request to return machines to the [Cloud]. */
+/** The outcome of a request to return machines to the [Cloud]. */
 enum class ReturnResult {
     /** The cloud has answered that the machines, and all that ran on them, are gone. */
     CONFIRMED,
 
-    /** The request was not made, was refused, or its answer was lost: the machines may be gone or not. */
+    /** The request was not sent, was refused, or its answer was lost: the machines may or may not be gone. */
     UNCONFIRMED,
 }
--- a/src/test/kotlin/io/reedmast/kvstore/CommitQueueTest.kt
+++ b/src/test/kotlin/io/reedmast/kvstore/CommitQueueTest.kt
@@ -18,27 +18,27 @@
     ) {
     }
 
-    private fun paths() = (queue.poll() as CommitQueue.Polled.Batch).transactions.map { it.writes.single().path }
+    private fun pollPaths() = (queue.poll() as CommitQueue.Polled.Batch).transactions.map { it.writes.single().path }
 
     @Test
-    fun `changes of a moment share a transaction, up to the service's limit`() {
+    fun `waiting transactions are sent together, up to the store's limit`() {
         ('a'..'f').forEach { queue.offer(transaction("$it"), refusable = true) }
-        assertEquals(listOf("a", "b", "c", "d"), paths())
-        assertEquals(listOf("e", "f"), paths())
+        assertEquals(listOf("a", "b", "c", "d"), pollPaths())
+        assertEquals(listOf("e", "f"), pollPaths())
         assertEquals(CommitQueue.Polled.Empty, queue.poll())
     }
 
     @Test
-    fun `two changes of one key do not share a transaction`() {
+    fun `two transactions that write the same key are not sent together`() {
         queue.offer(transaction("a"), refusable = true)
         queue.offer(transaction("a"), refusable = true)
-        assertEquals(listOf("a"), paths())
-        assertEquals(listOf("a"), paths())
+        assertEquals(listOf("a"), pollPaths())
+        assertEquals(listOf("a"), pollPaths())
     }
 
-    /** A burst of submissions must not hold up the placements of what was accepted. */
+    /** A burst of submissions must not delay the placements of accepted jobs. */
     @Test
-    fun `work goes on while users send more than the limit allows`() {
+    fun `urgent transactions are sent while users submit more than the limit allows`() {
         repeat(100) { queue.offer(transaction("work$it"), refusable = false) }
         val sent = ArrayList<String>()
         repeat(200) {
@@ -50,29 +50,33 @@
         assertTrue(sent.count { it.startsWith("user") } >= 40, "$sent")
     }
 
-    /** Acceptances waited for a change's time and more, as long as work took every change that the limit allowed. */
+    /**
+     * While urgent transactions took all the permits that the limit allowed, each acceptance waited for the time of one
+     * transaction or longer.
+     */
     @Test
-    fun `a user's change goes at once while work takes all that the limit leaves`() {
+    fun `a user's transaction is sent at once while urgent ones take all other permits`() {
         repeat(40) { queue.offer(transaction("a$it"), refusable = false) }
         while (queue.poll() is CommitQueue.Polled.Batch) now += 1
         repeat(2) {
             queue.offer(transaction("accept$it", WritePriority.USER), refusable = true)
-            assertEquals(listOf("accept$it"), paths())
+            assertEquals(listOf("accept$it"), pollPaths())
         }
     }
 
     @Test
-    fun `only what is asked for from outside is refused`() {
+    fun `only refusable transactions are refused when the queue is full`() {
         repeat(8) { assertTrue(queue.offer(transaction("a$it"), refusable = true)) }
         assertFalse(queue.offer(transaction("b"), refusable = true))
         assertTrue(queue.offer(transaction("c"), refusable = false))
     }
 
     /**
-     * A page that waits here lazily takes up no placements: for as long as others kept coming, its jobs did not start.
+     * A progress page that waits here with deferred priority accepts no placements: as long as other transactions kept
+     * coming, its jobs did not start.
      */
     @Test
-    fun `a deferred transaction is not kept waiting for ever by urgent ones`() {
+    fun `a deferred transaction is sent although urgent ones keep coming`() {
         queue.offer(transaction("lazy", WritePriority.DEFERRED), refusable = false)
         val sent = ArrayList<String>()
         repeat(60) {
--- a/src/test/kotlin/io/reedmast/kvstore/CommitterTest.kt
+++ b/src/test/kotlin/io/reedmast/kvstore/CommitterTest.kt
@@ -1,6 +1,6 @@
 package io.reedmast.kvstore
 
-import io.reedmast.kvstore.StoreStub.Fate
+import io.reedmast.kvstore.StoreStub.Delivery
 import org.junit.jupiter.api.AfterEach
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
@@ -9,13 +9,13 @@
 import java.util.concurrent.CountDownLatch
 import java.util.concurrent.TimeUnit
 
-/** What the committer reports of changes whose transaction got no answer must be what became of them. */
+/** The committer must report the actual outcome of transactions that got no answer from the store. */
 class CommitterTest {
-    private val service = StoreStub()
+    private val store = StoreStub()
     private val outcomes = ConcurrentHashMap<String, CommitOutcome>()
 
     @AfterEach
-    fun close() = service.close()
+    fun close() = store.close()
 
     private fun transaction(
         name: String,
@@ -29,7 +29,7 @@
 
     private fun commit(transactions: List<CasTransaction>, done: CountDownLatch) {
         val committer =
-            Committer(service.client, EffectiveLimits(service.limits), 64, TransactionIds("test")) {
+            Committer(store.client, EffectiveLimits(store.limits), 64, TransactionIds("test")) {
                     transaction,
                     outcome,
                 ->
@@ -37,22 +37,22 @@
             }
         transactions.forEach { committer.offer(it, refusable = false) }
         Thread(committer::run).apply { isDaemon = true }.start()
-        assertTrue(done.await(20, TimeUnit.SECONDS), "some changes are never settled")
+        assertTrue(done.await(20, TimeUnit.SECONDS), "some transactions never get an outcome")
     }
 
     /**
-     * Two controllers cancel the same job, which writes the same value twice. The transaction of one of them, shared
-     * with the acceptance of a second job and with a page of placements, is lost; its repeat conflicts, and the value
-     * of the cancelled job's record is what it would have written. The acceptance and the placements were reported as
-     * stored: an accepted job was forgotten, and tasks were launched that no later owner knew of.
+     * Two controllers cancel the same job and thereby write the same value. The transaction of one of them, sent
+     * together with the acceptance of a second job and with a page of placements, is lost. Its repeat conflicts, and
+     * the cancelled job's record has the value that it would have written. The acceptance and the placements were
+     * therefore reported as stored: an accepted job was lost, and tasks were launched that no later owner knew of.
      */
     @Test
-    fun `an equal value written by another controller does not pass for our own transaction`() {
+    fun `an equal value written by another controller does not prove that a transaction was applied`() {
         val cancelled = mapOf("spec" to "wk-1", "aborted" to true)
-        val before = service.store("j/live/0/wk-1", mapOf("spec" to "wk-1"))
+        val before = store.put("j/live/0/wk-1", mapOf("spec" to "wk-1"))
         val done = CountDownLatch(3)
-        service.plan(Fate.LOST)
-        service.whenLost = { service.store("j/live/0/wk-1", cancelled) }
+        store.planDeliveries(Delivery.LOST)
+        store.onUnanswered = { store.put("j/live/0/wk-1", cancelled) }
         val cancel =
             transaction(
                 "cancel",
@@ -76,7 +76,7 @@
             )
         commit(listOf(cancel, accept, page), done)
         assertEquals(CommitOutcome.Conflict(setOf("j/live/0/wk-1")), outcomes["cancel"])
-        assertEquals(CommitOutcome.Applied(service.versionOf("j/live/0/wk-2")), outcomes["accept"])
-        assertEquals(CommitOutcome.Applied(service.versionOf("page/0/0")), outcomes["page"])
+        assertEquals(CommitOutcome.Applied(store.versionOf("j/live/0/wk-2")), outcomes["accept"])
+        assertEquals(CommitOutcome.Applied(store.versionOf("page/0/0")), outcomes["page"])
     }
 }
--- a/src/test/kotlin/io/reedmast/kvstore/InDoubtResolutionTest.kt
+++ b/src/test/kotlin/io/reedmast/kvstore/InDoubtResolutionTest.kt
@@ -4,8 +4,8 @@
 import org.junit.jupiter.api.Test
 
 /**
- * For each way a transaction without an answer can have gone, and each kind of change: what is reported is what became
- * of it.
+ * For each possible outcome of a transaction that got no answer, and for each kind of write, the reported outcome is
+ * the actual one.
  */
 class InDoubtResolutionTest {
     private val outcomes = LinkedHashMap<String, CommitOutcome>()
@@ -44,7 +44,7 @@
         onReply(reply)
     }
 
-    private fun InDoubtResolution.find(vararg values: Pair<String, StoredItem?>) {
+    private fun InDoubtResolution.answerReads(vararg values: Pair<String, StoredItem?>) {
         val known = values.toMap()
         while (true) {
             val step = nextStep() as? ResolutionStep.Read ?: return
@@ -65,32 +65,32 @@
     )
 
     @Test
-    fun `a transaction that was applied although its answer was lost`() {
+    fun `a transaction whose answer was lost is reported as applied`() {
         val resolution = resolution(cancel, accept, end)
         resolution.reply(CommitReply.Unknown)
         resolution.reply(CommitReply.PreconditionFailed(setOf("a", "b", "c", "end/c")))
-        resolution.find("a" to stored("a", 9, sent[0].id))
+        resolution.answerReads("a" to stored("a", 9, sent[0].id))
         assertEquals(List(3) { CommitOutcome.Applied(9) }, outcomes.values.toList())
         assertEquals(ResolutionStep.Done, resolution.nextStep())
     }
 
     @Test
-    fun `its first key was replaced since, and the next one tells`() {
+    fun `the second key proves that a transaction was applied if its first key has been replaced`() {
         val resolution = resolution(cancel, accept)
         resolution.reply(CommitReply.Unknown)
         resolution.reply(CommitReply.PreconditionFailed(setOf("a", "b")))
-        resolution.find("a" to stored("a", 11, "other"), "b" to stored("b", 9, sent[0].id))
+        resolution.answerReads("a" to stored("a", 11, "other"), "b" to stored("b", 9, sent[0].id))
         assertEquals(List(2) { CommitOutcome.Applied(9) }, outcomes.values.toList())
     }
 
     @Test
-    fun `a transaction that was lost, and another writer was first with one of its keys`() {
+    fun `of a lost request only the transaction whose key another writer changed is a conflict`() {
         val resolution = resolution(cancel, accept, end)
         resolution.reply(CommitReply.Unknown)
         resolution.reply(CommitReply.PreconditionFailed(setOf("a")))
-        // The key whose precondition holds is read first, and has not moved: the others need not be read.
+        // A key whose precondition holds is read first; its version is unchanged, so the others need not be read.
         assertEquals(ResolutionStep.Read("end/c", 0), resolution.nextStep())
-        resolution.find("a" to stored("a", 9, "other"), "end/c" to stored("end/c", 4, "older"))
+        resolution.answerReads("a" to stored("a", 9, "other"), "end/c" to stored("end/c", 4, "older"))
         assertEquals(mapOf("cancel" to CommitOutcome.Conflict(setOf("a"))), outcomes)
         resolution.reply(CommitReply.Applied(12))
         assertEquals(listOf("b", "end/c", "c"), sent.last().writes.map { it.path })
@@ -101,40 +101,40 @@
     }
 
     @Test
-    fun `a key that has not moved proves that nothing was applied, whatever its value is`() {
+    fun `a key with an unchanged version proves that nothing was applied, whatever its value is`() {
         val resolution = resolution(cancel, end)
         resolution.reply(CommitReply.Unknown)
         resolution.reply(CommitReply.PreconditionFailed(setOf("c")))
-        // The value was stored by this very process, in an earlier transaction.
-        resolution.find("a" to stored("a", 5, "me-0"))
+        // The value was stored by this same process, in an earlier transaction.
+        resolution.answerReads("a" to stored("a", 5, "me-0"))
         assertEquals(mapOf("end" to CommitOutcome.Conflict(setOf("c"))), outcomes)
     }
 
     @Test
-    fun `the repeat of a repeat is recognized as well`() {
+    fun `a transaction that was repeated several times is recognized as well`() {
         val resolution = resolution(accept)
         repeat(3) { resolution.reply(CommitReply.Unknown) }
         resolution.reply(CommitReply.PreconditionFailed(setOf("b")))
-        resolution.find("b" to stored("b", 9, sent[1].id))
+        resolution.answerReads("b" to stored("b", 9, sent[1].id))
         assertEquals(mapOf("accept" to CommitOutcome.Applied(9)), outcomes)
     }
 
     /**
-     * With the lease over, the repeat is refused whatever its preconditions say; the lost copy had stored the other
-     * changes.
+     * Once the lease has expired, the repeat is refused whatever its preconditions say, although the first copy, whose
+     * answer was lost, had stored the other writes.
      */
     @Test
-    fun `transactions that share a request with a lease that has ended are reported one by one`() {
+    fun `transactions sent together with a write under an expired lease are reported one by one`() {
         val resolution = resolution(lead, accept, end)
         resolution.reply(CommitReply.Unknown)
         resolution.reply(CommitReply.Malformed("no such lease"))
         resolution.reply(CommitReply.Malformed("no such lease"))
-        resolution.find()
+        resolution.answerReads()
         assertEquals(mapOf("lead" to CommitOutcome.Refused("no such lease")), outcomes)
         resolution.reply(CommitReply.PreconditionFailed(setOf("b")))
-        resolution.find("b" to stored("b", 9, sent[0].id))
+        resolution.answerReads("b" to stored("b", 9, sent[0].id))
         resolution.reply(CommitReply.PreconditionFailed(setOf("c", "end/c")))
-        resolution.find("end/c" to stored("end/c", 9, sent[0].id))
+        resolution.answerReads("end/c" to stored("end/c", 9, sent[0].id))
         assertEquals(
             listOf(CommitOutcome.Applied(9), CommitOutcome.Applied(9)),
             listOf(outcomes["accept"], outcomes["end"]),
@@ -142,15 +142,15 @@
     }
 
     /**
-     * The leader's key was there, under its lease, until the lease ended: that it is missing says nothing of the
-     * others.
+     * The leader's key existed, under its lease, until the lease expired: that it is missing proves nothing about the
+     * other keys.
      */
     @Test
     fun `a key that is missing again does not hide that its transaction was applied`() {
         val resolution = resolution(lead, accept)
         resolution.reply(CommitReply.Unknown)
         resolution.reply(CommitReply.PreconditionFailed(setOf("b")))
-        resolution.find("b" to stored("b", 9, sent[0].id))
+        resolution.answerReads("b" to stored("b", 9, sent[0].id))
         assertEquals(List(2) { CommitOutcome.Applied(9) }, outcomes.values.toList())
     }
 
@@ -161,12 +161,12 @@
         resolution.reply(CommitReply.PreconditionFailed(setOf("b")))
         repeat(3) { resolution.onReadResult(ReadResult.Failed) }
         assertEquals(emptyMap<String, CommitOutcome>(), outcomes)
-        resolution.find("b" to stored("b", 9, "other"))
+        resolution.answerReads("b" to stored("b", 9, "other"))
         assertEquals(mapOf("accept" to CommitOutcome.Conflict(setOf("b"))), outcomes)
     }
 
     @Test
-    fun `a pause follows what was not executed, longer each time, and nothing is read`() {
+    fun `a transaction that was not executed is repeated after ever longer pauses, and nothing is read`() {
         val resolution = resolution(accept)
         val pauses = List(3) {
             resolution.reply(CommitReply.NotExecuted)
--- a/src/test/kotlin/io/reedmast/kvstore/StoreStub.kt
+++ b/src/test/kotlin/io/reedmast/kvstore/StoreStub.kt
@@ -11,25 +11,25 @@
 import java.util.TreeMap
 import java.util.concurrent.Executors
 
-/** A store on loopback whose transactions can be lost, held back and carried out late, for tests of its clients. */
+/** A store on loopback for tests of its clients; transactions can be lost, held back and executed late. */
 class StoreStub : AutoCloseable {
     private class Entry(val value: Any?, val version: Long)
 
-    /** What becomes of a transaction. */
-    enum class Fate { ANSWERED, LOST, ANSWER_LOST }
+    /** What happens to a transaction that is sent. */
+    enum class Delivery { ANSWERED, LOST, ANSWER_LOST }
 
     private val entries = TreeMap<String, Entry>()
     private val server = HttpServer.create(InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 50)
     private val threads = Executors.newCachedThreadPool()
     private var revision = 100L
 
-    /** The fate of each transaction, in order of arrival; what comes after the last one is answered. */
-    private val fates = ArrayDeque<Fate>()
+    /** The delivery of each transaction, in order of arrival; transactions after the last of these are answered. */
+    private val deliveries = ArrayDeque<Delivery>()
 
-    /** Called when a transaction has been lost: what happens before its sender asks again. */
-    var whenLost: () -> Unit = {}
+    /** Called when a transaction gets no answer: what happens before its sender repeats it. */
+    var onUnanswered: () -> Unit = {}
 
-    /** Transactions that arrived, lost ones included. */
+    /** Transactions that arrived, including lost ones. */
     val transactions = ArrayList<Fields>()
 
     val limits =
@@ -54,13 +54,13 @@
         threads.shutdownNow()
     }
 
-    fun plan(vararg next: Fate) {
-        synchronized(this) { fates.addAll(next) }
+    fun planDeliveries(vararg next: Delivery) {
+        synchronized(this) { deliveries.addAll(next) }
     }
 
-    /** Another client stores [value], whatever is there. */
+    /** Stores [value] as another client would, whatever is there. */
     @Synchronized
-    fun store(path: String, value: Fields): Long {
+    fun put(path: String, value: Fields): Long {
         entries[path] = Entry(BodyCodec.readCbor(BodyCodec.writeCbor(value)), ++revision)
         return revision
     }
@@ -85,17 +85,17 @@
 
     /** The answer to a transaction, null if it gets none. */
     private fun commit(body: Fields): Pair<Int, Fields>? {
-        val fate = synchronized(this) {
+        val delivery = synchronized(this) {
             transactions.add(body)
-            fates.removeFirstOrNull() ?: Fate.ANSWERED
+            deliveries.removeFirstOrNull() ?: Delivery.ANSWERED
         }
-        val answer = if (fate == Fate.LOST) null else execute(body)
-        if (fate == Fate.ANSWERED) return answer
-        whenLost()
+        val answer = if (delivery == Delivery.LOST) null else execute(body)
+        if (delivery == Delivery.ANSWERED) return answer
+        onUnanswered()
         return null
     }
 
-    /** Carries a transaction out; also for copies that arrive late. */
+    /** Executes a transaction; also for copies that arrive late. */
     @Synchronized
     fun execute(body: Fields): Pair<Int, Fields> {
         val failed = maps(body["when"]).filter {
@@ -112,7 +112,7 @@
 
     private fun maps(list: Any?) = (list as List<*>).map { it as Map<*, *> }
 
-    /** What a watch is answered. */
+    /** The changes with which a watch is answered. */
     @Volatile
     var changes: List<Fields> = emptyList()
 
