--- a/src/main/kotlin/io/reedmast/machines/ContestedMachineHandler.kt
+++ b/src/main/kotlin/io/reedmast/machines/ContestedMachineHandler.kt
@@ -6,25 +6,27 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Machines that the records of other shards name too, as earlier versions stored them at times.
+ * Decides when a contested machine is released or lost: one that the records of other shards contain too, as earlier
+ * versions sometimes stored them.
  *
- * Nothing is placed there and nobody returns them while the other shard may have work on them. An owner that has
- * nothing there takes the machine out of its own record, on condition that the other record still names it.
+ * Nothing is placed on such a machine, and no owner returns it while another shard may have work on it. An owner that
+ * has no work there removes the machine from its own record, on condition that the other record still contains it.
  */
 internal class ContestedMachineHandler(private val shardState: ShardState, private val silentAfterMs: Long) {
     private val log = LoggerFactory.getLogger("shard")
     private val leaseMs = (shardState.settings.workers.leaseS * MS_PER_S).toLong()
 
-    /** Whether this owner has nothing on [machine] and is to leave it to the others. */
+    /** Whether this owner has no work on [machine] and should now leave it to the other owners. */
     fun isReleasable(machine: Machine, now: Long): Boolean {
         val isFree = machine.placements.isEmpty() && machine.pendingDirectCalls == 0 && machine.isDurablyEmpty
-        // The others leave first: of several owners without work there, the one that answers the worker keeps it.
-        val delayMs = if (machine.recordConflict == RecordConflict.ANSWERED_HERE) OTHERS_FIRST_MS else 0L
+        // The delay lets the other owners release it first: of several owners without work there, the one that answers
+        // the worker keeps the machine.
+        val delayMs = if (machine.recordConflict == RecordConflict.ANSWERED_HERE) ANSWERING_OWNER_DELAY_MS else 0L
         return isFree && !machine.isReturning && now - machine.conflictSince >= delayMs
     }
 
     /**
-     * Whether [machine] has been silent for so long that its worker's lease is over, so that nobody's work runs there
+     * Whether [machine] has been silent for so long that its worker's lease has expired and no shard's work runs there
      * any more. Only the owner that answers the worker can tell.
      */
     fun isLost(machine: Machine, observationGapUntil: Long, now: Long): Boolean {
@@ -33,7 +35,7 @@
         return now - heardAt > leaseMs + silentAfterMs
     }
 
-    /** Logs that [machine] is given up for all shards. */
+    /** Logs that [machine] is decommissioned for all shards. */
     fun logLost(machine: Machine, now: Long) = log.info(
         "machine {}: recorded in several shards, no heartbeat for {} s, decommissioned",
         machine.name,
@@ -42,6 +44,6 @@
 
     private companion object {
         const val MS_PER_S = 1000.0
-        const val OTHERS_FIRST_MS = 5_000L
+        const val ANSWERING_OWNER_DELAY_MS = 5_000L
     }
 }
--- a/src/main/kotlin/io/reedmast/machines/MachineDrainer.kt
+++ b/src/main/kotlin/io/reedmast/machines/MachineDrainer.kt
@@ -6,23 +6,26 @@
 import io.reedmast.model.Placement
 import io.reedmast.model.StopReason
 
-/** Stops in time what is on a machine that is to go (PROTOCOL, Preemption: draining a machine). */
+/** Stops the tasks on a machine that is to leave the shard, each in time (PROTOCOL, Preemption: draining a machine). */
 internal class MachineDrainer(private val dispatcher: CommandDispatcher) {
-    /** Every task fails on the machine: all that is there is stopped. */
+    /** Stops all tasks on a machine on which every task fails. */
     fun drainUnhealthy(machine: Machine) = stopAll(machine.placements.values.toList())
 
     /**
-     * What soon ends on a machine that is to move to another shard is waited for; for the rest, the shard that gets it
-     * would wait too long.
+     * Stops the tasks on a machine that is to move to another shard, except those that end soon, which are waited for.
+     * For the others, the shard that gets the machine would have to wait too long.
      */
     fun drainForTransfer(machine: Machine, now: Long) {
-        // Marked as idle, and given work before the mark was known here: that is not stopped a moment after it was
-        // placed.
-        if (machine.placements.values.any { it.createdAt > machine.markedForTransferAt - JUST_PLACED_MS }) return
+        // The machine was marked for transfer because it was idle, and got work before the mark was known here: that
+        // work is not stopped a moment after it was placed.
+        if (machine.placements.values.any { it.createdAt > machine.markedForTransferAt - RECENTLY_PLACED_MS }) return
         stopAll(machine.placements.values.filter { !endsSoon(it, now) })
     }
 
-    /** Ends by its estimate within seconds, and is not past the estimate by much: then it says nothing any more. */
+    /**
+     * Whether the task ends within seconds by its estimate. Once it has run past the estimate by as many seconds, the
+     * estimate no longer says anything.
+     */
     private fun endsSoon(placement: Placement, now: Long): Boolean {
         val spec = placement.job.spec
         if (spec.isService || !placement.running) return false
@@ -30,9 +33,9 @@
             elapsedS(placement, now) < spec.estimateS + ScaleInPolicy.ENDS_SOON_S
     }
 
-    /** The cloud takes the machine back at [noticeUntil]: each task is stopped when waiting longer would lose more. */
-    fun drainForNotice(machine: Machine, noticeUntil: Long, now: Long) {
-        val remainingS = (noticeUntil - now) / MS_PER_S
+    /** Drains a machine that the cloud reclaims at [reclaimAt]: stops each task once waiting longer would lose more. */
+    fun drainForReclaim(machine: Machine, reclaimAt: Long, now: Long) {
+        val remainingS = (reclaimAt - now) / MS_PER_S
         stopAll(machine.placements.values.filter { it.stopReason == null && isStopDue(it, remainingS, now) })
     }
 
@@ -40,7 +43,7 @@
         val spec = placement.job.spec
         return when {
             spec.isService || !placement.running -> true
-            // What can save runs on until it just has the time for that.
+            // A task that can save its progress runs on until just enough time for that is left.
             spec.resumable -> remainingS < spec.saveS + SAVE_SLACK_S
             else -> remainingS < 0.0 || !endsWithin(placement, remainingS - END_SLACK_S, now)
         }
@@ -56,12 +59,12 @@
 
     private companion object {
         const val MS_PER_S = 1000.0
-        const val JUST_PLACED_MS = 6_000L
+        const val RECENTLY_PLACED_MS = 6_000L
 
-        /** Added to the time that a task takes to save. */
+        /** Margin added to the time that a task takes to save. */
         const val SAVE_SLACK_S = 3.0
 
-        /** By how much a task that cannot save must end before the cloud takes the machine back. */
+        /** How long before the cloud reclaims the machine a task that cannot save must end to be left running. */
         const val END_SLACK_S = 1.0
     }
 }
--- a/src/main/kotlin/io/reedmast/machines/MachineLifecycle.kt
+++ b/src/main/kotlin/io/reedmast/machines/MachineLifecycle.kt
@@ -12,8 +12,8 @@
 /**
  * Decides which machines of a shard stay, move to another shard or are returned to the cloud.
  *
- * A machine that is to go has a [DecommissionReason]; that says whether it is drained first, and whether it is returned
- * or transferred.
+ * A machine that is to leave the shard has a [DecommissionReason], which determines whether it is drained first, and
+ * whether it is returned or transferred.
  */
 class MachineLifecycle(
     private val shardState: ShardState,
@@ -31,21 +31,25 @@
     private val drainer = MachineDrainer(dispatcher)
     private val returner = MachineReturner(shardState, cloud, requests)
 
-    /** When this controller last was unable to answer workers or to decide: silence before that says nothing. */
+    /**
+     * The last time at which this controller was unable to answer workers or to make decisions; silence of a machine
+     * before that proves nothing.
+     */
     private var observationGapUntil = 0L
 
-    /** Whether the machine is returned, whatever the records still say. */
+    /** Whether the machine has been returned to the cloud, even if the records still contain it. */
     fun isGone(machineName: String) = returner.isGone(machineName)
 
-    /** The shard's records now name [machineNames] only. */
+    /** Called when the shard's records have been read: they now contain only the machines [machineNames]. */
     fun onRecordedMachines(machineNames: Set<String>) = returner.onRecordedMachines(machineNames)
 
-    /** Called periodically: decides anew on every machine, and returns those that are to go. */
+    /** Called periodically: re-evaluates every machine, and returns those that are to be returned. */
     fun runOnce(now: Long) {
         if (shardState.isCurrent()) {
             decideAll(now)
         } else {
-            // Workers are turned away during a long outage; after one, all of them would seem to have been silent.
+            // During a long outage this controller turns workers away; afterwards all of them would seem to have been
+            // silent.
             observationGapUntil = now
         }
         returner.runOnce(now)
@@ -60,7 +64,7 @@
         decideContested(now)
         for (machine in shardState.machines.values.filter { !it.isContested }) {
             if (isBootOverdue(machine, now)) decommissionNotBooted(machine, now)
-            if (machine.reclaimAt != 0L) onNotice(machine, now)
+            if (machine.reclaimAt != 0L) onReclaimNotice(machine, now)
             when (machine.decommissionReason) {
                 null -> decommissionIfIdle(machine, headroom, now)
 
@@ -102,13 +106,13 @@
         machine.decommissionReason = DecommissionReason.BOOT_TIMEOUT
     }
 
-    /** The cloud has announced that it takes the machine back. */
-    private fun onNotice(machine: Machine, now: Long) {
-        drainer.drainForNotice(machine, machine.reclaimAt, now)
+    /** Handles the cloud's notice that it will reclaim the machine. */
+    private fun onReclaimNotice(machine: Machine, now: Long) {
+        drainer.drainForReclaim(machine, machine.reclaimAt, now)
         val isLate = now - machine.lastHeartbeatAt > shardState.heartbeatLateMs
         val isTimeUp = machine.reclaimAt in 1..now
         if (!isTimeUp || !isLate || machine.decommissionReason != null) return
-        log.info("machine {}: taken back by the cloud as announced, decommissioned", machine.name)
+        log.info("machine {}: reclaimed by the cloud as announced, decommissioned", machine.name)
         machine.decommissionReason = DecommissionReason.MISSED_HEARTBEATS
     }
 
@@ -133,7 +137,7 @@
         }
     }
 
-    /** A machine that has got a placement since it was found idle is kept. */
+    /** Returns an idle machine, unless it has got a placement since it was found idle; then it is kept. */
     private fun returnIfStillIdle(machine: Machine) {
         if (machine.placements.isEmpty()) {
             returner.returnMachine(machine)
@@ -143,8 +147,8 @@
     }
 
     /**
-     * Drains a machine that is to move to another shard. Returns whether it may be transferred now: nothing is there,
-     * nor would an owner that reads what is stored think so.
+     * Drains a machine that is to move to another shard. Returns whether it may be transferred now: nothing is on it or
+     * on its way there, and an owner that restored the shard from the store would find no placements on it either.
      */
     private fun prepareTransfer(machine: Machine, now: Long): Boolean {
         val isFree = machine.placements.isEmpty() && machine.pendingDirectCalls == 0
@@ -162,7 +166,7 @@
     private companion object {
         const val MS_PER_S = 1000.0
 
-        /** A machine that is not up after so many times its type's usual boot, and a few seconds, is given up. */
+        /** A machine not up after this many times its type's usual boot time, plus a few seconds, is decommissioned. */
         const val MAX_BOOT_FACTOR = 2.5
         const val BOOT_SLACK_S = 5.0
     }
--- a/src/main/kotlin/io/reedmast/machines/MachineLifecycleRequests.kt
+++ b/src/main/kotlin/io/reedmast/machines/MachineLifecycleRequests.kt
@@ -1,16 +1,16 @@
 package io.reedmast.machines
 
-/** What the lifecycle of a shard's machines asks of the cluster; each request is repeated while its cause lasts. */
+/** Requests of a shard's [MachineLifecycle] to the cluster; each is repeated as long as its cause persists. */
 interface MachineLifecycleRequests {
     /** Removes machines that the cloud has confirmed to be gone from the shard's records. */
     fun removeMachines(machineNames: Set<String>)
 
-    /** Gives empty machines to the shards that they are marked to leave for. */
+    /** Moves empty machines to the shards that they are marked for. */
     fun transferMachines(machineNames: Collection<String>)
 
-    /** Leaves machines that other shards' records name too to these. */
+    /** Removes machines that other shards' records contain too from this shard's records. */
     fun releaseContested(machineNames: Collection<String>)
 
-    /** Asks the other controllers to acquire the shard, since its workers do not reach this one. */
+    /** Asks the other controllers to acquire the shard, since its workers do not reach this controller. */
     fun requestFailover()
 }
--- a/src/main/kotlin/io/reedmast/machines/MachineReturner.kt
+++ b/src/main/kotlin/io/reedmast/machines/MachineReturner.kt
@@ -7,9 +7,9 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Returns machines to the cloud, and has those that are gone removed from the shard's records.
+ * Returns machines to the cloud, and requests that those that are gone be removed from the shard's records.
  *
- * Only the cloud's answer is evidence that a machine and what was on it are gone (PROTOCOL, POST /machines/return).
+ * Only the cloud's answer proves that a machine and the tasks on it are gone (PROTOCOL, POST /machines/return).
  */
 internal class MachineReturner(
     private val shardState: ShardState,
@@ -20,38 +20,38 @@
     private val pending = LinkedHashSet<Machine>()
     private var isReturnInFlight = false
 
-    /** Machines that are returned but may still stand in the shard's records. */
+    /** Machines that have been returned but may still be in the shard's records. */
     private val gone = HashSet<String>()
-    private var removeDue = 0L
+    private var removalDueAt = 0L
 
-    /** Whether the machine is returned, whatever the records still say. */
+    /** Whether the machine has been returned to the cloud, even if the records still contain it. */
     fun isGone(machineName: String) = machineName in gone
 
-    /** The shard's records now name [machineNames] only. */
+    /** Called when the shard's records have been read: they now contain only the machines [machineNames]. */
     fun onRecordedMachines(machineNames: Set<String>) {
         gone.retainAll(machineNames)
     }
 
-    /** Lets [machine] go with the next call to the cloud, unless it is on its way already. */
+    /** Returns [machine] with the next call to the cloud, unless its return is already in progress. */
     fun returnMachine(machine: Machine) {
         if (machine.isReturning || !shardState.isCurrent()) return
         machine.isReturning = true
         pending.add(machine)
     }
 
-    /** Called periodically: sends what is due to the cloud and to the records. */
+    /** Called periodically: sends the returns to the cloud and the removals from the records that are due. */
     fun runOnce(now: Long) {
         sendReturns()
-        if (gone.isEmpty() || now < removeDue) return
-        removeDue = now + REMOVE_EVERY_MS
+        if (gone.isEmpty() || now < removalDueAt) return
+        removalDueAt = now + REMOVAL_INTERVAL_MS
         requests.removeMachines(gone)
     }
 
     /**
-     * One call for all machines that are to go, and one call at a time.
+     * Returns all pending machines together in one call, and makes one call at a time.
      *
-     * A call for each made silent machines wait, with the replicas on them, behind idle ones for this controller's part
-     * of the cloud's limit.
+     * With a separate call for each machine, silent machines and the replicas on them had to wait behind idle machines
+     * for this controller's share of the cloud's rate limit.
      */
     private fun sendReturns() {
         if (isReturnInFlight || pending.isEmpty() || !shardState.isCurrent()) return
@@ -64,7 +64,7 @@
         }
     }
 
-    /** A return that was not confirmed is tried again while the machine is still to go. */
+    /** A return that was not confirmed is retried as long as the machine is still to be returned. */
     private fun onAnswer(batch: List<Machine>, result: ReturnResult) = batch.forEach {
         when (result) {
             ReturnResult.CONFIRMED -> onGone(it)
@@ -72,7 +72,7 @@
         }
     }
 
-    /** The cloud has confirmed that the machine and all that was on it are gone. */
+    /** Called when the cloud has confirmed that the machine and everything on it are gone. */
     private fun onGone(machine: Machine) {
         machine.placements.values.toList().forEach {
             log.info("task {} attempt {}: terminated with machine {}", it.id, it.attempt, machine.name)
@@ -81,15 +81,15 @@
         shardState.jobs.values.forEach { it.failedOn.remove(machine) }
         shardState.machines.remove(machine.name)
         gone.add(machine.name)
-        removeDue = minOf(removeDue, shardState.clock.now() + REMOVE_SOON_MS)
+        removalDueAt = minOf(removalDueAt, shardState.clock.now() + REMOVAL_DELAY_MS)
     }
 
     private companion object {
-        /** The cloud takes no more names in one call (PROTOCOL, POST /machines/return). */
+        /** The most names that the cloud accepts in one call (PROTOCOL, POST /machines/return). */
         const val MAX_MACHINES_PER_RETURN = 100
-        const val REMOVE_EVERY_MS = 2_000L
+        const val REMOVAL_INTERVAL_MS = 2_000L
 
-        /** Machines that go at nearly the same time are removed together. */
-        const val REMOVE_SOON_MS = 500L
+        /** Delay so that machines that are returned at nearly the same time are removed from the records together. */
+        const val REMOVAL_DELAY_MS = 500L
     }
 }
--- a/src/main/kotlin/io/reedmast/machines/SilentMachineDetector.kt
+++ b/src/main/kotlin/io/reedmast/machines/SilentMachineDetector.kt
@@ -15,17 +15,17 @@
     val silentAfterMs = (shardState.settings.workers.reportS * MS_PER_S * MISSED_HEARTBEATS_LIMIT).toLong()
 
     /**
-     * Decommissions what has been silent for too long. [observationGapUntil] is when this controller last was unable to
-     * answer workers or to decide: silence before that says nothing.
+     * Decommissions the machines that have been silent for too long. [observationGapUntil] is the last time at which
+     * this controller was unable to answer workers or to make decisions; silence before that proves nothing.
      */
     fun decommissionSilent(observationGapUntil: Long, now: Long) {
-        // A machine that was up before we acquired the shard must show itself to us too, and may first have to be shown
-        // our token for that.
+        // A machine that was up before this controller acquired the shard must report to this controller too; its
+        // worker may first have to be sent this owner's token for that.
         val expected = shardState.machines.values.filter {
             !it.isContested && (it.everReported || it.placements.isNotEmpty())
         }
-        val silent = expected.filter { now - countedSince(it, observationGapUntil) > silentAfterMs }
-        // If most machines are silent at once, it is rather this controller that hears nothing.
+        val silent = expected.filter { now - silenceCountedFrom(it, observationGapUntil) > silentAfterMs }
+        // If most machines are silent at once, it is more likely that this controller does not receive heartbeats.
         val areMostSilent = silent.size * 2 > expected.size && expected.size > 1
         val extraDelayMs = if (areMostSilent) leaseMs else 0L
         silent
@@ -34,8 +34,8 @@
             .forEach { decommission(it, now) }
     }
 
-    /** From when on the silence of [machine] counts. */
-    private fun countedSince(machine: Machine, observationGapUntil: Long) = maxOf(
+    /** The time from which the silence of [machine] is counted. */
+    private fun silenceCountedFrom(machine: Machine, observationGapUntil: Long) = maxOf(
         machine.lastHeartbeatAt,
         shardState.activeAt + silentAfterMs / 2,
         observationGapUntil + silentAfterMs,
--- a/src/main/kotlin/io/reedmast/machines/UnreachableMachineDetector.kt
+++ b/src/main/kotlin/io/reedmast/machines/UnreachableMachineDetector.kt
@@ -5,11 +5,15 @@
 import io.reedmast.model.ShardState
 import org.slf4j.LoggerFactory
 
-/** Decommissions machines that send heartbeats and that no answer reaches. */
+/** Decommissions machines whose heartbeats arrive but which answers do not reach. */
 internal class UnreachableMachineDetector(private val shardState: ShardState) {
     private val log = LoggerFactory.getLogger("shard")
 
-    /** Several at once would rather be this controller's own answers that get lost: then all are counted anew. */
+    /**
+     * Decommissions the machines that have not acknowledged several answers in a row. If that applies to many machines
+     * at once, it is more likely that this controller's own answers get lost: then counting starts again for all of
+     * them.
+     */
     fun decommissionUnreachable() {
         val unreachable = shardState.machines.values.filter {
             it.unacknowledgedAnswers >= Machine.UNREACHABLE_AFTER_ANSWERS && it.decommissionReason == null &&
@@ -34,8 +38,10 @@
     }
 
     private companion object {
-        /** So many may be unreachable at once in any shard, and one in so many in a large one. */
+        /** How many machines may be unreachable at once in any shard. */
         const val MAX_UNREACHABLE = 3
+
+        /** In a large shard, one in this many machines may be unreachable at once. */
         const val MIN_MACHINES_PER_UNREACHABLE = 4
     }
 }
--- a/src/main/kotlin/io/reedmast/machines/WorkerLossDetector.kt
+++ b/src/main/kotlin/io/reedmast/machines/WorkerLossDetector.kt
@@ -3,44 +3,48 @@
 import io.reedmast.model.ShardState
 
 /**
- * Detects that this controller has lost its workers, which nearly all of them falling silent within one heartbeat's
- * time shows.
+ * Detects that this controller has lost contact with its workers: nearly all of them are silent, and at least half have
+ * become so within the last few heartbeat intervals.
  *
- * It still has its keys and hears the store, so nobody else can tell as soon, and the workers' leases are short.
+ * As this controller still holds its keys and reaches the store, no other controller can detect this as early, and the
+ * workers' leases are short.
  */
 internal class WorkerLossDetector(private val shardState: ShardState) {
-    private var requestDue = 0L
+    private var requestDueAt = 0L
 
     /**
-     * Whether a failover is to be requested now. [observationGapUntil] is when this controller last was unable to
+     * Whether to request a failover now. [observationGapUntil] is the last time at which this controller was unable to
      * answer workers.
      */
     fun isFailoverDue(observationGapUntil: Long, now: Long): Boolean {
-        if (now < requestDue || !isLost(observationGapUntil, now)) return false
-        requestDue = now + REQUEST_EVERY_MS
+        if (now < requestDueAt || !areWorkersLost(observationGapUntil, now)) return false
+        requestDueAt = now + REQUEST_INTERVAL_MS
         return true
     }
 
-    private fun isLost(observationGapUntil: Long, now: Long): Boolean {
+    private fun areWorkersLost(observationGapUntil: Long, now: Long): Boolean {
         val lateMs = shardState.heartbeatLateMs
-        val settledMs = lateMs * SETTLED_HEARTBEATS
-        if (now - maxOf(shardState.activeAt, observationGapUntil) < settledMs) return false
+        val observationMs = lateMs * OBSERVATION_HEARTBEATS
+        if (now - maxOf(shardState.activeAt, observationGapUntil) < observationMs) return false
         val expected = shardState.machines.values.filter {
             it.isStateKnown && it.decommissionReason == null && !it.isContested
         }
         val lateCount = expected.count { now - it.lastHeartbeatAt > lateMs }
-        val newlyLateCount = expected.count { now - it.lastHeartbeatAt in lateMs..settledMs }
-        return expected.size >= MIN_MACHINES_TO_JUDGE &&
-            lateCount >= expected.size * NEARLY_ALL &&
+        val newlyLateCount = expected.count { now - it.lastHeartbeatAt in lateMs..observationMs }
+        return expected.size >= MIN_EXPECTED_MACHINES &&
+            lateCount >= expected.size * MIN_LATE_FRACTION &&
             newlyLateCount * 2 >= expected.size
     }
 
     private companion object {
-        const val MIN_MACHINES_TO_JUDGE = 4
-        const val NEARLY_ALL = 0.8
+        const val MIN_EXPECTED_MACHINES = 4
+        const val MIN_LATE_FRACTION = 0.8
 
-        /** How many late heartbeats' time the shard has been observed before silence is judged. */
-        const val SETTLED_HEARTBEATS = 3
-        const val REQUEST_EVERY_MS = 2_000L
+        /**
+         * How long the shard must have been observed before silence is judged, and how recently a machine must have
+         * sent a heartbeat to count as newly late, in multiples of the time after which a heartbeat is late.
+         */
+        const val OBSERVATION_HEARTBEATS = 3
+        const val REQUEST_INTERVAL_MS = 2_000L
     }
 }
--- a/src/main/kotlin/io/reedmast/peers/PeerCodec.kt
+++ b/src/main/kotlin/io/reedmast/peers/PeerCodec.kt
@@ -13,13 +13,14 @@
 import okio.IOException
 
 /**
- * The frames between controllers. All integers are big-endian.
+ * Encodes the messages between controllers as frames, and decodes them. All integers are big-endian.
  *
- * - A frame is its length in bytes (4 bytes, not counted itself), a byte for the message's type, then the fields in the
- *   order in which they are written below, without names.
- * - A text is its length in bytes (1 byte), then UTF-8; longer texts are cut at [MAX_TEXT_BYTES].
- * - A status update is a sequence of entries up to the end of the frame, each with a byte for its kind; one that is too
- *   large for a frame is sent as several messages.
+ * - A frame consists of its length in bytes (4 bytes, which the length does not include), a byte for the message's type
+ *   and the fields in the order in which they are written below, without names.
+ * - A text consists of its length in bytes (1 byte) and its UTF-8 bytes; longer texts are truncated to
+ *   [MAX_TEXT_BYTES].
+ * - A status update is a sequence of entries up to the end of the frame, each starting with a byte for its kind; an
+ *   update that is too large for one frame is sent as several messages.
  */
 internal object PeerCodec {
     private const val MAX_FRAME_BYTES = 64 * 1024
@@ -27,11 +28,11 @@
     private const val UNSIGNED_BYTE_MASK = 0xff
     private const val MAX_IMAGES = 255
 
-    /** Stands for the number of cancellations where there are too many to name. */
+    /** Written in place of the number of cancellations if there are too many to list. */
     private const val NO_CANCELLATION_LIST = -1
 
-    /** Stands for the age of the store's last answers where there never were any. */
-    private const val NEVER_HEARD = -1L
+    /** Written in place of the age of the store's last answers if there have never been any. */
+    private const val NO_STORE_ANSWER = -1L
 
     private const val STATUS_UPDATE = 1
     private const val STATUS_QUERY = 2
@@ -41,7 +42,7 @@
     private const val JOB_ENTRY = 1
     private const val MACHINE_ENTRY = 2
 
-    /** Writes [message] in as many frames as it takes. */
+    /** Writes [message] in as many frames as it needs. */
     fun write(sink: BufferedSink, message: PeerMessage) {
         when (message) {
             is PeerMessage.ShardStatusUpdate -> writeStatusUpdate(sink, message)
@@ -89,7 +90,7 @@
     private fun writeControllerStatusReport(sink: BufferedSink, report: PeerMessage.ControllerStatusReport) {
         val frame = Buffer().writeByte(STATUS_REPORT)
         frame.writeInt(report.from.value).writeText(report.incarnation).writeLong(report.sequence)
-        frame.writeLong(report.uptimeMs).writeLong(report.storeViewAgeMs ?: NEVER_HEARD)
+        frame.writeLong(report.uptimeMs).writeLong(report.storeViewAgeMs ?: NO_STORE_ANSWER)
         val cancellations = report.cancellations
         frame.writeInt(cancellations?.size ?: NO_CANCELLATION_LIST)
         cancellations?.forEach { frame.writeText(it.jobId).writeLong(it.version) }
@@ -106,10 +107,10 @@
         sink.write(frame, frame.size)
     }
 
-    /** Reads the next frame; throws [IOException] if there is none or it makes no sense. */
+    /** Reads the next frame; throws [IOException] if there is none or it is malformed. */
     fun read(source: BufferedSource): PeerMessage {
         val size = source.readInt()
-        if (size !in 1..MAX_FRAME_BYTES) throw IOException("a frame of $size bytes")
+        if (size !in 1..MAX_FRAME_BYTES) throw IOException("invalid frame length: $size bytes")
         val frame = Buffer()
         source.readFully(frame, size.toLong())
         return when (val type = frame.readUnsignedByte()) {
@@ -121,7 +122,7 @@
             )
             STATUS_REPORT -> readControllerStatusReport(frame)
             FAILOVER_REQUEST -> PeerMessage.FailoverRequest(ShardId(frame.readInt()), frame.readLong())
-            else -> throw IOException("a message of type $type")
+            else -> throw IOException("unknown message type: $type")
         }
     }
 
@@ -132,7 +133,7 @@
             when (val kind = frame.readUnsignedByte()) {
                 JOB_ENTRY -> jobs.add(JobProgress(frame.readText(), frame.readInt(), frame.readInt()))
                 MACHINE_ENTRY -> machines.add(MachineHint(frame.readText(), frame.readText(), readImages(frame)))
-                else -> throw IOException("an entry of kind $kind")
+                else -> throw IOException("unknown kind of status entry: $kind")
             }
         }
         return PeerMessage.ShardStatusUpdate(jobs, machines)
@@ -148,7 +149,7 @@
         val uptimeMs = frame.readLong()
         val storeAgeMs = frame.readLong().takeIf { it >= 0 }
         val count = frame.readInt()
-        if (count > PeerMessage.MAX_CANCELLATIONS) throw IOException("$count cancellations")
+        if (count > PeerMessage.MAX_CANCELLATIONS) throw IOException("too many cancellations: $count")
         val cancellations = if (count < 0) null else List(count) { Cancellation(frame.readText(), frame.readLong()) }
         return PeerMessage.ControllerStatusReport(from, incarnation, sequence, uptimeMs, storeAgeMs, cancellations)
     }
--- a/src/main/kotlin/io/reedmast/peers/PeerServer.kt
+++ b/src/main/kotlin/io/reedmast/peers/PeerServer.kt
@@ -12,39 +12,39 @@
 import java.util.concurrent.RejectedExecutionException
 
 /**
- * Receives the messages of the other controllers, each connection on a thread of [connections]. A connection is closed
- * when [connections] has no thread for it, when nothing comes for a minute, and at the first frame that makes no sense.
+ * Receives the messages of the other controllers, each connection on a thread of [connectionExecutor]. A connection is
+ * closed when the executor has no thread for it, when nothing arrives for a minute, and at the first malformed frame.
  *
- * @param onMessage gets each message, on the connection's thread
+ * @param onMessage called with each message, on the connection's thread
  */
 class PeerServer(
     private val address: InetSocketAddress,
-    private val connections: Executor,
+    private val connectionExecutor: Executor,
     private val onMessage: (PeerMessage) -> Unit,
 ) {
     private val log = LoggerFactory.getLogger("peers")
 
-    /** Opens the port; throws [IOException] if it is not free. The accepting loop is [run]. */
+    /** Opens the port; throws [IOException] if it is in use. [run] accepts the connections. */
     fun open(): ServerSocket = ServerSocket().apply {
         reuseAddress = true
         bind(address)
     }
 
-    /** Accepts connections on [server] for ever; returns never. */
+    /** Accepts connections on [server]; never returns. */
     fun run(server: ServerSocket) {
         while (true) {
             val socket =
                 try {
                     server.accept()
                 } catch (e: IOException) {
-                    log.error("peer connection: cannot be accepted: {}", e.message)
-                    Thread.sleep(ACCEPT_PAUSE_MS)
+                    log.error("peer connection: accept failed: {}", e.message)
+                    Thread.sleep(ACCEPT_RETRY_DELAY_MS)
                     continue
                 }
             try {
-                connections.execute { serve(socket) }
+                connectionExecutor.execute { serve(socket) }
             } catch (e: RejectedExecutionException) {
-                log.debug("peer connection: no thread is free for it", e)
+                log.debug("peer connection: closed, no thread is free for it", e)
                 socket.close()
             }
         }
@@ -64,6 +64,6 @@
 
     private companion object {
         const val MAX_IDLE_MS = 60_000
-        const val ACCEPT_PAUSE_MS = 500L
+        const val ACCEPT_RETRY_DELAY_MS = 500L
     }
 }
--- a/src/main/kotlin/io/reedmast/shard/JobIndexComparison.kt
+++ b/src/main/kotlin/io/reedmast/shard/JobIndexComparison.kt
@@ -4,8 +4,8 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Compares the owner's jobs with the index from time to time. Every unfinished job of the shard must be in the owner's
- * hands: one that is not would wait for ever.
+ * Compares the owner's jobs with the job index periodically. The owner must know every unfinished job of the shard; one
+ * that it does not know would wait for ever.
  */
 internal class JobIndexComparison(
     private val shardState: ShardState,
@@ -16,7 +16,7 @@
     private val shard = shardState.index
     private var dueAt = 0L
 
-    /** Adds the jobs that are missing, each with an error in the log, if a comparison is due at [now]. */
+    /** If a comparison is due at [now], adds the jobs that are missing and logs an error for each. */
     fun runIfDue(now: Long) {
         if (now < dueAt) return
         dueAt = now + INTERVAL_MS
--- a/src/main/kotlin/io/reedmast/shard/ShardJobs.kt
+++ b/src/main/kotlin/io/reedmast/shard/ShardJobs.kt
@@ -10,25 +10,28 @@
 import org.slf4j.LoggerFactory
 
 /**
- * The unfinished jobs of one shard in its owner's hands: adds them as their records are read, stops them when they are
- * cancelled, and forgets them when they are over.
+ * The unfinished jobs of one shard, as known to its owner: adds them when their records are read, stops them when they
+ * are cancelled, and removes them when they are over.
  *
- * A job enters here from its record and leaves in one of two ways: its end has been stored ([forget]), or its record
- * has disappeared ([onJobGone]).
+ * A job is added from its record, and removed in one of two cases: its end has been stored ([forget]), or its record no
+ * longer exists ([onJobGone]).
  */
 internal class ShardJobs(
     private val shardState: ShardState,
     private val dispatcher: CommandDispatcher,
-    /** Drops what is kept for storing the progress of a job. */
+    /** Discards what is kept for storing the progress of a job. */
     private val forgetProgress: (Job) -> Unit,
 ) {
     private val log = LoggerFactory.getLogger("shard")
     private val settings = shardState.settings
 
-    /** Whether a job belongs to a team of the settings; one that does not is never scheduled. */
+    /** Whether the job's team is in the settings; a job whose team is not is never scheduled. */
     fun hasKnownTeam(live: LiveJob): Boolean = live.record.spec.teamName in settings.teamsByName
 
-    /** A job of the shard is new, or its user has cancelled it. While the shard is being read, the index remembers. */
+    /**
+     * Called when a job of the shard is new or its user has cancelled it. While the shard is being restored, the change
+     * is only kept in the job index, from which the restoration takes the jobs.
+     */
     fun onJobChanged(live: LiveJob) {
         if (!shardState.active) return
         val job = shardState.jobs[live.record.spec.jobId] ?: add(live) ?: return
@@ -41,7 +44,7 @@
         shardState.schedulingPassRequested = true
     }
 
-    /** The record of the job is gone. What still runs of it, if anything could, is stopped. */
+    /** Called when the job's record no longer exists. Tasks that are still placed, an unexpected state, are stopped. */
     fun onJobGone(jobId: String) {
         val job = shardState.jobs[jobId] ?: return
         if (job.placedCount == 0) {
@@ -71,21 +74,27 @@
         return job
     }
 
-    /** An earlier version stored progress in chunks that the reduced limits do not allow. */
+    /**
+     * The job's chunk size as recorded, but no more than the reduced limits allow if they apply: an earlier version
+     * stored progress in larger chunks.
+     */
     private fun chunkSizeOf(record: LiveRecord): Int {
         val limits = shardState.limits
         if (!limits.isReduced) return record.chunkSize
         return minOf(record.chunkSize, PageFormat.chunkSizeFor(limits.target.valueBytes))
     }
 
-    /** Drops a job that is over. */
+    /** Removes a job that is over. */
     fun forget(job: Job) {
         shardState.jobs.remove(job.spec.jobId)
         forgetProgress(job)
         shardState.schedulingPassRequested = true
     }
 
-    /** Ends the placements of which no trace can have left this process, and stops the others on their machines. */
+    /**
+     * Ends the placements that are neither stored nor being written, so that they cannot be known outside this process,
+     * and stops the others on their machines.
+     */
     fun stopAll(job: Job) {
         for (placement in job.placements().toList()) {
             if (!placement.committed && job.chunkOf(placement.task).page?.isWriteInFlight != true) {
--- a/src/main/kotlin/io/reedmast/shard/ShardMachines.kt
+++ b/src/main/kotlin/io/reedmast/shard/ShardMachines.kt
@@ -7,7 +7,7 @@
 import io.reedmast.model.Placement
 import io.reedmast.model.ShardState
 
-/** Brings the machines of a shard, as its owner knows them, in line with those that the records name. */
+/** Keeps the machines of a shard, as known to its owner, in line with those that the records contain. */
 internal class ShardMachines(
     private val shardState: ShardState,
     private val lifecycle: MachineLifecycle,
@@ -16,8 +16,8 @@
     private val clock = shardState.clock
 
     /**
-     * The machine that a stored placement names. One that the shard does not have any more is kept until it is
-     * returned.
+     * The machine that a stored placement names. If the shard no longer has it, it is added as decommissioned and kept
+     * until it is returned.
      */
     fun machineOfStoredPlacement(machineName: String): Machine = shardState.machines.getOrPut(machineName) {
         val record = MachineRecord(machineName, typeName = "", zone = "", spot = false)
@@ -26,20 +26,20 @@
         }
     }
 
-    /** Adds and drops machines so that the shard has those that the records now name for it. */
+    /** Adds and removes machines so that the shard has those that its records now contain. */
     fun syncWithRecords() {
         val recorded = records.transferTargetsOf(shardState.index)
         val names = recorded.keys.mapTo(HashSet()) { it.name }
         lifecycle.onRecordedMachines(names)
         for ((record, destination) in recorded) if (!lifecycle.isGone(record.name)) sync(record, destination)
-        // A machine that has left for another shard left it empty.
+        // A machine that has been transferred to another shard was empty then.
         shardState.machines.values.removeIf { it.name !in names && it.placements.isEmpty() && !it.isReturning }
         shardState.schedulingPassRequested = true
     }
 
-    /** Adds the machine of [record] if it is new, and marks it to leave if it has a [destination] shard. */
+    /** Adds the machine of [record] if it is new, and marks it for transfer if it has a [destination] shard. */
     private fun sync(record: MachineRecord, destination: Int?) {
-        val machine = shardState.machines[record.name]?.takeIf { isFullyKnown(it) } ?: add(record)
+        val machine = shardState.machines[record.name]?.takeIf { isFromRecord(it) } ?: add(record)
         machine.updateRecordConflict(records.recordConflictOf(shardState.index, record.name), clock.now())
         if (destination != null && machine.decommissionReason == null) {
             machine.decommissionReason = DecommissionReason.TRANSFER
@@ -50,21 +50,21 @@
         }
     }
 
-    /** Whether the machine came from a record: one that only a stored placement named has no type. */
-    private fun isFullyKnown(machine: Machine): Boolean = machine.record.typeName.isNotEmpty()
+    /** Whether the machine was added from a record; one known only from a stored placement has no type name. */
+    private fun isFromRecord(machine: Machine): Boolean = machine.record.typeName.isNotEmpty()
 
     private fun add(record: MachineRecord): Machine {
         val type = shardState.machineTypeOf(record.typeName)
         val machine =
             Machine(record, type, clock.now(), shardState.token, records.machineDirectory.factsOf(record.name))
-        // An address known from another owner: the machine was up before.
+        // If its address is known from another owner, the machine has been up before.
         machine.everReported = machine.addr != null
         shardState.machines[record.name]?.let { movePlacements(it, machine) }
         shardState.machines[record.name] = machine
         return machine
     }
 
-    /** Replaces the placements of a machine that only its stored placements had named. */
+    /** Recreates on [to] the placements of [from], the same machine as known only from stored placements. */
     private fun movePlacements(from: Machine, to: Machine) {
         for (old in from.placements.values.toList()) {
             val placement = Placement(old.job, old.task, old.attempt, to, old.createdAt)
@@ -74,7 +74,7 @@
         }
     }
 
-    /** The cloud's machine types, or their prices, have changed. */
+    /** Called when the cloud's machine types or their prices have changed. */
     fun onMachineTypesChanged() {
         for (machine in shardState.machines.values) {
             val type = shardState.machineTypeOf(machine.record.typeName) ?: continue
--- a/src/main/kotlin/io/reedmast/shard/ShardOwner.kt
+++ b/src/main/kotlin/io/reedmast/shard/ShardOwner.kt
@@ -29,11 +29,11 @@
 import org.slf4j.LoggerFactory
 
 /**
- * The owner of one shard: joins the duties of the shard (heartbeats and commands, scheduling, persistence, machine
- * lifecycle, autoscaling) and runs them in order.
+ * The owner of one shard: connects the components that serve the shard (heartbeats and commands, scheduling,
+ * persistence, machine lifecycle, autoscaling) and runs them in order.
  *
- * All of it runs on the deciding thread. A message only marks what it has changed; decisions, storing and commands
- * follow in [reconcile], at a bounded rate, so that the work for a heartbeat does not grow with the shard.
+ * All of it runs on the deciding thread. Handling a message only marks what has changed; decisions, writes and commands
+ * follow in [reconcile], at a bounded rate, so that the work per heartbeat does not grow with the shard.
  */
 class ShardOwner(
     override val index: ShardId,
@@ -49,7 +49,7 @@
     private val log = LoggerFactory.getLogger("shard")
     private val shard = index.value
 
-    /** What this owner knows of the shard; shared by its duties. */
+    /** The state of the shard as known to this owner, shared by its components. */
     val shardState =
         ShardState(index, settings, tuning, clock, machineTypes, isCurrent, limits) { records.rollout.gates }
     private val dispatcher =
@@ -67,13 +67,13 @@
             records.machinesVersion(index)
         }, { records.refreshShardRecord(index) })
 
-    /** Decides what runs where. */
+    /** Decides which tasks are placed on which machines. */
     val scheduler = Scheduler(shardState, dispatcher, demandEstimator, scaleInPolicy)
     private val jobs = ShardJobs(shardState, dispatcher) { progressStore.forget(it) }
     private val progressStore: ProgressStore =
         ProgressStore(shardState, gateway, StoredProgressListener(shardState, dispatcher, jobs, records))
     private val lifecycle =
-        MachineLifecycle(shardState, gateway, dispatcher, scaleInPolicy, RequestsForMachines())
+        MachineLifecycle(shardState, gateway, dispatcher, scaleInPolicy, LifecycleRequests())
     private val migration = records.rollout.reconciler(MigrationUnit.Shard(shard), progressStore.migrationAccess)
     private val machines = ShardMachines(shardState, lifecycle, records)
     private val restoration =
@@ -85,14 +85,14 @@
     /** The fencing token under which this owner commands the shard's workers. */
     val token: Long get() = shardState.token
 
-    /** The token that answers to this machine's heartbeats carry. */
+    /** The token in the answers to this machine's heartbeats. */
     fun tokenFor(machineName: String): Long =
         shardState.machines[machineName]?.let { shardState.tokenFor(it) } ?: shardState.token
 
     /** Whether the shard has been restored. */
     val active: Boolean get() = shardState.active
 
-    /** Set when another owner has acquired the shard: answers that still come in are ignored. */
+    /** Set when another owner has acquired the shard; replies that arrive afterwards are ignored. */
     var dropped: Boolean
         get() = shardState.dropped
         set(value) {
@@ -100,18 +100,20 @@
         }
 
     /**
-     * Whether it holds progress in parts that the reduced limits do not allow, read before these were known to hold.
+     * Whether the shard is to be restored again: progress that was read before the reduced limits were known to apply
+     * is in parts that these do not allow.
      */
     val needsReload: Boolean get() = active && !dropped && progressStore.needsReload
 
     /**
-     * Whether nothing of what was decided here is yet to be stored: the shard may then change hands without a trace.
+     * Whether all decisions are stored and no write of a migration is in flight, so that another controller can acquire
+     * the shard without losing anything.
      */
     val isReadyForHandover: Boolean get() = active && progressStore.areDecisionsStored && !migration.isWriteInFlight
 
     /**
-     * Restores the shard from what is stored of it, and begins to act: [pages] were listed, and [live] is at least as
-     * new, after our token was stored.
+     * Restores the shard from its stored records and begins to act as its owner. The [pages] were listed after this
+     * owner's token was stored, and [live] is at least as new.
      */
     fun restore(live: List<LiveJob>, pages: List<StoredItem>, usageSummary: StoredItem?) {
         restoration.restore(live, pages, usageSummary)
@@ -129,13 +131,13 @@
     }
 
     /**
-     * Follows the shard's record as it now stands: our token may have been raised for a machine that moves here. A
-     * record of an earlier [term] is ignored.
+     * Applies the current record of the shard, whose token may have been raised for a machine that moves to this shard.
+     * A record of an earlier [term] is ignored.
      */
     fun sync(record: ShardRecord, term: Long) {
         if (term < shardState.term) return
-        // The token was raised for machines that move here. One that we know of already, from the same change, must
-        // show it: what its old owner has sent may arrive until then.
+        // The token was raised for machines that move to this shard. The worker of one that is already known, from the
+        // same change, must report the new token: until then, what its old owner has sent may still arrive there.
         if (record.token > shardState.token) {
             shardState.machines.values.forEach { if (it.sequence < 0) it.minimumToken = record.token }
         }
@@ -143,17 +145,17 @@
         shardState.term = term
     }
 
-    /** The records may name other machines for the shard. */
+    /** Called when the machines in the shard's records may have changed. */
     fun syncMachines() = machines.syncWithRecords()
 
-    /** The cloud's machine types, or their prices, have changed. */
+    /** Called when the cloud's machine types or their prices have changed. */
     fun onMachineTypesChanged() = machines.onMachineTypesChanged()
 
     override fun onJobChanged(live: LiveJob) = jobs.onJobChanged(live)
 
     override fun onJobGone(jobId: String) = jobs.onJobGone(jobId)
 
-    /** Takes in a worker's status and returns the commands that its answer carries. */
+    /** Processes a worker's status and returns the commands for the answer to it. */
     fun onHeartbeat(status: WorkerStatus): List<WorkerCommand> = heartbeats.onHeartbeat(status)
 
     /**
@@ -169,7 +171,7 @@
         dispatcher.send()
     }
 
-    /** Does what is due by time; called about four times a second. */
+    /** Runs the periodic work that is due; called about four times a second. */
     fun runOnce() {
         if (!active || dropped) return
         val now = clock.now()
@@ -195,20 +197,23 @@
         migration.runOnce(records.rollout.gates, shardState.termPrecondition, records.rollout.view)
     }
 
-    /** Waiting may itself let work start: after a failure's pause, or once it has waited long enough to preempt. */
+    /**
+     * Requests a scheduling pass if any task is pending. Time alone may let it start: after the pause that follows a
+     * failure, or once it has waited long enough to preempt others.
+     */
     private fun requestPassForPendingTasks() {
         if (shardState.jobs.values.any { it.pendingCount > 0 }) shardState.schedulingPassRequested = true
     }
 
     /**
-     * Also while this controller has not heard the store for a moment: the demand that it computes goes out as soon as
-     * the store answers again.
+     * Runs even if the store has not answered for a moment: the demand computed now is written as soon as the store
+     * answers again.
      */
     private fun writeUsageSummary(now: Long) {
         if (records.rollout.isAdmitted) usageSummaryWriter.runOnce(now)
     }
 
-    private inner class RequestsForMachines : MachineLifecycleRequests {
+    private inner class LifecycleRequests : MachineLifecycleRequests {
         override fun removeMachines(machineNames: Set<String>) = records.removeMachines(index, machineNames)
 
         override fun transferMachines(machineNames: Collection<String>) = records.transferMachines(index, machineNames)
--- a/src/main/kotlin/io/reedmast/shard/ShardRecords.kt
+++ b/src/main/kotlin/io/reedmast/shard/ShardRecords.kt
@@ -7,44 +7,46 @@
 import io.reedmast.settings.ShardId
 
 /**
- * The records of shards and their machines, which their owner asks to change and others may change too.
+ * The records of shards and their machines. A shard's owner requests changes to them; others may change them too.
  *
- * A request returns at once; what comes of it shows in the records, and the owner is told then.
+ * A request returns at once. Its outcome appears in the records, and the owner is notified then.
  */
 interface ShardRecords {
     /** All unfinished jobs. */
     val jobs: JobIndex
 
-    /** What is known of the machines of all shards. */
+    /** What is known about the machines of all shards. */
     val machineDirectory: MachineDirectory
 
-    /** What is rolled out, and this controller's part in it. */
+    /** The rollout of features and this controller's part in it. */
     val rollout: ShardRollout
 
-    /** The machines that the records name for the shard, and the shards that they are to move to (null: they stay). */
+    /**
+     * The shard's machines by the records, each with the index of the shard that it is to move to; null if it stays.
+     */
     fun transferTargetsOf(shard: ShardId): Map<MachineRecord, Int?>
 
-    /** Whether the records of other shards name the shard's machine too, and who answers its worker then. */
+    /** Whether the records of other shards contain the machine too, and whose owner then answers its worker. */
     fun recordConflictOf(shard: ShardId, machineName: String): RecordConflict
 
-    /** Takes machines that other shards' records name too out of the shard's records. */
+    /** Removes machines that other shards' records contain too from the shard's records. */
     fun releaseContested(shard: ShardId, machineNames: Collection<String>)
 
-    /** The version of the newest change to these records. */
+    /** The version of the newest change to the records of the shard's machines. */
     fun machinesVersion(shard: ShardId): Long
 
-    /** Asks for a fresh token: a worker has seen a higher one than ours. */
+    /** Requests a new token, since a worker has seen a higher one than the owner's. */
     fun renewToken(shard: ShardId)
 
-    /** The term may have moved on: read the record again. */
+    /** Reads the shard's record again, since its term may have changed. */
     fun refreshShardRecord(shard: ShardId)
 
-    /** Asks the other controllers to acquire the shard, since its workers do not reach this one. */
+    /** Asks the other controllers to acquire the shard, since its workers do not reach this controller. */
     fun requestFailover(shard: ShardId)
 
     /** Removes machines that have been returned to the cloud. */
     fun removeMachines(shard: ShardId, machineNames: Set<String>)
 
-    /** Gives empty machines to the shards that they are marked to leave for. */
+    /** Moves empty machines to the shards that they are marked for. */
     fun transferMachines(shard: ShardId, machineNames: Collection<String>)
 }
--- a/src/main/kotlin/io/reedmast/shard/ShardRestoration.kt
+++ b/src/main/kotlin/io/reedmast/shard/ShardRestoration.kt
@@ -22,9 +22,9 @@
 ) {
     private val clock = shardState.clock
 
-    /** Reads [pages], which were listed, and [live], which is at least as new, after our token was stored. */
+    /** The [pages] were listed after this owner's token was stored, and [live] is at least as new. */
     fun restore(live: List<LiveJob>, pages: List<StoredItem>, usageSummary: StoredItem?) {
-        if (pages.any { isSized(it) }) shardState.limits.reduce()
+        if (pages.any { hasChunkSizes(it) }) shardState.limits.reduce()
         machines.syncWithRecords()
         usageSummary?.let { usageSummaryWriter.load(it) }
         live.forEach { jobs.add(it) }
@@ -33,13 +33,13 @@
     }
 
     /**
-     * Whether the page is of the form that reduced limits require: only a controller that knows that every controller
+     * Whether the page has the form that the reduced limits require. Only a controller that knows that every controller
      * reads such pages stores them.
      */
-    private fun isSized(page: StoredItem): Boolean = try {
+    private fun hasChunkSizes(page: StoredItem): Boolean = try {
         PageFormat.hasChunkSizes(page.value)
     } catch (ignored: MalformedException) {
-        // Reported where the page's content is read.
+        // Reported when the page's content is read.
         false
     }
 
@@ -53,7 +53,9 @@
         }
     }
 
-    /** Continues what the previous owner had begun: gangs that were starting, waits, cancellations, ends to store. */
+    /**
+     * Continues what the previous owner began: starting gangs, waits, cancellations and ends of jobs not yet stored.
+     */
     private fun resumeJobs() {
         val restored = shardState.jobs.values
         restored.forEach { gangs.onRestored(it) }
@@ -63,8 +65,8 @@
     }
 
     /**
-     * A job that has got nothing so far has waited since its acceptance, whoever owned the shard: else each failover
-     * prolongs its wait.
+     * A job of which no task is placed or done has been waiting since its acceptance, whichever controller owned the
+     * shard. Otherwise each failover would prolong its wait.
      */
     private fun countWaitFromAcceptance(job: Job) {
         if (job.placedCount > 0 || job.doneCount > 0) return
--- a/src/main/kotlin/io/reedmast/shard/ShardRollout.kt
+++ b/src/main/kotlin/io/reedmast/shard/ShardRollout.kt
@@ -8,18 +8,21 @@
 
 /** The rollout of features as a shard's owner sees it. */
 interface ShardRollout {
-    /** The gates as they now stand; a decision asks once and keeps to the answer. */
+    /** The current gates; a decision reads them once and uses that snapshot throughout. */
     val gates: GateSnapshot
 
-    /** What has been read of the rollout. */
+    /** The rollout state that has been read. */
     val view: RolloutView
 
-    /** Whether this process takes part in the cluster: nothing is written or answered for it otherwise. */
+    /**
+     * Whether this process may take part in the cluster. Otherwise it writes nothing, except to ask to be included
+     * again, and serves no requests, except that heartbeats are acknowledged while the rollout record cannot be read.
+     */
     val isAdmitted: Boolean
 
-    /** The migration of one part of the records, for whoever may write them. */
+    /** The migration of one part of the records, to be run by the controller that may write them. */
     fun reconciler(unit: MigrationUnit, access: RecordAccess): MigrationReconciler
 
-    /** Reads the gates again: a write found that one has moved. */
+    /** Reads the gates again, since a write has found that one has changed. */
     fun refreshGates()
 }
--- a/src/main/kotlin/io/reedmast/shard/ShardStatusPublisher.kt
+++ b/src/main/kotlin/io/reedmast/shard/ShardStatusPublisher.kt
@@ -6,8 +6,8 @@
 import io.reedmast.ports.PeerTransport
 
 /**
- * Sends the other controllers how far jobs are, for their users' display, and what helps the one that takes the shard
- * over.
+ * Sends the other controllers the progress of the shard's jobs, for display to their users, and hints about its
+ * machines for the controller that takes the shard over.
  */
 internal class ShardStatusPublisher(
     private val shardState: ShardState,
@@ -21,8 +21,8 @@
     fun publishIfDue(now: Long) {
         if (now < dueAt) return
         dueAt = now + PUBLISH_INTERVAL_MS
-        // A controller that has just come back knows nothing: now and then everything is sent again.
-        val isFull = ++publications % FULL_UPDATE_TURN == 0
+        // A controller that has just restarted has none of it, so everything is sent again from time to time.
+        val isFull = ++publications % UPDATES_PER_FULL_UPDATE == 0
         val progress = progressToPublish(isFull)
         val hints = records.machineDirectory.hints(shardState.machines.keys, isFull)
         if (progress.isEmpty() && hints.isEmpty()) return
@@ -45,7 +45,7 @@
     private companion object {
         const val PUBLISH_INTERVAL_MS = 1_000L
 
-        /** Every so many updates one is full. */
-        const val FULL_UPDATE_TURN = 10
+        /** One in this many updates contains everything. */
+        const val UPDATES_PER_FULL_UPDATE = 10
     }
 }
--- a/src/main/kotlin/io/reedmast/shard/StoredProgressListener.kt
+++ b/src/main/kotlin/io/reedmast/shard/StoredProgressListener.kt
@@ -11,7 +11,7 @@
 import io.reedmast.persistence.ProgressListener
 import org.slf4j.LoggerFactory
 
-/** Acts on what is stored of a shard's progress: launches placements, and completes jobs that are over. */
+/** Acts when a shard's progress has been stored: launches placements, and completes jobs that are over. */
 internal class StoredProgressListener(
     private val shardState: ShardState,
     private val dispatcher: CommandDispatcher,
@@ -29,7 +29,7 @@
         if (placement.stopReason == null) {
             launch(placement)
         } else if (placement.launchEpoch == 0L) {
-            // It was never launched, so nothing has to be stopped.
+            // The placement was never launched, so nothing has to be stopped.
             shardState.finish(placement, done = false)
         }
     }
--- a/src/main/kotlin/io/reedmast/shard/UsageCharging.kt
+++ b/src/main/kotlin/io/reedmast/shard/UsageCharging.kt
@@ -2,7 +2,7 @@
 
 import io.reedmast.model.ShardState
 
-/** Charges the teams of a shard, about once a second, for the work that ran since the last time. */
+/** Charges the teams of a shard, about once a second, for the work that has run since the last charge. */
 internal class UsageCharging(private val shardState: ShardState) {
     private var chargedAt = 0L
 
@@ -11,7 +11,7 @@
         val seconds = (now - chargedAt) / MS_PER_S
         if (seconds < INTERVAL_S) return
         chargedAt = now
-        // The first time, or after a long pause: nobody observed what ran meanwhile.
+        // On the first call, or after a long pause, it is not known what ran in the meantime.
         if (seconds > MAX_CHARGED_S) return
         shardState.fairShare.charge(shardState.machines.values, seconds)
     }
--- a/src/test/kotlin/io/reedmast/machines/ContestedMachineHandlerTest.kt
+++ b/src/test/kotlin/io/reedmast/machines/ContestedMachineHandlerTest.kt
@@ -10,7 +10,9 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** Machines that the records of several shards name: who leaves when, and when one counts as lost. */
+/**
+ * When an owner releases a machine that the records of several shards contain, and when such a machine counts as lost.
+ */
 class ContestedMachineHandlerTest {
     private val clock = SettableClock(100_000L)
     private val state = shardState(clock)
@@ -32,7 +34,7 @@
     }
 
     @Test
-    fun `silence counts from when this owner was left with the machine`() {
+    fun `silence counts from when only this shard's records contain the machine`() {
         val machine = contested(RecordConflict.ANSWERED_ELSEWHERE)
         clock.nowMs += 60_000
 
@@ -43,7 +45,7 @@
     }
 
     @Test
-    fun `an owner without work there leaves at once, and the one that answers the worker only later`() {
+    fun `an owner without work there releases the machine at once, or later if it answers the worker`() {
         val answered = contested(RecordConflict.ANSWERED_HERE)
         val answeredElsewhere = contested(RecordConflict.ANSWERED_ELSEWHERE)
 
@@ -54,16 +56,16 @@
     }
 
     @Test
-    fun `an owner with work there does not leave`() {
+    fun `an owner with work there does not release the machine`() {
         val machine = contested(RecordConflict.ANSWERED_ELSEWHERE)
         PlacementFixtures.place(PlacementFixtures.job(), machine, taskCount = 1)
 
         assertFalse(handler.isReleasable(machine, clock.now() + 60_000))
     }
 
-    /** The lease of the settings is 16 s. */
+    /** The settings have a lease of 16 s, and the handler adds 9 s. */
     @Test
-    fun `a machine is lost once its worker's lease is over, as the owner that answers it can tell`() {
+    fun `a machine is lost once its worker's lease has expired, as only the owner that answers it can tell`() {
         val answered = contested(RecordConflict.ANSWERED_HERE)
         val answeredElsewhere = contested(RecordConflict.ANSWERED_ELSEWHERE)
 
--- a/src/test/kotlin/io/reedmast/peers/PeerClientTest.kt
+++ b/src/test/kotlin/io/reedmast/peers/PeerClientTest.kt
@@ -11,19 +11,19 @@
 import java.net.InetSocketAddress
 import java.net.ServerSocket
 
-/** Messages to a controller whose old connection leads nowhere. */
+/** Messages to a controller that no longer reads from an older connection. */
 class PeerClientTest {
     /**
-     * Preconditions against confirmations that are written to the connection of a process that has lost its power: on a
-     * day of 1.5 times the machines a controller was down for 90 s, and in the outage after it all leases ended, since
+     * Guards against status queries that are written to a connection of a process that has lost power: on a day with
+     * 1.5 times the machines, a controller was down for 90 s, and in the outage that followed all leases expired, since
      * no query reached it.
      */
     @Test
-    fun `a query does not depend on the connection that news were sent on`() {
+    fun `a query is not sent on the connection of the status updates`() {
         ServerSocket(0, 10, InetAddress.getLoopbackAddress()).use { server ->
             val client = PeerClient(InetSocketAddress(server.inetAddress, server.localPort))
             assertTrue(client.send(PeerMessage.ShardStatusUpdate(emptyList(), emptyList())))
-            // Nobody reads from it any more.
+            // The connection of the status updates, from which nothing is read any more.
             server.accept().use {
                 val query = PeerMessage.ControllerStatusQuery(ControllerId(1), "n1-1", 1)
                 assertTrue(client.send(query))
--- a/src/test/kotlin/io/reedmast/peers/PeerCodecTest.kt
+++ b/src/test/kotlin/io/reedmast/peers/PeerCodecTest.kt
@@ -10,16 +10,16 @@
 import org.junit.jupiter.api.Assertions.assertThrows
 import org.junit.jupiter.api.Test
 
-/** Messages between controllers come through their frames as they were, and nonsense does not come through at all. */
+/** Messages between controllers are unchanged after encoding and decoding, and malformed frames are rejected. */
 class PeerCodecTest {
-    private fun through(message: PeerMessage): PeerMessage {
+    private fun recoded(message: PeerMessage): PeerMessage {
         val buffer = Buffer()
         PeerCodec.write(buffer, message)
         return PeerCodec.read(buffer).also { assertEquals(0L, buffer.size) }
     }
 
     @Test
-    fun `messages of every type come through`() {
+    fun `messages of every type are unchanged after encoding and decoding`() {
         val query = PeerMessage.ControllerStatusQuery(ControllerId(2), "n2-abc-1", 7)
         val full = (0 until PeerMessage.MAX_CANCELLATIONS).map {
             Cancellation("wk-%018d".format(it), Long.MAX_VALUE - it)
@@ -31,12 +31,12 @@
         for (message in reports + reports[1].copy(
             storeViewAgeMs = null,
         ) + others) {
-            assertEquals(message, through(message))
+            assertEquals(message, recoded(message))
         }
     }
 
     @Test
-    fun `frames that make no sense are refused`() {
+    fun `malformed frames are rejected`() {
         val frames = listOf(
             Buffer().writeInt(0),
             Buffer().writeInt(70_000),
