--- a/src/main/kotlin/io/reedmast/autoscaling/AbandonedMachines.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/AbandonedMachines.kt
@@ -47,11 +47,11 @@
 
     private fun isAbandoned(machine: ListedMachine, now: Long): Boolean {
         val since = unassignedSince.getOrPut(machine.name) { now }
-        return machine.stage == FAILED_STAGE || now - since > maxSilenceMs(machine)
+        return machine.stage == FAILED_STAGE || now - since > maxUnassignedMs(machine)
     }
 
     /** How long a machine may take to come up and show in the list before it counts as abandoned. */
-    private fun maxSilenceMs(machine: ListedMachine): Double {
+    private fun maxUnassignedMs(machine: ListedMachine): Double {
         val bootS = machineTypes()[machine.typeName]?.bootS ?: BOOT_OF_UNKNOWN_TYPE_S
         return (bootS * BOOT_SLACK + settings.cloudLimits.listLagS * LIST_LAG_SLACK) * MS_PER_S
     }
--- a/src/main/kotlin/io/reedmast/autoscaling/ArrayThroughput.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/ArrayThroughput.kt
@@ -40,7 +40,7 @@
     private fun addRunningTasks(job: Job) {
         val runningCpus = job.placedCount * job.spec.cpus
         cpus += runningCpus
-        queuedCpuSeconds += runningCpus * job.spec.estimateS * MEAN_REMAINING_PART
+        queuedCpuSeconds += runningCpus * job.spec.estimateS * MEAN_REMAINING_FRACTION
     }
 
     /**
@@ -64,6 +64,6 @@
         const val ESTIMATE_SLACK = 1.5
 
         /** How much of its run time a running task still has to go, on average. */
-        const val MEAN_REMAINING_PART = 0.5
+        const val MEAN_REMAINING_FRACTION = 0.5
     }
 }
--- a/src/main/kotlin/io/reedmast/autoscaling/ArrivalRates.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/ArrivalRates.kt
@@ -14,9 +14,9 @@
         val arrivals = shardState.jobArrivals.services.dropBefore(now - SERVICES_WINDOW_MS)
         // With the last service gone, nothing says that more will come.
         if (arrivals.isEmpty() || shardState.jobs.values.none { it.spec.isService || it.spec.isGang }) return 0.0
-        val windowPart = seconds * MS_PER_S / SERVICES_WINDOW_MS
-        val mean = arrivals.sumOf { it.demand } * windowPart
-        return mean + SERVICES_DEVIATIONS * sqrt(sumOfSquares(arrivals) * windowPart)
+        val windowFraction = seconds * MS_PER_S / SERVICES_WINDOW_MS
+        val mean = arrivals.sumOf { it.demand } * windowFraction
+        return mean + SERVICES_DEVIATIONS * sqrt(sumOfSquares(arrivals) * windowFraction)
     }
 
     /**
--- a/src/main/kotlin/io/reedmast/autoscaling/Autoscaler.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/Autoscaler.kt
@@ -80,7 +80,7 @@
     private fun readSummaries(now: Long) {
         if (readingSummaries || now < summariesDueAt || machineTypes().isEmpty()) return
         readingSummaries = true
-        summariesDueAt = now + READ_SUMMARIES_MS
+        summariesDueAt = now + SUMMARY_READ_INTERVAL_MS
         gateway.list(Keys.USAGE_SUMMARIES) { result ->
             readingSummaries = false
             if (result is ListResult.Listing && fleet.leading && fleet.isCurrent()) {
@@ -103,36 +103,37 @@
     private fun scale(summaries: List<ShardUsageSummary>) {
         val now = clock.now()
         rebalancer.runOnce(now)
-        val demanding = summaries.filter { it.demand.isNotEmpty() && isSettled(it) }.sortedBy { it.ratio }
+        val withDemand = summaries.filter { it.demand.isNotEmpty() && showsIncomingMachines(it) }.sortedBy { it.ratio }
         if (now >= resizeDueAt) {
             resizeDueAt = now + (tuning.resizeS * MS_PER_S).toLong()
-            rebalancer.resize(demanding, summaries)
+            rebalancer.resize(withDemand, summaries)
         }
         val unavailableZones = summaries.flatMapTo(HashSet()) { it.unavailableZones }
         rebalancer.drainForStarving(summaries, now)
-        val undersupplied = demanding.filter {
+        val undersupplied = withDemand.filter {
             !rebalancer.isMovingTo(it.shard) && !provisioner.awaitsTransfer(it.shard)
         }
         provisioner.provision(undersupplied, unavailableZones, now)
     }
 
     /** Until the summary of the other shard shows a machine as idle, and the next resizing moves it. */
-    private fun transferWaitMs(): Long = ((tuning.totalsS + tuning.resizeS) * MS_PER_S).toLong() + READ_SUMMARIES_MS
+    private fun transferWaitMs(): Long =
+        ((tuning.totalsS + tuning.resizeS) * MS_PER_S).toLong() + SUMMARY_READ_INTERVAL_MS
 
     /**
      * Whether the summary shows all machines that are on their way to the shard: else more would come than it needs.
      */
-    private fun isSettled(summary: ShardUsageSummary): Boolean {
+    private fun showsIncomingMachines(summary: ShardUsageSummary): Boolean {
         val shard = summary.shard
         return intake.isCurrent(summary) && !provisioner.isProvisioningFor(shard) && !rebalancer.isMovingTo(shard) &&
-            !intake.awaits(shard)
+            !intake.hasMachinesFor(shard)
     }
 
     /** A worker that belongs to no shard has sent a heartbeat. */
     fun onUnassignedWorker(status: WorkerStatus) = unassignedWorkers.onHeartbeat(status)
 
     private companion object {
-        const val READ_SUMMARIES_MS = 1_000L
+        const val SUMMARY_READ_INTERVAL_MS = 1_000L
         const val MIN_LIST_INTERVAL_MS = 5_000L
     }
 }
--- a/src/main/kotlin/io/reedmast/autoscaling/DemandCalculation.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/DemandCalculation.kt
@@ -45,7 +45,7 @@
     /** How many tasks of the job its team's quota limits let start; 0 if that is less than it needs to start. */
     private fun startableTasks(job: Job): Int {
         val tasks = minOf(job.pendingCount, shardState.quota.remainingTasks(job))
-        if (tasks < tasksStartedTogether(job.spec)) return 0
+        if (tasks < minTasksToStart(job.spec)) return 0
         return cpuQuota.allocate(job, tasks)
     }
 
--- a/src/main/kotlin/io/reedmast/autoscaling/DemandEstimator.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/DemandEstimator.kt
@@ -15,7 +15,7 @@
      */
     fun bootingCapacity(): List<FreeCapacity> {
         val justAcquired = shardState.clock.now() - shardState.activeAt <
-            shardState.settings.workers.reportS * MS_PER_S * HEARTBEATS_TO_SHOW_UP
+            shardState.settings.workers.reportS * MS_PER_S * FIRST_HEARTBEAT_INTERVALS
         return shardState.machines.values
             .filter { isExpected(it, justAcquired) }
             .map { FreeCapacity(it.record, it.freeCpus, it.freeGpus, it.freeMemoryGb) }
@@ -33,27 +33,27 @@
     }
 
     /** The jobs of which nothing has run for long, those that have waited longest first; [now] is in milliseconds. */
-    fun starving(now: Long): List<Starving> {
+    fun starvingJobs(now: Long): List<StarvingJob> {
         val zones = DemandZones(shardState)
         return shardState.jobs.values
             .filter { shardState.urgency.isNearlyStarving(it) && !it.isFinalRecordInFlight && mayStart(it) }
             .sortedBy { shardState.urgency.starvingSince(it) }
-            .take(MAX_STARVING)
+            .take(MAX_STARVING_JOBS)
             .map {
-                Starving(
-                    Demand.of(it.spec, pastDeadline = true, tasksStartedTogether(it.spec), zones.onlyZoneFor(it)),
+                StarvingJob(
+                    Demand.of(it.spec, pastDeadline = true, minTasksToStart(it.spec), zones.onlyZoneFor(it)),
                     waitedS = (now - shardState.urgency.starvingSince(it)) / MS_PER_S,
                 )
             }
     }
 
-    private fun mayStart(job: Job): Boolean = shardState.quota.remainingTasks(job) >= tasksStartedTogether(job.spec)
+    private fun mayStart(job: Job): Boolean = shardState.quota.remainingTasks(job) >= minTasksToStart(job.spec)
 
     /** The demand of all jobs that wait, added up by kind; the kinds of the most urgent jobs come first. */
     fun demand(): List<Demand> = DemandCalculation(shardState, arrivals, bootingCapacity()).demand()
 
     private companion object {
-        const val HEARTBEATS_TO_SHOW_UP = 2
-        const val MAX_STARVING = 3
+        const val FIRST_HEARTBEAT_INTERVALS = 2
+        const val MAX_STARVING_JOBS = 3
     }
 }
--- a/src/main/kotlin/io/reedmast/autoscaling/DemandZones.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/DemandZones.kt
@@ -6,15 +6,15 @@
 
 /** In which zones new machines for a job would be of use. One instance serves one calculation. */
 internal class DemandZones(private val shardState: ShardState) {
-    private val all: Set<String> = shardState.machineTypes.flatMapTo(LinkedHashSet()) { it.zones }
+    private val allZones: Set<String> = shardState.machineTypes.flatMapTo(LinkedHashSet()) { it.zones }
 
     /** The zone in which new capacity for the job must be, if its other tasks or its user leave only one; else null. */
-    fun onlyZoneFor(job: Job): String? = zonesAllowedByRules(job, all)?.singleOrNull() ?: zoneForGang(job)
+    fun onlyZoneFor(job: Job): String? = zonesAllowedByRules(job, allZones)?.singleOrNull() ?: zoneForGang(job)
 
     /** The zones in which new capacity for the job is of use, which may be none; null if nothing limits them. */
     fun allowedZonesFor(job: Job): Set<String>? {
-        val leftOpen = zonesAllowedByRules(job, all)
-        if (leftOpen != null || !job.spec.isGang) return leftOpen
+        val allowedByRules = zonesAllowedByRules(job, allZones)
+        if (allowedByRules != null || !job.spec.isGang) return allowedByRules
         return zoneForGang(job)?.let { setOf(it) }
     }
 
@@ -23,12 +23,12 @@
      * machines; null if any zone will do.
      */
     fun zoneToRequest(job: Job, allowedZones: Set<String>?): String? {
-        if (allowedZones == null || allowedZones.size == all.size) return job.spec.zone
+        if (allowedZones == null || allowedZones.size == allZones.size) return job.spec.zone
         return allowedZones.minBy { machineCountIn(it) }
     }
 
     /** All zones, those with the most free CPUs on usable machines of the shard first. */
-    fun byFreeCpus(): List<String> = all.sortedByDescending { freeCpusIn(it) }
+    fun byFreeCpus(): List<String> = allZones.sortedByDescending { freeCpusIn(it) }
 
     /**
      * The zone in which to find capacity for a gang that must run in one: the one in which the shard has the most free
--- a/src/main/kotlin/io/reedmast/autoscaling/DrainCandidates.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/DrainCandidates.kt
@@ -20,7 +20,7 @@
             .filter { workFitsOnOthers(it, freeCpus) }
             .sortedBy { machine -> machine.placements.values.sumOf { drainCost(it, now) } }
             .groupBy { InstanceOffering(it.record.typeName, it.record.zone, it.record.spot) }.values
-            .flatMap { it.take(MAX_OF_A_KIND) }
+            .flatMap { it.take(MAX_PER_OFFERING) }
             .take(MAX_CANDIDATES)
             .map { it.name }
     }
@@ -53,7 +53,7 @@
     private companion object {
         const val JUST_PLACED_MS = 15_000L
         const val MAX_CANDIDATES = 24
-        const val MAX_OF_A_KIND = 3
+        const val MAX_PER_OFFERING = 3
 
         /** What stopping a replica and starting it elsewhere is worth, in seconds of its run. */
         const val SERVICE_RESTART_S = 5.0
--- a/src/main/kotlin/io/reedmast/autoscaling/IncomingMachine.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/IncomingMachine.kt
@@ -30,7 +30,7 @@
     val name: String get() = record.name
 
     /** Moves on to the stage that follows after [event], at the time [now]. */
-    fun on(event: IntakeEvent, now: Long) {
+    fun onEvent(event: IntakeEvent, now: Long) {
         stage = stage.after(event)
         outcomeAt = now
     }
--- a/src/main/kotlin/io/reedmast/autoscaling/MachineIntake.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/MachineIntake.kt
@@ -37,7 +37,7 @@
     val unassignedNames: Set<String> get() = incoming.keys
 
     /** Whether machines wait to be assigned to the shard. */
-    fun awaits(shard: ShardId): Boolean = incoming.values.any { it.shard == shard }
+    fun hasMachinesFor(shard: ShardId): Boolean = incoming.values.any { it.shard == shard }
 
     /** Whether the summary was written in knowledge of all machines that were assigned to its shard from here. */
     fun isCurrent(summary: ShardUsageSummary): Boolean =
@@ -108,21 +108,21 @@
         if (machine.stage == IntakeStage.UNCERTAIN && !fleet.hasObserved(machine.outcomeAt)) return
         when {
             fleet.shardOfMachine(machine.name) != null -> {
-                machine.on(IntakeEvent.RECORDED, clock.now())
+                machine.onEvent(IntakeEvent.RECORDED, clock.now())
                 incoming.remove(machine.name)
             }
 
             isLeaving(machine.name) -> incoming.remove(machine.name)
 
-            machine.stage == IntakeStage.UNCERTAIN -> machine.on(IntakeEvent.OBSERVED, clock.now())
+            machine.stage == IntakeStage.UNCERTAIN -> machine.onEvent(IntakeEvent.OBSERVED, clock.now())
         }
     }
 
     private fun store(shard: ShardId, machines: List<IncomingMachine>) {
-        machines.forEach { it.on(IntakeEvent.WRITE_SENT, clock.now()) }
+        machines.forEach { it.onEvent(IntakeEvent.WRITE_SENT, clock.now()) }
         fleet.addMachines(shard, machines.map { it.record }, machines.maxOf { it.seenToken }) { result ->
             assigning.remove(shard)
-            machines.forEach { it.on(eventOf(it, result), clock.now()) }
+            machines.forEach { it.onEvent(eventOf(it, result), clock.now()) }
             incoming.values.removeIf { it.stage == IntakeStage.STORED }
             if (result is AddMachinesResult.Stored) onStored(shard, result.names)
         }
--- a/src/main/kotlin/io/reedmast/autoscaling/MachineProvisioner.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/MachineProvisioner.kt
@@ -62,14 +62,14 @@
             planned.offering.spot,
             planned.machineCount,
         )
-        send(planned, request, PROVISIONING_TRIES)
+        send(planned, request, MAX_ATTEMPTS)
     }
 
-    private fun send(planned: PlannedOffering, request: ProvisioningRequest, tries: Int) {
+    private fun send(planned: PlannedOffering, request: ProvisioningRequest, attemptsLeft: Int) {
         cloud.provision(request) { result ->
-            if (result is ProvisioningResult.Failed && tries > 1 && fleet.leading) {
+            if (result is ProvisioningResult.Failed && attemptsLeft > 1 && fleet.leading) {
                 // The same name again: if the first copy was carried out after all, nothing more is rented.
-                send(planned, request, tries - 1)
+                send(planned, request, attemptsLeft - 1)
             } else {
                 onAnswered(planned, request, result)
             }
@@ -132,7 +132,7 @@
         const val UNAVAILABLE_MS = 20_000L
 
         /** How often a request is sent whose outcome is not known. */
-        const val PROVISIONING_TRIES = 3
+        const val MAX_ATTEMPTS = 3
 
         /** How many requests are made at once; each is for one offering. */
         const val MAX_REQUESTS = 8
--- a/src/main/kotlin/io/reedmast/autoscaling/OfferingSelector.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/OfferingSelector.kt
@@ -46,7 +46,7 @@
 
     /** What an hour of a spot machine counts for; null if there is none, or the demand does not allow it. */
     private fun spotPrice(machineType: MachineType, demand: Demand): Double? =
-        if (demand.spot) machineType.spotPrice?.times(SPOT_RISK) else null
+        if (demand.spot) machineType.spotPrice?.times(SPOT_RISK_FACTOR) else null
 
     /** What an hour of an on-demand machine costs; null if that is too expensive for the demand. */
     private fun onDemandPrice(machineType: MachineType, demand: Demand): Double? {
@@ -58,6 +58,6 @@
 
     private companion object {
         /** A spot machine is worth a little less than its price says: its work may be lost. */
-        const val SPOT_RISK = 1.2
+        const val SPOT_RISK_FACTOR = 1.2
     }
 }
--- a/src/main/kotlin/io/reedmast/autoscaling/Pricing.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/Pricing.kt
@@ -19,11 +19,11 @@
         return if (hourlyPrice == null || tasksPerMachine < 1) Double.MAX_VALUE else hourlyPrice / tasksPerMachine
     }
     val cheapestSpot = machineTypes.minOfOrNull { pricePerTask(it, it.spotPrice) } ?: return false
-    return pricePerTask(machineType, machineType.hourlyPrice) > cheapestSpot * MAX_PREMIUM
+    return pricePerTask(machineType, machineType.hourlyPrice) > cheapestSpot * MAX_RATIO_TO_SPOT_PRICE
 }
 
 /**
  * Work that may use spot machines gets an on-demand one only up to this many times the cheapest spot price: more
  * expensive ones cost more than the deadlines they save are worth.
  */
-private const val MAX_PREMIUM = 5.0
+private const val MAX_RATIO_TO_SPOT_PRICE = 5.0
--- a/src/main/kotlin/io/reedmast/autoscaling/RemainingCpuQuota.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/RemainingCpuQuota.kt
@@ -20,7 +20,7 @@
         if (!isLimited(job)) return tasks
         val remaining = remainingCpus.getOrPut(job.team) { limitCpus(job) - shardState.quota.usedCpus(job.team) }
         val allowed = minOf(tasks, (remaining / job.spec.cpus + Machine.EPSILON).toInt())
-        if (allowed < tasksStartedTogether(job.spec)) return 0
+        if (allowed < minTasksToStart(job.spec)) return 0
         remainingCpus[job.team] = remaining - allowed * job.spec.cpus
         return allowed
     }
--- a/src/main/kotlin/io/reedmast/autoscaling/ScaleInPolicy.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/ScaleInPolicy.kt
@@ -37,7 +37,7 @@
     fun serviceReserve(now: Long): Double = arrivals.serviceCpus(now, SERVICE_RESERVE_S)
 
     /** Records the size of the images that the shard's jobs need, by which [scaleInDelayMs] goes. */
-    fun recordImages() {
+    fun updateMeanImageSize() {
         val jobs = shardState.jobs.values
         meanImageGb = if (jobs.isEmpty()) 0.0 else jobs.sumOf { it.spec.imageGb } / jobs.size
     }
@@ -51,8 +51,8 @@
     fun scaleInDelayMs(machine: Machine): Double {
         val machineType = machine.machineType ?: return 0.0
         val onDemandDelayS = shardState.tuning.idleS ?: maxOf(
-            machineType.bootS * BOOT_WORTH + meanImageGb / machineType.fetchGbPerS,
-            shardState.settings.workers.reportS * MIN_HEARTBEATS_KEPT,
+            machineType.bootS * BOOT_TIME_FRACTION + meanImageGb / machineType.fetchGbPerS,
+            shardState.settings.workers.reportS * MIN_DELAY_HEARTBEATS,
         )
         return onDemandDelayS * MS_PER_S * if (machine.record.spot) SPOT_DELAY_FACTOR else 1.0
     }
@@ -61,13 +61,13 @@
     fun transferable(now: Long): List<String> {
         val headroom = headroom(now)
         return shardState.machines.values
-            .filter { isEmptyAndStays(it) }
-            .filter { isUnneededBoot(it, now) || (isIdle(it, now) && !headroom.needs(it)) }
+            .filter { isEmptyAndAvailable(it) }
+            .filter { isTransferableWhileBooting(it, now) || (isIdle(it, now) && !headroom.needs(it)) }
             .take(MAX_TRANSFERABLE)
             .map { it.name }
     }
 
-    private fun isEmptyAndStays(machine: Machine): Boolean =
+    private fun isEmptyAndAvailable(machine: Machine): Boolean =
         machine.placements.isEmpty() && machine.decommissionReason == null && !machine.isReturning &&
             machine.machineType != null && !machine.isContested
 
@@ -75,7 +75,7 @@
      * Whether the machine is still booting and was not asked for just now: one that has just come covers the demand
      * for it, so that there is none any more, and went on to the next shard before it could be used.
      */
-    private fun isUnneededBoot(machine: Machine, now: Long): Boolean =
+    private fun isTransferableWhileBooting(machine: Machine, now: Long): Boolean =
         !machine.everReported && now - machine.firstSeenAt > JUST_PROVISIONED_MS
 
     private fun isIdle(machine: Machine, now: Long): Boolean =
@@ -88,10 +88,10 @@
         private const val SPOT_DELAY_FACTOR = 2.0
 
         /** A machine is kept for this many heartbeats at least. */
-        private const val MIN_HEARTBEATS_KEPT = 4
+        private const val MIN_DELAY_HEARTBEATS = 4
 
         /** The part of its boot that an empty machine is kept for. */
-        private const val BOOT_WORTH = 0.25
+        private const val BOOT_TIME_FRACTION = 0.25
         private const val SERVICE_RESERVE_S = 10.0
         private const val MIN_IDLE_TO_MOVE_MS = 2_000L
         private const val JUST_PROVISIONED_MS = 8_000L
--- a/src/main/kotlin/io/reedmast/autoscaling/ShardRebalancer.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/ShardRebalancer.kt
@@ -24,7 +24,7 @@
     private val drainingUntil = HashMap<ShardId, Long>()
 
     /** Machines that a mark is on its way for, and until when (ms) they are not promised again, stored or not. */
-    private val promisedUntil = HashMap<String, Long>()
+    private val markPendingUntil = HashMap<String, Long>()
 
     /** Whether machines are moving to [shard], whose capacity it does not know yet. */
     fun isMovingTo(shard: ShardId): Boolean = shard in movingUntil
@@ -33,16 +33,16 @@
     fun runOnce(now: Long) {
         movingUntil.values.removeIf { it < now }
         drainingUntil.values.removeIf { it < now }
-        promisedUntil.values.removeIf { it < now }
+        markPendingUntil.values.removeIf { it < now }
     }
 
     /**
-     * Moves idle and booting machines from shards without demand to the shards of [demanding], in their order, until
+     * Moves idle and booting machines from shards without demand to the shards of [recipients], in their order, until
      * the demand of each is met. [summaries] are those of all shards.
      */
-    fun resize(demanding: List<ShardUsageSummary>, summaries: List<ShardUsageSummary>) {
+    fun resize(recipients: List<ShardUsageSummary>, summaries: List<ShardUsageSummary>) {
         val donors = summaries.filter { it.demand.isEmpty() && it.idle.isNotEmpty() }
-        for (recipient in demanding) {
+        for (recipient in recipients) {
             val unmetDemand = UnmetDemand(recipient.demand)
             for (donor in donors) moveIdleMachines(donor, recipient.shard, unmetDemand)
         }
@@ -62,9 +62,9 @@
             machineNames.size,
             recipient.value,
         )
-        promise(donor.shard, machineNames, recipient)
+        markForTransfer(donor.shard, machineNames, recipient)
         // The recipient does not know their capacity before they have moved.
-        movingUntil[recipient] = clock.now() + MOVE_MS
+        movingUntil[recipient] = clock.now() + MOVE_TIMEOUT_MS
     }
 
     /**
@@ -76,22 +76,22 @@
      */
     fun drainForStarving(summaries: List<ShardUsageSummary>, now: Long) {
         for (recipient in summaries.filter { it.shard !in drainingUntil }) {
-            val drain = recipient.starving
-                .filter { it.waitedS >= PROVISIONED_BY_NOW_S }
+            val drain = recipient.starvingJobs
+                .filter { it.waitedS >= MIN_STARVING_BEFORE_DRAIN_S }
                 .firstNotNullOfOrNull { findDrain(it.demand, recipient.shard, summaries) }
-            if (drain != null) start(drain, recipient.shard, now)
+            if (drain != null) startDrain(drain, recipient.shard, now)
         }
     }
 
-    private fun start(drain: Drain, recipient: ShardId, now: Long) {
+    private fun startDrain(drain: Drain, recipient: ShardId, now: Long) {
         log.info(
             "shard {}: {} are drained for shard {}, where a job is starving",
             drain.donor.value,
             drain.machineNames,
             recipient.value,
         )
-        promise(drain.donor, drain.machineNames, recipient)
-        drainingUntil[recipient] = now + DRAIN_MS
+        markForTransfer(drain.donor, drain.machineNames, recipient)
+        drainingUntil[recipient] = now + DRAIN_TIMEOUT_MS
     }
 
     /** Machines of one shard that are to be drained. */
@@ -104,13 +104,13 @@
         .firstOrNull { it.machineNames.isNotEmpty() }
 
     /**
-     * Machines of a shard that hold what starves: a single task, or a whole gang, as far as [MAX_DRAINED] machines do.
+     * Machines of a shard that hold what starves: a single task, or a whole gang, as far as [MAX_DRAINED_MACHINES] machines do.
      */
     private fun machinesToDrain(demand: Demand, donor: ShardUsageSummary): List<String> {
         val machineNames = ArrayList<String>()
         var missingTasks = demand.taskCount
         for (machineName in (donor.idle + donor.drainable).distinct()) {
-            if (missingTasks <= 0 || machineNames.size >= MAX_DRAINED) break
+            if (missingTasks <= 0 || machineNames.size >= MAX_DRAINED_MACHINES) break
             val heldTasks = tasksHeldBy(machineName, donor.shard, demand)
             if (heldTasks > 0) machineNames.add(machineName)
             missingTasks -= heldTasks
@@ -122,26 +122,26 @@
     private fun tasksHeldBy(machineName: String, shard: ShardId, demand: Demand): Int {
         val record = fleet.machinesOf(shard).firstOrNull { it.name == machineName } ?: return 0
         val machineType = machineTypes()[record.typeName] ?: return 0
-        val isOffered = isAvailable(shard, machineName) && record.mayRun(demand)
-        return if (isOffered) demand.tasksPerMachine(machineType) else 0
+        val mayBeDrained = isAvailable(shard, machineName) && record.mayRun(demand)
+        return if (mayBeDrained) demand.tasksPerMachine(machineType) else 0
     }
 
     /** A mark shows only once it is stored: until then the machine must not be promised to another shard. */
     private fun isAvailable(shard: ShardId, machineName: String): Boolean =
-        !fleet.isMarkedForTransfer(shard, machineName) && machineName !in promisedUntil
+        !fleet.isMarkedForTransfer(shard, machineName) && machineName !in markPendingUntil
 
-    private fun promise(donor: ShardId, machineNames: List<String>, recipient: ShardId) {
-        machineNames.forEach { promisedUntil[it] = clock.now() + MOVE_MS }
+    private fun markForTransfer(donor: ShardId, machineNames: List<String>, recipient: ShardId) {
+        machineNames.forEach { markPendingUntil[it] = clock.now() + MOVE_TIMEOUT_MS }
         fleet.markForTransfer(donor, machineNames, recipient)
     }
 
     private companion object {
-        const val MOVE_MS = 2_000L
-        const val MAX_DRAINED = 4
-        const val DRAIN_MS = 25_000L
+        const val MOVE_TIMEOUT_MS = 2_000L
+        const val MAX_DRAINED_MACHINES = 4
+        const val DRAIN_TIMEOUT_MS = 25_000L
 
         /** A machine that was rented when the job began to starve is mostly up by then. */
-        const val PROVISIONED_BY_NOW_S = 55.0
+        const val MIN_STARVING_BEFORE_DRAIN_S = 55.0
     }
 }
 
--- a/src/main/kotlin/io/reedmast/autoscaling/ShardUsageSummary.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/ShardUsageSummary.kt
@@ -22,7 +22,7 @@
  * @property demand What the shard lacks capacity for, the most urgent first.
  * @property idle Names of the machines that may move to another shard at once.
  * @property drainable Names of the machines that could be drained for another shard, the cheapest to drain first.
- * @property starving Jobs of which nothing has run for long, those that have waited longest first.
+ * @property starvingJobs Jobs of which nothing has run for long, those that have waited longest first.
  * @property unavailableZones Zones that seem to be cut off.
  */
 data class ShardUsageSummary(
@@ -33,7 +33,7 @@
     val demand: List<Demand>,
     val idle: List<String>,
     val drainable: List<String>,
-    val starving: List<Starving>,
+    val starvingJobs: List<StarvingJob>,
     val unavailableZones: List<String>,
 ) {
     /** The form in which the summary is stored. The shard is part of the key. */
@@ -44,29 +44,29 @@
         "demand" to demand.map { it.toFields() },
         "idle" to idle,
         "lendable" to drainable,
-        "starving" to starving.map { it.toFields() },
+        "starving" to starvingJobs.map { it.toFields() },
         "dark" to unavailableZones,
     )
 
     /** The summary with as much left out, machines before demand, as it takes to fit into [maxBytes] once stored. */
     fun truncatedTo(maxBytes: Int): ShardUsageSummary {
         var summary = this
-        while (BodyCodec.jsonSize(summary.toFields()) > maxBytes) summary = summary.shortened() ?: return summary
+        while (BodyCodec.jsonSize(summary.toFields()) > maxBytes) summary = summary.withoutNextPart() ?: return summary
         return summary
     }
 
     /** With the next part left out; null if there is nothing more to leave out. */
-    private fun shortened(): ShardUsageSummary? = when {
-        idle.size > FEW_MACHINES -> copy(idle = idle.take(idle.size / 2))
-        drainable.size > FEW_MACHINES -> copy(drainable = drainable.take(drainable.size / 2))
+    private fun withoutNextPart(): ShardUsageSummary? = when {
+        idle.size > HALVING_THRESHOLD -> copy(idle = idle.take(idle.size / 2))
+        drainable.size > HALVING_THRESHOLD -> copy(drainable = drainable.take(drainable.size / 2))
         demand.size > 1 -> copy(demand = demand.dropLast(1))
-        starving.size > 1 -> copy(starving = starving.dropLast(1))
+        starvingJobs.size > 1 -> copy(starvingJobs = starvingJobs.dropLast(1))
         idle.isNotEmpty() || drainable.isNotEmpty() -> copy(idle = emptyList(), drainable = emptyList())
         else -> null
     }
 
     companion object {
-        private const val FEW_MACHINES = 6
+        private const val HALVING_THRESHOLD = 6
 
         /**
          * Reads what [toFields] wrote.
@@ -81,12 +81,12 @@
             demand = fields.maps("demand").map { Demand.parse(it) },
             idle = fields.list("idle").filterIsInstance<String>(),
             drainable = fields.optionalTexts("lendable").orEmpty(),
-            starving = if (fields["starving"] ==
+            starvingJobs = if (fields["starving"] ==
                 null
             ) {
                 emptyList()
             } else {
-                fields.maps("starving").map { Starving.parse(it) }
+                fields.maps("starving").map { StarvingJob.parse(it) }
             },
             unavailableZones = fields.optionalTexts("dark").orEmpty(),
         )
--- a/src/main/kotlin/io/reedmast/autoscaling/Starving.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/StarvingJob.kt
@@ -8,7 +8,7 @@
  * A job of which nothing has run for [waitedS] seconds although its team's quota limit would let it: [demand] is what
  * it takes to start it, one task or a whole gang.
  */
-data class Starving(val demand: Demand, val waitedS: Double) {
+data class StarvingJob(val demand: Demand, val waitedS: Double) {
     /** The form in which it is stored. */
     fun toFields(): Fields = mapOf("demand" to demand.toFields(), "waitedS" to waitedS)
 
@@ -18,6 +18,6 @@
          *
          * @throws io.reedmast.wire.MalformedException if a field is missing or of another type.
          */
-        fun parse(fields: Fields) = Starving(Demand.parse(fields.map("demand")), fields.amount("waitedS"))
+        fun parse(fields: Fields) = StarvingJob(Demand.parse(fields.map("demand")), fields.amount("waitedS"))
     }
 }
--- a/src/main/kotlin/io/reedmast/autoscaling/UnassignedWorkers.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/UnassignedWorkers.kt
@@ -16,7 +16,7 @@
     private val log = LoggerFactory.getLogger("autoscaler")
 
     /** Names of the machines whose workers have been called and have not answered yet. */
-    private val calling = HashSet<String>()
+    private val calledMachines = HashSet<String>()
 
     /**
      * A worker that belongs to no shard has sent a heartbeat: once it has answered a call, it is used.
@@ -28,14 +28,14 @@
         if (!fleet.leading || !fleet.isCurrent() || intake.isLeaving(status.machineName)) return
         // At a first start the shards appear one by one; waiting for all of them spreads the machines evenly.
         if (fleet.hasUnownedShards) return
-        if (status.machineName in intake.unassignedNames || calling.size >= MAX_CALLS) return
-        if (calling.add(status.machineName)) call(status)
+        if (status.machineName in intake.unassignedNames || calledMachines.size >= MAX_CALLS_IN_FLIGHT) return
+        if (calledMachines.add(status.machineName)) call(status)
     }
 
     private fun call(status: WorkerStatus) {
         // Neither token nor epoch are the worker's: nothing is executed, and the refusal is its newest status.
         workers.call(status.addr, 0L, 0L, emptyList()) { reply ->
-            calling.remove(status.machineName)
+            calledMachines.remove(status.machineName)
             if (reply is Reply.Answer && reply.status in ANSWERS_WITH_STATUS) onAnswer(status.machineName, reply)
         }
     }
@@ -63,7 +63,7 @@
     }
 
     private companion object {
-        const val MAX_CALLS = 64
+        const val MAX_CALLS_IN_FLIGHT = 64
         const val HTTP_OK = 200
         const val HTTP_CONFLICT = 409
 
--- a/src/main/kotlin/io/reedmast/autoscaling/UsageSummaryWriter.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/UsageSummaryWriter.kt
@@ -23,7 +23,7 @@
     /** The version of the newest change to the shard's machines that this controller knows. */
     private val machinesVersion: () -> Long,
     /** The shard may have another owner: its record is to be read again. */
-    private val termInDoubt: () -> Unit,
+    private val onTermInDoubt: () -> Unit,
 ) {
     private val log = LoggerFactory.getLogger("shard")
     private val shard = shardState.index
@@ -50,27 +50,27 @@
     /** Stores the summary if it is due at [now], in milliseconds. */
     fun runOnce(now: Long) {
         if (writing || now - lastWrittenAt < MIN_INTERVAL_MS) return
-        scaleInPolicy.recordImages()
+        scaleInPolicy.updateMeanImageSize()
         val demand = demandEstimator.demand()
-        val starving = demandEstimator.starving(now)
-        val isUrgent = demand.isNotEmpty() || lastDemand.isNotEmpty() || starving.isNotEmpty()
+        val starvingJobs = demandEstimator.starvingJobs(now)
+        val isUrgent = demand.isNotEmpty() || lastDemand.isNotEmpty() || starvingJobs.isNotEmpty()
         if (now < dueAt && !(isUrgent && demand != lastDemand)) return
         lastDemand = demand
         lastWrittenAt = now
         logState(now, demand)
         dueAt = now + (shardState.tuning.totalsS * MS_PER_S).toLong()
-        store(summary(demand, starving, now), if (isUrgent) WritePriority.URGENT else WritePriority.DEFERRED)
+        store(summary(demand, starvingJobs, now), if (isUrgent) WritePriority.URGENT else WritePriority.DEFERRED)
     }
 
-    private fun summary(demand: List<Demand>, starving: List<Starving>, now: Long) = ShardUsageSummary(
+    private fun summary(demand: List<Demand>, starvingJobs: List<StarvingJob>, now: Long) = ShardUsageSummary(
         shard,
         machinesVersion(),
         shardState.fairShare.usage.toFields(shardState.teams, maxBuckets()),
         ratio = lowestRatio(),
-        demand = demand.take(MAX_KINDS),
+        demand = demand.take(MAX_DEMAND_KINDS),
         idle = scaleInPolicy.transferable(now),
         drainable = drainCandidates.select(now),
-        starving = starving,
+        starvingJobs = starvingJobs,
         unavailableZones = zoneAvailability.unavailableZones(now),
     ).truncatedTo(shardState.limits.target.valueBytes * MAX_FILLED_PERCENT / PERCENT - ENVELOPE_BYTES)
 
@@ -102,7 +102,7 @@
     }
 
     private fun onConflict(failedPaths: Set<String>) {
-        if (Keys.shard(shard.value) in failedPaths) termInDoubt()
+        if (Keys.shard(shard.value) in failedPaths) onTermInDoubt()
         if (path in failedPaths) store.get(path) { if (it is ReadResult.Found) storedVersion = it.item.version }
     }
 
@@ -128,7 +128,7 @@
         const val MIN_INTERVAL_MS = 1_000L
 
         /** How many kinds of demand a summary names. */
-        const val MAX_KINDS = 12
+        const val MAX_DEMAND_KINDS = 12
 
         /** How much of a stored value's allowed size the summary may fill. */
         const val MAX_FILLED_PERCENT = 95
--- a/src/main/kotlin/io/reedmast/autoscaling/ZoneAvailability.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/ZoneAvailability.kt
@@ -12,7 +12,7 @@
      */
     fun unavailableZones(now: Long): List<String> = shardState.lostMachinesByZone
         .filter { (zone, silentAt) ->
-            while (silentAt.isNotEmpty() && now - silentAt.first() > SILENCE_COUNTS_MS) silentAt.removeFirst()
+            while (silentAt.isNotEmpty() && now - silentAt.first() > SILENCE_WINDOW_MS) silentAt.removeFirst()
             silentAt.size >= MIN_SILENT_MACHINES && silentAt.size > reachableMachinesIn(zone, now)
         }
         .keys.toList()
@@ -24,7 +24,7 @@
         machine.isStateKnown && now - machine.lastHeartbeatAt <= shardState.heartbeatLateMs
 
     private companion object {
-        const val SILENCE_COUNTS_MS = 45_000L
+        const val SILENCE_WINDOW_MS = 45_000L
         const val MIN_SILENT_MACHINES = 4
     }
 }
--- a/src/test/kotlin/io/reedmast/autoscaling/MachineIntakeTest.kt
+++ b/src/test/kotlin/io/reedmast/autoscaling/MachineIntakeTest.kt
@@ -13,8 +13,8 @@
     private val fleet = FakeFleet(emptyMap())
     private val pendingReturns = PendingReturns()
     private val intake = MachineIntake(clock, fleet, { emptyMap() }, pendingReturns)
-    private val heard = MachineRecord("host-000001", "m", "x", spot = false)
-    private val rented = heard.copy(spot = true)
+    private val fromHeartbeat = MachineRecord("host-000001", "m", "x", spot = false)
+    private val fromRental = fromHeartbeat.copy(spot = true)
 
     private fun offer(record: MachineRecord, shard: Int, source: IntakeSource) =
         intake.offer(record, ShardId(shard), source, seenToken = 0L)
@@ -23,55 +23,55 @@
 
     @Test
     fun `a rental replaces the destination that a heartbeat gave`() {
-        offer(heard, 0, IntakeSource.HEARTBEAT)
+        offer(fromHeartbeat, 0, IntakeSource.HEARTBEAT)
 
-        assertEquals(IntakeDecision.Accepted, offer(rented, 1, IntakeSource.RENTAL))
+        assertEquals(IntakeDecision.Accepted, offer(fromRental, 1, IntakeSource.RENTAL))
         intake.assign()
 
-        assertEquals(listOf(heard.name to 1), fleet.additions)
-        assertEquals(listOf(rented), fleet.addedRecords)
+        assertEquals(listOf(fromHeartbeat.name to 1), fleet.additions)
+        assertEquals(listOf(fromRental), fleet.addedRecords)
     }
 
     @Test
     fun `a heartbeat does not replace the destination of a rental`() {
-        offer(rented, 1, IntakeSource.RENTAL)
+        offer(fromRental, 1, IntakeSource.RENTAL)
 
-        assertEquals(IntakeDecision.MetElsewhere(ShardId(1)), offer(heard, 0, IntakeSource.HEARTBEAT))
+        assertEquals(IntakeDecision.MetElsewhere(ShardId(1)), offer(fromHeartbeat, 0, IntakeSource.HEARTBEAT))
     }
 
     @Test
     fun `the destination stays while a write is on its way`() {
-        offer(heard, 0, IntakeSource.HEARTBEAT)
+        offer(fromHeartbeat, 0, IntakeSource.HEARTBEAT)
         intake.assign()
 
-        assertEquals(IntakeDecision.MetElsewhere(ShardId(0)), offer(rented, 1, IntakeSource.RENTAL))
+        assertEquals(IntakeDecision.MetElsewhere(ShardId(0)), offer(fromRental, 1, IntakeSource.RENTAL))
         intake.assign()
 
-        assertEquals(listOf(heard.name to 0), fleet.additions)
+        assertEquals(listOf(fromHeartbeat.name to 0), fleet.additions)
     }
 
     @Test
     fun `the destination stays until the watch has caught up with a write that failed`() {
-        offer(heard, 0, IntakeSource.HEARTBEAT)
+        offer(fromHeartbeat, 0, IntakeSource.HEARTBEAT)
         intake.assign()
         fleet.observedThrough = clock.now() - 1
         answer(AddMachinesResult.Unconfirmed)
 
-        assertEquals(IntakeDecision.MetElsewhere(ShardId(0)), offer(rented, 1, IntakeSource.RENTAL))
+        assertEquals(IntakeDecision.MetElsewhere(ShardId(0)), offer(fromRental, 1, IntakeSource.RENTAL))
         intake.assign()
         assertEquals(1, fleet.additions.size)
 
         fleet.observedThrough = clock.now() + 1
         intake.assign()
-        assertEquals(listOf(heard.name to 0, heard.name to 0), fleet.additions)
+        assertEquals(listOf(fromHeartbeat.name to 0, fromHeartbeat.name to 0), fleet.additions)
     }
 
     @Test
     fun `a write that was stored after all is not repeated`() {
-        offer(heard, 0, IntakeSource.HEARTBEAT)
+        offer(fromHeartbeat, 0, IntakeSource.HEARTBEAT)
         intake.assign()
         answer(AddMachinesResult.Unconfirmed)
-        fleet.recorded[heard.name] = 0
+        fleet.recorded[fromHeartbeat.name] = 0
 
         intake.assign()
 
@@ -82,7 +82,7 @@
     @Test
     fun `nothing is assigned before all that earlier leaders stored is known`() {
         fleet.leaderTerm = null
-        offer(heard, 0, IntakeSource.HEARTBEAT)
+        offer(fromHeartbeat, 0, IntakeSource.HEARTBEAT)
 
         intake.assign()
 
@@ -92,7 +92,7 @@
     @Test
     fun `what was collected before another controller led is forgotten`() {
         intake.assign()
-        offer(heard, 0, IntakeSource.HEARTBEAT)
+        offer(fromHeartbeat, 0, IntakeSource.HEARTBEAT)
         fleet.leaderTerm = 9L
 
         intake.assign()
@@ -102,19 +102,19 @@
 
     @Test
     fun `machines that have left, or are being returned, come to no shard`() {
-        fleet.departed.add(heard.name)
-        assertEquals(IntakeDecision.Leaving, offer(heard, 0, IntakeSource.RENTAL))
+        fleet.departed.add(fromHeartbeat.name)
+        assertEquals(IntakeDecision.Leaving, offer(fromHeartbeat, 0, IntakeSource.RENTAL))
 
         fleet.departed.clear()
-        pendingReturns.addAll(listOf(heard.name))
-        assertEquals(IntakeDecision.Leaving, offer(heard, 0, IntakeSource.RENTAL))
+        pendingReturns.addAll(listOf(fromHeartbeat.name))
+        assertEquals(IntakeDecision.Leaving, offer(fromHeartbeat, 0, IntakeSource.RENTAL))
     }
 
     @Test
     fun `a machine that a shard has comes to no other`() {
-        fleet.recorded[heard.name] = 2
+        fleet.recorded[fromHeartbeat.name] = 2
 
-        assertEquals(IntakeDecision.MetElsewhere(ShardId(2)), offer(rented, 1, IntakeSource.RENTAL))
+        assertEquals(IntakeDecision.MetElsewhere(ShardId(2)), offer(fromRental, 1, IntakeSource.RENTAL))
     }
 
     @Test
--- a/src/test/kotlin/io/reedmast/autoscaling/MachineProvisionerTest.kt
+++ b/src/test/kotlin/io/reedmast/autoscaling/MachineProvisionerTest.kt
@@ -17,7 +17,7 @@
 /** Answers of the cloud that are not what was asked for: no machine comes to two shards, and none is lost from sight. */
 class MachineProvisionerTest {
     /** A cloud whose answers to rentals the test gives. */
-    private class HeldCloud : Cloud {
+    private class DeferredCloud : Cloud {
         val requests = ArrayList<ProvisioningRequest>()
         val answers = ArrayList<(ProvisioningResult) -> Unit>()
 
@@ -35,7 +35,7 @@
 
     private val clock = SettableClock(100_000L)
     private val fleet = FakeFleet(emptyMap())
-    private val cloud = HeldCloud()
+    private val cloud = DeferredCloud()
     private val types = mapOf("m" to machineType("m", cpus = 4.0, hourlyPrice = 1.0, spotPrice = null))
     private val pendingReturns = PendingReturns()
     private val intake = MachineIntake(clock, fleet, { types }, pendingReturns)
--- a/src/test/kotlin/io/reedmast/autoscaling/ProvisioningPlannerTest.kt
+++ b/src/test/kotlin/io/reedmast/autoscaling/ProvisioningPlannerTest.kt
@@ -58,7 +58,7 @@
         demand = listOf(demand),
         idle = emptyList(),
         drainable = emptyList(),
-        starving = emptyList(),
+        starvingJobs = emptyList(),
         unavailableZones = emptyList(),
     )
 }
--- a/src/test/kotlin/io/reedmast/autoscaling/RentalRaceTest.kt
+++ b/src/test/kotlin/io/reedmast/autoscaling/RentalRaceTest.kt
@@ -19,28 +19,28 @@
  */
 class RentalRaceTest {
     /** What else goes wrong while machines are being rented, with times in seconds. */
-    private enum class Trouble(val lines: List<String>) {
+    private enum class Fault(val lines: List<String>) {
         NONE(emptyList()),
         ANSWER_LOST(listOf("at 8.5 lose-rentals 1")),
         ANSWERS_LOST(listOf("at 8.5 lose-rentals 2")),
         WRITE_WITHOUT_ANSWER(listOf("at 8.5 lose-answer n0 c/hosts/0", "at 8.5 lose-answer n1 c/hosts/0")),
         WRITE_LATE(listOf("at 8.5 late-commit n0 6 c/hosts/0")),
-        LEADER_ENDS(listOf("at 9.6 crash n0", "at 10.5 start n0")),
-        LEADER_ENDS_LATER(listOf("at 9.9 crash n0", "at 10 start n0")),
-        LEADER_STANDS_STILL(listOf("at 9.6 stand-still n0 7")),
+        LEADER_CRASHES(listOf("at 9.6 crash n0", "at 10.5 start n0")),
+        LEADER_CRASHES_LATER(listOf("at 9.9 crash n0", "at 10 start n0")),
+        LEADER_STALLED(listOf("at 9.6 stand-still n0 7")),
         LEADER_DEPOSED(listOf("at 9.6 cut-state n0 on", "at 20 cut-state n0 off")),
     }
 
     @TestFactory
-    fun `no machine comes to two shards`(): List<DynamicTest> = Trouble.entries.map { trouble ->
-        DynamicTest.dynamicTest(trouble.name) {
-            for (answerMs in ANSWERS_MS) {
-                for (slowness in SLOWNESSES) play(trouble, answerMs, slowness)
+    fun `no machine comes to two shards`(): List<DynamicTest> = Fault.entries.map { fault ->
+        DynamicTest.dynamicTest(fault.name) {
+            for (answerMs in ANSWER_TIMES_MS) {
+                for (slowness in SLOWNESSES) runScenario(fault, answerMs, slowness)
             }
         }
     }
 
-    private fun play(trouble: Trouble, answerMs: Long, slowness: Int) {
+    private fun runScenario(fault: Fault, answerMs: Long, slowness: Int) {
         val events = listOf(
             "at 1 slow-rentals ${answerMs / MS_PER_S}",
             "at 8 slow-state $slowness",
@@ -52,19 +52,19 @@
             "at 80 expect starts wk-1 2",
             "at 80 expect starts wk-2 6",
         )
-        val lines = HEAD + (events + trouble.lines).sortedBy { it.split(' ')[1].toDouble() }
+        val lines = SETUP + (events + fault.lines).sortedBy { it.split(' ')[1].toDouble() }
         try {
             Scenario(lines).run()
         } catch (e: AssertionError) {
-            throw AssertionError("$trouble, $answerMs ms, slowness $slowness: ${e.message}", e)
+            throw AssertionError("$fault, $answerMs ms, slowness $slowness: ${e.message}", e)
         }
     }
 
     private companion object {
         const val MS_PER_S = 1000.0
-        val ANSWERS_MS = listOf<Long>(1, 10, 20, 40, 60, 80, 100, 120, 150, 200, 250, 300, 400, 800, 2_500)
+        val ANSWER_TIMES_MS = listOf<Long>(1, 10, 20, 40, 60, 80, 100, 120, 150, 200, 250, 300, 400, 800, 2_500)
 
         val SLOWNESSES = listOf(1, 10, 40)
-        val HEAD = listOf("team a 8 12", "team b 8 12", "team c 8 12", "machine-type m 4 0", "capacity 8")
+        val SETUP = listOf("team a 8 12", "team b 8 12", "team c 8 12", "machine-type m 4 0", "capacity 8")
     }
 }
--- a/src/test/kotlin/io/reedmast/autoscaling/ShardRebalancerTest.kt
+++ b/src/test/kotlin/io/reedmast/autoscaling/ShardRebalancerTest.kt
@@ -25,8 +25,8 @@
         shard: Int,
         demand: List<Demand> = emptyList(),
         idle: List<String> = emptyList(),
-        starving: List<Starving> = emptyList(),
-    ) = ShardUsageSummary(ShardId(shard), 1L, emptyMap(), 1.0, demand, idle, emptyList(), starving, emptyList())
+        starvingJobs: List<StarvingJob> = emptyList(),
+    ) = ShardUsageSummary(ShardId(shard), 1L, emptyMap(), 1.0, demand, idle, emptyList(), starvingJobs, emptyList())
 
     @Test
     fun `an idle machine is promised to one shard`() {
@@ -41,9 +41,9 @@
 
     @Test
     fun `a machine is drained for one shard`() {
-        val starving = listOf(Starving(demand(1), waitedS = 60.0))
+        val starvingJobs = listOf(StarvingJob(demand(1), waitedS = 60.0))
         val donor = summary(0, idle = listOf(machine.name))
-        val recipients = listOf(summary(1, starving = starving), summary(2, starving = starving))
+        val recipients = listOf(summary(1, starvingJobs = starvingJobs), summary(2, starvingJobs = starvingJobs))
 
         rebalancer.drainForStarving(recipients + donor, clock.now())
 
