--- a/src/main/kotlin/io/reedmast/autoscaling/AbandonedMachines.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/AbandonedMachines.kt
@@ -9,9 +9,10 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Returns rented machines that only cost: those that belong to no shard and whose workers send no heartbeats.
+ * Returns rented machines that cost money but are not used: those that belong to no shard and whose workers send no
+ * heartbeats.
  *
- * Workers that do send heartbeats are brought into a shard by [UnassignedWorkers].
+ * Machines whose workers do send heartbeats are assigned to a shard by [UnassignedWorkers].
  */
 internal class AbandonedMachines(
     private val settings: Settings,
@@ -27,10 +28,16 @@
     /** Since when the cloud has listed a machine that belongs to no shard, in milliseconds. */
     private val unassignedSince = HashMap<String, Long>()
 
-    /** Another controller has led before: what it knew of machines of no shard is not known here. */
+    /**
+     * Called when this controller becomes the leader. The times since when machines belong to no shard start anew:
+     * another controller has led before, and what it knew of these machines is not known here.
+     */
     fun startLeading() = unassignedSince.clear()
 
-    /** Returns those of the [machines] listed by the cloud that nobody uses and nobody has come to use in time. */
+    /**
+     * Returns those of the [machines] listed by the cloud that belong to no shard and have failed to come up, or have
+     * not been assigned to a shard in time.
+     */
     fun onMachineList(machines: List<ListedMachine>) {
         val now = clock.now()
         unassignedSince.keys.retainAll(machines.mapTo(HashSet()) { it.name })
@@ -50,14 +57,14 @@
         return machine.stage == FAILED_STAGE || now - since > maxUnassignedMs(machine)
     }
 
-    /** How long a machine may take to come up and show in the list before it counts as abandoned. */
+    /** How long a machine may belong to no shard, while it boots and the list lags, before it counts as abandoned. */
     private fun maxUnassignedMs(machine: ListedMachine): Double {
         val bootS = machineTypes()[machine.typeName]?.bootS ?: BOOT_OF_UNKNOWN_TYPE_S
         return (bootS * BOOT_SLACK + settings.cloudLimits.listLagS * LIST_LAG_SLACK) * MS_PER_S
     }
 
     private fun returnMachines(machineNames: List<String>) {
-        log.info("machines {}: belong to no shard and send no heartbeats, returned", machineNames)
+        log.info("machines {}: belong to no shard and send no heartbeats, returning them", machineNames)
         pendingReturns.addAll(machineNames)
         cloud.returnMachines(machineNames) { result ->
             pendingReturns.removeAll(machineNames)
@@ -71,7 +78,7 @@
     }
 
     private companion object {
-        /** The cloud's word for a machine that did not come up. */
+        /** The stage that the cloud reports for a machine that did not come up. */
         const val FAILED_STAGE = "failed"
         const val BOOT_OF_UNKNOWN_TYPE_S = 60.0
         const val BOOT_SLACK = 2
--- a/src/main/kotlin/io/reedmast/autoscaling/AddMachinesResult.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/AddMachinesResult.kt
@@ -1,16 +1,16 @@
 package io.reedmast.autoscaling
 
-/** What became of a write that adds machines to a shard. */
+/** The outcome of a write that adds machines to a shard. */
 sealed interface AddMachinesResult {
-    /** It is stored and holds the machines called [names], which need not be all that were asked for. */
+    /** The write is stored and contains the machines [names], which may be only some of those it was to add. */
     data class Stored(val names: Set<String>) : AddMachinesResult
 
-    /** Nothing has left this controller. */
+    /** This controller has not sent anything. */
     data object NotSent : AddMachinesResult
 
     /**
-     * The store did not apply it, or it was applied and has been replaced since. Which of them is known once the watch
-     * has shown all that was stored by now.
+     * The store did not apply the write, or applied it and the record has been replaced since. Which of the two becomes
+     * known once the watch has delivered everything that was stored up to this answer.
      */
     data object Unconfirmed : AddMachinesResult
 }
--- a/src/main/kotlin/io/reedmast/autoscaling/ArrayThroughput.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/ArrayThroughput.kt
@@ -6,11 +6,12 @@
 import kotlin.math.ceil
 
 /**
- * How fast a shard works off its array tasks, and how many CPUs it lacks to meet their deadlines. One instance serves
+ * How fast a shard processes its array tasks, and how many CPUs it lacks to meet their deadlines. One instance serves
  * one calculation of the demand, to which jobs are added with the most urgent first.
  *
- * Run times are the job owners' estimates. Work that the present machines finish by its deadline needs no more of them,
- * and no new machine is up in time for what is due before it has booted.
+ * Run times are the job owners' estimates. Work that the present machines finish by its deadline needs no new machines.
+ * No new machine is up in time for work that is due before it has booted, so the time available for work is taken to be
+ * at least the boot time.
  */
 internal class ArrayThroughput(
     private val shardState: ShardState,
@@ -19,15 +20,15 @@
 ) {
     private val bootS = shardState.shortestBootS() ?: 0.0
 
-    /** CPUs that run array tasks or could: those of present machines, of booting ones, and of tasks added so far. */
+    /** CPUs that run array tasks or are free to: on present and booting machines, and for the tasks added so far. */
     private var cpus = 0.0
 
-    /** Work of running tasks and of the jobs added so far, in CPU seconds. */
+    /** Remaining work of running tasks, and work of the jobs added so far, in CPU seconds. */
     private var queuedCpuSeconds = 0.0
 
     /**
-     * CPUs that it takes to keep up with new arrays. Machines for a burst would come too late if its work were waited
-     * for: more of it arrives while they boot.
+     * CPUs needed to keep up with new arrays. Machines for a burst would be up too late if they were rented only for
+     * work that is already queued, since more of it arrives while they boot.
      */
     private val cpusForArrivals = arrivals.arrayCpuSecondsPerS()
 
@@ -45,7 +46,7 @@
 
     /**
      * Adds the pending tasks of [job] to the work, and returns for how many of them, at most [maxTasks], machines must
-     * be provisioned; [wallMs] is the wall clock's time.
+     * be provisioned; [wallMs] is the wall-clock time.
      */
     fun tasksToProvisionFor(job: Job, maxTasks: Int, wallMs: Long): Int {
         val spec = job.spec
@@ -60,10 +61,10 @@
     }
 
     private companion object {
-        /** By how much run times may exceed their estimates. */
+        /** The factor by which run times may exceed their estimates. */
         const val ESTIMATE_SLACK = 1.5
 
-        /** How much of its run time a running task still has to go, on average. */
+        /** The fraction of its run time that a running task has left, on average. */
         const val MEAN_REMAINING_FRACTION = 0.5
     }
 }
--- a/src/main/kotlin/io/reedmast/autoscaling/ArrivalRates.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/ArrivalRates.kt
@@ -4,15 +4,15 @@
 import io.reedmast.model.ShardState
 import kotlin.math.sqrt
 
-/** What work is expected to arrive at a shard, by what has arrived lately. */
+/** Estimates the work that will arrive at a shard from the work that has arrived recently. */
 class ArrivalRates(private val shardState: ShardState) {
     /**
-     * CPUs of the services that are expected to arrive within [seconds], with two standard deviations on top. [now] is
-     * in milliseconds.
+     * CPUs of the services and gangs expected to arrive within [seconds]: the mean plus two standard deviations. [now]
+     * is in milliseconds.
      */
     fun serviceCpus(now: Long, seconds: Double): Double {
         val arrivals = shardState.jobArrivals.services.dropBefore(now - SERVICES_WINDOW_MS)
-        // With the last service gone, nothing says that more will come.
+        // Once the shard has no service or gang left, nothing indicates that more will arrive.
         if (arrivals.isEmpty() || shardState.jobs.values.none { it.spec.isService || it.spec.isGang }) return 0.0
         val windowFraction = seconds * MS_PER_S / SERVICES_WINDOW_MS
         val mean = arrivals.sumOf { it.demand } * windowFraction
@@ -20,8 +20,8 @@
     }
 
     /**
-     * Array work that arrives in a second, in CPU seconds, as far as it is certain: one and a half standard deviations
-     * below the mean.
+     * A conservative estimate of the array work that arrives per second, in CPU seconds: one and a half standard
+     * deviations below the mean, but at least 0.
      */
     fun arrayCpuSecondsPerS(): Double {
         val arrivals = shardState.jobArrivals.arrays.dropBefore(shardState.clock.now() - ARRAYS_WINDOW_MS)
@@ -31,7 +31,7 @@
 
     private fun sumOfSquares(arrivals: Collection<JobArrival>): Double = arrivals.sumOf { it.demand * it.demand }
 
-    /** Removes the arrivals before [startMs], which are the first ones. */
+    /** Removes the arrivals before [startMs], which are at the front. */
     private fun ArrayDeque<JobArrival>.dropBefore(startMs: Long) = apply {
         while (isNotEmpty() && first().arrivedAt < startMs) removeFirst()
     }
--- a/src/main/kotlin/io/reedmast/autoscaling/Autoscaler.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/Autoscaler.kt
@@ -16,8 +16,8 @@
 import org.slf4j.LoggerFactory
 
 /**
- * The leader's duties and when each is due: renting machines for the demand of the shards, moving machines between
- * shards, and assigning or returning machines that belong to no shard.
+ * Schedules the leader's periodic work: renting machines for the demand of the shards, moving machines between shards,
+ * and assigning or returning machines that belong to no shard.
  */
 class Autoscaler(
     private val settings: Settings,
@@ -26,7 +26,7 @@
     private val gateway: Gateway,
     private val fleet: FleetView,
     private val machineTypes: () -> Map<String, MachineType>,
-    /** Names this process; never used by another one. */
+    /** Identifies this process, uniquely over all controllers and restarts. */
     incarnation: String,
 ) {
     private val log = LoggerFactory.getLogger("autoscaler")
@@ -46,7 +46,7 @@
     private var listDueAt = 0L
     private var resizeDueAt = 0L
 
-    /** Does what is due, if this controller leads. To be called often. */
+    /** Called periodically: does what is due, if this controller leads and its view of the store is current. */
     fun runOnce() {
         if (!fleet.leading || !fleet.isCurrent()) {
             wasLeading = false
@@ -64,7 +64,7 @@
         abandonedMachines.startLeading()
         listDueAt = now + MIN_LIST_INTERVAL_MS
         resizeDueAt = now + (tuning.resizeS * MS_PER_S).toLong()
-        log.info("leader: this controller leads")
+        log.info("leader: this controller is the leader now")
     }
 
     private fun listMachines(now: Long) {
@@ -95,11 +95,14 @@
         unreadable.report(item.path, e.message)
         null
     } catch (e: NumberFormatException) {
-        unreadable.report(item.path, "it belongs to no shard")
+        unreadable.report(item.path, "its path does not end in a shard number")
         null
     }
 
-    /** Shards further below their fair share come first, for idle machines of other shards and for rented ones. */
+    /**
+     * Moves and rents machines for the shards with demand. Shards further below their fair share come first, both for
+     * idle machines of other shards and for rented ones.
+     */
     private fun scale(summaries: List<ShardUsageSummary>) {
         val now = clock.now()
         rebalancer.runOnce(now)
@@ -116,12 +119,13 @@
         provisioner.provision(undersupplied, unavailableZones, now)
     }
 
-    /** Until the summary of the other shard shows a machine as idle, and the next resizing moves it. */
+    /** The time until the other shard's summary shows a machine as idle and the next resizing moves it. */
     private fun transferWaitMs(): Long =
         ((tuning.totalsS + tuning.resizeS) * MS_PER_S).toLong() + SUMMARY_READ_INTERVAL_MS
 
     /**
-     * Whether the summary shows all machines that are on their way to the shard: else more would come than it needs.
+     * Whether the summary takes into account all machines that are to come to the shard; otherwise the shard would get
+     * more than it needs.
      */
     private fun showsIncomingMachines(summary: ShardUsageSummary): Boolean {
         val shard = summary.shard
@@ -129,7 +133,7 @@
             !intake.hasMachinesFor(shard)
     }
 
-    /** A worker that belongs to no shard has sent a heartbeat. */
+    /** Called when a worker that belongs to no shard has sent a heartbeat. */
     fun onUnassignedWorker(status: WorkerStatus) = unassignedWorkers.onHeartbeat(status)
 
     private companion object {
--- a/src/main/kotlin/io/reedmast/autoscaling/Demand.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/Demand.kt
@@ -10,22 +10,23 @@
 import io.reedmast.wire.optionalTexts
 
 /**
- * Tasks for which a shard has no capacity, neither now nor on machines that are still booting: all tasks that may run
- * on the same machines, added up.
+ * The tasks that may run on the same machines and for which a shard lacks capacity, both now and on machines that are
+ * still booting.
  *
- * One entry for each job would exceed the size of a stored record, and the number of calls that the cloud accepts.
+ * They are added up, since one entry per job would exceed the size limit of a stored record and the number of calls
+ * that the cloud accepts.
  *
- * @property cpus CPUs that a task takes on average.
- * @property gpus GPUs that a task takes on average.
- * @property memoryGb Memory in GB that a task takes on average.
+ * @property cpus Mean CPUs per task.
+ * @property gpus Mean GPUs per task.
+ * @property memoryGb Mean memory per task in GB.
  * @property maxCpus CPUs of the largest task.
  * @property maxGpus GPUs of the largest task.
  * @property maxMemoryGb Memory in GB of the largest task.
  * @property spot Whether the tasks may run on spot machines.
  * @property allowedTypes Labels of the machine types that the tasks may run on, sorted; null if any.
- * @property zone The only zone in which new capacity is of use; null if any.
- * @property pastDeadline Whether the jobs are past their deadlines: then an expensive machine is better than none.
- * @property taskCount How many tasks there are.
+ * @property zone The only zone in which new capacity is useful; null if any is.
+ * @property pastDeadline Whether the jobs are past their deadlines: an expensive machine is then better than none.
+ * @property taskCount The number of tasks.
  */
 data class Demand(
     val cpus: Double,
@@ -40,7 +41,7 @@
     val pastDeadline: Boolean,
     val taskCount: Int,
 ) {
-    /** What may be added up with this demand: tasks that may run on the same machines. */
+    /** Only demands of the same kind, whose tasks may run on the same machines, can be added up. */
     val kind: DemandKind get() = DemandKind(spot, allowedTypes, zone, pastDeadline)
 
     /** The form in which the demand is stored. */
@@ -74,7 +75,7 @@
     fun mayRunOn(typeName: String, zoneName: String, onSpot: Boolean): Boolean =
         (!onSpot || spot) && allowsType(typeName) && allowsZone(zoneName)
 
-    /** Both demands together, which must be of the same [kind]; averages are weighted by the task counts. */
+    /** The sum of both demands, which must be of the same [kind]; averages are weighted by the task counts. */
     operator fun plus(other: Demand): Demand {
         val totalCount = taskCount + other.taskCount
         fun mean(own: Double, others: Double) = (own * taskCount + others * other.taskCount) / totalCount
@@ -91,8 +92,8 @@
 
     companion object {
         /**
-         * The demand of [taskCount] tasks of one job. [zone] is the only zone in which new capacity is of use, by the
-         * job itself or by where its other tasks are.
+         * The demand of [taskCount] tasks of one job. [zone] is the only zone in which new capacity is useful, because
+         * of the job's own setting or of where its other tasks are.
          */
         fun of(spec: JobSpec, pastDeadline: Boolean, taskCount: Int, zone: String? = spec.zone) = Demand(
             cpus = spec.cpus,
--- a/src/main/kotlin/io/reedmast/autoscaling/DemandCalculation.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/DemandCalculation.kt
@@ -4,8 +4,8 @@
 import io.reedmast.model.ShardState
 
 /**
- * One calculation of a shard's demand. Jobs are counted one after another, the most urgent first; each takes from
- * [bootingCapacity], from its team's quota and from the throughput what the next ones then lack.
+ * One calculation of a shard's demand. Jobs are counted one after another, the most urgent first. What a job uses of
+ * [bootingCapacity], of its team's quota and of the throughput is not available to the jobs after it.
  */
 internal class DemandCalculation(
     private val shardState: ShardState,
@@ -17,7 +17,7 @@
     private val wallMs = shardState.clock.wallTime()
     private val zones = DemandZones(shardState)
 
-    /** The demand of all jobs that wait, added up by kind. To be called once. */
+    /** The demand of all waiting jobs, added up by kind. Must be called only once. */
     fun demand(): List<Demand> {
         val demandByKind = LinkedHashMap<DemandKind, Demand>()
         for (job in waitingJobs()) {
@@ -42,14 +42,14 @@
         }
     }
 
-    /** How many tasks of the job its team's quota limits let start; 0 if that is less than it needs to start. */
+    /** How many tasks of the job may start within its team's quota limits; 0 if these are too few for it to start. */
     private fun startableTasks(job: Job): Int {
         val tasks = minOf(job.pendingCount, shardState.quota.remainingTasks(job))
         if (tasks < minTasksToStart(job.spec)) return 0
         return cpuQuota.allocate(job, tasks)
     }
 
-    /** For how many of [startable] tasks machines must be provisioned, with the booting ones taken into account. */
+    /** How many of the [startable] tasks need new machines, given the capacity of the booting ones. */
     private fun tasksToProvision(job: Job, startable: Int, allowedZones: Set<String>?): Int {
         val withoutCapacity = allocateAndCountRemaining(job.spec, startable, bootingCapacityIn(allowedZones))
         return if (isArray(job.spec)) tasksToMeetDeadline(job, withoutCapacity) else withoutCapacity
@@ -61,11 +61,11 @@
     }
 
     /**
-     * For how many tasks of an array job machines must be provisioned to meet its deadline: at least one if it is
-     * starving.
+     * How many tasks of an array job need new machines for it to meet its deadline: at most [withoutCapacity], and at
+     * least one of these if the job is starving.
      *
-     * The throughput takes any capacity of the shard for capacity of the job. Where it is in another zone, say, the job
-     * would wait for ever.
+     * The throughput counts all of the shard's capacity as capacity for the job. If the job cannot use it, for example
+     * because it is in another zone, the job would otherwise wait forever.
      */
     private fun tasksToMeetDeadline(job: Job, withoutCapacity: Int): Int {
         val forDeadline = throughput.tasksToProvisionFor(job, withoutCapacity, wallMs)
@@ -74,8 +74,8 @@
     }
 
     /**
-     * A gang that is to be spread needs capacity in several zones at once, at most half of it in each: machines in one
-     * zone alone would stay empty and be returned.
+     * The demand of a gang that must be spread. It needs capacity in several zones at once, with at most half of its
+     * tasks (rounded up) in each; machines in one zone alone would stay empty and be returned.
      */
     private fun demandOfSpreadGang(job: Job): List<Demand> {
         val maxInOneZone = (job.spec.taskCount + 1) / 2
--- a/src/main/kotlin/io/reedmast/autoscaling/DemandEstimator.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/DemandEstimator.kt
@@ -4,14 +4,14 @@
 import io.reedmast.model.Machine
 import io.reedmast.model.ShardState
 
-/** What a shard needs beyond the machines that it has. */
+/** Estimates the capacity that a shard needs in addition to the machines that it has. */
 class DemandEstimator(private val shardState: ShardState, private val arrivals: ArrivalRates) {
     /**
-     * The free capacity of machines that have not come up yet, or have not sent us a heartbeat yet since we acquired
-     * the shard.
+     * The free capacity of machines that have not come up yet and, for the first two heartbeat intervals after this
+     * controller acquired the shard, of machines that have not yet sent it a heartbeat.
      *
-     * A machine that was up before and sends no heartbeats is more likely dead than booting: its capacity must not
-     * hide demand.
+     * After that, a machine that was up before and sends no heartbeats is more likely dead than booting, and its
+     * capacity must not hide demand.
      */
     fun bootingCapacity(): List<FreeCapacity> {
         val justAcquired = shardState.clock.now() - shardState.activeAt <
@@ -26,13 +26,16 @@
         return justAcquired || !machine.everReported
     }
 
-    /** Whether the machines of [bootingCapacity] hold all that [job] may still start. Allocates it to them. */
+    /** Whether all tasks that [job] may still start fit in [bootingCapacity]. Allocates there those that fit. */
     fun fitsOnBootingMachines(job: Job, bootingCapacity: List<FreeCapacity>): Boolean {
         val startableTasks = minOf(job.pendingCount, shardState.quota.remainingTasks(job))
         return allocateAndCountRemaining(job.spec, startableTasks, bootingCapacity) == 0
     }
 
-    /** The jobs of which nothing has run for long, those that have waited longest first; [now] is in milliseconds. */
+    /**
+     * Jobs that are nearly starving although their teams' quota limits would let them start, those that have waited
+     * longest first, at most [MAX_STARVING_JOBS]; [now] is in milliseconds.
+     */
     fun starvingJobs(now: Long): List<StarvingJob> {
         val zones = DemandZones(shardState)
         return shardState.jobs.values
@@ -49,7 +52,7 @@
 
     private fun mayStart(job: Job): Boolean = shardState.quota.remainingTasks(job) >= minTasksToStart(job.spec)
 
-    /** The demand of all jobs that wait, added up by kind; the kinds of the most urgent jobs come first. */
+    /** The demand of all waiting jobs, added up by kind; the kinds of the most urgent jobs come first. */
     fun demand(): List<Demand> = DemandCalculation(shardState, arrivals, bootingCapacity()).demand()
 
     private companion object {
--- a/src/main/kotlin/io/reedmast/autoscaling/DrainCandidates.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/DrainCandidates.kt
@@ -4,14 +4,15 @@
 import io.reedmast.model.Placement
 import io.reedmast.model.ShardState
 
-/** Which machines of a shard could be drained for a starving job of another shard. */
+/** Selects the machines of a shard that could be drained for a starving job of another shard. */
 internal class DrainCandidates(private val shardState: ShardState) {
     /**
-     * Names of the machines that could be drained, those that lose least by it first, some of each kind. Empty ones
-     * that are kept for services to come are among them. [now] is in milliseconds.
+     * Names of the machines that could be drained: the cheapest to drain first, grouped by offering, with at most
+     * [MAX_PER_OFFERING] of each. Empty machines that are kept for services to come are included. [now] is in
+     * milliseconds.
      *
-     * Services are placed again at once, and what ends within seconds is waited for; other work that cannot resume is
-     * lost.
+     * Services are placed elsewhere at once, and tasks that end within seconds are waited for; other work that cannot
+     * resume is lost.
      */
     fun select(now: Long): List<String> {
         val drainable = shardState.machines.values.filter { isDrainable(it, now) }
@@ -29,15 +30,15 @@
         machine.placements.values.none { now - it.createdAt < JUST_PLACED_MS || it.job.spec.isGang }
 
     /**
-     * Whether the machine's work fits into what is left of [freeCpus] without it. With less on the others, the work of
-     * this one would starve next, and the machine come back.
+     * Whether the machine's work fits into what is left of [freeCpus] without this machine. With less free capacity on
+     * the others, this work would starve next, and the machine would be moved back.
      */
     private fun workFitsOnOthers(machine: Machine, freeCpus: Double): Boolean {
         val placedCpus = machine.placements.values.sumOf { it.job.spec.cpus }
         return placedCpus <= freeCpus - machine.freeCpus + Machine.EPSILON
     }
 
-    /** What stopping the task costs, in CPU seconds of its work. */
+    /** The cost of stopping the task, in CPU seconds of its work. */
     private fun drainCost(placement: Placement, now: Long): Double {
         val spec = placement.job.spec
         val ranS = if (placement.running) (now - placement.runningSince) / MS_PER_S else 0.0
@@ -55,7 +56,7 @@
         const val MAX_CANDIDATES = 24
         const val MAX_PER_OFFERING = 3
 
-        /** What stopping a replica and starting it elsewhere is worth, in seconds of its run. */
+        /** The cost of stopping a replica and starting it elsewhere, in seconds of its run time. */
         const val SERVICE_RESTART_S = 5.0
     }
 }
--- a/src/main/kotlin/io/reedmast/autoscaling/FleetView.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/FleetView.kt
@@ -4,20 +4,20 @@
 import io.reedmast.settings.ShardId
 
 /**
- * The cluster as the leader's decisions about machines see it, and the changes that they make to the records of
- * machines.
+ * The view of the cluster on which the leader bases its decisions about machines, and the changes to the machines'
+ * records that these decisions require.
  */
 interface FleetView {
     /** Whether this controller leads. */
     val leading: Boolean
 
     /**
-     * The term in which this controller leads, once all that earlier leaders stored is known here; null if it does not
-     * lead, or not yet knows.
+     * The term in which this controller leads, once everything that earlier leaders stored is known here; null before
+     * that, and if this controller does not lead.
      */
     val leaderTerm: Long?
 
-    /** Whether this controller has lately heard enough from the store to decide anything, and may. */
+    /** Whether this controller's view of the store is recent enough to base decisions on it, and it may take part. */
     fun isCurrent(): Boolean
 
     /** Whether everything that was stored before [time], in milliseconds, is known here. */
@@ -26,7 +26,7 @@
     /** How many shards there are; they are numbered from 0. */
     val shardCount: Int
 
-    /** Whether some shard has never had an owner. */
+    /** Whether any shard has never had an owner. */
     val hasUnownedShards: Boolean
 
     /** The shard that the machine belongs to; null if it belongs to none. */
@@ -38,13 +38,13 @@
     /** Version of the newest change to the shard's machines. */
     fun machinesVersion(shard: ShardId): Long
 
-    /** Whether the machine has left all shards lately: lists and late copies of heartbeats may still show it. */
+    /** Whether the machine recently left all shards; the cloud's lists and late heartbeats may still show it. */
     fun departedRecently(machineName: String): Boolean
 
-    /** A machine of no shard is gone: lists and late messages that still show it count for nothing. */
+    /** Records that a machine of no shard is gone, so that lists and late messages that still show it are ignored. */
     fun recordDeparture(machineName: String)
 
-    /** Whether the machine is to leave the shard for another one as soon as it is empty. */
+    /** Whether the machine is to move from the shard to another one as soon as it is empty. */
     fun isMarkedForTransfer(shard: ShardId, machineName: String): Boolean
 
     /** Adds machines to a shard; [highestTokenSeen] is the highest token that any of their workers has seen. */
@@ -55,6 +55,6 @@
         onDone: (AddMachinesResult) -> Unit,
     )
 
-    /** Marks machines that are to leave for another shard as soon as they are empty. */
+    /** Marks machines that are to move to the shard [to] as soon as they are empty. */
     fun markForTransfer(shard: ShardId, machineNames: Collection<String>, to: ShardId)
 }
--- a/src/main/kotlin/io/reedmast/autoscaling/FreeCapacity.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/FreeCapacity.kt
@@ -5,7 +5,7 @@
 import io.reedmast.placement.isEligible
 import io.reedmast.wire.JobSpec
 
-/** Free capacity of a machine, to which tasks are allocated on trial: nothing is placed by it. */
+/** A machine's free capacity, to which tasks are allocated only for an estimate; nothing is placed on the machine. */
 class FreeCapacity(
     val record: MachineRecord,
     private var cpus: Double,
@@ -33,7 +33,7 @@
         if (perTask > 0) ((free + Machine.EPSILON) / perTask).toInt() else Int.MAX_VALUE
 }
 
-/** Allocates up to [taskCount] tasks to [capacities] in their order, and returns how many find no capacity. */
+/** Allocates up to [taskCount] tasks to [capacities] in their order, and returns how many of them do not fit. */
 fun allocateAndCountRemaining(spec: JobSpec, taskCount: Int, capacities: List<FreeCapacity>): Int {
     var remaining = taskCount
     for (capacity in capacities) {
--- a/src/main/kotlin/io/reedmast/autoscaling/IncomingMachine.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/IncomingMachine.kt
@@ -3,16 +3,16 @@
 import io.reedmast.model.MachineRecord
 import io.reedmast.settings.ShardId
 
-/** How the leader has learned of a machine. */
+/** How the leader learned of a machine. */
 internal enum class IntakeSource {
-    /** The cloud's answer to a request of this leader's. */
+    /** The cloud's answer to a provisioning request of this leader. */
     RENTAL,
 
-    /** The worker's heartbeat: the machine was rented by an earlier leader, or its rental is not answered yet. */
+    /** The worker's heartbeat: an earlier leader rented the machine, or its rental has not been answered yet. */
     HEARTBEAT,
 }
 
-/** A machine that belongs to no shard yet, with the one shard that it is to come to. */
+/** A machine that belongs to no shard yet, with the one shard that it is to be assigned to. */
 internal class IncomingMachine(
     var record: MachineRecord,
     var shard: ShardId,
@@ -23,13 +23,13 @@
     var stage = IntakeStage.WAITING
         private set
 
-    /** When the outcome of its last write became known, in milliseconds. */
+    /** When the outcome of its last write became known, in milliseconds; set by every event. */
     var outcomeAt = 0L
         private set
 
     val name: String get() = record.name
 
-    /** Moves on to the stage that follows after [event], at the time [now]. */
+    /** Moves to the stage that follows [event], which occurs at [now]. */
     fun onEvent(event: IntakeEvent, now: Long) {
         stage = stage.after(event)
         outcomeAt = now
--- a/src/main/kotlin/io/reedmast/autoscaling/IntakeDecision.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/IntakeDecision.kt
@@ -2,17 +2,17 @@
 
 import io.reedmast.settings.ShardId
 
-/** What becomes of a machine that is offered to [MachineIntake]. */
+/** The decision on a machine that was offered to [MachineIntake]. */
 internal sealed interface IntakeDecision {
-    /** It is to come to the shard that was named. */
+    /** The machine will be assigned to the shard that it was offered for. */
     data object Accepted : IntakeDecision
 
-    /** It belongs to [shard] already, or is on its way there, and stays so. */
+    /** The machine already belongs to [shard], or is being assigned to it, and that stays so. */
     data class MetElsewhere(val shard: ShardId) : IntakeDecision
 
-    /** It is being returned, or has left all shards lately: it comes to none. */
+    /** The machine is being returned, or recently left all shards; it is not assigned to any. */
     data object Leaving : IntakeDecision
 
-    /** This controller does not lead: the next leader finds the machine by its heartbeats. */
+    /** This controller does not lead; the next leader finds the machine by its heartbeats. */
     data object NotLeading : IntakeDecision
 }
--- a/src/main/kotlin/io/reedmast/autoscaling/MachineIntake.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/MachineIntake.kt
@@ -7,11 +7,12 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Brings machines that belong to no shard into one, whether they were rented or found by their heartbeats.
+ * Assigns machines that belong to no shard to one, whether they were rented or found by their heartbeats.
  *
- * Each machine has one destination, by its name. A rental may replace the destination that a heartbeat gave it as long
- * as nothing has been sent; from then on the destination stays until the outcome of the write is certain. Two writes
- * for one machine would otherwise be on their way to two shards, and no precondition of the one covers the other.
+ * Each machine, identified by its name, has one destination. A rental may replace the destination that was chosen after
+ * a heartbeat as long as no write has been sent; from then on the destination stays until the outcome of the write is
+ * certain. Otherwise two writes could assign one machine to two shards, since the preconditions of one write do not
+ * cover the other.
  */
 internal class MachineIntake(
     private val clock: Clock,
@@ -21,13 +22,13 @@
 ) {
     private val log = LoggerFactory.getLogger("autoscaler")
 
-    /** Versions of the last change made here to shards' machines: older usage summaries do not know of it yet. */
+    /** Versions of this controller's last changes to shards' machines; older usage summaries do not reflect them. */
     private val lastChangedVersion = HashMap<ShardId, Long>()
 
     /** Machines that are not yet assigned to their shard, by name. */
     private val incoming = LinkedHashMap<String, IncomingMachine>()
 
-    /** Shards with an assignment that is not stored yet: there is one at a time for each. */
+    /** Shards with an assignment in flight; there is at most one at a time for each shard. */
     private val assigning = HashSet<ShardId>()
 
     /** The leader's term in which [incoming] was collected. */
@@ -36,19 +37,19 @@
     /** Names of the machines that are not yet assigned to their shard. */
     val unassignedNames: Set<String> get() = incoming.keys
 
-    /** Whether machines wait to be assigned to the shard. */
+    /** Whether there are machines that are still to be assigned to the shard. */
     fun hasMachinesFor(shard: ShardId): Boolean = incoming.values.any { it.shard == shard }
 
-    /** Whether the summary was written in knowledge of all machines that were assigned to its shard from here. */
+    /** Whether the summary takes into account all machines that this controller has assigned to its shard. */
     fun isCurrent(summary: ShardUsageSummary): Boolean =
         summary.machinesVersion >= (lastChangedVersion[summary.shard] ?: 0L)
 
-    /** Whether the machine is being returned, or has left all shards lately. */
+    /** Whether the machine is being returned, or recently left all shards. */
     fun isLeaving(machineName: String): Boolean = machineName in pendingReturns || fleet.departedRecently(machineName)
 
     /**
-     * A machine is offered to [shard]; [seenToken] is the highest token that its worker has seen. What a rental says of
-     * type, zone and price counts, and a heartbeat only as long as there is no rental.
+     * Offers a machine for assignment to [shard]; [seenToken] is the highest token that its worker has seen. Type, zone
+     * and price (spot or on-demand) are taken from a rental, and from a heartbeat only as long as there is no rental.
      */
     fun offer(record: MachineRecord, shard: ShardId, source: IntakeSource, seenToken: Long): IntakeDecision {
         val recordedShard = fleet.shardOfMachine(record.name)
@@ -82,7 +83,7 @@
         return if (known.shard == shard) IntakeDecision.Accepted else IntakeDecision.MetElsewhere(known.shard)
     }
 
-    /** Assigns the machines that wait for it to their shards. Those that could not be stored go on waiting. */
+    /** Assigns the waiting machines to their shards. Those whose assignment could not be stored keep waiting. */
     fun assign() {
         val currentTerm = fleet.leaderTerm ?: return
         if (currentTerm != term) beginTerm(currentTerm)
@@ -94,15 +95,15 @@
     }
 
     /**
-     * What was collected before another controller led says nothing any more; machines that are up are found by their
-     * heartbeats. Writes of the earlier term are refused, and their entries stay until that is known.
+     * Discards what was collected before another controller led: it is outdated, and machines that are up are found by
+     * their heartbeats. Writes of the earlier term are refused, and their entries stay until that is known.
      */
     private fun beginTerm(currentTerm: Long) {
         if (term != null) incoming.values.removeIf { it.stage != IntakeStage.STORING }
         term = currentTerm
     }
 
-    /** Applies what the records now show of a machine that no write of ours is on its way for. */
+    /** Updates a machine for which no write is in flight to what the records show now. */
     private fun update(machine: IncomingMachine) {
         if (machine.stage == IntakeStage.STORING) return
         if (machine.stage == IntakeStage.UNCERTAIN && !fleet.hasObserved(machine.outcomeAt)) return
@@ -141,7 +142,7 @@
         log.info("machines {}: added to shard {}, revision {}", machineNames, shard.value, version)
     }
 
-    /** The shard with the fewest CPUs, so that machines found at the start are spread evenly. */
+    /** The shard with the fewest CPUs, those to come included; so machines found at the start are spread evenly. */
     fun shardWithFewestCpus(): ShardId {
         val cpus = DoubleArray(fleet.shardCount) { shard -> fleet.machinesOf(ShardId(shard)).sumOf { cpusOf(it) } }
         for (machine in incoming.values) cpus[machine.shard.value] += cpusOf(machine.record)
--- a/src/main/kotlin/io/reedmast/autoscaling/MachineProvisioner.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/MachineProvisioner.kt
@@ -16,30 +16,30 @@
     private val fleet: FleetView,
     private val machineTypes: () -> Map<String, MachineType>,
     private val intake: MachineIntake,
-    /** Part of every request name: never the same twice, over all controllers and restarts. */
+    /** The start of every request name, unique over all controllers and restarts. */
     private val requestPrefix: String,
-    /** For how long, in milliseconds, a machine of another shard is waited for instead of renting one more. */
+    /** How long, in milliseconds, to wait for a machine of another shard instead of renting one more. */
     private val transferWaitMs: Long,
 ) {
     private val log = LoggerFactory.getLogger("autoscaler")
     private var requestCount = 0L
     private val unavailableUntil = HashMap<InstanceOffering, Long>()
 
-    /** How many requests to the cloud are on their way for each shard; a shard without any has no entry. */
+    /** The number of requests to the cloud in flight for each shard; a shard without any has no entry. */
     private val requestsInFlight = HashMap<ShardId, Int>()
 
-    /** Until when (ms) shards wait for machines that were rented for them and have come to other shards. */
+    /** Until when (ms) shards wait for machines that were rented for them but came to other shards. */
     private val transferAwaitedUntil = HashMap<ShardId, Long>()
 
-    /** Whether a machine that was rented for the shard is in another one, and may yet be moved. */
+    /** Whether a machine that was rented for the shard came to another one, and may still be moved. */
     fun awaitsTransfer(shard: ShardId): Boolean = (transferAwaitedUntil[shard] ?: 0L) > clock.now()
 
-    /** Whether a request for the shard is on its way. */
+    /** Whether a request for the shard is in flight. */
     fun isProvisioningFor(shard: ShardId): Boolean = shard in requestsInFlight
 
     /**
-     * Requests machines for all that the shards of [summaries] demand together: the cloud takes few calls, and up to
-     * [MAX_MACHINES_PER_REQUEST] machines with each. Shards that come first are served first; [now] is in milliseconds.
+     * Requests machines for the demand of all shards of [summaries] together, since the cloud accepts few calls, each
+     * for up to [MAX_MACHINES_PER_REQUEST] machines. Shards that come first are served first; [now] is in milliseconds.
      */
     fun provision(summaries: List<ShardUsageSummary>, unavailableZones: Set<String>, now: Long) {
         val planner = ProvisioningPlanner(machineTypes(), machineCountByZone()) { offering ->
@@ -68,7 +68,7 @@
     private fun send(planned: PlannedOffering, request: ProvisioningRequest, attemptsLeft: Int) {
         cloud.provision(request) { result ->
             if (result is ProvisioningResult.Failed && attemptsLeft > 1 && fleet.leading) {
-                // The same name again: if the first copy was carried out after all, nothing more is rented.
+                // Sent under the same name: if the earlier copy was carried out after all, nothing more is rented.
                 send(planned, request, attemptsLeft - 1)
             } else {
                 onAnswered(planned, request, result)
@@ -87,7 +87,7 @@
 
     private fun onProvisioned(planned: PlannedOffering, request: ProvisioningRequest, machineNames: List<String>) {
         log.info(
-            "machines: {} of {} {} provisioned in {}{}",
+            "machines: {} of {} {} provisioned in zone {}{}",
             machineNames.size,
             request.count,
             request.typeName,
@@ -100,11 +100,14 @@
         intake.assign()
     }
 
-    /** What the cloud names beyond what was asked for is left to be found by its heartbeats. */
+    /**
+     * For each requested machine, the shard that it is for. Machines that the cloud provides beyond the requested
+     * number get no shard here; they are found by their heartbeats.
+     */
     private fun PlannedOffering.shardsOfMachines(): List<ShardId> =
         allocations.flatMap { allocation -> List(allocation.machineCount) { allocation.shard } }
 
-    /** Offers the machines that [request] has brought to [shard]. */
+    /** Offers the machines that the cloud has provided for [request] to the intake, for [shard]. */
     private fun offer(request: ProvisioningRequest, shard: ShardId, machineNames: List<String>) {
         log.info("machines {}: rented for shard {}, request {}", machineNames, shard.value, request.requestName)
         val notAccepted = machineNames.associateWith { machineName ->
@@ -112,7 +115,7 @@
             intake.offer(record, shard, IntakeSource.RENTAL, seenToken = 0L)
         }.filterValues { it != IntakeDecision.Accepted }
         if (notAccepted.isEmpty()) return
-        log.info("machines {}: do not come to shard {}", notAccepted, shard.value)
+        log.info("machines {}: not accepted for shard {}", notAccepted, shard.value)
         if (notAccepted.values.any { it is IntakeDecision.MetElsewhere }) {
             transferAwaitedUntil[shard] = clock.now() + transferWaitMs
         }
@@ -131,10 +134,10 @@
     private companion object {
         const val UNAVAILABLE_MS = 20_000L
 
-        /** How often a request is sent whose outcome is not known. */
+        /** How often a request is sent at most while its outcome is not known. */
         const val MAX_ATTEMPTS = 3
 
-        /** How many requests are made at once; each is for one offering. */
+        /** The maximum number of requests sent at once; each is for one offering. */
         const val MAX_REQUESTS = 8
     }
 }
--- a/src/main/kotlin/io/reedmast/autoscaling/OfferingSelector.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/OfferingSelector.kt
@@ -7,21 +7,21 @@
 internal data class OfferingCandidate(val offering: InstanceOffering, val machineCount: Int, val hourlyCost: Double)
 
 /**
- * Selects what to rent for a demand, from the prices of [machineTypes] and without what [isUnavailable]: offerings that
- * the cloud has refused lately, and zones that are cut off.
+ * Selects the offering to rent for a demand, by the prices of [machineTypes]. Leaves out offerings that are
+ * [isUnavailable]: those that the cloud has recently refused, and those in zones that are cut off.
  */
 internal class OfferingSelector(
     private val machineTypes: Collection<MachineType>,
     private val isUnavailable: (InstanceOffering) -> Boolean,
 ) {
     /**
-     * The offering that covers the whole [demand] at the least cost per hour; null if none does. It is in the zone in
-     * which the cluster has the fewest machines, by [machineCountByZone].
+     * The offering that covers the whole [demand] at the least cost per hour; null if none does. Of the available zones
+     * it is in the one in which the cluster has the fewest machines, by [machineCountByZone].
      */
     fun select(demand: Demand, machineCountByZone: Map<String, Int>): OfferingCandidate? =
         machineTypes.flatMap { candidates(it, demand, machineCountByZone) }.minByOrNull { it.hourlyCost }
 
-    /** What to consider of one machine type: its spot machines first, then its on-demand ones. */
+    /** The candidates of one machine type: its spot machines first, then its on-demand ones. */
     private fun candidates(
         machineType: MachineType,
         demand: Demand,
@@ -35,7 +35,7 @@
             if (hourlyPrice == null) return null
             val offerings = zones.map { InstanceOffering(machineType.label, it, spot) }
             val offering = offerings.firstOrNull { !isUnavailable(it) } ?: return null
-            // A machine that is only partly filled still costs as a whole.
+            // A machine that is only partly filled still costs its full price.
             return OfferingCandidate(offering, machineCount, hourlyPrice * machineCount)
         }
         return listOfNotNull(
@@ -44,11 +44,11 @@
         )
     }
 
-    /** What an hour of a spot machine counts for; null if there is none, or the demand does not allow it. */
+    /** The hourly spot price plus a risk surcharge; null if there is none, or the demand does not allow spot. */
     private fun spotPrice(machineType: MachineType, demand: Demand): Double? =
         if (demand.spot) machineType.spotPrice?.times(SPOT_RISK_FACTOR) else null
 
-    /** What an hour of an on-demand machine costs; null if that is too expensive for the demand. */
+    /** The hourly price of an on-demand machine; null if that is too expensive for the demand. */
     private fun onDemandPrice(machineType: MachineType, demand: Demand): Double? {
         val mayWaitForSpot = demand.spot && !demand.pastDeadline
         val isExcluded = mayWaitForSpot &&
@@ -57,7 +57,7 @@
     }
 
     private companion object {
-        /** A spot machine is worth a little less than its price says: its work may be lost. */
+        /** Makes spot machines slightly more expensive in comparisons, since the work on them may be lost. */
         const val SPOT_RISK_FACTOR = 1.2
     }
 }
--- a/src/main/kotlin/io/reedmast/autoscaling/PlannedOffering.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/PlannedOffering.kt
@@ -2,15 +2,15 @@
 
 import io.reedmast.settings.ShardId
 
-/** Machines that one shard is to get. */
+/** The number of machines that one shard is to get. */
 internal data class ShardAllocation(val shard: ShardId, val machineCount: Int)
 
-/** Machines of one offering that are to be requested, by the shards they are for. */
+/** Machines of one offering that are to be requested, with the shards that they are for. */
 internal data class PlannedOffering(val offering: InstanceOffering, val allocations: List<ShardAllocation>) {
-    /** How many machines are to be requested, for all shards together. */
+    /** The number of machines to request for all shards together. */
     val machineCount: Int get() = allocations.sumOf { it.machineCount }
 
-    /** As much of the plan as [maxMachines] machines are: the first shards get all of theirs. */
+    /** The plan reduced to at most [maxMachines] machines: the first shards still get all of theirs. */
     fun limitedTo(maxMachines: Int): PlannedOffering {
         var remaining = maxMachines
         val limited = ArrayList<ShardAllocation>()
@@ -24,5 +24,5 @@
     }
 }
 
-/** How many machines one request to the cloud may be for. */
+/** The maximum number of machines per request to the cloud. */
 internal const val MAX_MACHINES_PER_REQUEST = 50
--- a/src/main/kotlin/io/reedmast/autoscaling/Pricing.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/Pricing.kt
@@ -13,7 +13,7 @@
     gpus: Double,
     memoryGb: Double,
 ): Boolean {
-    /** Hourly price of one task on a full machine; the highest value if none fits or there is no such price. */
+    /** Hourly price per task on a full machine; [Double.MAX_VALUE] if no task fits or there is no such price. */
     fun pricePerTask(type: MachineType, hourlyPrice: Double?): Double {
         val tasksPerMachine = type.holds(cpus, gpus, memoryGb)
         return if (hourlyPrice == null || tasksPerMachine < 1) Double.MAX_VALUE else hourlyPrice / tasksPerMachine
@@ -23,7 +23,7 @@
 }
 
 /**
- * Work that may use spot machines gets an on-demand one only up to this many times the cheapest spot price: more
- * expensive ones cost more than the deadlines they save are worth.
+ * Tasks that may use spot machines get an on-demand one only up to this many times the cheapest spot price per task:
+ * more expensive machines cost more than the deadlines that they save are worth.
  */
 private const val MAX_RATIO_TO_SPOT_PRICE = 5.0
--- a/src/main/kotlin/io/reedmast/autoscaling/ProvisioningPlanner.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/ProvisioningPlanner.kt
@@ -4,8 +4,8 @@
 import io.reedmast.wire.MachineType
 
 /**
- * Which offerings cover the demand of all shards together, in the order in which they were first selected. Works on
- * its arguments alone; one instance serves one call of [plan].
+ * Plans which offerings cover the demand of all shards together, in the order in which they were first selected.
+ * Depends only on its arguments; one instance serves one call of [plan].
  */
 internal class ProvisioningPlanner(
     private val machineTypes: Map<String, MachineType>,
@@ -14,7 +14,7 @@
 ) {
     private val selector = OfferingSelector(machineTypes.values, isUnavailable)
 
-    /** Machines of all shards, with those that are planned so far. */
+    /** The number of machines of all shards, including those planned so far. */
     private val machineCountByZone = HashMap(presentMachinesByZone)
     private val allocations = LinkedHashMap<InstanceOffering, MutableList<ShardAllocation>>()
 
@@ -26,7 +26,7 @@
         return allocations.map { (offering, byShard) -> PlannedOffering(offering, byShard) }
     }
 
-    /** Spreads the machines over zones: a zone that is cut off takes only its part with it. */
+    /** Spreads the machines over zones, so that only some of them are lost if a zone is cut off. */
     private fun cover(demand: Demand, shard: ShardId) {
         var remaining = demand
         while (remaining.taskCount > 0) {
--- a/src/main/kotlin/io/reedmast/autoscaling/RemainingCpuQuota.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/RemainingCpuQuota.kt
@@ -6,15 +6,15 @@
 import io.reedmast.settings.TeamId
 
 /**
- * What is left of the teams' CPU quota limits while the demand of one job after another is counted against them. One
- * instance serves one calculation of the demand.
+ * The CPUs that remain within the teams' quota limits while the demand of one job after another is counted against
+ * them. One instance serves one calculation of the demand.
  */
 internal class RemainingCpuQuota(private val shardState: ShardState) {
     private val remainingCpus = HashMap<TeamId, Double>()
 
     /**
-     * Takes as many of [tasks] from the quota of the job's team as it allows, and returns how many: 0, with nothing
-     * taken, if that is less than the job needs to start.
+     * Allocates the quota of the job's team to as many of [tasks] as it allows, and returns how many. If they are too
+     * few for the job to start, allocates nothing and returns 0.
      */
     fun allocate(job: Job, tasks: Int): Int {
         if (!isLimited(job)) return tasks
--- a/src/main/kotlin/io/reedmast/autoscaling/ScaleInPolicy.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/ScaleInPolicy.kt
@@ -3,18 +3,18 @@
 import io.reedmast.model.Machine
 import io.reedmast.model.ShardState
 
-/** Which empty machines a shard can do without: how long it keeps them, and which may move to another shard. */
+/** Decides how long a shard keeps empty machines, and which of them may move to another shard. */
 class ScaleInPolicy(private val shardState: ShardState, private val arrivals: ArrivalRates) {
     /**
-     * Free on-demand capacity that is kept for the services that arrive while a machine boots: [freeCpus] of which
-     * [neededCpus] must stay.
+     * The free on-demand capacity, [freeCpus], of which [neededCpus] are kept for the services that arrive while a
+     * machine boots.
      */
     class Headroom(private var freeCpus: Double, private val neededCpus: Double) {
-        /** Whether too little would be left without the machine. */
+        /** Whether too little free capacity would be left without the machine. */
         fun needs(machine: Machine): Boolean =
             neededCpus > 0.0 && !machine.record.spot && freeCpus - machine.freeCpus < neededCpus
 
-        /** The machine is being removed. */
+        /** Subtracts the capacity of a machine that is being removed. */
         fun remove(machine: Machine) {
             if (!machine.record.spot) freeCpus -= machine.freeCpus
         }
@@ -32,11 +32,11 @@
         shardState.shortestBootS()?.let { arrivals.serviceCpus(now, it) } ?: 0.0
 
     /**
-     * CPUs that other work leaves free on machines with services, for the services that arrive within a few seconds.
+     * CPUs that other work must leave free on machines with services, for services that arrive in the next few seconds.
      */
     fun serviceReserve(now: Long): Double = arrivals.serviceCpus(now, SERVICE_RESERVE_S)
 
-    /** Records the size of the images that the shard's jobs need, by which [scaleInDelayMs] goes. */
+    /** Updates the mean image size of the shard's jobs, on which [scaleInDelayMs] depends. */
     fun updateMeanImageSize() {
         val jobs = shardState.jobs.values
         meanImageGb = if (jobs.isEmpty()) 0.0 else jobs.sumOf { it.spec.imageGb } / jobs.size
@@ -45,8 +45,9 @@
     /**
      * How long an empty machine is kept, in milliseconds.
      *
-     * What is lost with it is its boot and its images; a boot is partly hidden, since machines are rented as work
-     * comes. Spot machines cost a fraction, and are kept longer by the same measure.
+     * A machine that is returned loses its boot time and its cached images. Only a part of the boot time counts, since
+     * machines are rented as work arrives, which hides some of it. Spot machines cost a fraction of the on-demand
+     * price, and are kept longer by the same measure.
      */
     fun scaleInDelayMs(machine: Machine): Double {
         val machineType = machine.machineType ?: return 0.0
@@ -72,8 +73,9 @@
             machine.machineType != null && !machine.isContested
 
     /**
-     * Whether the machine is still booting and was not asked for just now: one that has just come covers the demand
-     * for it, so that there is none any more, and went on to the next shard before it could be used.
+     * Whether the machine is still booting and did not come just now. A machine that has just come covers the demand
+     * that it was meant for, so its shard shows none any more; such machines were moved on to the next shard before
+     * they could be used.
      */
     private fun isTransferableWhileBooting(machine: Machine, now: Long): Boolean =
         !machine.everReported && now - machine.firstSeenAt > JUST_PROVISIONED_MS
@@ -82,15 +84,15 @@
         machine.isStateKnown && now - machine.emptySince > MIN_IDLE_TO_MOVE_MS
 
     companion object {
-        /** Work that has this long to go, by its owner's estimate, is let end on a machine that is to move. */
+        /** A task with less than this left, by its owner's estimate, may finish on a machine that is to move. */
         const val ENDS_SOON_S = 15.0
 
         private const val SPOT_DELAY_FACTOR = 2.0
 
-        /** A machine is kept for this many heartbeats at least. */
+        /** An empty machine is kept for at least this many heartbeat intervals. */
         private const val MIN_DELAY_HEARTBEATS = 4
 
-        /** The part of its boot that an empty machine is kept for. */
+        /** The fraction of its boot time for which an empty machine is kept. */
         private const val BOOT_TIME_FRACTION = 0.25
         private const val SERVICE_RESERVE_S = 10.0
         private const val MIN_IDLE_TO_MOVE_MS = 2_000L
--- a/src/main/kotlin/io/reedmast/autoscaling/ShardRebalancer.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/ShardRebalancer.kt
@@ -7,8 +7,8 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Which machines move between shards: idle ones to where there is demand, and now and then some that are drained for a
- * starving job.
+ * Decides which machines move between shards: idle ones to shards with demand, and occasionally some that are drained
+ * for a starving job.
  */
 internal class ShardRebalancer(
     private val clock: Clock,
@@ -17,19 +17,22 @@
 ) {
     private val log = LoggerFactory.getLogger("autoscaler")
 
-    /** Shards that machines are moving to, and until when (ms) that keeps the leader from renting for them. */
+    /** Shards that machines are moving to, and until when (ms) no machines are rented for them because of that. */
     private val movingUntil = HashMap<ShardId, Long>()
 
-    /** Shards that a machine is being drained for, and until when (ms) that is waited for. */
+    /** Shards that machines are being drained for, and until when (ms) these are waited for. */
     private val drainingUntil = HashMap<ShardId, Long>()
 
-    /** Machines that a mark is on its way for, and until when (ms) they are not promised again, stored or not. */
+    /**
+     * Machines with a transfer mark in flight, and until when (ms) they are not marked again, whether or not the mark
+     * was stored.
+     */
     private val markPendingUntil = HashMap<String, Long>()
 
-    /** Whether machines are moving to [shard], whose capacity it does not know yet. */
+    /** Whether machines are moving to [shard] whose capacity the shard's owner does not know yet. */
     fun isMovingTo(shard: ShardId): Boolean = shard in movingUntil
 
-    /** Forgets the moves and drains that are no longer waited for; [now] is in milliseconds. */
+    /** Forgets the moves, drains and pending marks whose time is over; [now] is in milliseconds. */
     fun runOnce(now: Long) {
         movingUntil.values.removeIf { it < now }
         drainingUntil.values.removeIf { it < now }
@@ -57,22 +60,21 @@
             .toList()
         if (machineNames.isEmpty()) return
         log.info(
-            "shard {}: {} machines are to move to shard {}",
+            "shard {}: transferring {} machines to shard {}",
             donor.shard.value,
             machineNames.size,
             recipient.value,
         )
         markForTransfer(donor.shard, machineNames, recipient)
-        // The recipient does not know their capacity before they have moved.
+        // The recipient's owner does not know their capacity before they have moved.
         movingUntil[recipient] = clock.now() + MOVE_TIMEOUT_MS
     }
 
     /**
-     * Has machines of another shard drained for a job that is starving, once what could be rented for it has not come
-     * in time.
+     * Has machines of another shard drained for a starving job, if no machine rented for it has come up in time.
      *
-     * Shards transfer only whole machines to each other, and with some work on every one of them a job could wait for
-     * ever beside capacity that would hold it.
+     * Shards transfer only whole machines to each other. With some work on each of them, a job could otherwise wait
+     * forever although another shard has the capacity for it.
      */
     fun drainForStarving(summaries: List<ShardUsageSummary>, now: Long) {
         for (recipient in summaries.filter { it.shard !in drainingUntil }) {
@@ -85,7 +87,7 @@
 
     private fun startDrain(drain: Drain, recipient: ShardId, now: Long) {
         log.info(
-            "shard {}: {} are drained for shard {}, where a job is starving",
+            "shard {}: draining {} for shard {}, where a job is starving",
             drain.donor.value,
             drain.machineNames,
             recipient.value,
@@ -97,14 +99,15 @@
     /** Machines of one shard that are to be drained. */
     private class Drain(val donor: ShardId, val machineNames: List<String>)
 
-    /** The first other shard with machines that hold what starves, and these machines; null if there is none. */
+    /** The first other shard with machines to drain for the starving [demand], and these; null if there is none. */
     private fun findDrain(demand: Demand, recipient: ShardId, summaries: List<ShardUsageSummary>): Drain? = summaries
         .filter { it.shard != recipient }
         .map { Drain(it.shard, machinesToDrain(demand, it)) }
         .firstOrNull { it.machineNames.isNotEmpty() }
 
     /**
-     * Machines of a shard that hold what starves: a single task, or a whole gang, as far as [MAX_DRAINED_MACHINES] machines do.
+     * The machines of a shard to drain for the starving [demand], a single task or a whole gang: at most
+     * [MAX_DRAINED_MACHINES], even if they hold only a part of the gang.
      */
     private fun machinesToDrain(demand: Demand, donor: ShardUsageSummary): List<String> {
         val machineNames = ArrayList<String>()
@@ -118,7 +121,7 @@
         return machineNames
     }
 
-    /** How many tasks of the demand the machine holds once it is empty; 0 if it may not be drained for it. */
+    /** How many tasks of the demand the machine holds once it is empty; 0 if it must not be drained for it. */
     private fun tasksHeldBy(machineName: String, shard: ShardId, demand: Demand): Int {
         val record = fleet.machinesOf(shard).firstOrNull { it.name == machineName } ?: return 0
         val machineType = machineTypes()[record.typeName] ?: return 0
@@ -126,7 +129,10 @@
         return if (mayBeDrained) demand.tasksPerMachine(machineType) else 0
     }
 
-    /** A mark shows only once it is stored: until then the machine must not be promised to another shard. */
+    /**
+     * Whether the machine may be marked for transfer. A mark is visible only once it is stored; until then the machine
+     * must not be marked for another shard.
+     */
     private fun isAvailable(shard: ShardId, machineName: String): Boolean =
         !fleet.isMarkedForTransfer(shard, machineName) && machineName !in markPendingUntil
 
@@ -140,16 +146,16 @@
         const val MAX_DRAINED_MACHINES = 4
         const val DRAIN_TIMEOUT_MS = 25_000L
 
-        /** A machine that was rented when the job began to starve is mostly up by then. */
+        /** A machine that was rented when the job began to starve is usually up by then. */
         const val MIN_STARVING_BEFORE_DRAIN_S = 55.0
     }
 }
 
-/** The demand of one shard, less what machines that are to move there will hold. */
+/** The demand of one shard, minus the tasks that fit on machines that are to move there. */
 private class UnmetDemand(demands: List<Demand>) {
     private val unmetTasks = demands.associateWithTo(LinkedHashMap()) { it.taskCount }
 
-    /** Counts the machine against the first demand that it can run; returns whether there is one. */
+    /** Subtracts the machine's capacity from the first demand that it can run; returns whether there is one. */
     fun cover(record: MachineRecord, machineType: MachineType): Boolean {
         val covered = unmetTasks.entries.firstOrNull { (demand, taskCount) ->
             taskCount > 0 && record.mayRun(demand) && demand.tasksPerMachine(machineType) > 0
--- a/src/main/kotlin/io/reedmast/autoscaling/ShardUsageSummary.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/ShardUsageSummary.kt
@@ -11,18 +11,18 @@
 import io.reedmast.wire.optionalTexts
 
 /**
- * What the owner of a shard stores of it every few seconds: its teams' charged usage, and what the leader needs to
- * provision machines and to move them between shards.
+ * The summary of a shard that its owner stores every few seconds: its teams' charged usage, and what the leader needs
+ * to provision machines and to move them between shards.
  *
  * @property machinesVersion The version of the newest change to the shard's machines that the owner knew.
  * @property usage Charged usage of the shard's teams within the window, in CPU seconds, as
  *   [io.reedmast.model.ChargedUsage] stores it.
  * @property ratio The fair-share ratio, charged usage divided by allocation, of the team that is furthest below its
  *   share among those with pending tasks; 0 if there is none.
- * @property demand What the shard lacks capacity for, the most urgent first.
+ * @property demand Tasks that the shard lacks capacity for, the most urgent first.
  * @property idle Names of the machines that may move to another shard at once.
  * @property drainable Names of the machines that could be drained for another shard, the cheapest to drain first.
- * @property starvingJobs Jobs of which nothing has run for long, those that have waited longest first.
+ * @property starvingJobs Jobs that are nearly starving, those that have waited longest first.
  * @property unavailableZones Zones that seem to be cut off.
  */
 data class ShardUsageSummary(
@@ -48,14 +48,17 @@
         "dark" to unavailableZones,
     )
 
-    /** The summary with as much left out, machines before demand, as it takes to fit into [maxBytes] once stored. */
+    /**
+     * The summary with as much left out as necessary to fit in [maxBytes] once stored. Long lists of machines are
+     * shortened before demand is left out; the last names of machines are left out after it.
+     */
     fun truncatedTo(maxBytes: Int): ShardUsageSummary {
         var summary = this
         while (BodyCodec.jsonSize(summary.toFields()) > maxBytes) summary = summary.withoutNextPart() ?: return summary
         return summary
     }
 
-    /** With the next part left out; null if there is nothing more to leave out. */
+    /** The summary with its next part left out; null if there is nothing more to leave out. */
     private fun withoutNextPart(): ShardUsageSummary? = when {
         idle.size > HALVING_THRESHOLD -> copy(idle = idle.take(idle.size / 2))
         drainable.size > HALVING_THRESHOLD -> copy(drainable = drainable.take(drainable.size / 2))
--- a/src/main/kotlin/io/reedmast/autoscaling/StarvingJob.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/StarvingJob.kt
@@ -5,11 +5,11 @@
 import io.reedmast.wire.map
 
 /**
- * A job of which nothing has run for [waitedS] seconds although its team's quota limit would let it: [demand] is what
- * it takes to start it, one task or a whole gang.
+ * A job that has had no machine (a service: that has lacked replicas) for [waitedS] seconds although its team's quota
+ * limit would let it start. [demand] is what it takes to start it: one task, or a whole gang.
  */
 data class StarvingJob(val demand: Demand, val waitedS: Double) {
-    /** The form in which it is stored. */
+    /** The form in which the job is stored. */
     fun toFields(): Fields = mapOf("demand" to demand.toFields(), "waitedS" to waitedS)
 
     companion object {
--- a/src/main/kotlin/io/reedmast/autoscaling/UnassignedWorkers.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/UnassignedWorkers.kt
@@ -7,7 +7,7 @@
 import io.reedmast.wire.WorkerStatus
 import org.slf4j.LoggerFactory
 
-/** Brings workers that send heartbeats and belong to no shard into one. */
+/** Assigns the machines of workers that send heartbeats but belong to no shard to one. */
 internal class UnassignedWorkers(
     private val workers: WorkerTransport,
     private val fleet: FleetView,
@@ -19,21 +19,22 @@
     private val calledMachines = HashSet<String>()
 
     /**
-     * A worker that belongs to no shard has sent a heartbeat: once it has answered a call, it is used.
+     * Called when a worker that belongs to no shard has sent a heartbeat. Its machine is assigned to a shard once the
+     * worker has answered a call.
      *
-     * The heartbeat alone proves nothing: it may be a late copy from a machine that was returned, and such a machine
-     * must not come back into a shard; and a machine whose worker hears nothing is of no use.
+     * The heartbeat alone is not enough. It may be a late copy from a machine that was returned, which must not be
+     * assigned to a shard again; and a machine whose worker cannot be called is of no use.
      */
     fun onHeartbeat(status: WorkerStatus) {
         if (!fleet.leading || !fleet.isCurrent() || intake.isLeaving(status.machineName)) return
-        // At a first start the shards appear one by one; waiting for all of them spreads the machines evenly.
+        // At a first start, shards get owners one by one; waiting for all of them spreads the machines evenly.
         if (fleet.hasUnownedShards) return
         if (status.machineName in intake.unassignedNames || calledMachines.size >= MAX_CALLS_IN_FLIGHT) return
         if (calledMachines.add(status.machineName)) call(status)
     }
 
     private fun call(status: WorkerStatus) {
-        // Neither token nor epoch are the worker's: nothing is executed, and the refusal is its newest status.
+        // Neither token nor epoch is the worker's: it executes nothing, and its refusal contains its newest status.
         workers.call(status.addr, 0L, 0L, emptyList()) { reply ->
             calledMachines.remove(status.machineName)
             if (reply is Reply.Answer && reply.status in ANSWERS_WITH_STATUS) onAnswer(status.machineName, reply)
--- a/src/main/kotlin/io/reedmast/autoscaling/UsageSummaryWriter.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/UsageSummaryWriter.kt
@@ -22,7 +22,7 @@
     private val scaleInPolicy: ScaleInPolicy,
     /** The version of the newest change to the shard's machines that this controller knows. */
     private val machinesVersion: () -> Long,
-    /** The shard may have another owner: its record is to be read again. */
+    /** Called when the shard may have another owner, so that its record has to be read again. */
     private val onTermInDoubt: () -> Unit,
 ) {
     private val log = LoggerFactory.getLogger("shard")
@@ -37,7 +37,7 @@
     private var lastWrittenAt = 0L
     private var logDueAt = 0L
 
-    /** Takes the charged usage and the version from what the previous owner stored. An unreadable one is logged. */
+    /** Loads the charged usage and the version from the previous owner's summary. Logs one that cannot be read. */
     fun load(stored: StoredItem) {
         storedVersion = stored.version
         try {
@@ -47,7 +47,7 @@
         }
     }
 
-    /** Stores the summary if it is due at [now], in milliseconds. */
+    /** Called periodically: stores the summary if it is due at [now], in milliseconds. */
     fun runOnce(now: Long) {
         if (writing || now - lastWrittenAt < MIN_INTERVAL_MS) return
         scaleInPolicy.updateMeanImageSize()
@@ -81,7 +81,7 @@
         return waitingTeams.minOfOrNull { shardState.fairShare.usageRatio(it, wallMs) } ?: 0.0
     }
 
-    /** Into how many buckets each team's charged usage may be split: all of it may take a third of the value. */
+    /** Into how many buckets each team's charged usage may be split: all buckets may take a third of the value. */
     private fun maxBuckets(): Int {
         val bytesPerTeam = shardState.limits.target.valueBytes / USAGE_DIVISOR / maxOf(1, shardState.teams.size)
         return maxOf(MIN_BUCKETS, bytesPerTeam / BYTES_PER_BUCKET)
@@ -111,7 +111,7 @@
         logDueAt = now + LOG_INTERVAL_MS
         val (usable, unusable) = shardState.machines.values.partition { it.usable }
         log.info(
-            "shard {}: {} machines, {} not in use, {} CPUs free of {}, {} jobs with {} tasks pending, demand: {}",
+            "shard {}: {} usable machines, {} unusable, {} CPUs free of {}, {} jobs with {} tasks pending, demand: {}",
             shard.value,
             usable.size,
             unusable.size,
@@ -127,17 +127,17 @@
         const val LOG_INTERVAL_MS = 15_000L
         const val MIN_INTERVAL_MS = 1_000L
 
-        /** How many kinds of demand a summary names. */
+        /** The maximum number of kinds of demand in a summary. */
         const val MAX_DEMAND_KINDS = 12
 
-        /** How much of a stored value's allowed size the summary may fill. */
+        /** The percentage of a stored value's maximum size that the summary may fill. */
         const val MAX_FILLED_PERCENT = 95
         const val PERCENT = 100
 
-        /** The term and the transaction's id, which are stored beside the summary. */
+        /** Space for the term and the transaction's id, which are stored beside the summary. */
         const val ENVELOPE_BYTES = 80
 
-        /** Charged usage may take the value's allowed size divided by this, whatever it is made of. */
+        /** Charged usage may take the value's maximum size divided by this, whatever it consists of. */
         const val USAGE_DIVISOR = 3
         const val MIN_BUCKETS = 2
         const val BYTES_PER_BUCKET = 20
--- a/src/main/kotlin/io/reedmast/autoscaling/ZoneAvailability.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/ZoneAvailability.kt
@@ -3,12 +3,14 @@
 import io.reedmast.model.Machine
 import io.reedmast.model.ShardState
 
-/** Which zones seem to be cut off, by the machines of a shard that have become silent there. */
+/** Detects zones that seem to be cut off, by how many of a shard's machines have become silent there. */
 internal class ZoneAvailability(private val shardState: ShardState) {
     /**
-     * The zones in which more machines have become silent lately than still send heartbeats. What is rented there
-     * cannot be reached either, and with its machines returned such a zone would look like the one with the most
-     * capacity. [now] is in milliseconds; what was recorded too long before it is forgotten.
+     * The zones in which more machines have recently become silent than still send heartbeats.
+     *
+     * Machines rented in such a zone could not be reached either. Once its silent machines have been returned, the zone
+     * would nevertheless look like the one with the most capacity, since it has the fewest machines. [now] is in
+     * milliseconds; machines that became silent more than [SILENCE_WINDOW_MS] earlier no longer count.
      */
     fun unavailableZones(now: Long): List<String> = shardState.lostMachinesByZone
         .filter { (zone, silentAt) ->
--- a/src/test/kotlin/io/reedmast/autoscaling/FakeFleet.kt
+++ b/src/test/kotlin/io/reedmast/autoscaling/FakeFleet.kt
@@ -3,7 +3,7 @@
 import io.reedmast.model.MachineRecord
 import io.reedmast.settings.ShardId
 
-/** A fleet of three shards whose changes are recorded and answered when the test says so. */
+/** A fleet of three shards that records changes and answers them when the test says so. */
 internal class FakeFleet(private val machinesByShard: Map<Int, List<MachineRecord>>) : FleetView {
     /** Marks for transfer, as machine to shard, in the order in which they were made. */
     val marks = ArrayList<Pair<String, Int>>()
--- a/src/test/kotlin/io/reedmast/autoscaling/FreeCapacityTest.kt
+++ b/src/test/kotlin/io/reedmast/autoscaling/FreeCapacityTest.kt
@@ -9,7 +9,7 @@
     private val oneCpuEach = World.spec("wk-1", mapOf("tasks" to "9"))
 
     @Test
-    fun `as many tasks are allocated as fit, and what they take is no longer free`() {
+    fun `as many tasks as fit are allocated, and what they use is no longer free`() {
         val capacity = capacity(cpus = 4.0)
 
         assertEquals(3, capacity.allocate(oneCpuEach, 3))
@@ -27,7 +27,7 @@
     }
 
     @Test
-    fun `a machine that the job must not run on holds nothing of it`() {
+    fun `nothing is allocated to a machine that the job must not run on`() {
         val capacity = capacity(cpus = 4.0, spot = true)
 
         assertEquals(0, capacity.allocate(oneCpuEach, 1))
@@ -35,7 +35,7 @@
     }
 
     @Test
-    fun `tasks are allocated to one machine after another, and those that find no capacity are counted`() {
+    fun `tasks are allocated to one machine after another, and those that do not fit are counted`() {
         val capacities = listOf(capacity(cpus = 4.0), capacity(cpus = 2.0), capacity(cpus = 4.0))
 
         assertEquals(0, allocateAndCountRemaining(oneCpuEach, 5, capacities))
--- a/src/test/kotlin/io/reedmast/autoscaling/MachineIntakeTest.kt
+++ b/src/test/kotlin/io/reedmast/autoscaling/MachineIntakeTest.kt
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Assertions.assertThrows
 import org.junit.jupiter.api.Test
 
-/** One machine has one destination, whoever names it, and in whatever order answers come. */
+/** A machine has one destination, whether a rental or a heartbeat names it, and in whatever order answers arrive. */
 class MachineIntakeTest {
     private val clock = SettableClock(100_000L)
     private val fleet = FakeFleet(emptyMap())
@@ -22,7 +22,7 @@
     private fun answer(result: AddMachinesResult) = fleet.pendingAnswers.removeFirst()(result)
 
     @Test
-    fun `a rental replaces the destination that a heartbeat gave`() {
+    fun `a rental replaces the destination chosen for a heartbeat`() {
         offer(fromHeartbeat, 0, IntakeSource.HEARTBEAT)
 
         assertEquals(IntakeDecision.Accepted, offer(fromRental, 1, IntakeSource.RENTAL))
@@ -40,7 +40,7 @@
     }
 
     @Test
-    fun `the destination stays while a write is on its way`() {
+    fun `the destination stays while a write is in flight`() {
         offer(fromHeartbeat, 0, IntakeSource.HEARTBEAT)
         intake.assign()
 
@@ -90,7 +90,7 @@
     }
 
     @Test
-    fun `what was collected before another controller led is forgotten`() {
+    fun `machines collected before another controller led are discarded`() {
         intake.assign()
         offer(fromHeartbeat, 0, IntakeSource.HEARTBEAT)
         fleet.leaderTerm = 9L
@@ -101,7 +101,7 @@
     }
 
     @Test
-    fun `machines that have left, or are being returned, come to no shard`() {
+    fun `machines that have left, or are being returned, are assigned to no shard`() {
         fleet.departed.add(fromHeartbeat.name)
         assertEquals(IntakeDecision.Leaving, offer(fromHeartbeat, 0, IntakeSource.RENTAL))
 
@@ -111,14 +111,14 @@
     }
 
     @Test
-    fun `a machine that a shard has comes to no other`() {
+    fun `a machine that belongs to a shard is assigned to no other`() {
         fleet.recorded[fromHeartbeat.name] = 2
 
         assertEquals(IntakeDecision.MetElsewhere(ShardId(2)), offer(fromRental, 1, IntakeSource.RENTAL))
     }
 
     @Test
-    fun `a stage does not follow where it cannot`() {
+    fun `events that cannot occur in a stage are refused`() {
         assertThrows(IllegalStateException::class.java) { IntakeStage.STORED.after(IntakeEvent.WRITE_SENT) }
         assertThrows(IllegalStateException::class.java) { IntakeStage.STORING.after(IntakeEvent.WRITE_SENT) }
     }
--- a/src/test/kotlin/io/reedmast/autoscaling/MachineProvisionerTest.kt
+++ b/src/test/kotlin/io/reedmast/autoscaling/MachineProvisionerTest.kt
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** Answers of the cloud that are not what was asked for: no machine comes to two shards, and none is lost from sight. */
+/** Answers of the cloud that differ from the request: no machine is assigned to two shards, and none is forgotten. */
 class MachineProvisionerTest {
     /** A cloud whose answers to rentals the test gives. */
     private class DeferredCloud : Cloud {
@@ -42,7 +42,7 @@
     private val provisioner =
         MachineProvisioner(clock, cloud, fleet, { types }, intake, "n0-1", transferWaitMs = 8_000L)
 
-    /** Demand of both shards for a machine each, which share one request. */
+    /** Provisions one machine for each of two shards, with one request for both. */
     private fun rentForTwoShards() {
         val summaries = listOf(1, 2).map {
             ShardUsageSummary(
@@ -64,7 +64,7 @@
         cloud.answers.removeFirst()(ProvisioningResult.Machines(machineNames.toList()))
 
     @Test
-    fun `each machine comes to the shard that it was rented for`() {
+    fun `each machine is assigned to the shard that it was rented for`() {
         rentForTwoShards()
         answer("host-1", "host-2")
 
@@ -72,7 +72,7 @@
     }
 
     @Test
-    fun `a name that comes twice is one machine`() {
+    fun `a name that is answered twice is one machine`() {
         rentForTwoShards()
         answer("host-1", "host-1")
 
@@ -80,7 +80,7 @@
     }
 
     @Test
-    fun `a name that a shard has stays there, and is waited for instead of renting one more`() {
+    fun `a machine that belongs to a shard stays there, and is waited for instead of renting one more`() {
         fleet.recorded["host-1"] = 0
         rentForTwoShards()
         answer("host-1", "host-2")
@@ -93,7 +93,7 @@
     }
 
     @Test
-    fun `a name that is being returned comes to no shard`() {
+    fun `a machine that is being returned is assigned to no shard`() {
         pendingReturns.addAll(listOf("host-1"))
         rentForTwoShards()
         answer("host-1", "host-2")
@@ -102,16 +102,16 @@
     }
 
     @Test
-    fun `fewer names than asked for serve the first shards`() {
+    fun `fewer machines than requested go to the first shards`() {
         rentForTwoShards()
         answer("host-1")
 
         assertEquals(listOf("host-1" to 1), fleet.additions)
     }
 
-    /** They are not among those that the intake expects: their heartbeats, or the cloud's list, bring them up. */
+    /** The intake does not expect them: they are found by their heartbeats or in the cloud's list. */
     @Test
-    fun `names beyond those asked for are left to be found`() {
+    fun `machines beyond the requested number are not assigned yet`() {
         rentForTwoShards()
         answer("host-1", "host-2", "host-3")
 
@@ -120,7 +120,7 @@
     }
 
     @Test
-    fun `an answer after this controller led brings nothing`() {
+    fun `an answer is ignored once this controller no longer leads`() {
         rentForTwoShards()
         fleet.leading = false
         answer("host-1", "host-2")
--- a/src/test/kotlin/io/reedmast/autoscaling/OfferingSelectorTest.kt
+++ b/src/test/kotlin/io/reedmast/autoscaling/OfferingSelectorTest.kt
@@ -16,7 +16,7 @@
     }
 
     @Test
-    fun `a machine that is only partly filled costs as a whole`() {
+    fun `a machine that is only partly filled costs its full price`() {
         val selected = select(demand(taskCount = 1))
 
         assertEquals(OfferingCandidate(InstanceOffering("small", "x", false), 1, 1.0), selected)
@@ -40,7 +40,7 @@
     }
 
     @Test
-    fun `the demand's own zone and types are kept to`() {
+    fun `only the demand's own zone and machine types are selected`() {
         val selected = select(demand(taskCount = 16, zone = "y", allowedTypes = listOf("small")))
 
         assertEquals(OfferingCandidate(InstanceOffering("small", "y", false), 4, 4.0), selected)
@@ -48,7 +48,7 @@
     }
 
     @Test
-    fun `an expensive on-demand machine is for work past its deadline only, if the work may use spot machines`() {
+    fun `work that may use spot machines gets an expensive on-demand one only past its deadline`() {
         val bargain = machineType("bargain", cpus = 4.0, hourlyPrice = 2.0, spotPrice = 0.1)
         val withoutSpot: (InstanceOffering) -> Boolean = { it.spot }
         fun select(pastDeadline: Boolean) = OfferingSelector(listOf(bargain), withoutSpot)
--- a/src/test/kotlin/io/reedmast/autoscaling/ProvisioningPlannerTest.kt
+++ b/src/test/kotlin/io/reedmast/autoscaling/ProvisioningPlannerTest.kt
@@ -18,7 +18,7 @@
     }
 
     @Test
-    fun `a demand for one zone is covered there, with no more machines than one request may be for at a time`() {
+    fun `a demand for one zone is covered there, in portions of at most one request`() {
         val planned = plan(listOf(summary(0, demand(taskCount = 240, zone = "x"))))
 
         assertEquals(listOf("x"), planned.map { it.offering.zone })
--- a/src/test/kotlin/io/reedmast/autoscaling/RentalRaceTest.kt
+++ b/src/test/kotlin/io/reedmast/autoscaling/RentalRaceTest.kt
@@ -5,17 +5,18 @@
 import org.junit.jupiter.api.TestFactory
 
 /**
- * A worker boots at once and sends its first heartbeat before the cloud has answered the rental of its machine.
+ * Guards against a race: a worker boots at once and sends its first heartbeat before the cloud has answered the rental
+ * of its machine.
  *
- * The leader finds that the machine belongs to no shard and stores it in the shard with the fewest CPUs. While that
- * write is on its way the answer to the rental comes, which names another shard, and the leader stored the machine there
- * as well. Both owners placed work on it; one of them heard nothing from it, and returned it under the work of the
- * other. The stand-in store sees it as "in_two_shards host-000000: c/hosts/1/0 and c/hosts/0/0"; the controllers log
- * "machine host-000000: sends heartbeats and belongs to no shard, assigned to shard 0", then "machine host-000000:
- * rented for shard 1", then "added to shard 0" and "added to shard 1" with two revisions.
+ * The leader found that the machine belonged to no shard and assigned it to the shard with the fewest CPUs. While that
+ * write was in flight, the answer to the rental arrived, for another shard, and the leader added the machine there as
+ * well. Both owners placed work on it; one of them received no heartbeats from it and returned it while the other's
+ * work was running there. The simulated store then reports "in_two_shards host-000000: c/hosts/1/0 and c/hosts/0/0";
+ * the controllers log "machine host-000000: sends heartbeats and belongs to no shard, assigned to shard 0", then
+ * "machines [host-000000]: rented for shard 1", then "added to shard 0" and "added to shard 1" with two revisions.
  *
- * The moment of the answer is moved over all stages of the intake, the answer is lost and the request repeated by its
- * name, the write is slow, unanswered or late, and the leader ends or is cut off around it.
+ * The time of the answer is varied over all stages of the intake. Besides, the answer is lost and the request repeated
+ * under its name, the write is slow, unanswered or late, and the leader crashes, stalls or is cut off around that time.
  */
 class RentalRaceTest {
     /** What else goes wrong while machines are being rented, with times in seconds. */
@@ -32,7 +33,7 @@
     }
 
     @TestFactory
-    fun `no machine comes to two shards`(): List<DynamicTest> = Fault.entries.map { fault ->
+    fun `no machine is assigned to two shards`(): List<DynamicTest> = Fault.entries.map { fault ->
         DynamicTest.dynamicTest(fault.name) {
             for (answerMs in ANSWER_TIMES_MS) {
                 for (slowness in SLOWNESSES) runScenario(fault, answerMs, slowness)
--- a/src/test/kotlin/io/reedmast/autoscaling/ShardRebalancerTest.kt
+++ b/src/test/kotlin/io/reedmast/autoscaling/ShardRebalancerTest.kt
@@ -7,9 +7,9 @@
 import org.junit.jupiter.api.Test
 
 /**
- * The leader promised one idle machine to two shards: marks of transfers show only once they are stored, and until then
- * the next shard was offered the same machine. On a made-up day (rental day 197 of RandomizedFaultTest) it logged
- * "shard 0: [host-000030] are drained for shard 1, where a job is starving" and at once the same for shard 2: one of
+ * Guards against the leader marking one machine for two shards: a transfer mark is visible only once it is stored, and
+ * until then the next shard was given the same idle machine. On rental day 197 of RandomizedFaultTest the leader logged
+ * "shard 0: draining [host-000030] for shard 1, where a job is starving" and immediately the same for shard 2; one of
  * the two waited 25 s for a machine that never came.
  */
 class ShardRebalancerTest {
@@ -29,7 +29,7 @@
     ) = ShardUsageSummary(ShardId(shard), 1L, emptyMap(), 1.0, demand, idle, emptyList(), starvingJobs, emptyList())
 
     @Test
-    fun `an idle machine is promised to one shard`() {
+    fun `an idle machine is marked for one shard only`() {
         val donor = summary(0, idle = listOf(machine.name))
         val recipients = listOf(summary(1, listOf(demand(2))), summary(2, listOf(demand(2))))
 
@@ -40,7 +40,7 @@
     }
 
     @Test
-    fun `a machine is drained for one shard`() {
+    fun `a machine is drained for one shard only`() {
         val starvingJobs = listOf(StarvingJob(demand(1), waitedS = 60.0))
         val donor = summary(0, idle = listOf(machine.name))
         val recipients = listOf(summary(1, starvingJobs = starvingJobs), summary(2, starvingJobs = starvingJobs))
@@ -51,7 +51,7 @@
     }
 
     @Test
-    fun `a machine whose mark was not stored is promised again later`() {
+    fun `a machine whose mark was not stored is marked again later`() {
         val donor = summary(0, idle = listOf(machine.name))
         rebalancer.resize(listOf(summary(1, listOf(demand(2)))), listOf(donor))
 
