--- a/src/main/kotlin/io/reedmast/app/CloudGateway.kt
+++ b/src/main/kotlin/io/reedmast/app/CloudGateway.kt
@@ -37,7 +37,13 @@
 
     override fun provision(request: ProvisioningRequest, done: (ProvisioningResult) -> Unit) {
         val body =
-            CloudMessages.rental(request.requestName, request.typeName, request.zone, request.spot, request.count)
+            CloudMessages.rentalRequest(
+                request.requestName,
+                request.typeName,
+                request.zone,
+                request.spot,
+                request.count,
+            )
         calls.call(pool, { provisioningResult(ask("POST", "/machines", body)) }, ProvisioningResult.Failed, done)
     }
 
@@ -62,7 +68,7 @@
         calls.call(pool, { returnResult(machineNames) }, ReturnResult.UNCONFIRMED, done, STALE_RETURN_MS)
 
     private fun returnResult(machineNames: List<String>): ReturnResult {
-        val reply = ask("POST", "/machines/return", CloudMessages.returnOf(machineNames))
+        val reply = ask("POST", "/machines/return", CloudMessages.returnRequest(machineNames))
         return if (okAnswer(reply) == null) ReturnResult.UNCONFIRMED else ReturnResult.CONFIRMED
     }
 
--- a/src/main/kotlin/io/reedmast/app/ControllerProcess.kt
+++ b/src/main/kotlin/io/reedmast/app/ControllerProcess.kt
@@ -39,15 +39,15 @@
         listen()
         gateway.start()
         Watches(storeClient, SystemClock, handle).start()
-        log.info("controller {}: listens on {}", settings.label, settings.front)
+        log.info("controller {}: listens on {}", settings.label, settings.apiAddress)
         val eventLoopThread = startThread("event-loop") {
             eventLoop.run(RUN_INTERVAL_MS, IDLE_RUN_INTERVAL_MS, handle::runOnce)
         }
-        if (options.rehearsalS == null) {
+        if (options.exitAfterS == null) {
             eventLoopThread.join()
             return
         }
-        Thread.sleep((options.rehearsalS * MS_PER_S).toLong())
+        Thread.sleep((options.exitAfterS * MS_PER_S).toLong())
         // The HTTP server's own thread would keep the process alive.
         exitProcess(0)
     }
@@ -56,12 +56,12 @@
         try {
             HttpApi(settings, handle, timings).start()
             val connections = WorkPool("peer-in", settings.members.size * 2, settings.members.size)
-            val peers = PeerServer(settings.clusterListen, connections, handle::onPeerMessage)
+            val peers = PeerServer(settings.clusterAddress, connections, handle::onPeerMessage)
             val listening = peers.open()
             startThread("peers") { peers.run(listening) }
         } catch (e: IOException) {
             throw StartupException(
-                "cannot listen on front ${settings.front} or cluster_listen ${settings.clusterListen}: ${e.message}",
+                "cannot listen on front ${settings.apiAddress} or cluster_listen ${settings.clusterAddress}: ${e.message}",
                 e,
             )
         }
@@ -70,7 +70,7 @@
     /** The process stops at once: whatever it still has in hand, it could not do rightly. */
     private fun endUnfit(reason: String) {
         System.err.println("reedmast: $reason")
-        exitProcess(ExitCodes.UNFIT)
+        exitProcess(ExitCodes.INCOMPATIBLE)
     }
 
     private companion object {
--- a/src/main/kotlin/io/reedmast/app/HttpApi.kt
+++ b/src/main/kotlin/io/reedmast/app/HttpApi.kt
@@ -67,7 +67,7 @@
             (settings.maxConnections * IDLE_PART).toInt().toString(),
         )
         System.setProperty("jdk.httpserver.maxConnections", (settings.maxConnections * SERVED_PART).toInt().toString())
-        val server = HttpServer.create(settings.front, BACKLOG)
+        val server = HttpServer.create(settings.apiAddress, BACKLOG)
         server.createContext("/", HttpExchangeHandler(handler))
         server.executor = WorkPool("front", THREADS, QUEUED)
         server.start()
--- a/src/main/kotlin/io/reedmast/autoscaling/Autoscaler.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/Autoscaler.kt
@@ -63,7 +63,7 @@
         wasLeading = true
         abandonedMachines.startLeading()
         listDueAt = now + MIN_LIST_INTERVAL_MS
-        resizeDueAt = now + (tuning.resizeS * MS_PER_S).toLong()
+        resizeDueAt = now + (tuning.resizeIntervalS * MS_PER_S).toLong()
         log.info("leader: this controller leads")
     }
 
@@ -105,7 +105,7 @@
         rebalancer.runOnce(now)
         val demanding = summaries.filter { it.demand.isNotEmpty() && isSettled(it) }.sortedBy { it.ratio }
         if (now >= resizeDueAt) {
-            resizeDueAt = now + (tuning.resizeS * MS_PER_S).toLong()
+            resizeDueAt = now + (tuning.resizeIntervalS * MS_PER_S).toLong()
             rebalancer.resize(demanding, summaries)
         }
         val unavailableZones = summaries.flatMapTo(HashSet()) { it.unavailableZones }
@@ -117,7 +117,8 @@
     }
 
     /** Until the summary of the other shard shows a machine as idle, and the next resizing moves it. */
-    private fun transferWaitMs(): Long = ((tuning.totalsS + tuning.resizeS) * MS_PER_S).toLong() + READ_SUMMARIES_MS
+    private fun transferWaitMs(): Long =
+        ((tuning.usageSummaryIntervalS + tuning.resizeIntervalS) * MS_PER_S).toLong() + READ_SUMMARIES_MS
 
     /**
      * Whether the summary shows all machines that are on their way to the shard: else more would come than it needs.
--- a/src/main/kotlin/io/reedmast/autoscaling/Demand.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/Demand.kt
@@ -60,8 +60,8 @@
 
     /** How many of the tasks an empty machine of this type holds; 0 if it cannot hold the largest of them. */
     fun tasksPerMachine(machineType: MachineType): Int {
-        if (machineType.holds(maxCpus, maxGpus, maxMemoryGb) < 1) return 0
-        return maxOf(1, machineType.holds(cpus, gpus, memoryGb))
+        if (machineType.capacityFor(maxCpus, maxGpus, maxMemoryGb) < 1) return 0
+        return maxOf(1, machineType.capacityFor(cpus, gpus, memoryGb))
     }
 
     /** Whether the tasks may run on machines of this type. */
--- a/src/main/kotlin/io/reedmast/autoscaling/DemandEstimator.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/DemandEstimator.kt
@@ -15,7 +15,7 @@
      */
     fun bootingCapacity(): List<FreeCapacity> {
         val justAcquired = shardState.clock.now() - shardState.activeAt <
-            shardState.settings.workers.reportS * MS_PER_S * HEARTBEATS_TO_SHOW_UP
+            shardState.settings.workers.heartbeatIntervalS * MS_PER_S * HEARTBEATS_TO_SHOW_UP
         return shardState.machines.values
             .filter { isExpected(it, justAcquired) }
             .map { FreeCapacity(it.record, it.freeCpus, it.freeGpus, it.freeMemoryGb) }
--- a/src/main/kotlin/io/reedmast/autoscaling/Pricing.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/Pricing.kt
@@ -15,7 +15,7 @@
 ): Boolean {
     /** Hourly price of one task on a full machine; the highest value if none fits or there is no such price. */
     fun pricePerTask(type: MachineType, hourlyPrice: Double?): Double {
-        val tasksPerMachine = type.holds(cpus, gpus, memoryGb)
+        val tasksPerMachine = type.capacityFor(cpus, gpus, memoryGb)
         return if (hourlyPrice == null || tasksPerMachine < 1) Double.MAX_VALUE else hourlyPrice / tasksPerMachine
     }
     val cheapestSpot = machineTypes.minOfOrNull { pricePerTask(it, it.spotPrice) } ?: return false
--- a/src/main/kotlin/io/reedmast/autoscaling/ScaleInPolicy.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/ScaleInPolicy.kt
@@ -50,9 +50,9 @@
      */
     fun scaleInDelayMs(machine: Machine): Double {
         val machineType = machine.machineType ?: return 0.0
-        val onDemandDelayS = shardState.tuning.idleS ?: maxOf(
+        val onDemandDelayS = shardState.tuning.idleTimeoutS ?: maxOf(
             machineType.bootS * BOOT_WORTH + meanImageGb / machineType.fetchGbPerS,
-            shardState.settings.workers.reportS * MIN_HEARTBEATS_KEPT,
+            shardState.settings.workers.heartbeatIntervalS * MIN_HEARTBEATS_KEPT,
         )
         return onDemandDelayS * MS_PER_S * if (machine.record.spot) SPOT_DELAY_FACTOR else 1.0
     }
--- a/src/main/kotlin/io/reedmast/autoscaling/UsageSummaryWriter.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/UsageSummaryWriter.kt
@@ -58,7 +58,7 @@
         lastDemand = demand
         lastWrittenAt = now
         logState(now, demand)
-        dueAt = now + (shardState.tuning.totalsS * MS_PER_S).toLong()
+        dueAt = now + (shardState.tuning.usageSummaryIntervalS * MS_PER_S).toLong()
         store(summary(demand, starving, now), if (isUrgent) WritePriority.URGENT else WritePriority.DEFERRED)
     }
 
--- a/src/main/kotlin/io/reedmast/cli/ExitCodes.kt
+++ b/src/main/kotlin/io/reedmast/cli/ExitCodes.kt
@@ -9,5 +9,5 @@
     const val USAGE = 2
 
     /** The cluster has been rolled out to something that this version cannot read. */
-    const val UNFIT = 3
+    const val INCOMPATIBLE = 3
 }
--- a/src/main/kotlin/io/reedmast/cli/Reedmast.kt
+++ b/src/main/kotlin/io/reedmast/cli/Reedmast.kt
@@ -26,10 +26,14 @@
  */
 class Reedmast(private val runController: (ControllerOptions) -> Unit) : CoreCliktCommand("reedmast") {
     private val config by option(help = "Settings file (JSON) of this controller", metavar = "FILE").required()
-    private val window by seconds("window", Tuning().windowS, "Sliding window over which charged use is counted")
-    private val protectCap by seconds("protect-cap", Tuning().protectCapS, "Longest protected minimum run time")
-    private val resize by seconds("resize", Tuning().resizeS, "How often shards are resized")
-    private val totals by seconds("totals", Tuning().totalsS, "How often team totals are written")
+    private val window by seconds("window", Tuning().usageWindowS, "Sliding window over which charged use is counted")
+    private val protectCap by seconds(
+        "protect-cap",
+        Tuning().maxProtectedRunTimeS,
+        "Longest protected minimum run time",
+    )
+    private val resize by seconds("resize", Tuning().resizeIntervalS, "How often shards are resized")
+    private val totals by seconds("totals", Tuning().usageSummaryIntervalS, "How often team totals are written")
     private val idle by option(
         "--idle-s",
         envvar = "REEDMAST_IDLE_S",
@@ -73,9 +77,9 @@
     override fun run() {
         val settings =
             try {
-                Settings.load(Path.of(config)).let { if (rehearse == null) it else onAnyPorts(it) }
+                Settings.load(Path.of(config)).let { if (rehearse == null) it else withEphemeralPorts(it) }
             } catch (e: SettingsException) {
-                unusable(e.message)
+                exitWithUsageError(e.message)
             }
         if (currentContext.invokedSubcommand != null) {
             currentContext.obj = settings
@@ -90,11 +94,11 @@
         try {
             runController(options)
         } catch (e: StartupException) {
-            unusable(e.message)
+            exitWithUsageError(e.message)
         }
     }
 
-    private fun unusable(message: String?): Nothing {
+    private fun exitWithUsageError(message: String?): Nothing {
         System.err.println("reedmast: $message")
         throw ProgramResult(ExitCodes.USAGE)
     }
@@ -104,13 +108,13 @@
         return try {
             RolloutFile.load(Path.of(file), ClusterFeatures.registry)
         } catch (e: RolloutFileException) {
-            unusable(e.message)
+            exitWithUsageError(e.message)
         }
     }
 
     /** A rehearsal serves nobody: on ports of its own it would fail, and the build with it, beside another build. */
-    private fun onAnyPorts(settings: Settings) = settings.copy(
-        front = InetSocketAddress(settings.front.address, 0),
-        clusterListen = InetSocketAddress(settings.clusterListen.address, 0),
+    private fun withEphemeralPorts(settings: Settings) = settings.copy(
+        apiAddress = InetSocketAddress(settings.apiAddress.address, 0),
+        clusterAddress = InetSocketAddress(settings.clusterAddress.address, 0),
     )
 }
--- a/src/main/kotlin/io/reedmast/cli/RolloutCommand.kt
+++ b/src/main/kotlin/io/reedmast/cli/RolloutCommand.kt
@@ -54,21 +54,33 @@
                 Target.DORMANT,
                 "Take a feature back: migrated records get their old form again",
             ),
-            ControllerCommand(openStore, "exclude", "Do not count a controller that is silent") { name, act, done ->
-                exclude(name, act, done)
+            ControllerCommand(openStore, "exclude", "Do not count a controller that is silent") {
+                    name,
+                    attribution,
+                    onResult,
+                ->
+                exclude(name, attribution, onResult)
             },
-            ControllerCommand(openStore, "include", "Count an excluded controller again") { name, act, done ->
-                include(name, act, done)
+            ControllerCommand(openStore, "include", "Count an excluded controller again") {
+                    name,
+                    attribution,
+                    onResult,
+                ->
+                include(name, attribution, onResult)
             },
             ControllerCommand(openStore, "drain", "Have a controller give its shards up before it is stopped") {
                     name,
-                    act,
-                    done,
+                    attribution,
+                    onResult,
                 ->
-                drain(name, act, done)
+                drain(name, attribution, onResult)
             },
-            ControllerCommand(openStore, "undrain", "Have a drained controller take shards again") { name, _, done ->
-                endDrain(name, done)
+            ControllerCommand(openStore, "undrain", "Have a drained controller take shards again") {
+                    name,
+                    _,
+                    onResult,
+                ->
+                endDrain(name, onResult)
             },
             ReadyCommand(openStore),
         )
@@ -167,22 +179,22 @@
     AdministrationCommand(openStore, name, helpText) {
     private val feature by argument("FEATURE")
     private val by by option("--by", help = "Who asks for it").required()
-    private val why by option("--why", help = "The reason, which is kept").required()
+    private val reason by option("--why", help = "The reason, which is kept").required()
 
-    override fun run() = administration().setTarget(FeatureName(feature), target, Attribution(by, why), ::report)
+    override fun run() = administration().setTarget(FeatureName(feature), target, Attribution(by, reason), ::report)
 }
 
 private class ControllerCommand(
     openStore: StoreOpener,
     name: String,
     helpText: String,
-    private val act: RolloutAdministration.(String, Attribution, (AdministrationResult) -> Unit) -> Unit,
+    private val operation: RolloutAdministration.(String, Attribution, (AdministrationResult) -> Unit) -> Unit,
 ) : AdministrationCommand(openStore, name, helpText) {
     private val controller by argument("CONTROLLER")
     private val by by option("--by", help = "Who asks for it").default("operator")
-    private val why by option("--why", help = "The reason, which is kept").required()
+    private val reason by option("--why", help = "The reason, which is kept").required()
 
-    override fun run() = administration().act(controller, Attribution(by, why), ::report)
+    override fun run() = administration().operation(controller, Attribution(by, reason), ::report)
 }
 
 private class ReadyCommand(openStore: StoreOpener) :
--- a/src/main/kotlin/io/reedmast/cluster/UnreachableOwnerDetector.kt
+++ b/src/main/kotlin/io/reedmast/cluster/UnreachableOwnerDetector.kt
@@ -24,7 +24,7 @@
     private val staleness = tables.staleness
     private val shards = tables.shards
     private val machineDirectory = tables.machineDirectory
-    private val misdirected = MisdirectedHeartbeats(settings.shardCount, settings.workers.reportS)
+    private val misdirected = MisdirectedHeartbeats(settings.shardCount, settings.workers.heartbeatIntervalS)
     private val probing = BooleanArray(settings.shardCount)
 
     /**
--- a/src/main/kotlin/io/reedmast/cluster/WatchStaleness.kt
+++ b/src/main/kotlin/io/reedmast/cluster/WatchStaleness.kt
@@ -29,7 +29,10 @@
      * time for any cancellation that it has missed.
      */
     private val selfFenceMs = (
-        maxOf((rules.cancelS - rules.leaseS) * (1 - MAX_CLOCK_DRIFT_RATIO) - SELF_FENCE_SLACK_S, MIN_SELF_FENCE_S) *
+        maxOf(
+            (rules.cancelDeadlineS - rules.leaseS) * (1 - MAX_CLOCK_DRIFT_RATIO) - SELF_FENCE_SLACK_S,
+            MIN_SELF_FENCE_S,
+        ) *
             MS_PER_S
         ).toLong()
 
--- a/src/main/kotlin/io/reedmast/commands/ContestedMachinePoller.kt
+++ b/src/main/kotlin/io/reedmast/commands/ContestedMachinePoller.kt
@@ -19,7 +19,7 @@
     private val replies: DirectReplyHandler,
 ) {
     private val lastPolledAt = HashMap<String, Long>()
-    private val intervalMs = (shardState.settings.workers.reportS * MS_PER_S).toLong()
+    private val intervalMs = (shardState.settings.workers.heartbeatIntervalS * MS_PER_S).toLong()
 
     /** Calls the workers that are due. Called periodically. */
     fun runOnce(now: Long) {
--- a/src/main/kotlin/io/reedmast/kvstore/StoreClient.kt
+++ b/src/main/kotlin/io/reedmast/kvstore/StoreClient.kt
@@ -105,7 +105,7 @@
     fun grantLease(lifeMs: Long): LeaseGrant {
         val reply = call("POST", "/leases", StoreMessages.leaseRequest(lifeMs))
         if (reply !is Reply.Answer || reply.status != HttpStatus.OK) return LeaseGrant.Failed
-        return parsed(LeaseGrant.Failed) { LeaseGrant.Granted(StoreReplies.lease(reply.body)) }
+        return parsed(LeaseGrant.Failed) { LeaseGrant.Granted(StoreReplies.leaseId(reply.body)) }
     }
 
     /** Asks that a lease have its full time again. */
--- a/src/main/kotlin/io/reedmast/machines/SilentMachineDetector.kt
+++ b/src/main/kotlin/io/reedmast/machines/SilentMachineDetector.kt
@@ -12,7 +12,7 @@
     private val leaseMs = (shardState.settings.workers.leaseS * MS_PER_S).toLong()
 
     /** How long a machine may send no heartbeat before it counts as silent. */
-    val silentAfterMs = (shardState.settings.workers.reportS * MS_PER_S * MISSED_HEARTBEATS_LIMIT).toLong()
+    val silentAfterMs = (shardState.settings.workers.heartbeatIntervalS * MS_PER_S * MISSED_HEARTBEATS_LIMIT).toLong()
 
     /**
      * Decommissions what has been silent for too long. [observationGapUntil] is when this controller last was unable to
--- a/src/main/kotlin/io/reedmast/model/FairShare.kt
+++ b/src/main/kotlin/io/reedmast/model/FairShare.kt
@@ -17,7 +17,7 @@
     private val teams: List<TeamId>,
 ) {
     /** Recently charged usage, by team. */
-    val usage = ChargedUsage((tuning.windowS * MS_PER_S).toLong())
+    val usage = ChargedUsage((tuning.usageWindowS * MS_PER_S).toLong())
 
     /** Charges the funded tasks that the workers of [machines] have reported, for the last [seconds]. */
     fun charge(machines: Collection<Machine>, seconds: Double) {
@@ -55,7 +55,7 @@
         // Current placements are also counted for the next minute, so that each decision of a burst sees the effect of
         // the earlier ones.
         val lookahead = quota.usedCpus(team) * LOOKAHEAD_S
-        return (usage.chargedInWindow(team, wallMs) + lookahead) / (allocated * tuning.windowS)
+        return (usage.chargedInWindow(team, wallMs) + lookahead) / (allocated * tuning.usageWindowS)
     }
 
     private companion object {
--- a/src/main/kotlin/io/reedmast/model/ShardState.kt
+++ b/src/main/kotlin/io/reedmast/model/ShardState.kt
@@ -86,7 +86,7 @@
 
     /** How long after a heartbeat the next one counts as late. Workers vary the interval by up to a quarter. */
     val heartbeatLateMs: Long =
-        (settings.workers.reportS * MAX_HEARTBEAT_INTERVAL_MS_PER_S).toLong() + HEARTBEAT_SLACK_MS
+        (settings.workers.heartbeatIntervalS * MAX_HEARTBEAT_INTERVAL_MS_PER_S).toLong() + HEARTBEAT_SLACK_MS
 
     /** The cloud's machine types, as currently known. */
     val machineTypes: Collection<MachineType> get() = machineTypeList()
--- a/src/main/kotlin/io/reedmast/requests/AdmissionPolicy.kt
+++ b/src/main/kotlin/io/reedmast/requests/AdmissionPolicy.kt
@@ -49,7 +49,7 @@
     /** Whether a machine of this type may run one task of the job and has room for it while it is empty. */
     private fun fits(spec: JobSpec, type: MachineType): Boolean =
         (spec.allowedTypes == null || type.label in spec.allowedTypes) &&
-            type.holds(spec.cpus, spec.gpus, spec.memoryGb) >= 1 &&
+            type.capacityFor(spec.cpus, spec.gpus, spec.memoryGb) >= 1 &&
             (spec.zone == null || type.zones.isEmpty() || spec.zone in type.zones)
 
     private companion object {
--- a/src/main/kotlin/io/reedmast/scheduling/PreemptionCandidates.kt
+++ b/src/main/kotlin/io/reedmast/scheduling/PreemptionCandidates.kt
@@ -34,7 +34,7 @@
 
     /** The estimated run time, but at most the configured cap; for work without an estimate, the cap. */
     private fun protectedMinimumS(estimateS: Double): Double {
-        val capS = shardState.tuning.protectCapS
+        val capS = shardState.tuning.maxProtectedRunTimeS
         return if (estimateS > 0) minOf(capS, estimateS) else capS
     }
 
--- a/src/main/kotlin/io/reedmast/scheduling/Preemptor.kt
+++ b/src/main/kotlin/io/reedmast/scheduling/Preemptor.kt
@@ -64,7 +64,7 @@
      * fifth of all tasks.
      */
     private fun preemptionDelayMs(job: Job): Long {
-        val heartbeatIntervalMs = shardState.settings.workers.reportS * MS_PER_SECOND
+        val heartbeatIntervalMs = shardState.settings.workers.heartbeatIntervalS * MS_PER_SECOND
         return when {
             job.spec.isGang -> GANG_PREEMPTION_DELAY_MS
             shardState.urgency.isLatencySensitive(job) -> heartbeatIntervalMs.toLong()
--- a/src/main/kotlin/io/reedmast/settings/Settings.kt
+++ b/src/main/kotlin/io/reedmast/settings/Settings.kt
@@ -12,16 +12,16 @@
  * What the platform hands over to a controller at its start.
  *
  * @property label this controller's name.
- * @property front where users and workers are served.
- * @property clusterListen where the other controllers are served.
+ * @property apiAddress where users and workers are served.
+ * @property clusterAddress where the other controllers are served.
  * @property members every controller in name order, so that all controllers agree on their indices.
  * @property self this controller's place in [members].
  * @property maxConnections how many connections this process may have open.
  */
 data class Settings(
     val label: String,
-    val front: InetSocketAddress,
-    val clusterListen: InetSocketAddress,
+    val apiAddress: InetSocketAddress,
+    val clusterAddress: InetSocketAddress,
     val members: List<Member>,
     val self: ControllerId,
     val cloudAddress: String,
--- a/src/main/kotlin/io/reedmast/settings/SettingsParser.kt
+++ b/src/main/kotlin/io/reedmast/settings/SettingsParser.kt
@@ -18,9 +18,9 @@
     /** The settings; throws [SettingsException] for the first field that cannot be used. */
     fun parse(): Settings {
         val label = label()
-        val front = at("") { address("front", root.text("front")) }
-        val clusterListen = at("") { address("cluster_listen", root.text("cluster_listen")) }
-        val members = members(Member(label, clusterListen))
+        val apiAddress = at("") { address("front", root.text("front")) }
+        val clusterAddress = at("") { address("cluster_listen", root.text("cluster_listen")) }
+        val members = members(Member(label, clusterAddress))
         val outside = at("") { root.map("outside") }
         val facts = at("") { root.map("facts") }
         requireControllerCount(facts, members.size)
@@ -28,8 +28,8 @@
         val store = storeSection(facts)
         return Settings(
             label = label,
-            front = front,
-            clusterListen = clusterListen,
+            apiAddress = apiAddress,
+            clusterAddress = clusterAddress,
             members = members,
             self = ControllerId(members.indexOfFirst { it.label == label }),
             workers = workers,
@@ -73,14 +73,18 @@
         val workers = at("facts.") { facts.map("workers") }
         val rules = at("facts.workers.") {
             WorkerRules(
-                reportS = positive(workers, "report_s"),
+                heartbeatIntervalS = positive(workers, "report_s"),
                 leaseS = positive(workers, "lease_s"),
-                cancelS = positive(workers, "cancel_s"),
-                gangWaitS = workers.optionalAmount("gang_wait_s") ?: WorkerRules.DEFAULT_GANG_WAIT_S,
-                gangPeerS = workers.optionalAmount("gang_peer_s") ?: WorkerRules.DEFAULT_GANG_PEER_S,
+                cancelDeadlineS = positive(workers, "cancel_s"),
+                gangTimeoutS = workers.optionalAmount("gang_wait_s") ?: WorkerRules.DEFAULT_GANG_TIMEOUT_S,
+                peerLossDetectionS = workers.optionalAmount("gang_peer_s") ?: WorkerRules.DEFAULT_PEER_LOSS_DETECTION_S,
             )
         }
-        if (rules.cancelS <= rules.leaseS) throw SettingsException("facts.workers.cancel_s must be above lease_s")
+        if (rules.cancelDeadlineS <=
+            rules.leaseS
+        ) {
+            throw SettingsException("facts.workers.cancel_s must be above lease_s")
+        }
         return rules
     }
 
@@ -90,8 +94,8 @@
         val store = at("facts.") { facts.map("state") }
         val limits = storeLimits(store)
         val nextLimits = nextStoreLimits(store, limits)
-        if (limits.writesPerTransaction < MIN_OPS_PER_COMMIT) {
-            throw SettingsException("facts.state.txn_ops must be at least $MIN_OPS_PER_COMMIT")
+        if (limits.writesPerTransaction < MIN_WRITES_PER_TRANSACTION) {
+            throw SettingsException("facts.state.txn_ops must be at least $MIN_WRITES_PER_TRANSACTION")
         }
         return StoreSection(limits, nextLimits)
     }
@@ -170,8 +174,8 @@
         withinS = section.optionalAmount("within_s"),
     )
 
-    private fun requireDistinct(names: List<String>, complaint: String) {
-        if (names.toSet().size != names.size) throw SettingsException(complaint)
+    private fun requireDistinct(names: List<String>, message: String) {
+        if (names.toSet().size != names.size) throw SettingsException(message)
     }
 
     private fun positive(fields: Fields, name: String): Double {
@@ -207,7 +211,7 @@
     private companion object {
         const val BYTES_PER_KIBIBYTE = 1024
 
-        const val MIN_OPS_PER_COMMIT = 4
+        const val MIN_WRITES_PER_TRANSACTION = 4
         const val DEFAULT_MAX_CONNECTIONS = 1_000
         const val MAX_PORT = 65_535
         val IP_ADDRESS = Regex("[0-9]{1,3}(\\.[0-9]{1,3}){3}")
--- a/src/main/kotlin/io/reedmast/settings/Tuning.kt
+++ b/src/main/kotlin/io/reedmast/settings/Tuning.kt
@@ -3,18 +3,18 @@
 /** What the operators may tune, in seconds; each is a flag and a variable, with these defaults. */
 data class Tuning(
     /** The sliding window over which charged use is counted. */
-    val windowS: Double = DEFAULT_WINDOW_S,
+    val usageWindowS: Double = DEFAULT_USAGE_WINDOW_S,
     /** The longest protected minimum run time. */
-    val protectCapS: Double = DEFAULT_PROTECT_CAP_S,
+    val maxProtectedRunTimeS: Double = DEFAULT_MAX_PROTECTED_RUN_TIME_S,
     /** How often the leader resizes shards. */
-    val resizeS: Double = 3.0,
+    val resizeIntervalS: Double = 3.0,
     /** How often owners write team totals. */
-    val totalsS: Double = 5.0,
+    val usageSummaryIntervalS: Double = 5.0,
     /** How long an empty ordinary machine is kept before it is returned; null: worked out from boot and fetch times. */
-    val idleS: Double? = null,
+    val idleTimeoutS: Double? = null,
 ) {
     private companion object {
-        const val DEFAULT_WINDOW_S = 6 * 3600.0
-        const val DEFAULT_PROTECT_CAP_S = 30 * 60.0
+        const val DEFAULT_USAGE_WINDOW_S = 6 * 3600.0
+        const val DEFAULT_MAX_PROTECTED_RUN_TIME_S = 30 * 60.0
     }
 }
--- a/src/main/kotlin/io/reedmast/wire/CloudMessages.kt
+++ b/src/main/kotlin/io/reedmast/wire/CloudMessages.kt
@@ -5,7 +5,7 @@
     private const val NO_CAPACITY = "no capacity"
 
     /** A request to rent [count] machines; the cloud executes requests of one [requestName] only once. */
-    fun rental(requestName: String, typeName: String, zone: String, spot: Boolean, count: Int): Fields =
+    fun rentalRequest(requestName: String, typeName: String, zone: String, spot: Boolean, count: Int): Fields =
         mapOf("charter" to requestName, "build" to typeName, "yard" to zone, "driftwood" to spot, "count" to count)
 
     /** The names of the machines that a rental has brought. */
@@ -15,7 +15,7 @@
     fun isOutOfCapacity(body: Fields): Boolean = body["error"] == NO_CAPACITY
 
     /** A request to return machines. */
-    fun returnOf(machineNames: List<String>): Fields = mapOf("hosts" to machineNames)
+    fun returnRequest(machineNames: List<String>): Fields = mapOf("hosts" to machineNames)
 
     /** One page of the machine list. */
     fun listedMachines(body: Fields): List<ListedMachine> = body.maps("hosts").map { ListedMachine.parse(it) }
--- a/src/main/kotlin/io/reedmast/wire/Fields.kt
+++ b/src/main/kotlin/io/reedmast/wire/Fields.kt
@@ -10,13 +10,13 @@
 // MalformedException that names the field if it is not of its kind, or is omitted and not optional.
 
 /** The text under [name]. */
-fun Fields.text(name: String): String = this[name] as? String ?: throw missingOrNot("text", name)
+fun Fields.text(name: String): String = this[name] as? String ?: throw missingOrWrongType("text", name)
 
 /** The text under [name]; null if it is omitted. */
 fun Fields.optionalText(name: String): String? = if (this[name] == null) null else text(name)
 
 /** The boolean under [name]. */
-fun Fields.flag(name: String): Boolean = this[name] as? Boolean ?: throw missingOrNot("a boolean", name)
+fun Fields.flag(name: String): Boolean = this[name] as? Boolean ?: throw missingOrWrongType("a boolean", name)
 
 /** The boolean under [name]; false if it is omitted. */
 fun Fields.optionalFlag(name: String): Boolean = this[name] != null && flag(name)
@@ -29,7 +29,7 @@
             is Long -> raw.toDouble()
             is BigInteger -> raw.toDouble()
             is BigDecimal -> raw.toDouble()
-            else -> throw missingOrNot("a number", name)
+            else -> throw missingOrWrongType("a number", name)
         }
     if (!value.isFinite() || value < 0.0) throw MalformedException("$name is out of range")
     return value
@@ -44,7 +44,7 @@
         when (val raw = this[name]) {
             is Long -> raw
             is Int -> raw.toLong()
-            else -> throw missingOrNot("an integer in range", name)
+            else -> throw missingOrWrongType("an integer in range", name)
         }
     if (value < 0) throw MalformedException("$name is negative")
     return value
@@ -54,5 +54,5 @@
 fun Fields.optionalCount(name: String): Long? = if (this[name] == null) null else count(name)
 
 /** Why the field [name] cannot be read as [kind]. */
-internal fun Fields.missingOrNot(kind: String, name: String) =
+internal fun Fields.missingOrWrongType(kind: String, name: String) =
     MalformedException(if (this[name] == null) "$name is missing" else "$name is not $kind")
--- a/src/main/kotlin/io/reedmast/wire/HttpCaller.kt
+++ b/src/main/kotlin/io/reedmast/wire/HttpCaller.kt
@@ -5,7 +5,7 @@
 import java.net.URI
 
 /**
- * Calls other processes over HTTP with CBOR bodies; blocking, connections kept open and reused as long as [keepOpen]
+ * Calls other processes over HTTP with CBOR bodies; blocking, connections kept open and reused as long as [keepAlive]
  * holds. Thread-safe.
  *
  * @param connectTimeoutMs how long to wait for a connection.
@@ -14,7 +14,7 @@
 class HttpCaller(
     private val connectTimeoutMs: Int,
     val readTimeoutMs: Int,
-    private val keepOpen: () -> Boolean = { true },
+    private val keepAlive: () -> Boolean = { true },
 ) {
     /**
      * Sends one request and waits for its answer.
@@ -51,7 +51,7 @@
 
     private fun exchange(connection: HttpURLConnection, requestBytes: ByteArray?): Reply {
         configure(connection)
-        if (requestBytes != null) announceBody(connection, requestBytes.size)
+        if (requestBytes != null) setBodyHeaders(connection, requestBytes.size)
         try {
             connection.connect()
         } catch (e: IOException) {
@@ -65,10 +65,10 @@
         connection.connectTimeout = connectTimeoutMs
         connection.instanceFollowRedirects = false
         connection.useCaches = false
-        if (!keepOpen()) connection.setRequestProperty("Connection", "close")
+        if (!keepAlive()) connection.setRequestProperty("Connection", "close")
     }
 
-    private fun announceBody(connection: HttpURLConnection, size: Int) {
+    private fun setBodyHeaders(connection: HttpURLConnection, size: Int) {
         connection.doOutput = true
         connection.setRequestProperty("Content-Type", "application/cbor")
         // A fixed length also keeps HttpURLConnection from sending a failed POST a second time on its own.
--- a/src/main/kotlin/io/reedmast/wire/JobShape.kt
+++ b/src/main/kotlin/io/reedmast/wire/JobShape.kt
@@ -1,7 +1,7 @@
 package io.reedmast.wire
 
-/** How the tasks of a job belong together; [wire] is the name in messages and records. */
-enum class JobShape(val wire: String) {
+/** How the tasks of a job belong together; [wireName] is the name in messages and records. */
+enum class JobShape(val wireName: String) {
     /** Independent tasks, each of which runs to completion. */
     ARRAY("array"),
 
@@ -15,6 +15,6 @@
     companion object {
         /** The shape of this name; throws [MalformedException] if there is none. */
         fun of(text: String): JobShape =
-            entries.firstOrNull { it.wire == text } ?: throw MalformedException("shape is unknown: $text")
+            entries.firstOrNull { it.wireName == text } ?: throw MalformedException("shape is unknown: $text")
     }
 }
--- a/src/main/kotlin/io/reedmast/wire/JobSpec.kt
+++ b/src/main/kotlin/io/reedmast/wire/JobSpec.kt
@@ -53,8 +53,8 @@
         "ref" to jobId,
         "lot" to jobClass,
         "crew" to teamName,
-        "shape" to shape.wire,
-        "rank" to priority.wire,
+        "shape" to shape.wireName,
+        "rank" to priority.wireName,
         "pieces" to taskCount,
         "cpus" to cpus,
         "gpus" to gpus,
@@ -91,18 +91,18 @@
             requireSomeResource(cpus, gpus, memoryGb)
             return JobSpec(
                 jobId = jobId,
-                jobClass = limited("lot", fields.text("lot")),
-                teamName = limited("crew", fields.text("crew")),
+                jobClass = requireNameLength("lot", fields.text("lot")),
+                teamName = requireNameLength("crew", fields.text("crew")),
                 shape = JobShape.of(fields.text("shape")),
                 priority = Priority.of(fields.text("rank")),
                 taskCount = taskCount,
                 cpus = cpus,
                 gpus = gpus,
                 memoryGb = memoryGb,
-                image = limited("bundle", fields.text("bundle")),
+                image = requireNameLength("bundle", fields.text("bundle")),
                 imageGb = fields.amount("sizeGb"),
-                allowedTypes = fields.optionalTexts("builds")?.map { limited("builds", it) },
-                zone = fields.optionalText("yard")?.let { limited("yard", it) },
+                allowedTypes = fields.optionalTexts("builds")?.map { requireNameLength("builds", it) },
+                zone = fields.optionalText("yard")?.let { requireNameLength("yard", it) },
                 oneZone = fields.flag("oneZone"),
                 spread = fields.flag("apart"),
                 spot = fields.flag("driftwood"),
@@ -131,7 +131,7 @@
             }
         }
 
-        private fun limited(name: String, text: String): String {
+        private fun requireNameLength(name: String, text: String): String {
             if (text.length > MAX_NAME_LENGTH) throw MalformedException("$name is too long")
             return text
         }
--- a/src/main/kotlin/io/reedmast/wire/JobState.kt
+++ b/src/main/kotlin/io/reedmast/wire/JobState.kt
@@ -1,7 +1,7 @@
 package io.reedmast.wire
 
-/** The state of a job as its users see it; [wire] is the name in messages and records. */
-enum class JobState(val wire: String) {
+/** The state of a job as its users see it; [wireName] is the name in messages and records. */
+enum class JobState(val wireName: String) {
     /** No task runs. */
     QUEUED("queued"),
     RUNNING("running"),
--- a/src/main/kotlin/io/reedmast/wire/MachineType.kt
+++ b/src/main/kotlin/io/reedmast/wire/MachineType.kt
@@ -23,7 +23,7 @@
     val zones: List<String>,
 ) {
     /** How many tasks of these dimensions an empty machine holds. */
-    fun holds(cpus: Double, gpus: Double, memoryGb: Double): Int {
+    fun capacityFor(cpus: Double, gpus: Double, memoryGb: Double): Int {
         var taskCount = Double.MAX_VALUE
         if (cpus > 0) taskCount = minOf(taskCount, this.cpus / cpus)
         if (gpus > 0) taskCount = minOf(taskCount, this.gpus / gpus)
--- a/src/main/kotlin/io/reedmast/wire/NestedFields.kt
+++ b/src/main/kotlin/io/reedmast/wire/NestedFields.kt
@@ -10,7 +10,7 @@
 fun Fields.map(name: String): Fields = asFields(this[name] ?: throw MalformedException("$name is missing"))
 
 /** The list under [name]. */
-fun Fields.list(name: String): List<Any?> = this[name] as? List<*> ?: throw missingOrNot("a list", name)
+fun Fields.list(name: String): List<Any?> = this[name] as? List<*> ?: throw missingOrWrongType("a list", name)
 
 /** The list of maps under [name]. */
 fun Fields.maps(name: String): List<Fields> = list(name).map { asFields(it) }
--- a/src/main/kotlin/io/reedmast/wire/Priority.kt
+++ b/src/main/kotlin/io/reedmast/wire/Priority.kt
@@ -1,7 +1,7 @@
 package io.reedmast.wire
 
-/** The priorities of the protocol, most urgent first; [wire] is the name in messages and records. */
-enum class Priority(val wire: String) {
+/** The priorities of the protocol, most urgent first; [wireName] is the name in messages and records. */
+enum class Priority(val wireName: String) {
     PRODUCTION("production"),
     URGENT("urgent"),
     STANDARD("standard"),
@@ -17,6 +17,6 @@
     companion object {
         /** The priority of this name; throws [MalformedException] if there is none. */
         fun of(text: String): Priority =
-            entries.firstOrNull { it.wire == text } ?: throw MalformedException("rank is unknown: $text")
+            entries.firstOrNull { it.wireName == text } ?: throw MalformedException("rank is unknown: $text")
     }
 }
--- a/src/main/kotlin/io/reedmast/wire/StoreReplies.kt
+++ b/src/main/kotlin/io/reedmast/wire/StoreReplies.kt
@@ -3,7 +3,7 @@
 /** The bodies that the store answers with; each function throws [MalformedException] if its part is not valid. */
 object StoreReplies {
     /** The id of a new lease. */
-    fun lease(body: Fields): Long = body.count("holding")
+    fun leaseId(body: Fields): Long = body.count("holding")
 
     /** The revision at which the store has answered. */
     fun revision(body: Fields): Long = body.count("epoch")
--- a/src/main/kotlin/io/reedmast/wire/TaskEndCause.kt
+++ b/src/main/kotlin/io/reedmast/wire/TaskEndCause.kt
@@ -1,7 +1,7 @@
 package io.reedmast.wire
 
-/** Why a task ended, as far as the difference matters to a controller; [wire] is the name in messages. */
-enum class TaskEndCause(val wire: String) {
+/** Why a task ended, as far as the difference matters to a controller; [wireName] is the name in messages. */
+enum class TaskEndCause(val wireName: String) {
     /** It completed. */
     DONE("done"),
 
--- a/src/main/kotlin/io/reedmast/wire/TaskState.kt
+++ b/src/main/kotlin/io/reedmast/wire/TaskState.kt
@@ -1,7 +1,7 @@
 package io.reedmast.wire
 
-/** The state of one task on a worker; [wire] is the name in messages. */
-enum class TaskState(val wire: String) {
+/** The state of one task on a worker; [wireName] is the name in messages. */
+enum class TaskState(val wireName: String) {
     /** Waiting for its image. */
     FETCHING("fetching"),
 
--- a/src/main/kotlin/io/reedmast/wire/TaskStatus.kt
+++ b/src/main/kotlin/io/reedmast/wire/TaskStatus.kt
@@ -16,9 +16,10 @@
         }
 
         /** An unknown state: the task is on the machine, and not known to run. */
-        private fun state(name: String) = TaskState.entries.firstOrNull { it.wire == name } ?: TaskState.FETCHING
+        private fun state(name: String) = TaskState.entries.firstOrNull { it.wireName == name } ?: TaskState.FETCHING
 
         /** An unknown cause still means that the attempt is over without a result. */
-        private fun cause(name: String?) = TaskEndCause.entries.firstOrNull { it.wire == name } ?: TaskEndCause.ERROR
+        private fun cause(name: String?) =
+            TaskEndCause.entries.firstOrNull { it.wireName == name } ?: TaskEndCause.ERROR
     }
 }
--- a/src/test/kotlin/io/reedmast/CountedWorkTest.kt
+++ b/src/test/kotlin/io/reedmast/CountedWorkTest.kt
@@ -24,8 +24,8 @@
 
     private fun settings(controller: Int, cpusPerTeam: Double, valueBytes: Int) = Settings(
         label = "n$controller",
-        front = World.address(controller, 8080),
-        clusterListen = World.address(controller, 8081),
+        apiAddress = World.address(controller, 8080),
+        clusterAddress = World.address(controller, 8081),
         members = (0 until CONTROLLERS).map { Member("n$it", World.address(it, 8081)) },
         self = ControllerId(controller),
         cloudAddress = "10.2.0.2:1",
--- a/src/test/kotlin/io/reedmast/sim/RuleChecker.kt
+++ b/src/test/kotlin/io/reedmast/sim/RuleChecker.kt
@@ -128,7 +128,7 @@
 
     private fun checkCancelled(jobId: String) {
         val cancelledAt = world.jobs[jobId]?.abortedAt ?: return
-        if (cancelledAt == 0L || world.now() - cancelledAt <= world.settings.workers.cancelS * 1000) return
+        if (cancelledAt == 0L || world.now() - cancelledAt <= world.settings.workers.cancelDeadlineS * 1000) return
         running[jobId]?.machines?.forEach { (id, machines) ->
             breach("ran_cancelled $id on ${machines.map { it.name }}")
         }
@@ -140,7 +140,7 @@
     /** [known]: whether the job had been accepted before the question was asked. */
     fun answered(jobId: String, answer: UserAnswer, known: Boolean) {
         if (known && answer.status in REFUSALS) breach("forgotten $jobId: ${answer.status}")
-        val stage = answer.job?.state?.wire ?: return
+        val stage = answer.job?.state?.wireName ?: return
         val job = world.jobs[jobId]
         if (job == null) breach("invented $jobId")
         val before = publishedStages[jobId]
--- a/src/test/kotlin/io/reedmast/sim/Scenario.kt
+++ b/src/test/kotlin/io/reedmast/sim/Scenario.kt
@@ -53,8 +53,8 @@
 
     private fun settings(controller: Int): Settings = Settings(
         label = "n$controller",
-        front = World.address(controller, 8080),
-        clusterListen = World.address(controller, 8081),
+        apiAddress = World.address(controller, 8080),
+        clusterAddress = World.address(controller, 8081),
         members = (0 until controllers).map { Member("n$it", World.address(it, 8081)) },
         self = ControllerId(controller),
         cloudAddress = "10.2.0.2:1",
@@ -308,7 +308,7 @@
                     controller.ask(words[1], { c, answer -> c.poll(words[1], answer) }) {
                         said.add(
                             (
-                                it.job?.state?.wire
+                                it.job?.state?.wireName
                                     ?: it.status
                                 ).toString(),
                         )
--- a/src/test/kotlin/io/reedmast/sim/SimGang.kt
+++ b/src/test/kotlin/io/reedmast/sim/SimGang.kt
@@ -36,11 +36,13 @@
         member.show(TaskState.WAITING)
         if (phase != Phase.WAITING) {
             // It has come too late for the attempt, and waits in vain.
-            exitLater(member, world.settings.workers.gangWaitS, TaskEndCause.GANG_TIMED_OUT)
+            exitLater(member, world.settings.workers.gangTimeoutS, TaskEndCause.GANG_TIMED_OUT)
         } else if (members.size == job.spec.taskCount) {
             begin()
         } else {
-            exitLater(member, world.settings.workers.gangWaitS, TaskEndCause.GANG_TIMED_OUT) { phase == Phase.WAITING }
+            exitLater(member, world.settings.workers.gangTimeoutS, TaskEndCause.GANG_TIMED_OUT) {
+                phase == Phase.WAITING
+            }
         }
     }
 
@@ -80,7 +82,9 @@
             job.savedMs = maxOf(job.savedMs, progressMs() / mark * mark)
         }
         phase = Phase.BROKEN
-        members.values.toList().forEach { exitLater(it, world.settings.workers.gangPeerS, TaskEndCause.PEER_LOST) }
+        members.values.toList().forEach {
+            exitLater(it, world.settings.workers.peerLossDetectionS, TaskEndCause.PEER_LOST)
+        }
     }
 
     private fun exitLater(member: Member, seconds: Double, cause: TaskEndCause, still: () -> Boolean = { true }) {
@@ -95,7 +99,7 @@
             phase = Phase.STOPPING
             firstStopAt = world.now()
             val progress = progressMs()
-            val patience = world.settings.workers.gangPeerS
+            val patience = world.settings.workers.peerLossDetectionS
             world.after(maxOf((job.spec.saveS * 1000).toLong(), (patience * 1000).toLong() / 2)) { save(progress) }
             members.values.toList().forEach {
                 exitLater(it, patience + job.spec.saveS, TaskEndCause.PEER_LOST) {
--- a/src/test/kotlin/io/reedmast/sim/SimGateway.kt
+++ b/src/test/kotlin/io/reedmast/sim/SimGateway.kt
@@ -290,7 +290,13 @@
     override fun provision(request: ProvisioningRequest, done: (ProvisioningResult) -> Unit) {
         record(
             "rent",
-            CloudMessages.rental(request.requestName, request.typeName, request.zone, request.spot, request.count),
+            CloudMessages.rentalRequest(
+                request.requestName,
+                request.typeName,
+                request.zone,
+                request.spot,
+                request.count,
+            ),
         )
         if (world.rentalAnswerMs == 0L && world.lostRentalAnswers == 0) {
             reply(CLOUD_MS, done) { world.provision(request) }
@@ -305,7 +311,7 @@
     }
 
     override fun returnMachines(machineNames: List<String>, done: (ReturnResult) -> Unit) {
-        record("return", CloudMessages.returnOf(machineNames))
+        record("return", CloudMessages.returnRequest(machineNames))
         world.after(CLOUD_MS) {
             val result = world.returnMachines(machineNames)
             reply(1, done) { result }
--- a/src/test/kotlin/io/reedmast/sim/SimWorker.kt
+++ b/src/test/kotlin/io/reedmast/sim/SimWorker.kt
@@ -365,8 +365,8 @@
                 mapOf(
                     "piece" to it.id.toString(),
                     "try" to it.attempt,
-                    "stage" to it.state.wire,
-                    "cause" to it.cause?.wire,
+                    "stage" to it.state.wireName,
+                    "cause" to it.cause?.wireName,
                 )
             },
     )
--- a/src/test/kotlin/io/reedmast/sim/TestSettings.kt
+++ b/src/test/kotlin/io/reedmast/sim/TestSettings.kt
@@ -16,8 +16,8 @@
     nextStoreLimits: StoreLimits? = null,
 ) = Settings(
     label = "n0",
-    front = World.address(0, 8080),
-    clusterListen = World.address(0, 8081),
+    apiAddress = World.address(0, 8080),
+    clusterAddress = World.address(0, 8081),
     members = controllers.mapIndexed { i, label -> Member(label, World.address(i, 8081)) },
     self = ControllerId(0),
     cloudAddress = "10.2.0.2:1",
