--- a/src/main/kotlin/io/reedmast/autoscaling/Autoscaler.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/Autoscaler.kt
@@ -63,7 +63,7 @@
         wasLeading = true
         abandonedMachines.startLeading()
         listDueAt = now + MIN_LIST_INTERVAL_MS
-        resizeDueAt = now + (tuning.resizeS * MS_PER_S).toLong()
+        resizeDueAt = now + (tuning.resizeIntervalS * MS_PER_S).toLong()
         log.info("leader: this controller is the leader now")
     }
 
@@ -108,7 +108,7 @@
         rebalancer.runOnce(now)
         val withDemand = summaries.filter { it.demand.isNotEmpty() && showsIncomingMachines(it) }.sortedBy { it.ratio }
         if (now >= resizeDueAt) {
-            resizeDueAt = now + (tuning.resizeS * MS_PER_S).toLong()
+            resizeDueAt = now + (tuning.resizeIntervalS * MS_PER_S).toLong()
             rebalancer.resize(withDemand, summaries)
         }
         val unavailableZones = summaries.flatMapTo(HashSet()) { it.unavailableZones }
@@ -121,7 +121,7 @@
 
     /** The time until the other shard's summary shows a machine as idle and the next resizing moves it. */
     private fun transferWaitMs(): Long =
-        ((tuning.totalsS + tuning.resizeS) * MS_PER_S).toLong() + SUMMARY_READ_INTERVAL_MS
+        ((tuning.usageSummaryIntervalS + tuning.resizeIntervalS) * MS_PER_S).toLong() + SUMMARY_READ_INTERVAL_MS
 
     /**
      * Whether the summary takes into account all machines that are to come to the shard; otherwise the shard would get
--- a/src/main/kotlin/io/reedmast/kvstore/StoreClient.kt
+++ b/src/main/kotlin/io/reedmast/kvstore/StoreClient.kt
@@ -9,9 +9,9 @@
 import io.reedmast.wire.Reply
 import io.reedmast.wire.StoreMessages
 import io.reedmast.wire.StoreReplies
-import org.slf4j.LoggerFactory
 import java.net.URLEncoder
 import java.util.concurrent.TimeUnit
+import org.slf4j.LoggerFactory
 
 /**
  * Blocking client of the store, which keeps within this controller's share of the store's rate limits. Thread-safe.
@@ -111,7 +111,7 @@
     fun grantLease(lifeMs: Long): LeaseGrant {
         val reply = call("POST", "/leases", StoreMessages.leaseRequest(lifeMs))
         if (reply !is Reply.Answer || reply.status != HttpStatus.OK) return LeaseGrant.Failed
-        return parsed(LeaseGrant.Failed) { LeaseGrant.Granted(StoreReplies.lease(reply.body)) }
+        return parsed(LeaseGrant.Failed) { LeaseGrant.Granted(StoreReplies.leaseId(reply.body)) }
     }
 
     /** Extends a lease to its full duration again. */
--- a/src/main/kotlin/io/reedmast/machines/SilentMachineDetector.kt
+++ b/src/main/kotlin/io/reedmast/machines/SilentMachineDetector.kt
@@ -3,8 +3,8 @@
 import io.reedmast.model.DecommissionReason
 import io.reedmast.model.Machine
 import io.reedmast.model.ShardState
-import org.slf4j.LoggerFactory
 import java.util.concurrent.TimeUnit
+import org.slf4j.LoggerFactory
 
 /** Decommissions machines that have missed their heartbeats. */
 internal class SilentMachineDetector(private val shardState: ShardState) {
@@ -12,7 +12,7 @@
     private val leaseMs = (shardState.settings.workers.leaseS * MS_PER_S).toLong()
 
     /** How long a machine may send no heartbeat before it counts as silent. */
-    val silentAfterMs = (shardState.settings.workers.reportS * MS_PER_S * MISSED_HEARTBEATS_LIMIT).toLong()
+    val silentAfterMs = (shardState.settings.workers.heartbeatIntervalS * MS_PER_S * MISSED_HEARTBEATS_LIMIT).toLong()
 
     /**
      * Decommissions the machines that have been silent for too long. [observationGapUntil] is the last time at which
