--- a/src/main/kotlin/io/reedmast/app/Controller.kt
+++ b/src/main/kotlin/io/reedmast/app/Controller.kt
@@ -27,7 +27,7 @@
     data class Commands(val token: Long, val commands: List<WorkerCommand>) : WorkerAnswer
 
     /** Another controller answers this worker; null: nobody is known to. */
-    data class Elsewhere(val label: String?) : WorkerAnswer
+    data class Redirect(val label: String?) : WorkerAnswer
 
     /** This controller must not answer workers now: they go on as they are and ask again. */
     data object Unavailable : WorkerAnswer
@@ -103,9 +103,9 @@
 
     /** The answer to a worker whose machine belongs to no shard: the leader considers it. */
     private fun answerUnassigned(status: WorkerStatus): WorkerAnswer {
-        if (!cluster.leading) return WorkerAnswer.Elsewhere(cluster.leader)
+        if (!cluster.leading) return WorkerAnswer.Redirect(cluster.leader)
         autoscaler.onUnassignedWorker(status)
-        return WorkerAnswer.Elsewhere(cluster.shardOfMachine(status.machineName)?.let { cluster.ownerOf(it) })
+        return WorkerAnswer.Redirect(cluster.shardOfMachine(status.machineName)?.let { cluster.ownerOf(it) })
     }
 
     /** The answer to a worker whose machine belongs to [shard]. */
@@ -113,7 +113,7 @@
         val owner = cluster.owners[shard]
         return when {
             owner == null || owner.dropped -> {
-                WorkerAnswer.Elsewhere(cluster.redirectTarget(shard, status.machineName, status.addr))
+                WorkerAnswer.Redirect(cluster.redirectTarget(shard, status.machineName, status.addr))
             }
 
             // While the shard is still being read, the answer shows the worker our token and renews its lease.
@@ -127,7 +127,7 @@
         val commands = owner.onHeartbeat(status)
         // The worker would drop our answer and stay here until its lease is over: it must look for the shard's new
         // owner.
-        if (status.token > FencingToken.lastOfRange(owner.token)) return WorkerAnswer.Elsewhere(null)
+        if (status.token > FencingToken.lastOfRange(owner.token)) return WorkerAnswer.Redirect(null)
         return WorkerAnswer.Commands(owner.tokenFor(status.machineName), commands)
     }
 
--- a/src/main/kotlin/io/reedmast/app/ControllerHandle.kt
+++ b/src/main/kotlin/io/reedmast/app/ControllerHandle.kt
@@ -27,7 +27,7 @@
     private var waiting = false
 
     /** Whether somebody waits to be told what the watch on jobs does not know yet. */
-    fun questionsWait(): Boolean = waiting
+    fun hasWaitingLookups(): Boolean = waiting
 
     private fun updateQuestionsWaiting() {
         waiting = controller.cluster.staleness.hasWaiters
@@ -47,24 +47,24 @@
 
     /** Has a heartbeat handled; false if there is too much to do, and [answer] is then never called. */
     fun onHeartbeat(status: WorkerStatus, answer: (WorkerAnswer) -> Unit): Boolean =
-        eventLoop.offer(Urgency.HEARTBEAT) {
+        eventLoop.offer(EventPriority.HEARTBEAT) {
             answer(controller.onHeartbeat(status))
         }
 
     /** Has a submission handled; false if there is too much to do, and [answer] is then never called. */
-    fun submit(spec: JobSpec, answer: (UserAnswer) -> Unit): Boolean = eventLoop.offer(Urgency.USER_REQUEST) {
+    fun submit(spec: JobSpec, answer: (UserAnswer) -> Unit): Boolean = eventLoop.offer(EventPriority.USER_REQUEST) {
         controller.submit(spec, answer)
         updateQuestionsWaiting()
     }
 
     /** Has a poll answered; false if there is too much to do, and [answer] is then never called. */
-    fun poll(jobId: String, answer: (UserAnswer) -> Unit): Boolean = eventLoop.offer(Urgency.USER_REQUEST) {
+    fun poll(jobId: String, answer: (UserAnswer) -> Unit): Boolean = eventLoop.offer(EventPriority.USER_REQUEST) {
         controller.poll(jobId, answer)
         updateQuestionsWaiting()
     }
 
     /** Has a job cancelled; false if there is too much to do, and [answer] is then never called. */
-    fun cancel(jobId: String, answer: (UserAnswer) -> Unit): Boolean = eventLoop.offer(Urgency.USER_REQUEST) {
+    fun cancel(jobId: String, answer: (UserAnswer) -> Unit): Boolean = eventLoop.offer(EventPriority.USER_REQUEST) {
         controller.cancel(jobId, answer)
         updateQuestionsWaiting()
     }
@@ -74,7 +74,8 @@
      * controllers confirm to each other must not, or many questions would end all work in an outage.
      */
     fun onPeerMessage(message: PeerMessage) {
-        val urgency = if (message is PeerMessage.ShardStatusUpdate) Urgency.USER_REQUEST else Urgency.DECISION
-        eventLoop.offer(urgency) { controller.onPeerMessage(message) }
+        val priority =
+            if (message is PeerMessage.ShardStatusUpdate) EventPriority.USER_REQUEST else EventPriority.INTERNAL
+        eventLoop.offer(priority) { controller.onPeerMessage(message) }
     }
 }
--- a/src/main/kotlin/io/reedmast/app/EventLoop.kt
+++ b/src/main/kotlin/io/reedmast/app/EventLoop.kt
@@ -5,19 +5,19 @@
 import java.util.ArrayDeque
 
 /** What is done first when there is more to do than can be done. */
-enum class Urgency {
+enum class EventPriority {
     /** Heartbeats of workers, whose leases depend on the answers. */
     HEARTBEAT,
 
     /** Results of the controller's own calls, watches and confirmations between controllers. */
-    DECISION,
+    INTERNAL,
 
     /** Requests of users, and what is for display only. */
     USER_REQUEST,
 }
 
 /**
- * Where all deciding is done, one piece of work at a time, and its queues: one for each [Urgency], the most urgent
+ * Where all deciding is done, one piece of work at a time, and its queues: one for each [EventPriority], the most urgent
  * first.
  *
  * All state of the service is touched here alone. A thread that comes while nothing is being decided does its work
@@ -31,7 +31,7 @@
 class EventLoop(private val clock: Clock, private val maxQueued: Int) {
     private val log = LoggerFactory.getLogger("event-loop")
     private val lock = Object()
-    private val queues = Urgency.entries.map { ArrayDeque<() -> Unit>() }
+    private val queues = EventPriority.entries.map { ArrayDeque<() -> Unit>() }
     private var deciding = false
     private var queued = 0
 
@@ -46,18 +46,18 @@
      * Does [work], or queues it if other work is being done or waits. False if there is too much to do already: [work]
      * is then never done.
      */
-    fun offer(urgency: Urgency, work: () -> Unit): Boolean = enqueue(urgency, work, maxQueued)
+    fun offer(priority: EventPriority, work: () -> Unit): Boolean = enqueue(priority, work, maxQueued)
 
     /** Does or queues [work], a result that the controller has waited for; it is never refused. */
     fun post(work: () -> Unit) {
-        enqueue(Urgency.DECISION, work, Int.MAX_VALUE)
+        enqueue(EventPriority.INTERNAL, work, Int.MAX_VALUE)
     }
 
     /** What becomes of work that a thread brings. */
     private enum class Admission { DO_NOW, QUEUED, REFUSED }
 
-    private fun enqueue(urgency: Urgency, work: () -> Unit, maxQueued: Int): Boolean {
-        val admission = synchronized(lock) { admit(queues[urgency.ordinal], work, maxQueued) }
+    private fun enqueue(priority: EventPriority, work: () -> Unit, maxQueued: Int): Boolean {
+        val admission = synchronized(lock) { admit(queues[priority.ordinal], work, maxQueued) }
         if (admission == Admission.DO_NOW) decide(work)
         return admission != Admission.REFUSED
     }
@@ -141,7 +141,7 @@
             ++polls % POLLS_PER_REVERSAL == 0 -> queues.asReversed()
 
             // The periodic run is a decision, and comes before those that wait.
-            runDue -> listOf(queues[Urgency.HEARTBEAT.ordinal])
+            runDue -> listOf(queues[EventPriority.HEARTBEAT.ordinal])
 
             else -> queues
         }
--- a/src/main/kotlin/io/reedmast/app/HttpApi.kt
+++ b/src/main/kotlin/io/reedmast/app/HttpApi.kt
@@ -84,7 +84,7 @@
     private fun workerResponse(answer: WorkerAnswer): Response = when (answer) {
         WorkerAnswer.Unavailable -> Response(Status.SERVICE_UNAVAILABLE)
         is WorkerAnswer.Commands -> cbor(Status.OK, WorkerReplies.heartbeatReply(answer.token, answer.commands))
-        is WorkerAnswer.Elsewhere -> cbor(MISDIRECTED, WorkerReplies.redirect(answer.label))
+        is WorkerAnswer.Redirect -> cbor(MISDIRECTED, WorkerReplies.redirect(answer.label))
     }
 
     private fun submit(request: Request): Response {
--- a/src/main/kotlin/io/reedmast/app/WatchSink.kt
+++ b/src/main/kotlin/io/reedmast/app/WatchSink.kt
@@ -13,7 +13,7 @@
     /**
      * All of the cluster's keys, as read at [revision] by a request made at [askedAt] in milliseconds of steady time.
      */
-    fun snapshot(items: List<StoredItem>, revision: Long, askedAt: Long) = eventLoop.post {
+    fun clusterSnapshot(items: List<StoredItem>, revision: Long, askedAt: Long) = eventLoop.post {
         watchResults.onClusterSnapshot(items, revision, askedAt)
     }
 
--- a/src/main/kotlin/io/reedmast/app/Watches.kt
+++ b/src/main/kotlin/io/reedmast/app/Watches.kt
@@ -36,7 +36,7 @@
         Keys.CLUSTER,
         minIntervalMs = 0L,
         holdMs = { CLUSTER_HOLD_MS },
-        handle.watchSink::snapshot,
+        handle.watchSink::clusterSnapshot,
         handle.watchSink::clusterEvents,
     )
 
@@ -49,7 +49,7 @@
         Keys.LIVE_JOBS,
         Keys.JOBS,
         minIntervalMs = JOBS_INTERVAL_MS,
-        holdMs = { if (handle.questionsWait()) 0 else JOBS_HOLD_MS },
+        holdMs = { if (handle.hasWaitingLookups()) 0 else JOBS_HOLD_MS },
         handle.watchSink::jobsSnapshot,
         handle.watchSink::jobEvents,
     )
--- a/src/test/kotlin/io/reedmast/app/EventLoopTest.kt
+++ b/src/test/kotlin/io/reedmast/app/EventLoopTest.kt
@@ -42,7 +42,7 @@
         var by: Thread? = null
         // On a busy machine the first tick may take its time to be over.
         for (attempt in 1..100) {
-            assertTrue(eventLoop.offer(Urgency.USER_REQUEST) { by = Thread.currentThread() })
+            assertTrue(eventLoop.offer(EventPriority.USER_REQUEST) { by = Thread.currentThread() })
             if (by === Thread.currentThread()) break
             Thread.sleep(20)
         }
@@ -63,11 +63,11 @@
             order.add(name)
             done.countDown()
         }
-        eventLoop.offer(Urgency.USER_REQUEST, note("submission"))
+        eventLoop.offer(EventPriority.USER_REQUEST, note("submission"))
         eventLoop.post(note("decision"))
-        eventLoop.offer(Urgency.HEARTBEAT, note("report"))
-        eventLoop.offer(Urgency.HEARTBEAT, note("report"))
-        assertFalse(eventLoop.offer(Urgency.HEARTBEAT, note("one too many")), "the queue is bounded")
+        eventLoop.offer(EventPriority.HEARTBEAT, note("report"))
+        eventLoop.offer(EventPriority.HEARTBEAT, note("report"))
+        assertFalse(eventLoop.offer(EventPriority.HEARTBEAT, note("one too many")), "the queue is bounded")
         hold.countDown()
         done.await()
         holder.join()
@@ -81,7 +81,7 @@
         // One at a time: with more reports than can be served, they come before ticks.
         repeat(50) {
             val done = CountDownLatch(1)
-            eventLoop.offer(Urgency.HEARTBEAT) {
+            eventLoop.offer(EventPriority.HEARTBEAT) {
                 Thread.sleep(5)
                 done.countDown()
             }
--- a/src/test/kotlin/io/reedmast/sim/SimWorker.kt
+++ b/src/test/kotlin/io/reedmast/sim/SimWorker.kt
@@ -203,7 +203,7 @@
                 answer.commands.forEach { execute(it) }
             }
 
-            is WorkerAnswer.Elsewhere -> {
+            is WorkerAnswer.Redirect -> {
                 val to = world.controllers.indexOfFirst { it.label == answer.label }
                 if (to < 0 || to == controller) {
                     next(1_000)
--- a/src/test/kotlin/io/reedmast/sim/World.kt
+++ b/src/test/kotlin/io/reedmast/sim/World.kt
@@ -213,7 +213,7 @@
     private fun record(controller: SimController, status: WorkerStatus, answer: WorkerAnswer) {
         val body = when (answer) {
             is WorkerAnswer.Commands -> WorkerReplies.heartbeatReply(answer.token, answer.commands)
-            is WorkerAnswer.Elsewhere -> WorkerReplies.redirect(answer.label)
+            is WorkerAnswer.Redirect -> WorkerReplies.redirect(answer.label)
             WorkerAnswer.Unavailable -> emptyMap()
         }
         recorder?.record(
