--- a/src/test/kotlin/io/reedmast/CountedWorkTest.kt
+++ b/src/test/kotlin/io/reedmast/CountedWorkTest.kt
@@ -59,10 +59,10 @@
         val jobId = "wk-%06d".format(number)
         val spec = World.spec(jobId, description)
         jobs[jobId] = World.SimJob(spec, taskMs, false)
-        controllers[number % CONTROLLERS].ask(jobId, { controller, answer -> controller.submit(spec, answer) })
+        controllers[number % CONTROLLERS].sendRequest(jobId, { controller, answer -> controller.submit(spec, answer) })
     }
 
-    private fun assertNoRuleBroken(world: World) = assertEquals(emptyList<String>(), world.rules.broken)
+    private fun assertNoRuleBroken(world: World) = assertEquals(emptyList<String>(), world.rules.violations)
 
     private fun assertPassesAtMost(world: World, limit: Int, period: String) {
         for (node in world.controllers) {
@@ -77,7 +77,7 @@
         val world = startedWorld(machines)
         world.runUntil(20_000)
         val jobs = 240
-        val storedBefore = world.store.changes
+        val storedBefore = world.store.writeCount
 
         for (number in 0 until jobs) {
             world.runUntil(20_000 + number * 100L)
@@ -94,19 +94,19 @@
         world.runUntil(70_000)
 
         assertNoRuleBroken(world)
-        val arraysDone = world.jobs.values.count { it.completed.size == it.spec.taskCount }
+        val arraysDone = world.jobs.values.count { it.completedTasks.size == it.spec.taskCount }
         assertEquals(60, arraysDone, "arrays that are over")
         val replicas = world.workers.values.sumOf { worker ->
-            worker.onMachine().count { world.jobs.getValue(it.jobId).spec.isService }
+            worker.startedTasks().count { world.jobs.getValue(it.jobId).spec.isService }
         }
         assertEquals(360, replicas)
         // An acceptance for each job, two more for the end of each array; pages and totals at their own rate.
-        val stored = world.store.changes - storedBefore
+        val stored = world.store.writeCount - storedBefore
         val perSecond = (stored - jobs - 2 * 60) / 50.0
         assertTrue(perSecond < 36, "$perSecond changes a second besides acceptances and ends")
         assertPassesAtMost(world, 10 * 70, "70 s")
         // Heartbeats every three seconds and at changes, and a few direct commands for each task.
-        assertTrue(world.messages < machines * 70 / 3 * 1.2 + 4_000 * 4, "${world.messages} messages")
+        assertTrue(world.messageCount < machines * 70 / 3 * 1.2 + 4_000 * 4, "${world.messageCount} messages")
     }
 
     /**
@@ -118,8 +118,8 @@
         val machines = 1_600
         val world = startedWorld(machines, cpusPerTeam = 6_000.0)
         world.runUntil(30_000)
-        val storedBefore = world.store.changes
-        val messagesBefore = world.messages
+        val storedBefore = world.store.writeCount
+        val messagesBefore = world.messageCount
 
         for (number in 0 until 100) {
             val description = mapOf(
@@ -134,14 +134,14 @@
         world.runUntil(60_000)
 
         assertNoRuleBroken(world)
-        assertEquals(10_000, world.jobs.values.sumOf { it.completed.size })
-        assertEquals(10_000, world.rules.starts.values.sum(), "each task once")
+        assertEquals(10_000, world.jobs.values.sumOf { it.completedTasks.size })
+        assertEquals(10_000, world.rules.startCounts.values.sum(), "each task once")
         // An acceptance and two for the end of each job; a page holds a few dozen tasks, and is stored a few times.
-        val stored = world.store.changes - storedBefore
+        val stored = world.store.writeCount - storedBefore
         assertTrue(stored < 3 * 100 + 10_000 / 8, "$stored changes")
         // Idle machines report every three seconds; a busy one at three changes of each of its six tasks, and once to
         // forget.
-        val sent = world.messages - messagesBefore
+        val sent = world.messageCount - messagesBefore
         assertTrue(sent < machines * 30 / 3 * 1.2 + 10_000 * 4, "$sent messages")
         assertPassesAtMost(world, 10 * 60, "60 s")
     }
@@ -156,7 +156,7 @@
         world.runUntil(60_000)
 
         assertNoRuleBroken(world)
-        assertEquals(100, world.workers.values.sumOf { it.onMachine().size })
+        assertEquals(100, world.workers.values.sumOf { it.startedTasks().size })
     }
 
     @Test
--- a/src/test/kotlin/io/reedmast/loopback/LoopbackCluster.kt
+++ b/src/test/kotlin/io/reedmast/loopback/LoopbackCluster.kt
@@ -207,9 +207,11 @@
             path.startsWith("/kv/") -> locked { store.get(path.removePrefix("/kv/")) }?.let { 200 to item(it) }
                 ?: (404 to emptyMap())
             path == "/commit" -> locked { commit(body) }
-            path == "/leases" -> 200 to mapOf("holding" to locked { store.lease((body["lifeMs"] as Number).toLong()) })
+            path == "/leases" ->
+                200 to
+                    mapOf("holding" to locked { store.grantLease((body["lifeMs"] as Number).toLong()) })
             path.startsWith("/leases/") -> {
-                val extended = locked { store.extend(path.split('/')[2].toLong(), EXTENDED_MS) }
+                val extended = locked { store.extendLease(path.split('/')[2].toLong(), EXTENDED_MS) }
                 (if (extended) 200 else 404) to emptyMap()
             }
             path == "/flavors" -> 200 to mapOf("builds" to types.map { typeFields(it) })
@@ -228,7 +230,7 @@
         val prefix = query.getValue("prefix")
         val until = now() + (query["holdMs"]?.toLong() ?: 0L)
         while (true) {
-            val (revision, news) = locked { store.revision to store.since(query.getValue("after").toLong()) }
+            val (revision, news) = locked { store.revision to store.changesSince(query.getValue("after").toLong()) }
             if (news == null) return 410 to emptyMap()
             val log = news.filter { it.path.startsWith(prefix) }
             if (log.isNotEmpty() ||
@@ -303,7 +305,7 @@
     }
 
     /** Broken rules: of the stand-in store's checks of stored forms and moves of gates, and of what ran. */
-    fun broken(): List<String> = locked { world.rules.broken.toList() } + history.broken
+    fun broken(): List<String> = locked { world.rules.violations.toList() } + history.broken
 
     private companion object {
         const val CONNECT_MS = 500
--- a/src/test/kotlin/io/reedmast/rollout/RolloutMeasurement.kt
+++ b/src/test/kotlin/io/reedmast/rollout/RolloutMeasurement.kt
@@ -49,7 +49,7 @@
     private fun ask(world: World, jobId: String, since: Long) {
         if (world.now() - since > LONGEST_MS) return
         val spec = world.jobs.getValue(jobId).spec
-        world.controllers.random(random).ask(jobId, { controller, answer -> controller.submit(spec, answer) }) {
+        world.controllers.random(random).sendRequest(jobId, { controller, answer -> controller.submit(spec, answer) }) {
             if (it.status <
                 FIRST_REFUSAL
             ) {
@@ -84,14 +84,14 @@
 
     private fun window(world: World, name: String, seconds: Int): Window {
         latency.reset()
-        val changes = world.store.changes
+        val changes = world.store.writeCount
         val pages = world.store.putsByKind["page"] ?: 0
         val cpu = cpuMs()
         world.runUntil(world.now() + seconds * 1_000L)
         val newPages = (world.store.putsByKind["page"] ?: 0) - pages
         return Window(
             name,
-            world.store.changes - changes,
+            world.store.writeCount - changes,
             newPages,
             cpuMs() - cpu,
             latency.getValueAtPercentile(MEDIAN),
@@ -122,14 +122,14 @@
         if (rollOut) {
             operator.act(listOf("enable", "fenced-tokens"))
             operator.act(listOf("enable", "dense-pages"))
-            val enabled = await(world) { operator.stateOf("dense-pages") == "enabled" }
+            val enabled = await(world) { operator.gateState("dense-pages") == "enabled" }
             val pages = world.store.all("page/").size
             latency.reset()
-            val changes = world.store.changes
+            val changes = world.store.writeCount
             val migrated = await(world) { operator.isMigrated("dense-pages") }
             println("  enabled after $enabled ms, $pages pages migrated $migrated ms later")
             println(
-                "  meanwhile ${world.store.changes - changes} changes, accepted p99 ${latency.getValueAtPercentile(
+                "  meanwhile ${world.store.writeCount - changes} changes, accepted p99 ${latency.getValueAtPercentile(
                     HIGH,
                 )} ms",
             )
@@ -142,7 +142,7 @@
                     "accepted p50 ${it.p50} p99 ${it.p99} ms, processor ${it.cpuMs} ms",
             )
         }
-        println("  pages stored ${world.store.all("page/").size}, broken rules ${world.rules.broken}")
+        println("  pages stored ${world.store.all("page/").size}, broken rules ${world.rules.violations}")
     }
 
     private companion object {
--- a/src/test/kotlin/io/reedmast/sim/RolloutRules.kt
+++ b/src/test/kotlin/io/reedmast/sim/RolloutRules.kt
@@ -25,7 +25,7 @@
     }
 
     /** Called with each value as it is stored. */
-    fun written(path: String, value: Fields) {
+    fun checkStored(path: String, value: Fields) {
         if (path == Keys.ROLLOUT) noteMoves(value)
         val (feature, isNew) = state(path, value) ?: return
         val now = record.stateOf(feature)
@@ -35,7 +35,7 @@
         if (isNew !=
             newAllowed
         ) {
-            world.rules.breach(
+            world.rules.addViolation(
                 "wrong_form $path is stored ${if (isNew) "in the new" else "in the old"} form " +
                     "while $feature is ${now.storedName}",
             )
@@ -50,19 +50,19 @@
      */
     private fun takesOpenCounter(value: Fields): Boolean {
         val sender = StoreMessages.transactionId(value) ?: return false
-        return counterIsOpen && world.controllers.any { it.wasOld(sender) }
+        return counterIsOpen && world.controllers.any { it.predatedRollouts(sender) }
     }
 
     /**
      * Whatever lets a process take part, or has a form that depends on the gates, is on condition that they are as the
      * process has read them.
      */
-    fun sent(transaction: StoreTransaction) {
+    fun checkSent(transaction: StoreTransaction) {
         val sender = world.controllers.firstOrNull { transaction.id.startsWith("${it.label}-") } ?: return
         // What is carried out late was sent by the process of then, whatever runs there now.
-        if (sender.wasOld(transaction.id) || transaction.preconditions.any { it.path == Keys.ROLLOUT }) return
+        if (sender.predatedRollouts(transaction.id) || transaction.preconditions.any { it.path == Keys.ROLLOUT }) return
         transaction.writes.filterIsInstance<Write.Put>().filter { put -> conditional.any { put.path.startsWith(it) } }
-            .forEach { world.rules.breach("unconditional ${it.path} by ${sender.label}") }
+            .forEach { world.rules.addViolation("unconditional ${it.path} by ${sender.label}") }
     }
 
     private fun noteMoves(value: Fields) {
@@ -74,7 +74,7 @@
         for ((name, gate) in next.gates) {
             val before = record.stateOf(name)
             if (gate.state != before && gate.state !in allowed.getValue(before)) {
-                world.rules.breach("gate_jumped $name from ${before.storedName} to ${gate.state.storedName}")
+                world.rules.addViolation("gate_jumped $name from ${before.storedName} to ${gate.state.storedName}")
             }
             if (gate.state == GateState.ENABLED &&
                 before != GateState.ENABLED
@@ -85,7 +85,7 @@
         if (next.finalizedVersion <
             record.finalizedVersion
         ) {
-            world.rules.breach("version_fell to ${next.finalizedVersion}")
+            world.rules.addViolation("version_fell to ${next.finalizedVersion}")
         }
         record = next
     }
@@ -93,20 +93,24 @@
     /** Whoever counts must be able to read what may be written from now on. */
     private fun checkAllRead(version: Int, next: RolloutRecord, what: String) {
         for (controller in world.controllers) {
-            if (controller.label in next.excluded || !controller.up || controller.unfit != null) continue
+            if (controller.label in next.excluded || !controller.up || controller.terminationReason != null) continue
             val owns = controller.process?.cluster?.activeOwners().orEmpty().isNotEmpty()
-            if (owns && controller.readsUpTo < version) world.rules.breach("unreadable_for ${controller.label}: $what")
+            if (owns &&
+                controller.newestReadableVersion < version
+            ) {
+                world.rules.addViolation("unreadable_for ${controller.label}: $what")
+            }
         }
     }
 
     /** A process reads the pages of a shard that it has taken. */
-    fun read(controller: SimController, items: List<Pair<String, Fields>>) {
+    fun checkRead(controller: SimController, items: List<Pair<String, Fields>>) {
         val dense =
             items.firstOrNull { (path, value) -> path.startsWith("page/") && DensePages.isDense(value) } ?: return
-        if (controller.readsUpTo <
+        if (controller.newestReadableVersion <
             ClusterFeatures.densePages.requires.value
         ) {
-            world.rules.breach("read_too_new ${controller.label} reads ${dense.first}")
+            world.rules.addViolation("read_too_new ${controller.label} reads ${dense.first}")
         }
     }
 
--- a/src/test/kotlin/io/reedmast/sim/RuleChecker.kt
+++ b/src/test/kotlin/io/reedmast/sim/RuleChecker.kt
@@ -18,13 +18,13 @@
     }
 
     /** Broken rules, with the time of each. */
-    val broken = ArrayList<String>()
+    val violations = ArrayList<String>()
 
     /** What users were last told of each job. */
-    val publishedStages = HashMap<String, String>()
+    val answeredStates = HashMap<String, String>()
 
     /** How often tasks of a job have started. */
-    val starts = HashMap<String, Int>()
+    val startCounts = HashMap<String, Int>()
 
     private val running = HashMap<String, RunningTasks>()
     private val heldCount = HashMap<String, Int>()
@@ -35,32 +35,32 @@
      */
     private val neglectedSince = HashMap<String, Long>()
 
-    fun breach(what: String) {
-        broken.add("${world.now() / 1000.0} s: $what")
+    fun addViolation(what: String) {
+        violations.add("${world.now() / 1000.0} s: $what")
     }
 
     // ---- what workers do
     // ----------------------------------------------------------------------------------------------
 
     /** A worker has taken up a launch: the task takes room there from now on. */
-    fun launched(worker: SimWorker, id: TaskId, attempt: Long) {
+    fun taskLaunched(worker: SimWorker, id: TaskId, attempt: Long) {
         heldCount.merge(id.jobId, 1, Int::plus)
-        if (!world.store.places(
+        if (!world.store.isPlaced(
                 id,
                 attempt,
                 worker.name,
             )
         ) {
-            breach("launched_unstored $id try $attempt on ${worker.name}")
+            addViolation("launched_unstored $id try $attempt on ${worker.name}")
         }
     }
 
     /** A task has its image and runs. */
-    fun started(worker: SimWorker, id: TaskId, attempt: Long) {
-        starts.merge(id.jobId, 1, Int::plus)
+    fun taskStarted(worker: SimWorker, id: TaskId, attempt: Long) {
+        startCounts.merge(id.jobId, 1, Int::plus)
         val machines = running.getOrPut(id.jobId) { RunningTasks() }.machines.getOrPut(id) { ArrayList(1) }
         machines.add(worker)
-        if (machines.size > 1) breach("ran_twice $id on ${machines.map { it.name }}")
+        if (machines.size > 1) addViolation("ran_twice $id on ${machines.map { it.name }}")
         checkOneAttempt(id, attempt)
         checkQuota(id)
         checkPlace(worker, id)
@@ -77,21 +77,21 @@
         if (before != null && before != attempt &&
             runningCount(id.jobId) > 1
         ) {
-            breach("two_attempts $id: $before and $attempt")
+            addViolation("two_attempts $id: $before and $attempt")
         }
     }
 
     /** A task is over, killed, or gone with its machine. */
-    fun left(worker: SimWorker, id: TaskId, ran: Boolean) {
+    fun taskEnded(worker: SimWorker, id: TaskId, wasStarted: Boolean) {
         heldCount.merge(id.jobId, -1, Int::plus)
-        if (!ran) return
+        if (!wasStarted) return
         val tasks = running[id.jobId]?.machines ?: return
         tasks[id]?.remove(worker)
         if (tasks[id]?.isEmpty() == true) tasks.remove(id)
     }
 
     /** A test has moved a task that runs from one worker to another. */
-    fun planted(from: SimWorker, to: SimWorker, id: TaskId) {
+    fun taskMoved(from: SimWorker, to: SimWorker, id: TaskId) {
         val machines = running.getValue(id.jobId).machines.getValue(id)
         machines.remove(from)
         machines.add(to)
@@ -110,7 +110,7 @@
         val limit = world.settings.teams.first { it.name == teamName }.maxCpus
         if (limit <= 0) return
         val used = usedCpus(teamName)
-        if (used > limit + SLACK) breach("quota of $teamName: $used")
+        if (used > limit + SLACK) addViolation("quota of $teamName: $used")
     }
 
     private fun checkPlace(worker: SimWorker, id: TaskId) {
@@ -121,16 +121,16 @@
                 (spec.allowedTypes != null && worker.machineType.label !in spec.allowedTypes.orEmpty()) ||
                 (spec.oneZone && others.any { it.zone != worker.zone }) ||
                 (spec.spread && others.count { it.zone == worker.zone } > (spec.taskCount + 1) / 2)
-        if (wrong) breach("wrong_place $id on ${worker.name} in ${worker.zone}")
+        if (wrong) addViolation("wrong_place $id on ${worker.name} in ${worker.zone}")
     }
 
     fun checkCancelled() = cancelled.forEach { checkCancelled(it) }
 
     private fun checkCancelled(jobId: String) {
-        val cancelledAt = world.jobs[jobId]?.abortedAt ?: return
+        val cancelledAt = world.jobs[jobId]?.cancelledAt ?: return
         if (cancelledAt == 0L || world.now() - cancelledAt <= world.settings.workers.cancelS * 1000) return
         running[jobId]?.machines?.forEach { (id, machines) ->
-            breach("ran_cancelled $id on ${machines.map { it.name }}")
+            addViolation("ran_cancelled $id on ${machines.map { it.name }}")
         }
     }
 
@@ -139,17 +139,21 @@
 
     /** [known]: whether the job had been accepted before the question was asked. */
     fun answered(jobId: String, answer: UserAnswer, known: Boolean) {
-        if (known && answer.status in REFUSALS) breach("forgotten $jobId: ${answer.status}")
+        if (known && answer.status in REFUSALS) addViolation("forgotten $jobId: ${answer.status}")
         val stage = answer.job?.state?.wire ?: return
         val job = world.jobs[jobId]
-        if (job == null) breach("invented $jobId")
-        val before = publishedStages[jobId]
-        if (before in FINAL && stage != before) breach("went_back $jobId from $before to $stage")
-        if (stage == "done" && job != null && job.completed.size < job.spec.taskCount) breach("not_done $jobId")
-        if (!isStored(jobId)) breach("told_unstored $jobId: $stage")
-        publishedStages[jobId] = stage
-        if (stage == "aborted" && job != null && job.abortedAt == 0L) {
-            job.abortedAt = world.now()
+        if (job == null) addViolation("invented $jobId")
+        val before = answeredStates[jobId]
+        if (before in FINAL && stage != before) addViolation("went_back $jobId from $before to $stage")
+        if (stage == "done" && job != null &&
+            job.completedTasks.size < job.spec.taskCount
+        ) {
+            addViolation("not_done $jobId")
+        }
+        if (!isStored(jobId)) addViolation("told_unstored $jobId: $stage")
+        answeredStates[jobId] = stage
+        if (stage == "aborted" && job != null && job.cancelledAt == 0L) {
+            job.cancelledAt = world.now()
             cancelled.add(jobId)
         }
     }
@@ -164,21 +168,21 @@
      * Once the troubles are over, no job waits 90 s while a machine that fits has room and its team is under its limit.
      */
     fun checkNeglected() {
-        if (world.now() < world.calmSince) return
+        if (world.now() < world.faultFreeSince) return
         val room = world.workers.values.filter { it.alive }.map { it to it.freeCpus() }
         for ((jobId, job) in world.jobs) {
             if (!waits(jobId, job) || !underLimit(job) || !hasRoom(job, room)) {
                 neglectedSince[jobId] = world.now()
-            } else if (world.now() - maxOf(neglectedSince[jobId] ?: 0L, world.calmSince) > NEGLECT_MS) {
-                breach("neglected $jobId")
+            } else if (world.now() - maxOf(neglectedSince[jobId] ?: 0L, world.faultFreeSince) > NEGLECT_MS) {
+                addViolation("neglected $jobId")
                 neglectedSince[jobId] = world.now()
             }
         }
     }
 
     private fun waits(jobId: String, job: World.SimJob) =
-        jobId in publishedStages && publishedStages[jobId] !in FINAL && !job.fails &&
-            (job.spec.isService || job.completed.size < job.spec.taskCount) && (heldCount[jobId] ?: 0) == 0
+        jobId in answeredStates && answeredStates[jobId] !in FINAL && !job.fails &&
+            (job.spec.isService || job.completedTasks.size < job.spec.taskCount) && (heldCount[jobId] ?: 0) == 0
 
     /** FreeCapacity for a task of the job, or for all of a gang, in one zone if it needs that. */
     private fun hasRoom(job: World.SimJob, room: List<Pair<SimWorker, Double>>): Boolean {
@@ -211,11 +215,11 @@
     }
 
     /** Accepted jobs that have not got what they were promised. */
-    fun unsettled(): List<String> = publishedStages.keys.sorted().mapNotNull { jobId ->
+    fun unsettled(): List<String> = answeredStates.keys.sorted().mapNotNull { jobId ->
         val job = world.jobs.getValue(jobId)
         val count = runningCount(jobId)
         when {
-            publishedStages[jobId] == "aborted" -> if (count > 0) "$jobId is cancelled and runs" else null
+            answeredStates[jobId] == "aborted" -> if (count > 0) "$jobId is cancelled and runs" else null
             job.fails || !underLimit(job) -> null
             job.spec.isService -> if (count !=
                 job.spec.taskCount
@@ -225,10 +229,10 @@
                 null
             }
             else ->
-                if (job.completed.size <
+                if (job.completedTasks.size <
                     job.spec.taskCount
                 ) {
-                    "$jobId: ${job.completed.size} of ${job.spec.taskCount} done"
+                    "$jobId: ${job.completedTasks.size} of ${job.spec.taskCount} done"
                 } else {
                     null
                 }
--- a/src/test/kotlin/io/reedmast/sim/RuleCheckerTest.kt
+++ b/src/test/kotlin/io/reedmast/sim/RuleCheckerTest.kt
@@ -39,8 +39,8 @@
     private fun answer(state: JobState) = UserAnswer(200, JobStatus("wk-1", state))
 
     private fun assertFound(rule: String) {
-        assertEquals(1, rules.broken.size, "${rules.broken}")
-        assertTrue(rule in rules.broken.single(), rules.broken.single())
+        assertEquals(1, rules.violations.size, "${rules.violations}")
+        assertTrue(rule in rules.violations.single(), rules.violations.single())
     }
 
     @Test
@@ -77,56 +77,56 @@
     @Test
     fun `ran twice`() {
         submitted()
-        rules.started(ordinary, task, attempt = 1)
-        rules.started(other, task, attempt = 1)
+        rules.taskStarted(ordinary, task, attempt = 1)
+        rules.taskStarted(other, task, attempt = 1)
         assertFound("ran_twice wk-1/0")
     }
 
     @Test
     fun `a task that has left may start elsewhere`() {
         submitted()
-        rules.started(ordinary, task, attempt = 1)
-        rules.left(ordinary, task, ran = true)
-        rules.started(other, task, attempt = 1)
-        assertEquals(emptyList<String>(), rules.broken)
+        rules.taskStarted(ordinary, task, attempt = 1)
+        rules.taskEnded(ordinary, task, wasStarted = true)
+        rules.taskStarted(other, task, attempt = 1)
+        assertEquals(emptyList<String>(), rules.violations)
     }
 
     @Test
     fun quota() {
         submitted()
-        (0..2).forEach { rules.started(ordinary, TaskId("wk-1", it), attempt = 1) }
+        (0..2).forEach { rules.taskStarted(ordinary, TaskId("wk-1", it), attempt = 1) }
         assertFound("quota of a")
     }
 
     @Test
     fun `two attempts of a gang at once`() {
         submitted("kind" to "gang")
-        rules.started(ordinary, task, attempt = 1)
-        rules.started(ordinary, TaskId("wk-1", 1), attempt = 2)
+        rules.taskStarted(ordinary, task, attempt = 1)
+        rules.taskStarted(ordinary, TaskId("wk-1", 1), attempt = 2)
         assertFound("two_attempts wk-1/1")
     }
 
     @Test
     fun `a gang's next attempt may start once the last one has left`() {
         submitted("kind" to "gang")
-        rules.started(ordinary, task, attempt = 1)
-        rules.left(ordinary, task, ran = true)
-        rules.started(ordinary, task, attempt = 2)
-        assertEquals(emptyList<String>(), rules.broken)
+        rules.taskStarted(ordinary, task, attempt = 1)
+        rules.taskEnded(ordinary, task, wasStarted = true)
+        rules.taskStarted(ordinary, task, attempt = 2)
+        assertEquals(emptyList<String>(), rules.violations)
     }
 
     @Test
     fun `wrong kind of machine`() {
         submitted()
-        rules.started(spot, task, attempt = 1)
+        rules.taskStarted(spot, task, attempt = 1)
         assertFound("wrong_place wk-1/0")
     }
 
     @Test
     fun `in two zones`() {
         submitted("oneZone" to "true")
-        rules.started(ordinary, task, attempt = 1)
-        rules.started(other, TaskId("wk-1", 1), attempt = 1)
+        rules.taskStarted(ordinary, task, attempt = 1)
+        rules.taskStarted(other, TaskId("wk-1", 1), attempt = 1)
         assertFound("wrong_place wk-1/1")
     }
 
@@ -134,11 +134,11 @@
     fun `ran on after its cancellation`() {
         submitted()
         stored()
-        rules.started(ordinary, task, attempt = 1)
+        rules.taskStarted(ordinary, task, attempt = 1)
         rules.answered("wk-1", answer(JobState.CANCELLED), known = true)
         world.runUntil(world.now() + 40_000)
         rules.checkCancelled()
-        assertEquals(emptyList<String>(), rules.broken)
+        assertEquals(emptyList<String>(), rules.violations)
         world.runUntil(world.now() + 2_000)
         rules.checkCancelled()
         assertFound("ran_cancelled wk-1/0")
@@ -147,7 +147,7 @@
     @Test
     fun `launched where no page places it`() {
         submitted()
-        rules.launched(ordinary, task, attempt = 7)
+        rules.taskLaunched(ordinary, task, attempt = 7)
         assertFound("launched_unstored wk-1/0")
     }
 
@@ -157,7 +157,7 @@
         stored()
         val idle = world.addWorker("m", "x", spot = false, bootMs = 0)
         rules.answered("wk-1", answer(JobState.QUEUED), known = true)
-        world.calmSince = world.now()
+        world.faultFreeSince = world.now()
         world.runUntil(world.now() + 1_000)
         assertTrue(idle.alive)
         rules.checkNeglected()
--- a/src/test/kotlin/io/reedmast/sim/Scenario.kt
+++ b/src/test/kotlin/io/reedmast/sim/Scenario.kt
@@ -85,7 +85,7 @@
         given("limits").forEach { limit(it[1].toDouble(), it[2].toInt(), it[3].toInt()) }
         given("old").flatMap {
             it.drop(1)
-        }.forEach { label -> world.controllers.first { it.label == label }.old = true }
+        }.forEach { label -> world.controllers.first { it.label == label }.predatesRollouts = true }
         given("versions").flatMap {
             it.drop(1)
         }.forEach { setVersion(it.substringBefore('='), it.substringAfter('=').toInt()) }
@@ -96,7 +96,7 @@
             world.runUntil((line[1].toDouble() * 1000).toLong() + 1_000)
             act(line.drop(2))
         }
-        assertEquals(emptyList<String>(), world.rules.broken)
+        assertEquals(emptyList<String>(), world.rules.violations)
     }
 
     /**
@@ -104,14 +104,14 @@
      */
     private fun limit(writesPerS: Double, pageItems: Int, keptChanges: Int) {
         world.writesPerS = writesPerS
-        world.store.pageItems = pageItems
-        world.store.keptChanges = keptChanges
+        world.store.pageSize = pageItems
+        world.store.retainedChanges = keptChanges
     }
 
     /** Version 0 is that of before formats and rollouts. */
     private fun setVersion(label: String, version: Int) = world.controllers.first { it.label == label }.run {
-        old = version == 0
-        if (!old) newestVersion = FormatVersion(version)
+        predatesRollouts = version == 0
+        if (!predatesRollouts) newestVersion = FormatVersion(version)
     }
 
     private fun checkRules() {
@@ -121,11 +121,11 @@
     }
 
     private fun pollAll(everyMs: Long) {
-        for (jobId in world.rules.publishedStages.keys.toList()) {
+        for (jobId in world.rules.answeredStates.keys.toList()) {
             world.after(world.random.nextLong(everyMs)) {
                 world.controllers.filter {
                     it.up
-                }.randomOrNull(world.random)?.ask(jobId, { c, answer -> c.poll(jobId, answer) })
+                }.randomOrNull(world.random)?.sendRequest(jobId, { c, answer -> c.poll(jobId, answer) })
             }
         }
         world.after(everyMs) { pollAll(everyMs) }
@@ -143,7 +143,7 @@
     private fun insist(jobId: String, question: (Controller, (UserAnswer) -> Unit) -> Unit, since: Long = world.now()) {
         if (world.now() - since > 60_000) return
         var answered = false
-        world.controllers.filter { it.up }.randomOrNull(world.random)?.ask(jobId, question) {
+        world.controllers.filter { it.up }.randomOrNull(world.random)?.sendRequest(jobId, question) {
             if (it.status <
                 429
             ) {
@@ -173,7 +173,7 @@
                     insist(words[1], { c, answer -> c.submit(spec, answer) })
                     return
                 }
-                controller?.ask(words[1], { c, answer -> c.submit(spec, answer) }) { answer ->
+                controller?.sendRequest(words[1], { c, answer -> c.submit(spec, answer) }) { answer ->
                     args["status"]?.let { assertEquals(it.toInt(), answer.status, "submission of ${words[1]}") }
                 }
             }
@@ -189,15 +189,15 @@
             "abort" -> if (args["insist"] == "true") {
                 insist(words[1], { c, answer -> c.cancel(words[1], answer) })
             } else {
-                controller?.ask(words[1], { c, answer -> c.cancel(words[1], answer) })
+                controller?.sendRequest(words[1], { c, answer -> c.cancel(words[1], answer) })
             }
 
             // At all controllers, and once more at each, within milliseconds.
-            "abort-everywhere" -> if (words[1] in world.rules.publishedStages) {
+            "abort-everywhere" -> if (words[1] in world.rules.answeredStates) {
                 repeat(2) {
                     world.controllers.filter {
                         it.up
-                    }.forEach { asked -> asked.ask(words[1], { c, answer -> c.cancel(words[1], answer) }) }
+                    }.forEach { asked -> asked.sendRequest(words[1], { c, answer -> c.cancel(words[1], answer) }) }
                 }
                 insist(words[1], { c, answer -> c.cancel(words[1], answer) })
             }
@@ -205,9 +205,9 @@
             // Users ask about every job that was accepted, each at some controller, from now on.
             "poll-all" -> pollAll((words[1].toDouble() * 1000).toLong())
 
-            "ask" -> controller?.ask(words[1], { c, answer -> c.poll(words[1], answer) })
+            "ask" -> controller?.sendRequest(words[1], { c, answer -> c.poll(words[1], answer) })
             // The job is called off, asked about and submitted again at the moment when its last task ends.
-            "meet-end" -> world.atEndOf(words[1]) {
+            "meet-end" -> world.onCompletion(words[1]) {
                 val spec = world.jobs.getValue(words[1]).spec
                 insist(words[1], { c, answer -> c.cancel(words[1], answer) })
                 insist(words[1], { c, answer -> c.poll(words[1], answer) })
@@ -216,17 +216,17 @@
             "crash" -> words.drop(1).forEach { label -> world.controllers.first { it.label == label }.crash() }
             "start" -> words.drop(1).forEach { label -> world.controllers.first { it.label == label }.start() }
             // The machine stands in the records of this shard too, as an earlier version left it at times.
-            "plant-record" -> world.store.plantMachine(words[1], words[2].toInt())
+            "plant-record" -> world.store.duplicateMachineRecord(words[1], words[2].toInt())
             // What runs of the job runs on this machine, and is stored so. Only while no controller is up.
             "plant-work" -> {
-                world.workers.values.toList().forEach { it.plantTasks(words[1], world.workers.getValue(words[2])) }
-                world.store.plantPlacements(words[1], words[2])
+                world.workers.values.toList().forEach { it.moveTasks(words[1], world.workers.getValue(words[2])) }
+                world.store.movePlacements(words[1], words[2])
             }
             // The controller's process ends; what is started next has the new version.
             "upgrade" -> words.drop(1).forEach { label ->
                 world.controllers.first { it.label == label }.run {
                     crash()
-                    old = false
+                    predatesRollouts = false
                 }
             }
             // The controller's process ends; what is started next reads and writes stored forms up to this version.
@@ -238,60 +238,60 @@
             "desire" -> world.controllers.first { it.label == words[1] }.desired =
                 args.entries.associate { FeatureName(it.key) to Target.of(it.value) }
             "clock-error" -> world.controllers.first { it.label == words[1] }.clockErrorMs = words[2].toLong()
-            "note-writes" -> notedWrites = world.store.changes
+            "note-writes" -> notedWrites = world.store.writeCount
             "operator" -> rolloutOperator.act(words.drop(1))
             // The store takes less from now on, without a word.
-            "lower-limits" -> world.store.reduced = nextLimits ?: error("no next-limits are given")
+            "lower-limits" -> world.store.reducedLimits = nextLimits ?: error("no next-limits are given")
             "outage" -> world.store.outage((words[1].toDouble() * 1000).toLong())
-            "cut-state" -> world.controllers.first { it.label == words[1] }.storeCut = words[2] == "on"
-            "cut-workers" -> world.controllers.first { it.label == words[1] }.workersCut = words[2] == "on"
-            "cut-peers" -> world.controllers.first { it.label == words[1] }.peersCut = words[2] == "on"
-            "cut-machine" -> world.workers[words[1]]?.cut = words[2] == "on"
+            "cut-state" -> world.controllers.first { it.label == words[1] }.partitionedFromStore = words[2] == "on"
+            "cut-workers" -> world.controllers.first { it.label == words[1] }.partitionedFromWorkers = words[2] == "on"
+            "cut-peers" -> world.controllers.first { it.label == words[1] }.partitionedFromPeers = words[2] == "on"
+            "cut-machine" -> world.workers[words[1]]?.partitioned = words[2] == "on"
             // Nothing passes between a zone's machines, the coming ones included, and any controller.
-            "darken" -> world.cutZone(words[1], words[2] == "on")
+            "darken" -> world.setZonePartitioned(words[1], words[2] == "on")
             "sicken" -> world.workers[words[1]]?.unhealthy = words[2] == "on"
             "deafen" -> world.workers[words[1]]?.unreachable = words[2] == "on"
-            "copies" -> world.workers[words[1]]?.copiesAfterMs = (words[2].toDouble() * 1000).toLong()
-            "lag-jobs" -> world.controllers.first { it.label == words[1] }.jobsLagMs =
+            "copies" -> world.workers[words[1]]?.reportCopyDelayMs = (words[2].toDouble() * 1000).toLong()
+            "lag-jobs" -> world.controllers.first { it.label == words[1] }.jobWatchDelayMs =
                 (words[2].toDouble() * 1000).toLong()
-            "slow-state" -> world.storeSlowness = words[1].toLong()
-            "spoil" -> world.store.spoil(words[1])
+            "slow-state" -> world.storeSlowdown = words[1].toLong()
+            "spoil" -> world.store.corrupt(words[1])
             // Its power is gone: nobody is told.
-            "kill-machine" -> world.workers[words[1]]?.vanish()
+            "kill-machine" -> world.workers[words[1]]?.powerOff()
             // It reaches no controller, while direct commands reach it.
             "mute" -> world.workers[words[1]]?.cannotReport = words[2] == "on"
             // That share of transactions gets no answer and is carried out 2 to 12 s later, after newer ones.
-            "late-writes" -> world.lateWrites = words[1].toDouble()
+            "late-writes" -> world.delayedCommitRate = words[1].toDouble()
             // A planted fault: the owner's books lose the job as soon as it is in them.
             "plant-lost-job" -> plantLostJob(words[1])
-            "lose-answer" -> world.controllers.first { it.label == words[1] }.loseAnswerOf = words[2]
+            "lose-answer" -> world.controllers.first { it.label == words[1] }.loseCommitReplyFor = words[2]
             // The first part of a page cannot be read any more.
-            "spoil-chunk" -> world.store.spoilChunk(words[1])
+            "spoil-chunk" -> world.store.corruptChunk(words[1])
             // From now on the cloud says that machines of this type have only so many CPUs.
             "shrink-type" ->
                 world.machineTypes =
                     world.machineTypes.map { if (it.label == words[1]) it.copy(cpus = words[2].toDouble()) else it }
             // That share of transactions is carried out at once, and only the answer is lost.
-            "lost-answers" -> world.lostAnswers = words[1].toDouble()
+            "lost-answers" -> world.lostReplyRate = words[1].toDouble()
             "note-attempts" -> noted[words[1]] = world.attempts(words[1])
             // From now on nothing goes wrong any more.
-            "calm" -> world.calmSince = world.now()
+            "calm" -> world.faultFreeSince = world.now()
             "lose-answers" -> world.workers[words[1]]?.answersLost = words[2] == "on"
             "hang" -> world.workers[words[1]]?.hang((words[2].toDouble() * 1000).toLong())
             "stand-still" -> world.controllers.first {
                 it.label == words[1]
-            }.standStill((words[2].toDouble() * 1000).toLong())
-            "repeat-direct" -> world.repeatDirectMs = (words[1].toDouble() * 1000).toLong()
-            "late-direct" -> world.controllers.forEach { it.lateDirectMs = (words[1].toDouble() * 1000).toLong() }
+            }.pause((words[2].toDouble() * 1000).toLong())
+            "repeat-direct" -> world.directCallRepeatDelayMs = (words[1].toDouble() * 1000).toLong()
+            "late-direct" -> world.controllers.forEach { it.directCallDelayMs = (words[1].toDouble() * 1000).toLong() }
             "late-commit" -> world.controllers.first { it.label == words[1] }.run {
-                lateCommitMs = (words[2].toDouble() * 1000).toLong()
-                lateCommitOf = words[3]
+                commitDelayMs = (words[2].toDouble() * 1000).toLong()
+                delayedCommitKey = words[3]
             }
             // Machines are rented at once, and the answers to rentals come so much later.
-            "slow-rentals" -> world.rentalAnswerMs = (words[1].toDouble() * 1000).toLong()
+            "slow-rentals" -> world.provisioningReplyDelayMs = (words[1].toDouble() * 1000).toLong()
             // So many answers to rentals are lost; the machines are rented all the same.
-            "lose-rentals" -> world.lostRentalAnswers = words[1].toInt()
-            "cloud-out" -> world.cloudOut = words[1] == "on"
+            "lose-rentals" -> world.provisioningRepliesToLose = words[1].toInt()
+            "cloud-out" -> world.cloudUnavailable = words[1] == "on"
             "expect" -> expect(words.drop(1), args)
             else -> error("unknown verb ${words[0]}")
         }
@@ -305,7 +305,7 @@
                 val asked = world.controllers.filter { it.up && (args["via"] == null || it.label == args["via"]) }
                 val said = ArrayList<String>()
                 asked.forEach { controller ->
-                    controller.ask(words[1], { c, answer -> c.poll(words[1], answer) }) {
+                    controller.sendRequest(words[1], { c, answer -> c.poll(words[1], answer) }) {
                         said.add(
                             (
                                 it.job?.state?.wire
@@ -321,13 +321,13 @@
             }
 
             "running" -> {
-                val running = world.workers.values.sumOf { w -> w.onMachine().count { it.jobId == words[1] } }
+                val running = world.workers.values.sumOf { w -> w.startedTasks().count { it.jobId == words[1] } }
                 assertEquals(words[2].toInt(), running, at)
             }
 
             "running-in" -> {
                 val running = world.workers.values.filter { it.zone == words[1] }.sumOf { w ->
-                    w.onMachine().count {
+                    w.startedTasks().count {
                         it.jobId ==
                             words[2]
                     }
@@ -336,36 +336,36 @@
             }
 
             "running-at-least" -> {
-                val running = world.workers.values.sumOf { w -> w.onMachine().count { it.jobId == words[1] } }
+                val running = world.workers.values.sumOf { w -> w.startedTasks().count { it.jobId == words[1] } }
                 assertTrue(running >= words[2].toInt(), "$at: $running run")
             }
 
             "machines" -> assertEquals(words[1].toInt(), world.workers.size, at)
 
-            "returned-none" -> assertEquals(emptyList<String>(), world.returned, at)
+            "returned-none" -> assertEquals(emptyList<String>(), world.returnedMachines, at)
 
-            "returned" -> assertTrue(words[1] in world.returned, "$at: returned are ${world.returned}")
+            "returned" -> assertTrue(words[1] in world.returnedMachines, "$at: returned are ${world.returnedMachines}")
 
-            "starts" -> assertEquals(words[2].toInt(), world.rules.starts[words[1]] ?: 0, at)
+            "starts" -> assertEquals(words[2].toInt(), world.rules.startCounts[words[1]] ?: 0, at)
 
             // At least one of its tasks has begun to run.
-            "begun" -> assertTrue((world.rules.starts[words[1]] ?: 0) > 0, "$at: nothing of it has started")
+            "begun" -> assertTrue((world.rules.startCounts[words[1]] ?: 0) > 0, "$at: nothing of it has started")
 
             "done-at-least" -> {
-                val done = world.jobs.getValue(words[1]).completed.size
+                val done = world.jobs.getValue(words[1]).completedTasks.size
                 assertTrue(done >= words[2].toInt(), "$at: $done done")
             }
 
-            "kept" -> assertTrue(words[1] in world.workers, "$at: returned are ${world.returned}")
+            "kept" -> assertTrue(words[1] in world.workers, "$at: returned are ${world.returnedMachines}")
 
             // Nobody has overwritten the record that cannot be read.
             "spoilt" -> assertEquals(mapOf<String, Any?>("form" to 0L), world.store.get(words[1])?.value, at)
 
             // So many shards' records name the machine.
-            "recorded-in" -> assertEquals(words[2].toInt(), world.store.shardsOf(words[1]).size, at)
+            "recorded-in" -> assertEquals(words[2].toInt(), world.store.shardsListing(words[1]).size, at)
 
             // The records of this shard, and of no other, name the machine.
-            "recorded-by" -> assertEquals(listOf(words[2].toInt()), world.store.shardsOf(words[1]), at)
+            "recorded-by" -> assertEquals(listOf(words[2].toInt()), world.store.shardsListing(words[1]), at)
 
             // No controller counts the machine to any shard.
             "unknown" -> assertTrue(
@@ -386,10 +386,10 @@
             // Every controller answers about every job that was accepted.
             "answered" -> {
                 val open = HashSet<String>()
-                for (jobId in world.rules.publishedStages.keys) {
+                for (jobId in world.rules.answeredStates.keys) {
                     for (asked in world.controllers.filter { it.up }) {
                         open.add("$jobId by ${asked.label}")
-                        asked.ask(jobId, { c, answer -> c.poll(jobId, answer) }) {
+                        asked.sendRequest(jobId, { c, answer -> c.poll(jobId, answer) }) {
                             if (it.status ==
                                 200
                             ) {
@@ -417,16 +417,16 @@
 
             // `taken-back`: dormant, or ready to be enabled again.
             "gate" -> {
-                val state = rolloutOperator.stateOf(words[1])
+                val state = rolloutOperator.gateState(words[1])
                 val expected = if (words[2] == "taken-back") setOf("dormant", "ready") else setOf(words[2])
-                assertTrue(state in expected, "$at: it is $state, ${rolloutOperator.waiting()}")
+                assertTrue(state in expected, "$at: it is $state, ${rolloutOperator.waitReasons()}")
             }
 
             // The stored forms of pages, or of the token counter.
             "form" -> assertEquals(words[2], rolloutOperator.formsOf(words[1]).sorted().joinToString("+"), at)
 
             // Its process has ended by itself, since it does not fit what is rolled out.
-            "unfit" -> assertTrue(world.controllers.first { it.label == words[1] }.unfit != null, at)
+            "unfit" -> assertTrue(world.controllers.first { it.label == words[1] }.terminationReason != null, at)
 
             "owns" -> assertEquals(
                 words[2].toInt(),
@@ -435,10 +435,10 @@
             )
 
             // Nothing has been stored since it was noted.
-            "no-writes" -> assertEquals(notedWrites, world.store.changes, at)
+            "no-writes" -> assertEquals(notedWrites, world.store.writeCount, at)
 
             // No task has ended on a machine by the worker's own lease.
-            "no-lease-lost" -> assertEquals(0, world.leasesLost, at)
+            "no-lease-lost" -> assertEquals(0, world.leasesExpiredWithTasks, at)
 
             // One controller leads, and all agree which.
             "leader" -> {
--- a/src/test/kotlin/io/reedmast/sim/SimController.kt
+++ b/src/test/kotlin/io/reedmast/sim/SimController.kt
@@ -21,39 +21,40 @@
 class SimController(private val world: World, val index: Int) {
     val label = world.settingsOf(index).label
     var up = false
-    var storeCut = false
-    var workersCut = false
+    var partitionedFromStore = false
+    var partitionedFromWorkers = false
 
     /** Nothing passes between this controller and the other controllers. */
-    var peersCut = false
+    var partitionedFromPeers = false
 
     /** Sends of the next direct commands arrive this much later, and their answers are lost. */
-    var lateDirectMs = 0L
+    var directCallDelayMs = 0L
 
-    /** The next transaction that writes [lateCommitOf] is applied this much later, whatever has become of the controller. */
-    var lateCommitMs = 0L
-    var lateCommitOf = ""
+    /** The next transaction that writes [delayedCommitKey] is applied this much later, whatever has become of the controller. */
+    var commitDelayMs = 0L
+    var delayedCommitKey = ""
 
     /** The next transaction that writes a key with this in its name is applied at once, and its answer lost. */
-    var loseAnswerOf: String? = null
-    var life = 0
+    var loseCommitReplyFor: String? = null
+    var processNumber = 0
 
     /**
      * The process has the version before reduced limits and formats: it knows only the limits of today, names no format
      * of its own and does not see what others name.
      */
-    var old = false
+    var predatesRollouts = false
 
     /** The process knows the rollout, and the features up to this version of the stored forms only. */
     var newestVersion = ClusterFeatures.registry.range.newest
 
-    private val oldIncarnations = HashSet<String>()
+    private val incarnationsBeforeRollouts = HashSet<String>()
 
     /** Whether the process that sent the transaction had the version before formats and rollouts. */
-    fun wasOld(transactionId: String): Boolean = transactionId.substringBeforeLast('-') in oldIncarnations
+    fun predatedRollouts(transactionId: String): Boolean =
+        transactionId.substringBeforeLast('-') in incarnationsBeforeRollouts
 
     /** The newest stored form that the process reads. */
-    val readsUpTo: Int get() = if (old) 0 else newestVersion.value
+    val newestReadableVersion: Int get() = if (predatesRollouts) 0 else newestVersion.value
 
     /** How far its time of day is from the true one. */
     var clockErrorMs = 0L
@@ -67,45 +68,45 @@
     var desired: Map<FeatureName, Target> = emptyMap()
 
     /** Why the process has ended by itself, if it has. */
-    var unfit: String? = null
+    var terminationReason: String? = null
     var process: Controller? = null
 
     /** The watch on jobs answers this much later than it could. */
-    var jobsLagMs = 0L
+    var jobWatchDelayMs = 0L
     private var jobsDue = 0L
     private var watchedTo = 0L
     private var jobsWatchedTo = 0L
     private var loaded = false
 
     /** Until then the process stands still, while its clocks run. */
-    private var standsStillUntil = 0L
-    val standsStill: Boolean get() = world.now() < standsStillUntil
-    val reachesStore: Boolean get() = !storeCut && world.store.up
+    private var pausedUntil = 0L
+    val isPaused: Boolean get() = world.now() < pausedUntil
+    val reachesStore: Boolean get() = !partitionedFromStore && world.store.up
 
-    fun standStill(ms: Long) {
-        standsStillUntil = world.now() + ms
+    fun pause(ms: Long) {
+        pausedUntil = world.now() + ms
     }
 
     /** The process does [work] after [ms], or once it goes on if it stands still then. */
     fun later(ms: Long, work: () -> Unit) {
-        world.after(ms) { if (standsStill) world.after(standsStillUntil - world.now(), work) else work() }
+        world.after(ms) { if (isPaused) world.after(pausedUntil - world.now(), work) else work() }
     }
 
     fun start() {
         up = true
-        unfit = null
-        life++
-        standsStillUntil = 0L
+        terminationReason = null
+        processNumber++
+        pausedUntil = 0L
         loaded = false
-        val incarnation = "$label-$life"
-        if (old) oldIncarnations.add(incarnation)
-        val settings = world.settingsOf(index).let { if (old) it.copy(nextStoreLimits = null) else it }
+        val incarnation = "$label-$processNumber"
+        if (predatesRollouts) incarnationsBeforeRollouts.add(incarnation)
+        val settings = world.settingsOf(index).let { if (predatesRollouts) it.copy(nextStoreLimits = null) else it }
         val limits = EffectiveLimits(settings.storeLimits, settings.nextStoreLimits)
-        val gateway = SimGateway(world, this, life, limits, incarnation)
+        val gateway = SimGateway(world, this, processNumber, limits, incarnation)
         process =
             Controller(settings, world.tuning, clock, gateway, limits, incarnation, RolloutOptions(registry(), desired))
-        runOnce(life)
-        watch(life)
+        runOnce(processNumber)
+        watch(processNumber)
     }
 
     private fun registry(): FeatureRegistry {
@@ -114,19 +115,19 @@
     }
 
     /** The process ends by itself, since it does not fit what has been rolled out. */
-    fun endUnfit(reason: String) {
-        unfit = reason
+    fun terminate(reason: String) {
+        terminationReason = reason
         crash()
     }
 
     fun crash() {
         up = false
-        life++
+        processNumber++
         process = null
     }
 
     private fun runOnce(of: Int) {
-        if (life != of) return
+        if (processNumber != of) return
         process?.runOnce()
         recordHealth()
         later(TICK_MS) { runOnce(of) }
@@ -142,9 +143,9 @@
     }
 
     private fun watch(of: Int) {
-        if (life != of) return
+        if (processNumber != of) return
         val c = process ?: return
-        fun again() = later(WATCH_MS * world.storeSlowness) { watch(of) }
+        fun again() = later(WATCH_MS * world.storeSlowdown) { watch(of) }
         if (!reachesStore) {
             again()
         } else if (loaded) {
@@ -166,7 +167,7 @@
                     watchedTo = cluster.revision
                     jobsWatchedTo = jobs.revision
                     c.cluster.watchResults.onClusterSnapshot(
-                        cluster.items.filter { isVisible(it.path) }.map(::visible),
+                        cluster.items.filter { isVisible(it.path) }.map(::asVisible),
                         cluster.revision,
                         askedAt,
                     )
@@ -177,15 +178,16 @@
         }
     }
 
-    private fun isVisible(path: String) = !old || (path != Keys.FORMAT && path != Keys.ROLLOUT)
+    private fun isVisible(path: String) = !predatesRollouts || (path != Keys.FORMAT && path != Keys.ROLLOUT)
 
-    fun visible(item: StoredItem): StoredItem = item.copy(value = visible(item.path, item.value))
+    fun asVisible(item: StoredItem): StoredItem = item.copy(value = asVisible(item.path, item.value))
 
-    private fun visible(path: String, value: Fields): Fields = if (old) asBeforeRollouts(path, value) else value
+    private fun asVisible(path: String, value: Fields): Fields =
+        if (predatesRollouts) asBeforeRollouts(path, value) else value
 
     private fun follow(c: Controller) {
         val store = world.store
-        val news = store.since(watchedTo)
+        val news = store.changesSince(watchedTo)
         if (news == null) {
             loaded = false
             return
@@ -194,18 +196,18 @@
         val clusterNews = news.filter { it.path.startsWith(Keys.CLUSTER) && isVisible(it.path) }
         c.cluster.watchResults.onClusterEvents(
             clusterNews.map {
-                it.copy(value = it.value?.let { value -> visible(it.path, value) })
+                it.copy(value = it.value?.let { value -> asVisible(it.path, value) })
             },
             watchedTo,
             world.now(),
         )
         if (world.now() < jobsDue) return
-        val jobNews = store.since(jobsWatchedTo)
+        val jobNews = store.changesSince(jobsWatchedTo)
         if (jobNews == null) {
             loaded = false
             return
         }
-        jobsDue = world.now() + jobsLagMs
+        jobsDue = world.now() + jobWatchDelayMs
         jobsWatchedTo = store.revision
         c.cluster.watchResults.onJobEvents(
             jobNews.filter {
@@ -221,7 +223,7 @@
         val items = ArrayList<StoredItem>()
         var revision = -1L
         fun page(after: String?) {
-            if (life != of) return
+            if (processNumber != of) return
             if (!reachesStore) {
                 done(ListResult.Failed)
                 return
@@ -229,9 +231,9 @@
             val page = world.store.page(prefix, after)
             if (revision < 0) revision = world.store.revision
             items.addAll(page.items)
-            world.rolloutRules.read(this, page.items.map { it.path to it.value })
+            world.rolloutRules.checkRead(this, page.items.map { it.path to it.value })
             if (page.more) {
-                later(PAGE_MS * world.storeSlowness) { page(items.last().path) }
+                later(PAGE_MS * world.storeSlowdown) { page(items.last().path) }
             } else {
                 done(ListResult.Listing(items, revision))
             }
@@ -239,11 +241,16 @@
         page(null)
     }
 
-    fun ask(jobId: String, question: (Controller, (UserAnswer) -> Unit) -> Unit, done: (UserAnswer) -> Unit = {}) {
-        val asked = life
-        val known = jobId in world.rules.publishedStages
+    fun sendRequest(
+        jobId: String,
+        question: (Controller, (UserAnswer) -> Unit) -> Unit,
+        done: (UserAnswer) -> Unit = {
+        },
+    ) {
+        val asked = processNumber
+        val known = jobId in world.rules.answeredStates
         later(0) {
-            val c = process?.takeIf { life == asked } ?: return@later
+            val c = process?.takeIf { processNumber == asked } ?: return@later
             question(c) {
                 world.recorder?.record(world.now(), label, "user $jobId ${it.status} ${it.retryAfterS}", it.toFields())
                 world.rules.answered(jobId, it, known)
@@ -253,8 +260,8 @@
     }
 
     fun receive(message: PeerMessage) {
-        val receiving = life
-        later(PEER_MS) { if (life == receiving) process?.onPeerMessage(message) }
+        val receiving = processNumber
+        later(PEER_MS) { if (processNumber == receiving) process?.onPeerMessage(message) }
     }
 
     companion object {
--- a/src/test/kotlin/io/reedmast/sim/SimGang.kt
+++ b/src/test/kotlin/io/reedmast/sim/SimGang.kt
@@ -28,7 +28,7 @@
     private var phase = Phase.WAITING
     private var startedAt = 0L
     private var firstStopAt = 0L
-    private val publishedStages = HashSet<Int>()
+    private val stoppedTasks = HashSet<Int>()
 
     /** The task has its image. */
     fun ready(member: Member) {
@@ -52,7 +52,7 @@
             world.after(FAILS_AFTER_MS) { members.values.toList().forEach { it.exit(TaskEndCause.ERROR) } }
             return
         }
-        world.after(maxOf(1L, job.runMs - job.savedMs)) { if (phase == Phase.RUNNING) complete() }
+        world.after(maxOf(1L, job.runMs - job.savedProgressMs)) { if (phase == Phase.RUNNING) complete() }
     }
 
     private fun complete() {
@@ -72,12 +72,12 @@
         if (member.hung && phase == Phase.BROKEN) members[task] = member
     }
 
-    private fun progressMs() = job.savedMs + world.now() - startedAt
+    private fun progressMs() = job.savedProgressMs + world.now() - startedAt
 
     private fun breakUp() {
         if (phase == Phase.RUNNING && job.spec.checkpointS > 0) {
             val mark = (job.spec.checkpointS * 1000).toLong()
-            job.savedMs = maxOf(job.savedMs, progressMs() / mark * mark)
+            job.savedProgressMs = maxOf(job.savedProgressMs, progressMs() / mark * mark)
         }
         phase = Phase.BROKEN
         members.values.toList().forEach { exitLater(it, world.settings.workers.gangPeerS, TaskEndCause.PEER_LOST) }
@@ -104,15 +104,15 @@
                 }
             }
         }
-        publishedStages.add(task)
+        stoppedTasks.add(task)
         members[task]?.show(TaskState.SAVING)
         return true
     }
 
     private fun save(progress: Long) {
-        if (phase != Phase.STOPPING || publishedStages.size < members.size) return
+        if (phase != Phase.STOPPING || stoppedTasks.size < members.size) return
         phase = Phase.OVER
-        job.savedMs = progress
+        job.savedProgressMs = progress
         members.values.toList().forEach { it.exit(TaskEndCause.HALTED) }
     }
 
--- a/src/test/kotlin/io/reedmast/sim/SimGateway.kt
+++ b/src/test/kotlin/io/reedmast/sim/SimGateway.kt
@@ -40,7 +40,7 @@
     incarnation: String,
 ) : Gateway {
     private val store get() = world.store
-    private val slow get() = world.storeSlowness
+    private val slow get() = world.storeSlowdown
     private val writeLimiter = WriteRateLimiter(world.writesPerS, world::now)
     private val queue = CommitQueue(limits.target, writeLimiter, MAX_SUBMISSIONS_QUEUED, world::now)
     private val ids = TransactionIds(incarnation)
@@ -51,7 +51,7 @@
     override var isAvailable = true
         private set
 
-    private val reachable: Boolean get() = controller.reachesStore && controller.life == life
+    private val reachable: Boolean get() = controller.reachesStore && controller.processNumber == life
 
     private fun record(kind: String, body: Fields) {
         world.recorder?.record(world.now(), controller.label, kind, body)
@@ -59,17 +59,23 @@
 
     private fun <T> reply(ms: Long, done: (T) -> Unit, make: () -> T) = world.after(ms) {
         // What was answered while the process stood still is as old as the answer.
-        if (controller.life == life) {
+        if (controller.processNumber == life) {
             val made = make()
-            controller.later(0) { if (controller.life == life) done(made) }
+            controller.later(0) { if (controller.processNumber == life) done(made) }
         }
     }
 
     // ---- the store --------------------------------------------------------------------------------------------
 
     override fun commit(transaction: CasTransaction, refusable: Boolean): Boolean {
-        if (controller.old && transaction.writes.any { it.path == Keys.FORMAT }) return true
-        if (!queue.offer(if (controller.old) asBeforeRollouts(transaction) else transaction, refusable)) return false
+        if (controller.predatesRollouts && transaction.writes.any { it.path == Keys.FORMAT }) return true
+        if (!queue.offer(
+                if (controller.predatesRollouts) asBeforeRollouts(transaction) else transaction,
+                refusable,
+            )
+        ) {
+            return false
+        }
         drain()
         return true
     }
@@ -100,7 +106,7 @@
                         waiting = true
                         controller.later(polled.forMs) {
                             waiting = false
-                            if (controller.life == life) drain()
+                            if (controller.processNumber == life) drain()
                         }
                     }
                     return
@@ -114,7 +120,7 @@
     private fun resolve(resolution: InDoubtResolution) {
         when (val step = resolution.nextStep()) {
             is ResolutionStep.Send -> controller.later(step.pauseMs) {
-                if (controller.life == life) {
+                if (controller.processNumber == life) {
                     send(step.transaction) {
                         isAvailable = it !is CommitReply.NotExecuted && it !is CommitReply.Unknown
                         if (it is CommitReply.Malformed && limits.exceedsOnlyReduced(step.transaction)) limits.reduce()
@@ -126,7 +132,7 @@
             }
 
             is ResolutionStep.Read -> controller.later(step.pauseMs) {
-                if (controller.life == life) {
+                if (controller.processNumber == life) {
                     get(step.path) {
                         resolution.onReadResult(it)
                         resolve(resolution)
@@ -154,37 +160,37 @@
 
     private fun send(transaction: StoreTransaction, done: (CommitReply) -> Unit) {
         record(transaction)
-        val late = controller.lateCommitMs
-        if (late > 0L && transaction.writes.any { controller.lateCommitOf in it.path }) {
-            controller.lateCommitMs = 0L
+        val late = controller.commitDelayMs
+        if (late > 0L && transaction.writes.any { controller.delayedCommitKey in it.path }) {
+            controller.commitDelayMs = 0L
             world.after(late) {
                 val outcome = store.commit(transaction)
                 reply(ANSWER_MS, done) { outcome }
             }
             return
         }
-        val lost = controller.loseAnswerOf
+        val lost = controller.loseCommitReplyFor
         if (lost != null && transaction.writes.any { lost in it.path }) {
-            controller.loseAnswerOf = null
+            controller.loseCommitReplyFor = null
             world.after(SEND_MS * slow) { if (reachable) store.commit(transaction) }
             reply(COMMIT_PATIENCE_MS, done) { CommitReply.Unknown }
             return
         }
         val chance = world.random.nextDouble()
         when {
-            chance < world.lateWrites -> {
+            chance < world.delayedCommitRate -> {
                 world.after(world.random.nextLong(LATE_FROM_MS, LATE_TO_MS)) { if (store.up) store.commit(transaction) }
                 reply(COMMIT_PATIENCE_MS, done) { CommitReply.Unknown }
             }
 
-            chance < world.lateWrites + world.lostAnswers -> {
+            chance < world.delayedCommitRate + world.lostReplyRate -> {
                 world.after(SEND_MS * slow) { if (reachable) store.commit(transaction) }
                 reply(COMMIT_PATIENCE_MS, done) { CommitReply.Unknown }
             }
 
             else -> controller.later(SEND_MS * slow) {
-                if (controller.life != life) return@later
-                if (controller.storeCut) {
+                if (controller.processNumber != life) return@later
+                if (controller.partitionedFromStore) {
                     reply(COMMIT_PATIENCE_MS, done) { CommitReply.Unknown }
                 } else {
                     val outcome = if (store.up) store.commit(transaction) else CommitReply.NotExecuted
@@ -200,7 +206,7 @@
             if (!reachable) {
                 ReadResult.Failed
             } else {
-                store.get(path)?.let { ReadResult.Found(controller.visible(it)) }
+                store.get(path)?.let { ReadResult.Found(controller.asVisible(it)) }
                     ?: ReadResult.Missing
             }
         }
@@ -218,8 +224,8 @@
         reply(GET_MS, done) {
             when {
                 !reachable -> LeaseState.Unknown
-                lease == null -> LeaseState.Held(store.lease(lifeMs), true)
-                store.extend(lease, lifeMs) -> LeaseState.Held(lease, false)
+                lease == null -> LeaseState.Held(store.grantLease(lifeMs), true)
+                store.extendLease(lease, lifeMs) -> LeaseState.Held(lease, false)
                 else -> LeaseState.Expired
             }
         }
@@ -238,39 +244,39 @@
     override fun send(peer: ControllerId, message: PeerMessage) {
         val to = world.controllers[peer.value]
         world.recorder?.record(world.now(), "${controller.label} to ${to.label}", message)
-        if (!controller.peersCut && !to.peersCut) to.receive(message)
+        if (!controller.partitionedFromPeers && !to.partitionedFromPeers) to.receive(message)
     }
 
     override fun call(addr: String, token: Long, epoch: Long, commands: List<WorkerCommand>, done: (Reply) -> Unit) {
-        world.messages++
+        world.messageCount++
         record("direct $addr", WorkerReplies.directCall(token, epoch, commands))
         val worker = world.workerAt(addr)
-        val late = controller.lateDirectMs
-        controller.lateDirectMs = 0L
+        val late = controller.directCallDelayMs
+        controller.directCallDelayMs = 0L
         when {
-            worker == null || controller.workersCut || worker.cut -> reply(NO_ROUTE_MS, done) {
+            worker == null || controller.partitionedFromWorkers || worker.partitioned -> reply(NO_ROUTE_MS, done) {
                 Reply.NotSent("no route")
             }
 
             worker.unreachable -> reply(DIRECT_PATIENCE_MS, done) { Reply.Unanswered("deaf") }
 
             late > 0L -> {
-                world.after(late) { worker.direct(token, epoch, commands) }
+                world.after(late) { worker.handleDirectCall(token, epoch, commands) }
                 reply(DIRECT_PATIENCE_MS, done) { Reply.Unanswered("late") }
             }
 
             worker.hung -> {
-                worker.whenResumed { worker.direct(token, epoch, commands) }
+                worker.whenResumed { worker.handleDirectCall(token, epoch, commands) }
                 reply(DIRECT_PATIENCE_MS, done) { Reply.Unanswered("hung") }
             }
 
             else -> controller.later(DIRECT_MS) {
-                if (controller.life != life) return@later
-                val answer = worker.direct(token, epoch, commands)
-                if (world.repeatDirectMs >
+                if (controller.processNumber != life) return@later
+                val answer = worker.handleDirectCall(token, epoch, commands)
+                if (world.directCallRepeatDelayMs >
                     0L
                 ) {
-                    world.after(world.repeatDirectMs) { worker.direct(token, epoch, commands) }
+                    world.after(world.directCallRepeatDelayMs) { worker.handleDirectCall(token, epoch, commands) }
                 }
                 reply(DIRECT_MS, done) { answer }
             }
@@ -279,7 +285,7 @@
 
     override fun terminate(reason: String) {
         record("end", emptyMap())
-        controller.endUnfit(reason)
+        controller.terminate(reason)
     }
 
     override fun expectMachines(count: Int) = Unit
@@ -292,15 +298,15 @@
             "rent",
             CloudMessages.rental(request.requestName, request.typeName, request.zone, request.spot, request.count),
         )
-        if (world.rentalAnswerMs == 0L && world.lostRentalAnswers == 0) {
+        if (world.provisioningReplyDelayMs == 0L && world.provisioningRepliesToLose == 0) {
             reply(CLOUD_MS, done) { world.provision(request) }
             return
         }
         world.after(CLOUD_MS) {
             val result = world.provision(request)
-            val isLost = world.lostRentalAnswers > 0
-            if (isLost) world.lostRentalAnswers--
-            reply(world.rentalAnswerMs, done) { if (isLost) ProvisioningResult.Failed else result }
+            val isLost = world.provisioningRepliesToLose > 0
+            if (isLost) world.provisioningRepliesToLose--
+            reply(world.provisioningReplyDelayMs, done) { if (isLost) ProvisioningResult.Failed else result }
         }
     }
 
--- a/src/test/kotlin/io/reedmast/sim/SimOperator.kt
+++ b/src/test/kotlin/io/reedmast/sim/SimOperator.kt
@@ -114,7 +114,7 @@
         return status ?: error("no status")
     }
 
-    fun stateOf(feature: String): String = status().let {
+    fun gateState(feature: String): String = status().let {
         it.snapshot.stateOf(FeatureName(feature), it.view.gates.record).storedName
     }
 
@@ -124,7 +124,7 @@
             ?: false
     }
 
-    fun waiting(): String = status().waitReasons.toString()
+    fun waitReasons(): String = status().waitReasons.toString()
 
     /** The forms in which pages, or the token counter, are stored. */
     fun formsOf(what: String): Set<String> = when (what) {
--- a/src/test/kotlin/io/reedmast/sim/SimStore.kt
+++ b/src/test/kotlin/io/reedmast/sim/SimStore.kt
@@ -27,8 +27,8 @@
     private var droppedTo = 0L
 
     /** How many items one page of a listing holds, and how many changes are kept for those who follow. */
-    var pageItems = 500
-    var keptChanges = 10_000
+    var pageSize = 500
+    var retainedChanges = 10_000
     var revision = 1L
         private set
     var up = true
@@ -61,13 +61,13 @@
     fun page(prefix: String, after: String?): Page {
         expire()
         val from = if (after == null) entries.tailMap(prefix) else entries.tailMap(after, false)
-        val items = from.entries.asSequence().takeWhile { it.key.startsWith(prefix) }.take(pageItems + 1)
+        val items = from.entries.asSequence().takeWhile { it.key.startsWith(prefix) }.take(pageSize + 1)
             .map { StoredItem(it.key, it.value.value, it.value.version) }.toList()
-        return Page(items.take(pageItems), items.size > pageItems)
+        return Page(items.take(pageSize), items.size > pageSize)
     }
 
     /** All changes after the revision, null if they are no longer kept. */
-    fun since(after: Long): List<WatchEvent>? {
+    fun changesSince(after: Long): List<WatchEvent>? {
         expire()
         if (after < droppedTo) return null
         var from = log.size
@@ -75,30 +75,30 @@
         return log.subList(from, log.size).toList()
     }
 
-    /** Forgets changes, as the service does once it has kept [keptChanges] newer ones. */
+    /** Forgets changes, as the service does once it has kept [retainedChanges] newer ones. */
     private fun dropOld() {
-        if (log.size < keptChanges * 2) return
-        val dropped = log.subList(0, log.size - keptChanges)
+        if (log.size < retainedChanges * 2) return
+        val dropped = log.subList(0, log.size - retainedChanges)
         droppedTo = dropped.last().version
         dropped.clear()
     }
 
     /** Puts and deletes applied, each of which counts against the service's limit. */
-    var changes = 0
+    var writeCount = 0
         private set
 
     /** Puts applied, by the first part of their keys. */
     val putsByKind = HashMap<String, Int>()
 
     /** The form of [BodyCodec] values as another version, or nobody, would write them. */
-    fun spoil(path: String) {
+    fun corrupt(path: String) {
         revision++
         entries[path] = Entry(mapOf("form" to 0L), revision, null)
         log.add(WatchEvent(path, mapOf("form" to 0L), revision))
     }
 
     /** Puts a chunk that cannot be read before the others of a page. */
-    fun spoilChunk(path: String) {
+    fun corruptChunk(path: String) {
         val held = entries.getValue(path)
         val value = held.value + ("chunks" to listOf(mapOf("form" to 0L)) + held.value.maps("chunks"))
         revision++
@@ -107,8 +107,8 @@
     }
 
     /** The limits that hold instead of those in the settings, since some moment that nobody was told of. */
-    var reduced: StoreLimits? = null
-    private val limits get() = reduced ?: world.settings.storeLimits
+    var reducedLimits: StoreLimits? = null
+    private val limits get() = reducedLimits ?: world.settings.storeLimits
 
     /** What the service never took is a mistake of ours, whatever becomes of it. */
     private fun checkLimits(transaction: StoreTransaction) {
@@ -116,16 +116,16 @@
         if (transaction.writes.size >
             limits.writesPerTransaction
         ) {
-            world.rules.breach("${transaction.writes.size} changes in a transaction")
+            world.rules.addViolation("${transaction.writes.size} changes in a transaction")
         }
         if (transaction.preconditions.size >
             limits.writesPerTransaction * 4
         ) {
-            world.rules.breach("${transaction.preconditions.size} conditions in a transaction")
+            world.rules.addViolation("${transaction.preconditions.size} conditions in a transaction")
         }
         transaction.writes.filterIsInstance<Write.Put>().forEach {
             val size = BodyCodec.jsonSize(StoreMessages.stored(it.value, transaction.id))
-            if (size > limits.valueBytes) world.rules.breach("${it.path} holds $size bytes")
+            if (size > limits.valueBytes) world.rules.addViolation("${it.path} holds $size bytes")
         }
     }
 
@@ -136,7 +136,7 @@
     fun commit(transaction: StoreTransaction): CommitReply {
         expire()
         checkLimits(transaction)
-        world.rolloutRules.sent(transaction)
+        world.rolloutRules.checkSent(transaction)
         if (isTooLarge(transaction)) return CommitReply.Malformed("the value is too large")
         val failed = transaction.preconditions.filter {
             (entries[it.path]?.version ?: 0L) != it.version
@@ -149,7 +149,7 @@
         }
         if (failed.isNotEmpty()) return CommitReply.PreconditionFailed(failed)
         revision++
-        changes += transaction.writes.size
+        writeCount += transaction.writes.size
         for (write in transaction.writes) {
             when (write) {
                 is Write.Put -> put(write, transaction.id)
@@ -164,7 +164,7 @@
     private val placed = HashMap<String, Set<Triple<TaskId, Long, String>>>()
 
     /** Whether a stored page places the attempt on the machine. */
-    fun places(id: TaskId, attempt: Long, machineName: String): Boolean = placed.values.any {
+    fun isPlaced(id: TaskId, attempt: Long, machineName: String): Boolean = placed.values.any {
         Triple(id, attempt, machineName) in
             it
     }
@@ -178,17 +178,17 @@
     }
 
     /** Machines that a test has put into the records of two shards, until one of them names it no more. */
-    private val planted = HashSet<String>()
+    private val duplicatedMachines = HashSet<String>()
 
     /** The shards whose records name the machine. */
-    fun shardsOf(machineName: String): List<Int> = entries.tailMap(Keys.MACHINES).entries
+    fun shardsListing(machineName: String): List<Int> = entries.tailMap(Keys.MACHINES).entries
         .takeWhile { it.key.startsWith(Keys.MACHINES) }
         .filter { "form" !in it.value.value && MachineListPart.parse(it.value.value).contains(machineName) }
         .map { it.key.removePrefix(Keys.MACHINES).substringBefore('/').toInt() }
         .distinct()
 
     /** Puts a machine of another shard into the first record of [shard] too, as an earlier version did at times. */
-    fun plantMachine(machineName: String, shard: Int) {
+    fun duplicateMachineRecord(machineName: String, shard: Int) {
         val from = entries.filterKeys { it.startsWith(Keys.MACHINES) }.values
             .firstNotNullOfOrNull { entry ->
                 MachineListPart.parse(entry.value).records.firstOrNull { it.name == machineName }
@@ -196,12 +196,12 @@
         val path = Keys.machineList(shard, 0)
         val held = entries[path]?.let { MachineListPart.parse(it.value) } ?: MachineListPart.EMPTY
         if (held.contains(machineName)) return
-        planted.add(machineName)
+        duplicatedMachines.add(machineName)
         replace(path, held.copy(records = held.records + from).toFields())
     }
 
     /** Stored pages place the tasks of the job on [machineName]. */
-    fun plantPlacements(jobId: String, machineName: String) {
+    fun movePlacements(jobId: String, machineName: String) {
         entries.keys.filter { it.startsWith("page/") }.toList().forEach { path ->
             val value = entries.getValue(path).value
             if ("chunks" !in value) return@forEach
@@ -224,20 +224,20 @@
     /** A machine that comes to a shard must not be named by a page of another one, whose next owner would return it. */
     private fun checkMoved(path: String, value: Fields) {
         val shard = path.removePrefix(Keys.MACHINES).substringBefore('/')
-        planted.removeIf { shardsOf(it).size < 2 }
-        val machineNames = MachineListPart.parse(value).records.mapTo(HashSet()) { it.name } - planted
+        duplicatedMachines.removeIf { shardsListing(it).size < 2 }
+        val machineNames = MachineListPart.parse(value).records.mapTo(HashSet()) { it.name } - duplicatedMachines
         for ((other, entry) in entries.tailMap(Keys.MACHINES).entries.takeWhile { it.key.startsWith(Keys.MACHINES) }) {
             if (other.startsWith("${Keys.MACHINES}$shard/") || "form" in entry.value) continue
             MachineListPart.parse(entry.value).records.filter {
                 it.name in machineNames
-            }.forEach { world.rules.breach("in_two_shards ${it.name}: $path and $other") }
+            }.forEach { world.rules.addViolation("in_two_shards ${it.name}: $path and $other") }
         }
         for ((page, attempts) in placed) {
             if (page.startsWith("page/$shard/")) continue
             val of = page.removePrefix("page/").substringBefore('/').toInt()
             attempts.filter { it.third in machineNames && Keys.liveJob(of, it.first.jobId) in entries }
                 .forEach {
-                    world.rules.breach("moved_while_placed ${it.third} to shard $shard, ${it.first} of shard $of")
+                    world.rules.addViolation("moved_while_placed ${it.third} to shard $shard, ${it.first} of shard $of")
                 }
         }
     }
@@ -248,7 +248,7 @@
         entries[write.path] = Entry(value, revision, write.lease)
         recordPage(write.path, value)
         putsByKind.merge(write.path.substringBefore('/'), 1, Int::plus)
-        world.rolloutRules.written(write.path, value)
+        world.rolloutRules.checkStored(write.path, value)
         if (write.path.startsWith(Keys.MACHINES)) checkMoved(write.path, value)
         log.add(WatchEvent(write.path, value, revision))
     }
@@ -257,12 +257,12 @@
         if (entries.remove(path) != null) log.add(WatchEvent(path, null, revision))
     }
 
-    fun lease(lifeMs: Long): Long {
+    fun grantLease(lifeMs: Long): Long {
         leases[++leaseCount] = world.now() + lifeMs
         return leaseCount
     }
 
-    fun extend(lease: Long, lifeMs: Long): Boolean {
+    fun extendLease(lease: Long, lifeMs: Long): Boolean {
         expire()
         return leases.computeIfPresent(lease) { _, _ -> world.now() + lifeMs } != null
     }
--- a/src/test/kotlin/io/reedmast/sim/SimWorker.kt
+++ b/src/test/kotlin/io/reedmast/sim/SimWorker.kt
@@ -22,7 +22,7 @@
     private class Task(val id: TaskId, val attempt: Long) {
         var state = TaskState.FETCHING
         var cause: TaskEndCause? = null
-        val ran: Boolean get() = state != TaskState.FETCHING && state != TaskState.ENDED
+        val isStarted: Boolean get() = state != TaskState.FETCHING && state != TaskState.ENDED
     }
 
     val addr = "10.1.0.1:$name"
@@ -42,7 +42,7 @@
         private set
 
     /** Nothing passes between this machine and any controller. */
-    var cut = false
+    var partitioned = false
 
     /** Answers to reports are lost as long as this is set. */
     var answersLost = false
@@ -57,14 +57,14 @@
     var unhealthy = false
 
     /** Each report comes once more, this much later, to every controller; 0: none does. */
-    var copiesAfterMs = 0L
+    var reportCopyDelayMs = 0L
     var started = false
         private set
 
-    fun onMachine(): List<TaskId> = if (gone) emptyList() else tasks.values.filter { it.ran }.map { it.id }
+    fun startedTasks(): List<TaskId> = if (gone) emptyList() else tasks.values.filter { it.isStarted }.map { it.id }
 
     /** Up, and nothing wrong with it. */
-    val alive: Boolean get() = started && !gone && !hung && !cut && !unreachable && !cannotReport && !unhealthy
+    val alive: Boolean get() = started && !gone && !hung && !partitioned && !unreachable && !cannotReport && !unhealthy
 
     /** Tasks that take room here, whether they have begun to run or not. */
     fun held(): List<TaskId> = if (gone) {
@@ -94,7 +94,7 @@
         step()
     }
 
-    fun vanish() {
+    fun powerOff() {
         dropAll()
         gone = true
     }
@@ -102,14 +102,14 @@
     /** All tasks are gone, with their machine or with its session. */
     private fun dropAll() {
         val lost = tasks.values.filter { it.state != TaskState.ENDED }
-        lost.forEach { world.rules.left(this, it.id, it.ran) }
+        lost.forEach { world.rules.taskEnded(this, it.id, it.isStarted) }
         tasks.clear()
         lost.forEach { gangOf(it)?.lost(it.id.task) }
     }
 
     fun hang(ms: Long) {
         hung = true
-        tasks.values.filter { it.ran }.toList().forEach { gangOf(it)?.lost(it.id.task) }
+        tasks.values.filter { it.isStarted }.toList().forEach { gangOf(it)?.lost(it.id.task) }
         world.after(ms) {
             hung = false
             // A resumed machine first notices that its lease is over, if it is.
@@ -133,7 +133,7 @@
 
     private fun checkLease() {
         if (world.now() - leaseFrom > world.settings.workers.leaseS * 1000) {
-            if (attempts().isNotEmpty()) world.leasesLost++
+            if (attempts().isNotEmpty()) world.leasesExpiredWithTasks++
             dropAll()
             epoch++
             leaseFrom = world.now()
@@ -163,14 +163,16 @@
         reportDue = world.now() + 3_000
         val status = status()
         val target = world.controllers[controller]
-        if (copiesAfterMs >
+        if (reportCopyDelayMs >
             0L
         ) {
-            world.after(copiesAfterMs) { world.controllers.filter { it.up }.forEach { world.workerAnswer(it, status) } }
+            world.after(reportCopyDelayMs) {
+                world.controllers.filter { it.up }.forEach { world.deliverHeartbeat(it, status) }
+            }
         }
         world.after(2) {
-            val reaches = target.up && !target.workersCut && !cut && !cannotReport
-            val answer = if (reaches) world.workerAnswer(target, status) else null
+            val reaches = target.up && !target.partitionedFromWorkers && !partitioned && !cannotReport
+            val answer = if (reaches) world.deliverHeartbeat(target, status) else null
             if (answersLost || unreachable || answer == null) {
                 world.after(if (target.up) 4_000 else 10) { next(1_000) }
             } else {
@@ -219,7 +221,7 @@
         }
     }
 
-    fun direct(token: Long, ofEpoch: Long, commands: List<WorkerCommand>): Reply {
+    fun handleDirectCall(token: Long, ofEpoch: Long, commands: List<WorkerCommand>): Reply {
         if (gone || !started) return Reply.Unanswered("gone")
         if (token < seenToken || ofEpoch != epoch) return Reply.Answer(409, fields(status()))
         if (token > seenToken) {
@@ -249,13 +251,13 @@
     }
 
     /** The tasks of the job that run here run on [to] from now on, as if they had been started there. */
-    fun plantTasks(jobId: String, to: SimWorker) {
+    fun moveTasks(jobId: String, to: SimWorker) {
         val job = world.jobs.getValue(jobId)
-        for ((key, task) in tasks.filterValues { it.id.jobId == jobId && it.ran }.toList()) {
+        for ((key, task) in tasks.filterValues { it.id.jobId == jobId && it.isStarted }.toList()) {
             tasks.remove(key)
             val moved = Task(task.id, task.attempt).apply { state = TaskState.RUNNING }
             to.tasks[key] = moved
-            world.rules.planted(this, to, task.id)
+            world.rules.taskMoved(this, to, task.id)
             if (!job.spec.isService) {
                 to.later(job.runMs, moved) {
                     job.complete(moved.id.task)
@@ -266,14 +268,14 @@
     }
 
     private fun stop(task: Task, graceS: Double) {
-        if (task.ran && gangOf(task)?.stops(task.id.task, graceS) == true) return
+        if (task.isStarted && gangOf(task)?.stops(task.id.task, graceS) == true) return
         end(task, TaskEndCause.HALTED)
     }
 
     /** The attempt that the task belongs to, if its job is a gang. */
     private fun gangOf(task: Task): SimGang? {
         val job = world.jobs[task.id.jobId]?.takeIf { it.spec.isGang } ?: return null
-        return job.gangs.getOrPut(task.attempt) { SimGang(world, job) }
+        return job.gangsByAttempt.getOrPut(task.attempt) { SimGang(world, job) }
     }
 
     private inner class GangMember(private val of: Task) : SimGang.Member {
@@ -305,7 +307,7 @@
             refuse(task, TaskEndCause.NO_ROOM)
             return
         }
-        world.rules.launched(this, command.id, command.attempt)
+        world.rules.taskLaunched(this, command.id, command.attempt)
         val fetchMs = if (job.spec.image in images) 0L else (job.spec.imageGb / machineType.fetchGbPerS * 1000).toLong()
         later(fetchMs, task) { run(task, job) }
     }
@@ -314,9 +316,9 @@
         images.add(job.spec.image)
         task.state = TaskState.RUNNING
         changed()
-        world.rules.started(this, task.id, task.attempt)
+        world.rules.taskStarted(this, task.id, task.attempt)
         when {
-            task.id.task in job.completed && !job.spec.isService -> later(1, task) { end(task, TaskEndCause.DONE) }
+            task.id.task in job.completedTasks && !job.spec.isService -> later(1, task) { end(task, TaskEndCause.DONE) }
             unhealthy && job.spec.isGang -> {
                 gangOf(task)?.ready(GangMember(task))
                 later(200, task) { end(task, TaskEndCause.ERROR) }
@@ -339,7 +341,7 @@
     }
 
     private fun end(task: Task, cause: TaskEndCause) {
-        world.rules.left(this, task.id, task.ran)
+        world.rules.taskEnded(this, task.id, task.isStarted)
         refuse(task, cause)
         gangOf(task)?.lost(task.id.task)
     }
--- a/src/test/kotlin/io/reedmast/sim/World.kt
+++ b/src/test/kotlin/io/reedmast/sim/World.kt
@@ -42,43 +42,43 @@
     var recorder: OutputRecorder? = null
 
     /** How often a worker's lease ended with tasks on it. */
-    var leasesLost = 0
+    var leasesExpiredWithTasks = 0
     private val requests = HashMap<String, List<String>>()
     private var machineCount = 0
     var capacity = Int.MAX_VALUE
 
     /** How many times longer the store takes than usual. */
-    var storeSlowness = 1L
+    var storeSlowdown = 1L
 
     /** HeartbeatHandler and direct commands that have arrived somewhere. */
-    var messages = 0
+    var messageCount = 0
 
     /** What chance decides: the same for every run. */
     var random = Random(1)
 
     /** The share of transactions that get no answer and are carried out late. */
-    var lateWrites = 0.0
+    var delayedCommitRate = 0.0
 
     /** The share of transactions that are carried out at once and get no answer. */
-    var lostAnswers = 0.0
+    var lostReplyRate = 0.0
 
     /** How many changes a second the controllers allow themselves together; the store refuses more if it is told to. */
     var writesPerS = UNLIMITED
 
     /** Since when no trouble is left. */
-    var calmSince = Long.MAX_VALUE
+    var faultFreeSince = Long.MAX_VALUE
 
     /** Machines that were returned, in order. */
-    val returned = ArrayList<String>()
+    val returnedMachines = ArrayList<String>()
 
     /** Rentals are carried out at once and answered this much later; 0: both happen in the same moment. */
-    var rentalAnswerMs = 0L
+    var provisioningReplyDelayMs = 0L
 
     /** So many answers to rentals are lost from now on; the machines are rented all the same. */
-    var lostRentalAnswers = 0
+    var provisioningRepliesToLose = 0
 
     /** The cloud neither rents nor takes machines back while this is set. */
-    var cloudOut = false
+    var cloudUnavailable = false
     val settings = settingsOf(0)
 
     override fun now(): Long = time
@@ -104,34 +104,34 @@
         val name = "host-%06d".format(machineCount++)
         val worker = SimWorker(this, name, machineTypes.first { it.label == typeName }, zone, spot, time)
         workers[name] = worker
-        worker.cut = zone in unavailableZones
+        worker.partitioned = zone in unavailableZones
         workersByAddr[worker.addr] = worker
         after(bootMs) { worker.start() }
         return worker
     }
 
     /** Each direct call that was carried out arrives once more, this much later; 0: none does. */
-    var repeatDirectMs = 0L
+    var directCallRepeatDelayMs = 0L
 
     private val unavailableZones = HashSet<String>()
 
-    fun cutZone(zone: String, on: Boolean) {
+    fun setZonePartitioned(zone: String, on: Boolean) {
         if (on) unavailableZones.add(zone) else unavailableZones.remove(zone)
-        workers.values.filter { it.zone == zone }.forEach { it.cut = on }
+        workers.values.filter { it.zone == zone }.forEach { it.partitioned = on }
     }
 
     /** A job as a scenario describes it, with what its tasks really do. */
     class SimJob(val spec: JobSpec, val runMs: Long, val fails: Boolean) {
-        var abortedAt = 0L
-        val completed = HashSet<Int>()
+        var cancelledAt = 0L
+        val completedTasks = HashSet<Int>()
 
         /** Of a gang: the progress that no stop takes away, and its attempts. */
-        var savedMs = 0L
-        val gangs = HashMap<Long, SimGang>()
-        var atEnd: (() -> Unit)? = null
+        var savedProgressMs = 0L
+        val gangsByAttempt = HashMap<Long, SimGang>()
+        var onCompletion: (() -> Unit)? = null
 
         fun complete(task: Int) {
-            if (completed.add(task) && completed.size == spec.taskCount) atEnd?.invoke()
+            if (completedTasks.add(task) && completedTasks.size == spec.taskCount) onCompletion?.invoke()
         }
     }
 
@@ -143,15 +143,15 @@
         }
     }.toMap()
 
-    fun atEndOf(jobId: String, work: () -> Unit) {
-        jobs.getValue(jobId).atEnd = work
+    fun onCompletion(jobId: String, work: () -> Unit) {
+        jobs.getValue(jobId).onCompletion = work
     }
 
     fun workerAt(addr: String): SimWorker? = workersByAddr[addr]
 
     fun provision(rental: ProvisioningRequest): ProvisioningResult {
         val names = requests.getOrPut(rental.requestName) {
-            if (cloudOut) return ProvisioningResult.Failed
+            if (cloudUnavailable) return ProvisioningResult.Failed
             val count = minOf(rental.count, capacity - workers.size).coerceAtLeast(0)
             (0 until count).map { addWorker(rental.typeName, rental.zone, rental.spot, bootMs(rental.typeName)).name }
         }
@@ -160,11 +160,11 @@
 
     /** Takes machines back, unless the cloud does not answer. */
     fun returnMachines(machineNames: List<String>): ReturnResult {
-        if (cloudOut) return ReturnResult.UNCONFIRMED
+        if (cloudUnavailable) return ReturnResult.UNCONFIRMED
         for (name in machineNames) {
             val worker = workers.remove(name) ?: continue
-            returned.add(name)
-            worker.vanish()
+            returnedMachines.add(name)
+            worker.powerOff()
         }
         return ReturnResult.CONFIRMED
     }
@@ -200,9 +200,9 @@
         )
     }
 
-    fun workerAnswer(controller: SimController, status: WorkerStatus): WorkerAnswer? {
-        messages++
-        if (controller.standsStill) {
+    fun deliverHeartbeat(controller: SimController, status: WorkerStatus): WorkerAnswer? {
+        messageCount++
+        if (controller.isPaused) {
             // It is read once the process goes on, and the answer finds nobody.
             controller.later(0) { controller.process?.onHeartbeat(status) }
             return null
