--- a/src/main/kotlin/io/reedmast/kvstore/StoreClient.kt
+++ b/src/main/kotlin/io/reedmast/kvstore/StoreClient.kt
@@ -9,9 +9,9 @@
 import io.reedmast.wire.Reply
 import io.reedmast.wire.StoreMessages
 import io.reedmast.wire.StoreReplies
+import org.slf4j.LoggerFactory
 import java.net.URLEncoder
 import java.util.concurrent.TimeUnit
-import org.slf4j.LoggerFactory
 
 /**
  * Blocking client of the store, which keeps within this controller's share of the store's rate limits. Thread-safe.
--- a/src/main/kotlin/io/reedmast/machines/SilentMachineDetector.kt
+++ b/src/main/kotlin/io/reedmast/machines/SilentMachineDetector.kt
@@ -3,8 +3,8 @@
 import io.reedmast.model.DecommissionReason
 import io.reedmast.model.Machine
 import io.reedmast.model.ShardState
-import java.util.concurrent.TimeUnit
 import org.slf4j.LoggerFactory
+import java.util.concurrent.TimeUnit
 
 /** Decommissions machines that have missed their heartbeats. */
 internal class SilentMachineDetector(private val shardState: ShardState) {
