--- a/src/main/kotlin/io/reedmast/rollout/AdministrationResult.kt
+++ b/src/main/kotlin/io/reedmast/rollout/AdministrationResult.kt
@@ -1,13 +1,13 @@
 package io.reedmast.rollout
 
-/** What became of an operator's act. */
+/** The outcome of an operator's action. */
 sealed interface AdministrationResult {
     /** The change is stored. */
     data object Done : AdministrationResult
 
-    /** Nothing was changed, and why. */
+    /** Nothing was changed, for [reason]. */
     data class Refused(val reason: String) : AdministrationResult
 }
 
-/** An operator, and the reason that he gives. */
+/** Which operator requests an action, and the reason given for it. */
 data class Attribution(val by: String, val reason: String)
--- a/src/main/kotlin/io/reedmast/rollout/Admission.kt
+++ b/src/main/kotlin/io/reedmast/rollout/Admission.kt
@@ -1,21 +1,27 @@
 package io.reedmast.rollout
 
-/** Whether this process may take part in the cluster, by the stored record of the rollout. */
+/** Whether this process may take part in the cluster, according to the stored rollout record. */
 sealed interface Admission {
-    /** It reads and writes all forms that are in use. */
+    /** The process reads and writes all formats that are in use. */
     data object Admitted : Admission
 
-    /** The record cannot be read: nothing is written until it can be, and users are sent away for a while. */
+    /**
+     * The rollout record cannot be read: until it can be, nothing is written and users' requests are rejected as
+     * temporarily unavailable.
+     */
     data class RecordUnreadable(val reason: String) : Admission
 
-    /** It was excluded, and its versions fit: it may ask to count again, and does nothing else before that. */
+    /**
+     * An operator excluded this controller, and its versions are compatible: it may request to be included again, and
+     * does nothing else until it is.
+     */
     data object Excluded : Admission
 
-    /** Its versions do not fit what is stored: the process must end without touching anything. */
+    /** Its versions are incompatible with what is stored: the process must exit without changing anything. */
     data class Incompatible(val reason: String) : Admission
 
     companion object {
-        /** Decides for the controller [self], whose process reads and writes [range]. */
+        /** The admission of the controller [self], whose process reads and writes the versions in [range]. */
         fun of(self: String, range: VersionRange, record: RolloutRecord): Admission {
             val required = record.requiredVersion
             val finalized = record.finalizedVersion
@@ -32,7 +38,7 @@
             }
         }
 
-        /** Without any gate the cluster has never been rolled out, and says nothing of what is stored. */
+        /** A record without any gate says nothing about what is stored: no feature has ever been rolled out. */
         private fun isInUse(record: RolloutRecord) = record.gates.isNotEmpty()
     }
 }
--- a/src/main/kotlin/io/reedmast/rollout/ClusterSnapshot.kt
+++ b/src/main/kotlin/io/reedmast/rollout/ClusterSnapshot.kt
@@ -3,23 +3,23 @@
 import io.reedmast.kvstore.Keys
 import io.reedmast.kvstore.Precondition
 
-/** What is known of the cluster when a decision about gates is made; all of it read from the store. */
+/** The state of the cluster on which a decision about gates is based, all of it read from the store. */
 class ClusterSnapshot(
     val configured: Set<String>,
     val present: Map<String, PresentMember>,
-    /** By shard; null for one that nobody has acquired yet. */
+    /** Owners by shard index; null for a shard that has not been acquired yet. */
     val shards: List<ShardOwnership?>,
     val progress: Map<Pair<FeatureName, MigrationUnit>, MigrationProgress>,
     /**
-     * Features that are known to be finalized by records of their own, from before there was a record of the rollout.
+     * Features known to be finalized from separate records, which date from before the rollout record existed.
      */
     val externallyFinalized: Set<FeatureName> = emptySet(),
 ) {
-    /** The state of the gate of [feature], which records of its own may have finalized. */
+    /** The state of the gate of [feature]; a separate record may have finalized it. */
     fun stateOf(feature: FeatureName, record: RolloutRecord): GateState =
         if (feature in externallyFinalized) GateState.FINALIZED else record.stateOf(feature)
 
-    /** Whether the records of all units have gone the way that the gate of [feature] has them go. */
+    /** Whether the records of all units have been migrated in the direction that the gate of [feature] requires. */
     fun isMigrated(feature: Feature, record: RolloutRecord): Boolean {
         if (feature.name in externallyFinalized) return true
         val gate = record.gates[feature.name] ?: return false
@@ -33,24 +33,27 @@
         }
     }
 
-    /** How many records of [feature] could not be migrated, by what is stored of its present migration. */
+    /** How many records of [feature] could not be migrated, by the stored progress of its current generation. */
     fun blockedRecords(feature: Feature, record: RolloutRecord): Long = unitsOf(feature).sumOf { unit ->
         val unitProgress =
             progress[feature.name to unit]?.takeIf { it.generation == record.gates[feature.name]?.generation }
         if (unitProgress == null) 0L else unitProgress.unreadable + unitProgress.oversized
     }
 
-    /** The controllers that count: all that are configured, but for those that an operator has excluded. */
+    /** The participating controllers: all configured ones except those that an operator has excluded. */
     fun participants(record: RolloutRecord): Set<String> = configured - record.excluded.keys
 
     /**
-     * Conditions that every counted controller is still the process that was seen, and every shard still has the owner
-     * that was seen.
+     * Preconditions that every participating controller still runs as the process in this snapshot, and every shard
+     * still has the owner in this snapshot.
      */
     fun preconditions(record: RolloutRecord): List<Precondition> =
         memberPreconditions(participants(record)) + shardPreconditions()
 
-    /** Conditions that [label] has the membership key that was seen, or none, and that no shard has changed hands. */
+    /**
+     * Preconditions that the membership key of [label] is as in this snapshot, be it absent, and that no shard has
+     * changed its owner.
+     */
     fun preconditionsOf(label: String): List<Precondition> = memberPreconditions(setOf(label)) + shardPreconditions()
 
     private fun memberPreconditions(labels: Set<String>) = labels.map { label ->
@@ -61,7 +64,7 @@
         Precondition(Keys.shard(index), shard?.version ?: 0L)
     }
 
-    /** The units that a migration of [feature] consists of. */
+    /** The units into which a migration of [feature] is divided. */
     fun unitsOf(feature: Feature): List<MigrationUnit> = when (feature.migration?.scope) {
         null -> emptyList()
         MigrationScope.CLUSTER -> listOf(MigrationUnit.Cluster)
--- a/src/main/kotlin/io/reedmast/rollout/DrainOrder.kt
+++ b/src/main/kotlin/io/reedmast/rollout/DrainOrder.kt
@@ -4,7 +4,7 @@
 import io.reedmast.wire.map
 import io.reedmast.wire.text
 
-/** An operator's order that one process give its shards up before it is stopped. */
+/** An operator's order to the process [incarnation] to release its shards before it is stopped. */
 data class DrainOrder(val incarnation: String, val provenance: Provenance) {
     /** The stored form. */
     fun toFields(): Fields = mapOf("incarnation" to incarnation, "made" to provenance.toFields())
@@ -14,5 +14,5 @@
     }
 }
 
-/** A drain order as stored, with the version of its key. */
+/** A stored drain order with the version of its key. */
 data class StoredDrainOrder(val order: DrainOrder, val version: Long)
--- a/src/main/kotlin/io/reedmast/rollout/Feature.kt
+++ b/src/main/kotlin/io/reedmast/rollout/Feature.kt
@@ -2,13 +2,13 @@
 
 import io.reedmast.wire.Fields
 
-/** Names a feature in stored records, in the deploy file and on the command line. */
+/** The name of a feature in stored records, in the deploy file and on the command line. */
 @JvmInline
 value class FeatureName(val value: String) {
     override fun toString(): String = value
 }
 
-/** A version of the stored forms; it grows by one with each release that adds a form. */
+/** A version of the stored formats; each release that adds a format increments it. */
 @JvmInline
 value class FormatVersion(val value: Int) : Comparable<FormatVersion> {
     override fun compareTo(other: FormatVersion): Int = value.compareTo(other.value)
@@ -16,12 +16,12 @@
     override fun toString(): String = value.toString()
 
     companion object {
-        /** Controllers that name no version at all. */
+        /** The version of controllers that publish none. */
         val NONE = FormatVersion(0)
     }
 }
 
-/** The versions of the stored forms that a process reads and writes, both ends included. */
+/** The format versions that a process reads and writes, both ends included. */
 data class VersionRange(val oldest: FormatVersion, val newest: FormatVersion) {
     init {
         require(oldest <= newest) { "the oldest version $oldest is above the newest $newest" }
@@ -32,42 +32,42 @@
     override fun toString(): String = "$oldest to $newest"
 }
 
-/** Whose records a migration changes, and so under whose fencing condition it writes. */
+/** Which records a migration changes, which determines the fencing precondition of its writes. */
 enum class MigrationScope {
-    /** Records of the whole cluster: the leader migrates them, under the version of its key. */
+    /** Records of the whole cluster, migrated by the leader under the version of the leader key. */
     CLUSTER,
 
-    /** Records of one shard: the shard's owner migrates them, under its term. */
+    /** Records of one shard, migrated by the shard's owner under its term. */
     SHARD,
 }
 
 /**
- * The steps between the old and the new form of the records that a feature changes.
+ * Converts the records that a feature changes between their old and their new format.
  *
- * Both steps are pure and throw [io.reedmast.wire.MalformedException] for a record that cannot be read. [back] undoes
- * [forward] exactly, and either returns its argument unchanged if that already has the wanted form. Readers accept both
- * forms at all times.
+ * Both functions are pure and throw [io.reedmast.wire.MalformedException] for a record that cannot be read. [backward]
+ * is the exact inverse of [forward]; each returns its argument unchanged if it already has the target format. Readers
+ * accept both formats at all times.
  */
 interface RecordMigration {
     val scope: MigrationScope
 
-    /** The common beginning of the keys of the records; [shard] is ignored for [MigrationScope.CLUSTER]. */
+    /** The common prefix of the records' keys; [shard] is ignored for [MigrationScope.CLUSTER]. */
     fun prefix(shard: Int): String
 
-    /** The new form of [record]. */
+    /** Converts [record] to the new format. */
     fun forward(record: Fields): Fields
 
-    /** The old form of [record]. */
+    /** Converts [record] to the old format. */
     fun backward(record: Fields): Fields
 }
 
 /**
- * Something that changes stored forms and is switched on only after every controller understands it.
+ * A change of stored formats that is enabled only after every controller supports it.
  *
- * @property requires the least version that reads the feature's stored form
- * @property dependsOn features that must be enabled, and migrated, before this one
- * @property revertible whether an enabled feature can be taken back before it is finalized
- * @property migration how existing records are brought to the new form; null if only new records have it
+ * @property requires the minimum version that reads the feature's stored format
+ * @property dependsOn features that must be enabled and migrated before this one
+ * @property revertible whether the feature can be reverted after it was enabled and before it is finalized
+ * @property migration converts existing records to the new format; null if only new records have it
  */
 class Feature(
     val name: FeatureName,
@@ -78,13 +78,13 @@
 )
 
 /**
- * The features that are known to this binary. They are checked when the registry is made: a mistake is one of the
- * program.
+ * The features that this binary supports. The constructor validates them, because an invalid list is a programming
+ * error.
  */
 class FeatureRegistry(features: List<Feature>, val range: VersionRange) {
     private val byName: Map<FeatureName, Feature> = features.associateBy { it.name }
 
-    /** All features, each one after those that it depends on. */
+    /** All features in dependency order: each one after those that it depends on. */
     val inOrder: List<Feature>
 
     init {
--- a/src/main/kotlin/io/reedmast/rollout/MemberVersions.kt
+++ b/src/main/kotlin/io/reedmast/rollout/MemberVersions.kt
@@ -7,11 +7,12 @@
 import io.reedmast.wire.optionalCount
 
 /**
- * What a controller publishes of itself in its membership key.
+ * What a controller publishes about itself in its membership key.
  *
- * @property desired what its deploy file wishes of each feature
- * @property incarnation the process, for acts that concern one process only; null in keys of earlier versions
- * @property drained whether it has released all its shards, and acquires none
+ * @property desired the target that its deploy file requests for each feature
+ * @property incarnation identifies the process, for operator actions that concern one process only; null in keys of
+ *   earlier versions
+ * @property drained whether it has released all its shards and acquires none
  */
 data class MemberVersions(
     val range: VersionRange,
@@ -19,7 +20,7 @@
     val incarnation: String?,
     val drained: Boolean,
 ) {
-    /** The fields that are added to the membership key. */
+    /** The fields that the membership key additionally contains. */
     fun toFields(): Fields = buildMap {
         put(OLDEST, range.oldest.value.toLong())
         put(NEWEST, range.newest.value.toLong())
@@ -36,8 +37,8 @@
         private const val DRAINED = "drained"
 
         /**
-         * Reads a membership key; throws [MalformedException] if it makes no sense. [legacyVersion] is the one that the
-         * key names in the form of earlier versions, which had no range.
+         * Parses a membership key; throws [MalformedException] if it is malformed. [legacyVersion] is the version that
+         * the key states in the format of earlier versions, which had no range.
          */
         fun parse(fields: Fields, legacyVersion: FormatVersion): MemberVersions {
             val newest =
@@ -59,5 +60,5 @@
     }
 }
 
-/** A membership key that is there now, with the version of the key. */
+/** The content of a membership key that currently exists, with the version of the key. */
 data class PresentMember(val versions: MemberVersions, val keyVersion: Long)
--- a/src/main/kotlin/io/reedmast/rollout/MigrationPace.kt
+++ b/src/main/kotlin/io/reedmast/rollout/MigrationPace.kt
@@ -1,14 +1,14 @@
 package io.reedmast.rollout
 
-/** How fast records are migrated. */
+/** Limits on how fast records are migrated. */
 data class MigrationPace(
-    /** The least time between two records. */
+    /** The minimum time between two records. */
     val recordIntervalMs: Long = 100L,
-    /** Nothing is migrated while less than this part of a second's worth of changes is left. */
+    /** Nothing is written while fewer write permits are left than this fraction of one second's permits. */
     val minPermitLevel: Double = 0.7,
     /**
-     * A record goes all the same once this time has passed without one: where there is never much left, migrations must
-     * end too.
+     * A record is written regardless of the permits left once this time has passed without a write: migrations must
+     * finish even where the permit level is always low.
      */
     val maxRecordDelayMs: Long = 5_000L,
 )
--- a/src/main/kotlin/io/reedmast/rollout/MigrationProgress.kt
+++ b/src/main/kotlin/io/reedmast/rollout/MigrationProgress.kt
@@ -6,14 +6,14 @@
 import io.reedmast.wire.flag
 import io.reedmast.wire.text
 
-/** Which way records are migrated. */
+/** The direction in which records are migrated. */
 enum class Direction(val storedName: String) {
     FORWARD("forward"),
     BACKWARD("back"),
     ;
 
     companion object {
-        /** The way that a gate in [state] has its records go; null if it leaves them as they are. */
+        /** The direction that a gate in [state] requires; null if it leaves the records as they are. */
         fun of(state: GateState): Direction? = when (state) {
             GateState.ENABLED -> FORWARD
             GateState.REVERTING -> BACKWARD
@@ -23,30 +23,31 @@
 }
 
 /**
- * How far the migration of one unit has come, as stored. A migration that is half done is a normal state: readers
- * accept both forms.
+ * The stored progress of the migration of one unit. A partially completed migration is a normal state: readers accept
+ * both formats.
  *
- * @property generation that of the gate; progress of another one says nothing
- * @property after the last key that was dealt with, empty at the beginning
- * @property migrated records that have been changed
- * @property unreadable records that could not be read, and were left as they are: with any, the migration does not
- *   complete
- * @property oversized records whose other form does not fit a value, until their owner has divided them
+ * @property generation the generation of the gate; progress of another generation is not valid
+ * @property lastKey the key that was processed last, empty at the beginning
+ * @property migrated how many records were converted
+ * @property unreadable how many records could not be read and were left unchanged; the migration does not complete
+ *   while there are any
+ * @property oversized how many records are too large for a value in the target format, until their owner has divided
+ *   them
  */
 data class MigrationProgress(
     val direction: Direction,
     val generation: Long,
-    val after: String = "",
+    val lastKey: String = "",
     val migrated: Long = 0,
     val unreadable: Long = 0,
     val oversized: Long = 0,
     val complete: Boolean = false,
 ) {
-    /** As it is stored. */
+    /** The stored form. */
     fun toFields(): Fields = mapOf(
         "direction" to direction.storedName,
         "generation" to generation,
-        "after" to after,
+        "after" to lastKey,
         "migrated" to migrated,
         "unreadable" to unreadable,
         "oversized" to oversized,
--- a/src/main/kotlin/io/reedmast/rollout/MigrationReconciler.kt
+++ b/src/main/kotlin/io/reedmast/rollout/MigrationReconciler.kt
@@ -17,14 +17,14 @@
 import java.util.ArrayDeque
 
 /**
- * Brings the records of one [unit] to the form that the gates want, one record at a time.
+ * Converts the records of one [unit] to the format that the gates require, one record at a time.
  *
- * It compares what is wanted with the stored progress and works on the difference, so that it goes on where any process
- * stopped. Each record is written on condition that it, the gates and the fence given to [runOnce] are unchanged: a
- * write that is carried out late finds that one of them has moved. Records that cannot be read are counted and left
- * alone.
+ * It compares the gates with the stored progress and works on the difference, and so continues where any process
+ * stopped. Each record is written on condition that the record, the gates and the fence given to [runOnce] are
+ * unchanged, so that a write that is carried out late fails if one of them has changed. Records that cannot be read are
+ * counted and left unchanged.
  *
- * @param valueBytes what a value may hold
+ * @param valueBytes the maximum size of a value, in bytes
  */
 class MigrationReconciler(
     private val unit: MigrationUnit,
@@ -37,7 +37,7 @@
 ) {
     private val log = LoggerFactory.getLogger("rollout")
 
-    /** One pass over the records, for one generation of a gate and under one fence. */
+    /** One pass over the records, for one version of the gates and under one fence. */
     private class Pass(
         val feature: Feature,
         val migration: RecordMigration,
@@ -45,38 +45,38 @@
         val fence: Precondition,
         var progress: MigrationProgress,
     ) {
-        /** Keys that are yet to be dealt with; null until they have been listed. */
-        var keys: ArrayDeque<String>? = null
+        /** Keys still to be processed; null until they have been listed. */
+        var pendingKeys: ArrayDeque<String>? = null
         var progressVersion = 0L
-        var sinceSaved = 0
+        var processedSinceSave = 0
     }
 
     private var pass: Pass? = null
-    private var busy = false
-    private var due = 0L
-    private var overdueAt = now() + pace.maxRecordDelayMs
+    private var isBusy = false
+    private var nextRunAt = 0L
+    private var writeRegardlessAt = now() + pace.maxRecordDelayMs
     private val retryAt = HashMap<FeatureName, Long>()
 
-    /** Whether a write of this migration is on its way, so that what is stored is not certain. */
-    val isWriteInFlight: Boolean get() = busy
+    /** Whether a request is in flight; if it is a write, the stored state is uncertain until its outcome is known. */
+    val isWriteInFlight: Boolean get() = isBusy
 
-    /** Does the next piece of work. [fence] proves that this process may still write the unit's records. */
+    /** Performs the next step. [fence] ensures that this process may still write the unit's records. */
     fun runOnce(gates: GateSnapshot, fence: Precondition, view: RolloutView) {
-        if (busy || now() < due) return
+        if (isBusy || now() < nextRunAt) return
         val current =
-            pass?.takeIf { it.gates.version == gates.version && it.fence == fence } ?: begin(gates, fence, view)
+            pass?.takeIf { it.gates.version == gates.version && it.fence == fence } ?: startPass(gates, fence, view)
         pass = current
         if (current == null) return
-        due = now() + pace.recordIntervalMs
-        val keys = current.keys
-        if (keys == null) list(current) else next(current, keys)
+        nextRunAt = now() + pace.recordIntervalMs
+        val pendingKeys = current.pendingKeys
+        if (pendingKeys == null) listKeys(current) else processNext(current, pendingKeys)
     }
 
-    private fun isAffordable() = store.writePermitLevel() >= pace.minPermitLevel || now() >= overdueAt
+    private fun mayWrite() = store.writePermitLevel() >= pace.minPermitLevel || now() >= writeRegardlessAt
 
-    private fun begin(gates: GateSnapshot, fence: Precondition, view: RolloutView): Pass? =
+    private fun startPass(gates: GateSnapshot, fence: Precondition, view: RolloutView): Pass? =
         registry.inOrder.firstNotNullOfOrNull { feature ->
-            val migration = feature.migration?.takeIf { concerns(it) } ?: return@firstNotNullOfOrNull null
+            val migration = feature.migration?.takeIf { appliesToUnit(it) } ?: return@firstNotNullOfOrNull null
             val gate = gates.record.gates[feature.name] ?: return@firstNotNullOfOrNull null
             val direction = Direction.of(gate.state) ?: return@firstNotNullOfOrNull null
             if (now() < (retryAt[feature.name] ?: 0L)) return@firstNotNullOfOrNull null
@@ -87,43 +87,43 @@
             Pass(feature, migration, gates, fence, startingProgress).apply { progressVersion = stored?.version ?: 0L }
         }
 
-    /** A pass from the beginning counts anew what it cannot migrate. */
+    /** A pass that starts from the first record counts unreadable and oversized records anew. */
     private fun resumed(progress: MigrationProgress) =
-        if (progress.after.isEmpty()) progress.copy(unreadable = 0, oversized = 0) else progress
+        if (progress.lastKey.isEmpty()) progress.copy(unreadable = 0, oversized = 0) else progress
 
-    private fun concerns(migration: RecordMigration) = when (unit) {
+    private fun appliesToUnit(migration: RecordMigration) = when (unit) {
         MigrationUnit.Cluster -> migration.scope == MigrationScope.CLUSTER
         is MigrationUnit.Shard -> migration.scope == MigrationScope.SHARD
     }
 
-    private fun list(current: Pass) {
-        busy = true
+    private fun listKeys(current: Pass) {
+        isBusy = true
         store.list(current.migration.prefix((unit as? MigrationUnit.Shard)?.index ?: 0)) { result ->
-            busy = false
+            isBusy = false
             if (result is ListResult.Listing) {
-                current.keys = result.items
+                current.pendingKeys = result.items
                     .map { it.path }
-                    .filterTo(ArrayDeque()) { it > current.progress.after }
+                    .filterTo(ArrayDeque()) { it > current.progress.lastKey }
             }
         }
     }
 
-    private fun next(current: Pass, keys: ArrayDeque<String>) {
-        val path = keys.peek()
+    private fun processNext(current: Pass, pendingKeys: ArrayDeque<String>) {
+        val path = pendingKeys.peek()
         if (path == null) {
             finish(current)
             return
         }
-        if (current.sinceSaved >= SAVE_EVERY) {
-            save(current, current.progress)
+        if (current.processedSinceSave >= RECORDS_PER_SAVE) {
+            saveProgress(current, current.progress)
             return
         }
-        busy = true
+        isBusy = true
         store.get(path) { fetched ->
-            busy = false
+            isBusy = false
             when (fetched) {
                 is ReadResult.Found -> migrate(current, fetched.item)
-                ReadResult.Missing -> recordDone(current, path) { it }
+                ReadResult.Missing -> markProcessed(current, path) { it }
                 ReadResult.Failed -> Unit
             }
         }
@@ -131,86 +131,94 @@
 
     private fun migrate(current: Pass, item: StoredItem) {
         val record = StoreMessages.withoutTransactionId(item.value)
-        val targetForm = try {
+        val convertedRecord = try {
             when (current.progress.direction) {
                 Direction.FORWARD -> current.migration.forward(record)
                 Direction.BACKWARD -> current.migration.backward(record)
             }
         } catch (e: MalformedException) {
             log.error(
-                "feature {}: record {} cannot be read and is left as it is: {}",
+                "feature {}: leaving unreadable record {} unchanged: {}",
                 current.feature.name,
                 item.path,
                 e.message,
             )
-            recordDone(current, item.path) { it.copy(unreadable = it.unreadable + 1) }
+            markProcessed(current, item.path) { it.copy(unreadable = it.unreadable + 1) }
             return
         }
         when {
-            targetForm == record -> recordDone(current, item.path) { it }
-            BodyCodec.jsonSize(targetForm) + TRANSACTION_ID_BYTES > valueBytes() ->
-                recordDone(current, item.path) { it.copy(oversized = it.oversized + 1) }
-            !isAffordable() -> due = now() + AFTER_REFUSAL_MS
-            access.tryAcquire(item.path) -> write(current, item, targetForm)
+            convertedRecord == record -> markProcessed(current, item.path) { it }
+            BodyCodec.jsonSize(convertedRecord) + TRANSACTION_ID_BYTES > valueBytes() ->
+                markProcessed(current, item.path) { it.copy(oversized = it.oversized + 1) }
+            !mayWrite() -> nextRunAt = now() + LOW_PERMITS_DELAY_MS
+            access.tryAcquire(item.path) -> write(current, item, convertedRecord)
         }
     }
 
-    private fun write(current: Pass, item: StoredItem, targetForm: Fields) {
-        busy = true
-        overdueAt = now() + pace.maxRecordDelayMs
+    private fun write(current: Pass, item: StoredItem, convertedRecord: Fields) {
+        isBusy = true
+        writeRegardlessAt = now() + pace.maxRecordDelayMs
         val unchanged = Precondition(item.path, item.version)
         val preconditions = listOf(current.fence, current.gates.precondition, unchanged).distinct()
         store.commit(
-            CasTransaction(preconditions, listOf(Write.Put(item.path, targetForm)), WritePriority.DEFERRED) { outcome ->
-                busy = false
+            CasTransaction(
+                preconditions,
+                listOf(Write.Put(item.path, convertedRecord)),
+                WritePriority.DEFERRED,
+            ) { outcome ->
+                isBusy = false
                 access.release(item.path, (outcome as? CommitOutcome.Applied)?.revision)
                 when (outcome) {
-                    is CommitOutcome.Applied -> recordDone(current, item.path) { it.copy(migrated = it.migrated + 1) }
+                    is CommitOutcome.Applied -> markProcessed(current, item.path) {
+                        it.copy(migrated = it.migrated + 1)
+                    }
 
-                    // The record has moved on, and is read again; or the gates or the fence have, and the pass is over.
+                    // The record has changed and is read again, or the gates or the fence have and the pass ends.
                     is CommitOutcome.Conflict -> Unit
 
-                    is CommitOutcome.Refused -> recordDone(current, item.path) { it.copy(oversized = it.oversized + 1) }
+                    is CommitOutcome.Refused -> markProcessed(current, item.path) {
+                        it.copy(oversized = it.oversized + 1)
+                    }
                 }
             },
         )
     }
 
-    private fun recordDone(current: Pass, path: String, count: (MigrationProgress) -> MigrationProgress) {
-        current.keys?.remove(path)
-        current.progress = count(current.progress).copy(after = path)
-        current.sinceSaved++
+    private fun markProcessed(current: Pass, path: String, update: (MigrationProgress) -> MigrationProgress) {
+        current.pendingKeys?.remove(path)
+        current.progress = update(current.progress).copy(lastKey = path)
+        current.processedSinceSave++
     }
 
-    /** A pass that left records as they were has not reached its end: the next one looks at all of them again. */
+    /** A pass that left records unconverted does not complete the migration: the next pass checks all records again. */
     private fun finish(current: Pass) {
         val blocked = current.progress.unreadable + current.progress.oversized > 0
-        val ended = if (blocked) current.progress.copy(after = "") else current.progress.copy(complete = true)
-        save(current, ended) {
+        val finalProgress = if (blocked) current.progress.copy(lastKey = "") else current.progress.copy(complete = true)
+        saveProgress(current, finalProgress) {
             pass = null
             if (blocked) {
                 retryAt[current.feature.name] = now() + RETRY_BLOCKED_MS
                 log.error(
-                    "feature {}: {} unreadable and {} oversized records of {} are left",
+                    "feature {}: migration not complete: {} unreadable and {} oversized records left in unit {}",
                     current.feature.name,
-                    ended.unreadable,
-                    ended.oversized,
+                    finalProgress.unreadable,
+                    finalProgress.oversized,
                     unit.key,
                 )
             } else {
                 log.info(
-                    "feature {}: {} records of {} migrated {}",
+                    "feature {}: migrated {} records of unit {} {}",
                     current.feature.name,
-                    ended.migrated,
+                    finalProgress.migrated,
                     unit.key,
-                    ended.direction.storedName,
+                    finalProgress.direction.storedName,
                 )
             }
         }
     }
 
-    private fun save(current: Pass, progress: MigrationProgress, then: () -> Unit = {}) {
-        busy = true
+    private fun saveProgress(current: Pass, progress: MigrationProgress, onSaved: () -> Unit = {}) {
+        isBusy = true
         val path = Keys.migration(current.feature.name.value, unit.key)
         val unchanged = Precondition(path, current.progressVersion)
         val preconditions = listOf(current.fence, current.gates.precondition, unchanged)
@@ -220,28 +228,28 @@
                 listOf(Write.Put(path, progress.toFields())),
                 WritePriority.DEFERRED,
             ) { outcome ->
-                busy = false
+                isBusy = false
                 if (outcome is CommitOutcome.Applied) {
                     current.progressVersion = outcome.revision
-                    current.sinceSaved = 0
-                    then()
+                    current.processedSinceSave = 0
+                    onSaved()
                 } else {
-                    // Somebody else has come further, or the answer to our own was lost: what is stored is read by the
-                    // watch.
+                    // Another process has stored later progress, or the answer to an own write was lost. The watch
+                    // delivers the stored progress.
                     pass = null
-                    due = now() + AFTER_CONFLICT_MS
+                    nextRunAt = now() + CONFLICT_DELAY_MS
                 }
             },
         )
     }
 
     private companion object {
-        const val SAVE_EVERY = 16
+        const val RECORDS_PER_SAVE = 16
         const val RETRY_BLOCKED_MS = 30_000L
-        const val AFTER_CONFLICT_MS = 1_000L
-        const val AFTER_REFUSAL_MS = 500L
+        const val CONFLICT_DELAY_MS = 1_000L
+        const val LOW_PERMITS_DELAY_MS = 500L
 
-        /** What a value grows by when it is stored. */
+        /** By how much a value grows when it is stored: the transaction's id is added to it. */
         const val TRANSACTION_ID_BYTES = 64
     }
 }
--- a/src/main/kotlin/io/reedmast/rollout/MigrationUnit.kt
+++ b/src/main/kotlin/io/reedmast/rollout/MigrationUnit.kt
@@ -1,8 +1,8 @@
 package io.reedmast.rollout
 
-/** The part of the records that one migration runs over by itself: those of the whole cluster, or of one shard. */
+/** A set of records that is migrated independently: those of the whole cluster, or of one shard. */
 sealed interface MigrationUnit {
-    /** Names the unit in the keys of stored progress. */
+    /** Identifies the unit in the keys of stored progress. */
     val key: String
 
     /** The records of the whole cluster. */
--- a/src/main/kotlin/io/reedmast/rollout/Readiness.kt
+++ b/src/main/kotlin/io/reedmast/rollout/Readiness.kt
@@ -2,16 +2,15 @@
 
 /** Whether a controller may be stopped now. */
 sealed interface Readiness {
-    /** It may be stopped now. */
     data object Ready : Readiness
 
-    /** Stopping it would do harm, for each of [reasons]. */
+    /** It must not be stopped, for each of [reasons]. */
     data class NotReady(val reasons: List<String>) : Readiness
 
     companion object {
         /**
-         * A controller may be stopped when it has given its shards up, which it does only after all that it decided has
-         * been stored, and the others hold all shards.
+         * A controller may be stopped once it has released its shards, which it does only after all its decisions have
+         * been stored, and the others own all shards.
          */
         fun of(label: String, status: RolloutStatus): Readiness {
             val snapshot = status.snapshot
@@ -28,13 +27,13 @@
                 }
             }
             if (label in snapshot.present && snapshot.present[label]?.versions?.drained != true) {
-                reasons.add(undrained(label, status))
+                reasons.add(notDrainedReason(label, status))
             }
             return if (reasons.isEmpty()) Readiness.Ready else Readiness.NotReady(reasons)
         }
 
-        /** It may acquire shards at any moment until it has been told not to, even if it owns none now. */
-        private fun undrained(label: String, status: RolloutStatus): String = if (status.isDraining(label)) {
+        /** A controller that is not being drained may acquire shards at any moment, even if it owns none now. */
+        private fun notDrainedReason(label: String, status: RolloutStatus): String = if (status.isDraining(label)) {
             "$label has not said that it is drained"
         } else {
             "$label is not being drained; drain it first"
--- a/src/main/kotlin/io/reedmast/rollout/RecordAccess.kt
+++ b/src/main/kotlin/io/reedmast/rollout/RecordAccess.kt
@@ -1,10 +1,10 @@
 package io.reedmast.rollout
 
-/** Keeps a migration's writes apart from those of whoever else writes the records. */
+/** Serializes a migration's writes with those of other writers of the same records in this process. */
 interface RecordAccess {
-    /** False while another write of the record is on its way: it is asked again later. */
+    /** Returns false while another write of the record is in flight; the migration then tries again later. */
     fun tryAcquire(path: String): Boolean
 
-    /** The migration has done with the record; [version] is its new one if it was written. */
+    /** Ends the migration's access to the record; [version] is the record's new version if it was written. */
     fun release(path: String, version: Long?)
 }
--- a/src/main/kotlin/io/reedmast/rollout/RolloutAdministration.kt
+++ b/src/main/kotlin/io/reedmast/rollout/RolloutAdministration.kt
@@ -12,79 +12,87 @@
 import io.reedmast.wire.MalformedException
 
 /**
- * The acts of operators: wishes, exclusions, drains, and questions about them.
+ * Actions of operators: target overrides, exclusions, drains, and queries about them.
  *
- * Each act reads the cluster's keys, checks that it can be done, and stores it on condition that what it was checked
- * against still holds. Of two operators who act at once the second is told so, and sees what the first has done. An act
- * that only met a move of the leader's is planned anew on what then stands, a few times at most.
+ * Each action reads the cluster's keys, checks that it is possible, and is stored on condition that what it was checked
+ * against still holds. When two operators act at once, the second action is refused, naming the keys that have changed,
+ * so that the operator can look at what the first one has done. An action that conflicts only with a gate transition by
+ * the leader is planned again on the new state, at most [MAX_ATTEMPTS] times in all.
  */
 class RolloutAdministration(
     private val registry: FeatureRegistry,
     private val configured: Set<String>,
     private val records: ClusterRecords,
-    private val wall: () -> Long,
+    private val wallTime: () -> Long,
     private val store: RolloutStore,
 ) {
-    /** Reads the state of the rollout. */
+    /** Reads the current state of the rollout. */
     fun status(done: (StatusResult) -> Unit) = store.list(Keys.CLUSTER) { done(statusOf(it)) }
 
-    /** Records that [feature] is to come to [target]; the leader moves its gate as soon as that is possible. */
-    fun setTarget(feature: FeatureName, target: Target, act: Attribution, done: (AdministrationResult) -> Unit) =
-        change(done) { status ->
-            val known = registry[feature] ?: return@change refused(
-                "there is no feature $feature; known are ${registry.inOrder.joinToString { it.name.value }}",
-            )
-            val record = status.view.gates.record
-            val refusal = when {
-                feature in status.snapshot.externallyFinalized -> "$feature is finalized"
-                target == Target.DORMANT -> Reversal.refusal(registry, known, record)
-                else -> dependencyNotWished(known, record, status)
-            }
-            if (refusal !=
-                null
-            ) {
-                refused(refusal)
-            } else {
-                Planned.Put(record.withTargetOverride(feature, target, provenanceOf(act)), emptyList())
-            }
+    /** Stores [target] as the target of [feature]; the leader changes its gate as soon as that is possible. */
+    fun setTarget(
+        feature: FeatureName,
+        target: Target,
+        attribution: Attribution,
+        done: (AdministrationResult) -> Unit,
+    ) = perform(done) { status ->
+        val registered = registry[feature] ?: return@perform refused(
+            "there is no feature $feature; known are ${registry.inOrder.joinToString { it.name.value }}",
+        )
+        val record = status.view.gates.record
+        val refusal = when {
+            feature in status.snapshot.externallyFinalized -> "$feature is finalized"
+            target == Target.DORMANT -> Reversal.refusal(registry, registered, record)
+            else -> dormantDependencyRefusal(registered, record, status)
+        }
+        if (refusal != null) {
+            refused(refusal)
+        } else {
+            PlannedAction.Put(record.withTargetOverride(feature, target, provenanceOf(attribution)), emptyList())
         }
+    }
 
-    private fun dependencyNotWished(feature: Feature, record: RolloutRecord, status: RolloutStatus): String? {
-        fun isWishedDormant(name: FeatureName) =
+    private fun dormantDependencyRefusal(feature: Feature, record: RolloutRecord, status: RolloutStatus): String? {
+        fun isHeldDormant(name: FeatureName) =
             record.targetOverrides[name]?.target == Target.DORMANT && !status.snapshot.stateOf(name, record).isActive
-        val dependency = feature.dependsOn.firstOrNull(::isWishedDormant) ?: return null
+        val dependency = feature.dependsOn.firstOrNull(::isHeldDormant) ?: return null
         return "${feature.name} depends on $dependency, which is wished dormant"
     }
 
-    /** [label] does not count any more: it must be silent, must own nothing, and must not be the last one. */
-    fun exclude(label: String, act: Attribution, done: (AdministrationResult) -> Unit) = change(done) { status ->
-        val record = status.view.gates.record
-        val owned = status.snapshot.shards.indexOfFirst { it?.owner == label }
-        when {
-            label !in configured -> {
-                refused("there is no controller $label; known are ${configured.sorted().joinToString()}")
+    /** Excludes [label], which must have no membership key, own no shard and not be the last participant. */
+    fun exclude(label: String, attribution: Attribution, done: (AdministrationResult) -> Unit) =
+        perform(done) { status ->
+            val record = status.view.gates.record
+            val owned = status.snapshot.shards.indexOfFirst { it?.owner == label }
+            when {
+                label !in configured -> {
+                    refused("there is no controller $label; known are ${configured.sorted().joinToString()}")
+                }
+                label in record.excluded -> refused("$label is excluded already")
+                status.snapshot.participants(record).size == 1 -> refused("$label is the last controller that counts")
+                label in status.snapshot.present -> refused("$label is alive; stop it first")
+                owned >= 0 -> refused("$label still owns shard $owned; another controller takes it within seconds")
+                // At the moment of the change its key must still be absent, and no shard may have changed its owner.
+                else -> PlannedAction.Put(
+                    record.withExcluded(label, provenanceOf(attribution)),
+                    status.snapshot.preconditionsOf(label),
+                )
             }
-            label in record.excluded -> refused("$label is excluded already")
-            status.snapshot.participants(record).size == 1 -> refused("$label is the last controller that counts")
-            label in status.snapshot.present -> refused("$label is alive; stop it first")
-            owned >= 0 -> refused("$label still owns shard $owned; another controller takes it within seconds")
-            // Its key must not be there, and no shard may have been taken, at the moment of the change.
-            else -> Planned.Put(record.withExcluded(label, provenanceOf(act)), status.snapshot.preconditionsOf(label))
         }
-    }
 
-    /** [label] counts again. */
-    fun include(label: String, act: Attribution, done: (AdministrationResult) -> Unit) = change(done) { status ->
-        val record = status.view.gates.record
-        if (label !in record.excluded) {
-            refused("$label is not excluded")
-        } else {
-            Planned.Put(record.withIncluded(label, provenanceOf(act)), emptyList())
+    /** Ends the exclusion of [label]. */
+    fun include(label: String, attribution: Attribution, done: (AdministrationResult) -> Unit) =
+        perform(done) { status ->
+            val record = status.view.gates.record
+            if (label !in record.excluded) {
+                refused("$label is not excluded")
+            } else {
+                PlannedAction.Put(record.withIncluded(label, provenanceOf(attribution)), emptyList())
+            }
         }
-    }
 
-    /** The process that runs as [label] now gives its shards up; the order ends with that process. */
-    fun drain(label: String, act: Attribution, done: (AdministrationResult) -> Unit) = change(done) { status ->
+    /** Orders the process that currently runs as [label] to release its shards; the order ends with that process. */
+    fun drain(label: String, attribution: Attribution, done: (AdministrationResult) -> Unit) = perform(done) { status ->
         val incarnation = status.snapshot.present[label]?.versions?.incarnation
         val others = status.snapshot.participants(status.view.gates.record) - label
         val absent = others.firstOrNull { it !in status.snapshot.present }
@@ -95,21 +103,21 @@
             others.isEmpty() -> refused("$label is the last controller that counts")
             absent != null -> refused("$absent is silent; its shards would come to fewer controllers still")
             draining != null -> refused("$draining is being drained; one at a time")
-            else -> Planned.Drain(
+            else -> PlannedAction.Drain(
                 label,
-                DrainOrder(incarnation, provenanceOf(act)),
+                DrainOrder(incarnation, provenanceOf(attribution)),
                 status.view.drainOrderOf(label)?.version ?: 0L,
             )
         }
     }
 
-    /** [label] takes shards again. */
-    fun endDrain(label: String, done: (AdministrationResult) -> Unit) = change(done) { status ->
+    /** Cancels the drain order for [label], which may then acquire shards again. */
+    fun endDrain(label: String, done: (AdministrationResult) -> Unit) = perform(done) { status ->
         val stored = status.view.drainOrderOf(label)
-        if (stored == null) refused("$label is not being drained") else Planned.EndDrain(label, stored.version)
+        if (stored == null) refused("$label is not being drained") else PlannedAction.EndDrain(label, stored.version)
     }
 
-    /** Whether [label] may be stopped now without harm. */
+    /** Queries whether [label] may be stopped now. */
     fun readiness(label: String, done: (Readiness) -> Unit) = status { result ->
         val readiness = when (result) {
             is StatusResult.Known -> Readiness.of(label, result.status)
@@ -118,20 +126,20 @@
         done(readiness)
     }
 
-    private fun provenanceOf(act: Attribution) = Provenance.of(act.by, wall(), act.reason)
+    private fun provenanceOf(attribution: Attribution) = Provenance.of(attribution.by, wallTime(), attribution.reason)
 
-    /** What an act is about to store. */
-    private sealed interface Planned {
-        class Refused(val reason: String) : Planned
+    /** What an action is about to store, or why it is refused. */
+    private sealed interface PlannedAction {
+        class Refused(val reason: String) : PlannedAction
 
-        class Put(val record: RolloutRecord, val preconditions: List<Precondition>) : Planned
+        class Put(val record: RolloutRecord, val preconditions: List<Precondition>) : PlannedAction
 
-        class Drain(val label: String, val order: DrainOrder, val version: Long) : Planned
+        class Drain(val label: String, val order: DrainOrder, val version: Long) : PlannedAction
 
-        class EndDrain(val label: String, val version: Long) : Planned
+        class EndDrain(val label: String, val version: Long) : PlannedAction
     }
 
-    private fun refused(reason: String): Planned = Planned.Refused(reason)
+    private fun refused(reason: String): PlannedAction = PlannedAction.Refused(reason)
 
     private fun statusOf(result: ListResult): StatusResult = when (result) {
         ListResult.Failed -> StatusResult.Unknown("the store does not answer")
@@ -143,87 +151,87 @@
     }
 
     private fun statusOf(items: List<StoredItem>): RolloutStatus {
-        val view = RolloutView(registry, OPERATOR)
+        val view = RolloutView(registry, OPERATOR_LABEL)
         items.forEach { view.applyRecord(it.path, it.value, it.version) }
         val snapshot = view.snapshot(configured, records.shardOwners(items), records.externallyFinalized(items))
         return RolloutStatus(view, snapshot, RolloutPlanner(registry).plan(view.gates.record, snapshot).waitReasons)
     }
 
-    /** Plans an act on what is stored now, and stores it. */
-    private fun change(done: (AdministrationResult) -> Unit, plan: (RolloutStatus) -> Planned) =
-        attempt(PendingAct(done, plan), MAX_ATTEMPTS)
+    /** Plans an action on the currently stored state, and stores it. */
+    private fun perform(done: (AdministrationResult) -> Unit, plan: (RolloutStatus) -> PlannedAction) =
+        attempt(PendingAction(done, plan), MAX_ATTEMPTS)
 
-    /** An act whose result is not known yet. */
-    private class PendingAct(val done: (AdministrationResult) -> Unit, val plan: (RolloutStatus) -> Planned) {
-        /** What operators had decided when the act was first planned. */
+    /** An action whose result is not known yet. */
+    private class PendingAction(val done: (AdministrationResult) -> Unit, val plan: (RolloutStatus) -> PlannedAction) {
+        /** The decisions of operators that were stored when the action was first planned. */
         var decisionsSeen: OperatorDecisions? = null
     }
 
-    /** What operators have decided of the rollout, as opposed to the moves of the leader. */
+    /** The parts of the rollout record that operators change, as opposed to the leader's gate transitions. */
     private data class OperatorDecisions(
         val targetOverrides: Map<FeatureName, TargetOverride>,
         val excluded: Map<String, Provenance>,
     )
 
-    private fun attempt(act: PendingAct, attemptsLeft: Int) = status { result ->
+    private fun attempt(action: PendingAction, attemptsLeft: Int) = status { result ->
         when (result) {
-            is StatusResult.Known -> attempt(act, result.status, attemptsLeft)
-            is StatusResult.Unknown -> act.done(AdministrationResult.Refused(result.reason))
+            is StatusResult.Known -> attempt(action, result.status, attemptsLeft)
+            is StatusResult.Unknown -> action.done(AdministrationResult.Refused(result.reason))
         }
     }
 
-    private fun attempt(act: PendingAct, status: RolloutStatus, attemptsLeft: Int) {
+    private fun attempt(action: PendingAction, status: RolloutStatus, attemptsLeft: Int) {
         val record = status.view.gates.record
         val decisions = OperatorDecisions(record.targetOverrides, record.excluded)
-        val seen = act.decisionsSeen ?: decisions.also { act.decisionsSeen = it }
+        val seen = action.decisionsSeen ?: decisions.also { action.decisionsSeen = it }
         when (val admission = status.view.admission) {
-            is Admission.RecordUnreadable -> act.done(AdministrationResult.Refused(admission.reason))
-            is Admission.Incompatible -> act.done(AdministrationResult.Refused(admission.reason))
+            is Admission.RecordUnreadable -> action.done(AdministrationResult.Refused(admission.reason))
+            is Admission.Incompatible -> action.done(AdministrationResult.Refused(admission.reason))
             Admission.Admitted, Admission.Excluded ->
                 if (decisions == seen) {
-                    store(act, status, attemptsLeft)
+                    store(action, status, attemptsLeft)
                 } else {
-                    act.done(AdministrationResult.Refused(changedMeanwhile(setOf(Keys.ROLLOUT))))
+                    action.done(AdministrationResult.Refused(changedMeanwhile(setOf(Keys.ROLLOUT))))
                 }
         }
     }
 
-    private fun store(act: PendingAct, status: RolloutStatus, attemptsLeft: Int) {
-        val transaction = when (val planned = act.plan(status)) {
-            is Planned.Refused -> return act.done(AdministrationResult.Refused(planned.reason))
-            is Planned.Put -> PlannedWrite(
+    private fun store(action: PendingAction, status: RolloutStatus, attemptsLeft: Int) {
+        val transaction = when (val planned = action.plan(status)) {
+            is PlannedAction.Refused -> return action.done(AdministrationResult.Refused(planned.reason))
+            is PlannedAction.Put -> PlannedWrite(
                 planned.preconditions + status.view.gates.precondition,
                 Write.Put(Keys.ROLLOUT, planned.record.toFields()),
             )
-            is Planned.Drain -> Keys.drain(planned.label).let { path ->
+            is PlannedAction.Drain -> Keys.drain(planned.label).let { path ->
                 val preconditions = listOf(Precondition(path, planned.version), status.view.gates.precondition)
                 PlannedWrite(preconditions, Write.Put(path, planned.order.toFields()))
             }
-            is Planned.EndDrain -> Keys.drain(planned.label).let { path ->
+            is PlannedAction.EndDrain -> Keys.drain(planned.label).let { path ->
                 PlannedWrite(listOf(Precondition(path, planned.version)), Write.Delete(path))
             }
         }
         commit(transaction) { outcome ->
             when (outcome) {
-                is CommitOutcome.Applied -> act.done(AdministrationResult.Done)
-                is CommitOutcome.Conflict -> onConflict(act, outcome.failedPaths, attemptsLeft)
-                is CommitOutcome.Refused -> act.done(AdministrationResult.Refused(outcome.reason))
+                is CommitOutcome.Applied -> action.done(AdministrationResult.Done)
+                is CommitOutcome.Conflict -> onConflict(action, outcome.failedPaths, attemptsLeft)
+                is CommitOutcome.Refused -> action.done(AdministrationResult.Refused(outcome.reason))
             }
         }
     }
 
-    /** The leader moves gates by the same record: only that it has changed says nothing against the act. */
-    private fun onConflict(act: PendingAct, failedPaths: Set<String>, attemptsLeft: Int) {
+    /** Gate transitions by the leader change the same record: a conflict on it alone does not rule the action out. */
+    private fun onConflict(action: PendingAction, failedPaths: Set<String>, attemptsLeft: Int) {
         if (failedPaths == setOf(Keys.ROLLOUT) && attemptsLeft > 1) {
-            attempt(act, attemptsLeft - 1)
+            attempt(action, attemptsLeft - 1)
         } else {
-            act.done(AdministrationResult.Refused(changedMeanwhile(failedPaths)))
+            action.done(AdministrationResult.Refused(changedMeanwhile(failedPaths)))
         }
     }
 
     private fun changedMeanwhile(paths: Set<String>) = "${paths.joinToString()} changed meanwhile; look again"
 
-    /** What an act stores, and what must still hold. */
+    /** What an action stores, and what must still hold at that moment. */
     private class PlannedWrite(val preconditions: List<Precondition>, val write: Write)
 
     private fun commit(planned: PlannedWrite, done: (CommitOutcome) -> Unit) = store.commit(
@@ -231,10 +239,10 @@
     )
 
     private companion object {
-        /** How often an act is planned that meets moves of the leader's. */
+        /** How often an action is planned in all if it conflicts with gate transitions by the leader. */
         const val MAX_ATTEMPTS = 5
 
-        /** No controller has this label. */
-        const val OPERATOR = ""
+        /** A label that no controller has. */
+        const val OPERATOR_LABEL = ""
     }
 }
--- a/src/main/kotlin/io/reedmast/rollout/RolloutCoordinator.kt
+++ b/src/main/kotlin/io/reedmast/rollout/RolloutCoordinator.kt
@@ -9,104 +9,115 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Moves gates, on the leader.
+ * Carries out gate transitions, on the leader.
  *
- * Each move is one conditional write: the leader's key, the record of the rollout and, where every controller matters,
- * their membership keys and the shards must be as they were seen. A leader who has been replaced, or has seen too
- * little, therefore moves nothing.
+ * Each transition is one conditional write: the leader key, the rollout record and, for transitions that depend on
+ * every controller, the membership keys and the shards must be as this process has read them. A leader that has been
+ * replaced, or whose view is out of date, can therefore change nothing.
  *
- * @param maxPreconditions how many conditions a transaction takes
- * @param reread reads the record of the rollout again
+ * @param maxPreconditions the maximum number of preconditions of a transaction
+ * @param reread reads the rollout record again
  */
 class RolloutCoordinator(
     private val registry: FeatureRegistry,
     private val self: String,
-    private val wall: () -> Long,
+    private val wallTime: () -> Long,
     private val store: RolloutStore,
     private val view: RolloutView,
     private val maxPreconditions: Int,
     private val reread: () -> Unit,
 ) {
     private val log = LoggerFactory.getLogger("rollout")
-    private val decision = RolloutPlanner(registry)
+    private val planner = RolloutPlanner(registry)
     private var loggedReasons: Map<FeatureName, String> = emptyMap()
-    private var storing = false
+    private var isStoring = false
 
-    /** Why gates stay as they are although somebody wishes otherwise. */
+    /** Why gates keep their state although another one is requested. */
     val waitReasons: Map<FeatureName, String> get() = loggedReasons
 
     /**
-     * Called regularly while this controller leads, hears the store and is admitted; [leaderVersion] is the
-     * version of its key.
+     * Called periodically while this controller leads, is admitted and the store answers; [leaderVersion] is the
+     * version of the leader key.
      */
     fun runOnce(leaderVersion: Long, snapshot: ClusterSnapshot) {
-        if (storing) return
+        if (isStoring) return
         val gates = view.gates
-        val plan = decision.plan(gates.record, snapshot)
-        report(plan.waitReasons)
-        plan.move?.let { store(it, gates, leaderVersion) }
+        val plan = planner.plan(gates.record, snapshot)
+        updateWaitReasons(plan.waitReasons)
+        plan.transition?.let { storeTransition(it, gates, leaderVersion) }
     }
 
-    private fun report(waitReasons: Map<FeatureName, String>) {
+    private fun updateWaitReasons(waitReasons: Map<FeatureName, String>) {
         for ((feature, reason) in waitReasons) {
-            if (loggedReasons[feature] != reason) log.info("feature {}: waits, {}", feature, reason)
+            if (loggedReasons[feature] != reason) log.info("feature {}: waiting: {}", feature, reason)
         }
         loggedReasons = waitReasons
     }
 
-    private fun store(move: GateTransition, gates: GateSnapshot, leaderVersion: Long) {
-        val preconditions = listOf(Precondition(Keys.LEADER, leaderVersion), gates.precondition) + move.preconditions
+    private fun storeTransition(transition: GateTransition, gates: GateSnapshot, leaderVersion: Long) {
+        val preconditions =
+            listOf(Precondition(Keys.LEADER, leaderVersion), gates.precondition) + transition.preconditions
         if (preconditions.size > maxPreconditions) {
             val reason = "${preconditions.size} conditions are needed, a transaction takes $maxPreconditions"
-            report(loggedReasons + (move.feature.name to reason))
+            updateWaitReasons(loggedReasons + (transition.feature.name to reason))
             return
         }
-        storing = true
-        val moved = gates.record.withGateState(move.feature, move.to, Provenance.of(self, wall(), move.reason))
+        isStoring = true
+        val updatedRecord = gates.record.withGateState(
+            transition.feature,
+            transition.to,
+            Provenance.of(self, wallTime(), transition.reason),
+        )
         store.commit(
             CasTransaction(
                 preconditions,
-                listOf(Write.Put(Keys.ROLLOUT, moved.toFields())),
+                listOf(Write.Put(Keys.ROLLOUT, updatedRecord.toFields())),
                 WritePriority.URGENT,
             ) { outcome ->
-                storing = false
-                onMoveResolved(move, moved, outcome)
+                isStoring = false
+                onTransitionResolved(transition, updatedRecord, outcome)
             },
         )
     }
 
-    private fun onMoveResolved(move: GateTransition, moved: RolloutRecord, outcome: CommitOutcome) = when (outcome) {
-        is CommitOutcome.Applied -> {
-            log.info("feature {}: {}, since {}", move.feature.name, move.to.storedName, move.reason)
-            view.applyRecord(Keys.ROLLOUT, moved.toFields(), outcome.revision)
-        }
+    private fun onTransitionResolved(transition: GateTransition, updatedRecord: RolloutRecord, outcome: CommitOutcome) =
+        when (outcome) {
+            is CommitOutcome.Applied -> {
+                log.info(
+                    "feature {}: gate is now {}: {}",
+                    transition.feature.name,
+                    transition.to.storedName,
+                    transition.reason,
+                )
+                view.applyRecord(Keys.ROLLOUT, updatedRecord.toFields(), outcome.revision)
+            }
 
-        is CommitOutcome.Conflict -> reread()
+            is CommitOutcome.Conflict -> reread()
 
-        is CommitOutcome.Refused -> {
-            log.error("feature {}: the store refused its transition: {}", move.feature.name, outcome.reason)
+            is CommitOutcome.Refused -> {
+                log.error("feature {}: store refused the gate transition: {}", transition.feature.name, outcome.reason)
+            }
         }
-    }
 
-    /** This process was excluded and its versions fit: it counts again from the moment that this is stored. */
+    /** Includes this excluded controller, whose versions are compatible, again: from the moment that this is stored. */
     fun rejoin() {
-        if (storing) return
-        storing = true
+        if (isStoring) return
+        isStoring = true
         val gates = view.gates
-        val by = gates.record.excluded[self]
-        log.info("controller: excluded by {} ({}), asks to be included again", by?.by, by?.reason)
-        val included = gates.record.withIncluded(
+        val exclusion = gates.record.excluded[self]
+        log.info("controller: excluded by {} ({}); requesting inclusion", exclusion?.by, exclusion?.reason)
+        val updatedRecord = gates.record.withIncluded(
             self,
-            Provenance.of(self, wall(), "back with versions ${registry.range}"),
+            Provenance.of(self, wallTime(), "back with versions ${registry.range}"),
         )
         store.commit(
             CasTransaction(
                 listOf(gates.precondition),
-                listOf(Write.Put(Keys.ROLLOUT, included.toFields())),
+                listOf(Write.Put(Keys.ROLLOUT, updatedRecord.toFields())),
             ) { outcome ->
-                storing = false
+                isStoring = false
                 if (outcome is CommitOutcome.Applied) {
-                    view.applyRecord(Keys.ROLLOUT, included.toFields(), outcome.revision)
+                    view.applyRecord(Keys.ROLLOUT, updatedRecord.toFields(), outcome.revision)
                 } else {
                     reread()
                 }
--- a/src/main/kotlin/io/reedmast/rollout/RolloutOptions.kt
+++ b/src/main/kotlin/io/reedmast/rollout/RolloutOptions.kt
@@ -1,10 +1,10 @@
 package io.reedmast.rollout
 
 /**
- * What a controller brings to the rollout.
+ * A controller's configuration for the rollout.
  *
  * @property registry the features of this binary
- * @property desired what its deploy file wishes of each feature; empty without such a file
+ * @property desired the target that its deploy file requests for each feature; empty without such a file
  */
 class RolloutOptions(
     val registry: FeatureRegistry,
--- a/src/main/kotlin/io/reedmast/rollout/RolloutPlanner.kt
+++ b/src/main/kotlin/io/reedmast/rollout/RolloutPlanner.kt
@@ -3,101 +3,102 @@
 import io.reedmast.kvstore.Precondition
 
 /**
- * The next move of a gate.
+ * The next state change of a gate.
  *
- * @property preconditions what must still hold when the move is stored, besides the leader's key and the record itself
+ * @property preconditions what must still hold when the transition is stored, besides the preconditions on the leader
+ *   key and the rollout record
  */
 class GateTransition(val feature: Feature, val to: GateState, val reason: String, val preconditions: List<Precondition>)
 
 /**
- * What follows from a snapshot of the cluster: at most one move, and why the other gates stay as they are although they
- * should not.
+ * What follows from a snapshot of the cluster: at most one transition, and the reasons why gates keep their state
+ * although another one is requested.
  */
-class RolloutPlan(val move: GateTransition?, val waitReasons: Map<FeatureName, String>)
+class RolloutPlan(val transition: GateTransition?, val waitReasons: Map<FeatureName, String>)
 
 /**
- * Decides which gate moves next. Pure: the leader stores the move under its term, on condition that what it saw still
- * holds.
+ * Decides which gate changes its state next. Pure: the leader stores the transition under its term, on condition that
+ * what it has read still holds.
  */
 class RolloutPlanner(private val registry: FeatureRegistry) {
-    /** Why a gate stays, or the move that it makes. */
+    /** What happens to one gate: a transition, waiting for a reason, or nothing. */
     private sealed interface Verdict {
-        class Moves(val move: GateTransition) : Verdict
+        class Transition(val transition: GateTransition) : Verdict
 
-        class Waits(val reason: String) : Verdict
+        class Wait(val reason: String) : Verdict
 
-        data object Stays : Verdict
+        data object NoChange : Verdict
     }
 
-    /** The first gate that can move, in the order of dependencies, and why the gates before it wait. */
+    /** The transition of the first gate, in dependency order, that can change, and why the gates before it wait. */
     fun plan(record: RolloutRecord, snapshot: ClusterSnapshot): RolloutPlan {
         val waitReasons = LinkedHashMap<FeatureName, String>()
-        // What is taken back is taken back from the end of the dependencies.
+        // Features are reverted in the opposite order, as Reversal refuses to revert one that an active one depends on.
         for (feature in registry.inOrder) {
             if (feature.name in snapshot.externallyFinalized) continue
             when (val verdict = FeatureEvaluation(feature, record, snapshot).verdict()) {
-                is Verdict.Moves -> return RolloutPlan(verdict.move, waitReasons)
-                is Verdict.Waits -> waitReasons[feature.name] = verdict.reason
-                Verdict.Stays -> Unit
+                is Verdict.Transition -> return RolloutPlan(verdict.transition, waitReasons)
+                is Verdict.Wait -> waitReasons[feature.name] = verdict.reason
+                Verdict.NoChange -> Unit
             }
         }
         return RolloutPlan(null, waitReasons)
     }
 
-    /** One feature in one snapshot. */
+    /** Evaluates one feature in one snapshot. */
     private inner class FeatureEvaluation(
         private val feature: Feature,
         private val record: RolloutRecord,
         private val snapshot: ClusterSnapshot,
     ) {
-        private val counted = snapshot.participants(record)
-        private val unfit = counted.firstOrNull { label ->
+        private val participants = snapshot.participants(record)
+        private val incompatibleLabel = participants.firstOrNull { label ->
             snapshot.present[label]?.let { feature.requires !in it.versions.range } ?: false
         }
-        private val absent = counted.firstOrNull { it !in snapshot.present }
+        private val absentLabel = participants.firstOrNull { it !in snapshot.present }
 
         fun verdict(): Verdict {
-            val target = target()
+            val target = effectiveTarget()
             return when (record.stateOf(feature.name)) {
-                GateState.DORMANT -> if (target.wantsEnabled) ready() else target.orStays()
-                GateState.READY -> readyNext(target)
-                GateState.ENABLED -> enabledNext(target)
-                GateState.REVERTING -> revertingNext(target)
+                GateState.DORMANT -> if (target.wantsEnabled) fromDormant() else target.waitOrNoChange()
+                GateState.READY -> fromReady(target)
+                GateState.ENABLED -> fromEnabled(target)
+                GateState.REVERTING -> fromReverting(target)
                 GateState.FINALIZED -> if (target.requested == Target.DORMANT) {
-                    Verdict.Waits("it is finalized and stays")
+                    Verdict.Wait("it is finalized and stays")
                 } else {
-                    Verdict.Stays
+                    Verdict.NoChange
                 }
             }
         }
 
-        private fun moves(to: GateState, reason: String, preconditions: List<Precondition> = emptyList()) =
-            Verdict.Moves(GateTransition(feature, to, reason, preconditions))
+        private fun transitionTo(to: GateState, reason: String, preconditions: List<Precondition> = emptyList()) =
+            Verdict.Transition(GateTransition(feature, to, reason, preconditions))
 
-        private fun ready(): Verdict = missing()?.let { Verdict.Waits(it) }
-            ?: moves(GateState.READY, "every controller reads version ${feature.requires}", preconditions())
+        private fun fromDormant(): Verdict = versionWaitReason()?.let { Verdict.Wait(it) }
+            ?: transitionTo(GateState.READY, "every controller reads version ${feature.requires}", preconditions())
 
         private fun preconditions() = snapshot.preconditions(record)
 
-        private fun missing(): String? = when {
-            unfit != null -> {
-                val range = snapshot.present[unfit]?.versions?.range
-                "$unfit has versions $range, ${feature.requires} is required"
+        private fun versionWaitReason(): String? = when {
+            incompatibleLabel != null -> {
+                val range = snapshot.present[incompatibleLabel]?.versions?.range
+                "$incompatibleLabel has versions $range, ${feature.requires} is required"
             }
-            absent != null -> "$absent is silent"
+            absentLabel != null -> "$absentLabel is silent"
             else -> null
         }
 
-        private fun readyNext(target: TargetRequest): Verdict = when {
-            unfit != null -> moves(GateState.DORMANT, missing().orEmpty())
-            !target.wantsEnabled -> target.orStays()
-            else -> (missing() ?: dependenciesMissing(finalized = false) ?: shardInOtherHands())?.let {
-                Verdict.Waits(it)
+        private fun fromReady(target: EffectiveTarget): Verdict = when {
+            incompatibleLabel != null -> transitionTo(GateState.DORMANT, versionWaitReason().orEmpty())
+            !target.wantsEnabled -> target.waitOrNoChange()
+            else -> (versionWaitReason() ?: dependencyWaitReason(finalized = false) ?: shardOwnerWaitReason())?.let {
+                Verdict.Wait(it)
             }
-                ?: moves(GateState.ENABLED, target.reason, preconditions())
+                ?: transitionTo(GateState.ENABLED, target.reason, preconditions())
         }
 
-        private fun dependenciesMissing(finalized: Boolean): String? = feature.dependsOn.firstNotNullOfOrNull { name ->
+        private fun dependencyWaitReason(finalized: Boolean): String? = feature.dependsOn.firstNotNullOfOrNull { name ->
             val dependency = registry[name] ?: return@firstNotNullOfOrNull "$name is unknown"
             val state = snapshot.stateOf(name, record)
             when {
@@ -109,76 +110,84 @@
             }
         }
 
-        /** A process that does not count may still write under the term of a shard that it owns. */
-        private fun shardInOtherHands(): String? = snapshot.shards.withIndex().firstNotNullOfOrNull { (index, shard) ->
-            shard?.takeIf { it.owner !in counted }?.let { "shard $index is owned by ${it.owner}, which does not count" }
-        }
+        /** A process that does not participate may still write under the term of a shard that it owns. */
+        private fun shardOwnerWaitReason(): String? =
+            snapshot.shards.withIndex().firstNotNullOfOrNull { (index, shard) ->
+                shard?.takeIf {
+                    it.owner !in participants
+                }?.let { "shard $index is owned by ${it.owner}, which does not count" }
+            }
 
-        private fun enabledNext(target: TargetRequest): Verdict = when (target.requested) {
-            Target.DORMANT -> reverting(target)
-            Target.FINALIZED -> finalizing(target)
-            Target.ENABLED, null -> target.orStays()
+        private fun fromEnabled(target: EffectiveTarget): Verdict = when (target.requested) {
+            Target.DORMANT -> revert(target)
+            Target.FINALIZED -> finalize(target)
+            Target.ENABLED, null -> target.waitOrNoChange()
         }
 
-        private fun reverting(target: TargetRequest): Verdict {
+        private fun revert(target: EffectiveTarget): Verdict {
             val refusal = Reversal.refusal(registry, feature, record)
-            return if (refusal != null) Verdict.Waits(refusal) else moves(GateState.REVERTING, target.reason)
+            return if (refusal != null) Verdict.Wait(refusal) else transitionTo(GateState.REVERTING, target.reason)
         }
 
-        private fun finalizing(target: TargetRequest): Verdict {
-            val reason = missing() ?: dependenciesMissing(finalized = true) ?: migrationMissing()
+        private fun finalize(target: EffectiveTarget): Verdict {
+            val reason = versionWaitReason() ?: dependencyWaitReason(finalized = true) ?: migrationWaitReason()
             return if (reason != null) {
-                Verdict.Waits(reason)
+                Verdict.Wait(reason)
             } else {
-                moves(GateState.FINALIZED, target.reason, preconditions())
+                transitionTo(GateState.FINALIZED, target.reason, preconditions())
             }
         }
 
-        private fun migrationMissing(): String? {
+        private fun migrationWaitReason(): String? {
             if (snapshot.isMigrated(feature, record)) return null
             val blocked = snapshot.blockedRecords(feature, record)
             return if (blocked == 0L) "records are still being migrated" else "$blocked records cannot be migrated"
         }
 
-        private fun revertingNext(target: TargetRequest): Verdict = when {
-            target.wantsEnabled -> missing()?.let { Verdict.Waits(it) }
-                ?: moves(GateState.ENABLED, target.reason, preconditions())
-            else -> migrationMissing()?.let { Verdict.Waits(it) }
-                ?: moves(GateState.DORMANT, "all records have the old form again")
+        private fun fromReverting(target: EffectiveTarget): Verdict = when {
+            target.wantsEnabled -> versionWaitReason()?.let { Verdict.Wait(it) }
+                ?: transitionTo(GateState.ENABLED, target.reason, preconditions())
+            else -> migrationWaitReason()?.let { Verdict.Wait(it) }
+                ?: transitionTo(GateState.DORMANT, "all records have the old form again")
         }
 
         /**
-         * An operator's wish goes before the deploy files, which must agree: else the gate would move with each change
-         * of the leader.
+         * An operator's target takes precedence over the deploy files. The deploy files must agree, because otherwise
+         * the gate would change with every change of the leader.
          */
-        private fun target(): TargetRequest {
-            record.targetOverrides[feature.name]?.let { wish ->
-                return TargetRequest(wish.target, "wished by ${wish.provenance.by}: ${wish.provenance.reason}")
+        private fun effectiveTarget(): EffectiveTarget {
+            record.targetOverrides[feature.name]?.let { targetOverride ->
+                return EffectiveTarget(
+                    targetOverride.target,
+                    "wished by ${targetOverride.provenance.by}: ${targetOverride.provenance.reason}",
+                )
+            }
+            val desiredTargets = participants.associateWith {
+                snapshot.present[it]?.versions?.desired?.get(feature.name)
             }
-            val desires = counted.associateWith { snapshot.present[it]?.versions?.desired?.get(feature.name) }
-            val distinct = desires.values.toSet()
+            val distinctTargets = desiredTargets.values.toSet()
             return when {
-                distinct.all { it == null } -> TargetRequest(null, "")
-                distinct.size == 1 -> TargetRequest(distinct.first(), "wished by the deploy files")
+                distinctTargets.all { it == null } -> EffectiveTarget(null, "")
+                distinctTargets.size == 1 -> EffectiveTarget(distinctTargets.first(), "wished by the deploy files")
                 else -> {
-                    val each = desires.entries.joinToString { "${it.key} ${it.value?.storedName ?: "nothing"}" }
-                    TargetRequest(null, "", "the deploy files differ: $each")
+                    val each = desiredTargets.entries.joinToString { "${it.key} ${it.value?.storedName ?: "nothing"}" }
+                    EffectiveTarget(null, "", "the deploy files differ: $each")
                 }
             }
         }
     }
 
-    /** What is wished of a gate, and for what reason; [contradiction] if the wishes do not agree. */
-    private class TargetRequest(val requested: Target?, val reason: String, val contradiction: String? = null) {
+    /** The target requested for a gate, and the reason; [conflict] describes deploy files that do not agree. */
+    private class EffectiveTarget(val requested: Target?, val reason: String, val conflict: String? = null) {
         val wantsEnabled get() = requested == Target.ENABLED || requested == Target.FINALIZED
 
-        fun orStays(): Verdict = contradiction?.let { Verdict.Waits(it) } ?: Verdict.Stays
+        fun waitOrNoChange(): Verdict = conflict?.let { Verdict.Wait(it) } ?: Verdict.NoChange
     }
 }
 
-/** Whether a feature can be taken back. */
+/** Decides whether a feature can be reverted. */
 object Reversal {
-    /** Why [feature] cannot be taken back as the record stands; null if it can. */
+    /** Why [feature] cannot be reverted in the present state of [record]; null if it can. */
     fun refusal(registry: FeatureRegistry, feature: Feature, record: RolloutRecord): String? {
         val state = record.stateOf(feature.name)
         val dependent = registry.dependentsOf(feature.name).firstOrNull { record.stateOf(it.name).isActive }
--- a/src/main/kotlin/io/reedmast/rollout/RolloutRecord.kt
+++ b/src/main/kotlin/io/reedmast/rollout/RolloutRecord.kt
@@ -9,21 +9,21 @@
 import io.reedmast.wire.maps
 import io.reedmast.wire.text
 
-/** How far a feature has been rolled out. [storedName] is what the record of the rollout holds. */
+/** How far a feature has been rolled out. [storedName] is the name in the rollout record. */
 enum class GateState(val storedName: String, val isActive: Boolean) {
-    /** Not every controller understands the feature. */
+    /** It has not been established that every controller supports the feature. */
     DORMANT("dormant", isActive = false),
 
-    /** Every controller understands it; nothing of it is stored. */
+    /** Every controller supports the feature; nothing is stored in its format. */
     READY("ready", isActive = false),
 
-    /** New records have the new form, and old ones are being migrated. */
+    /** New records have the new format, and existing ones are being migrated. */
     ENABLED("enabled", isActive = true),
 
-    /** New records have the old form again, and migrated ones go back. */
+    /** New records have the old format again, and migrated ones are being converted back. */
     REVERTING("reverting", isActive = true),
 
-    /** All records have the new form, and it is not taken back any more. */
+    /** All records have the new format, and the feature can no longer be reverted. */
     FINALIZED("finalized", isActive = true),
     ;
 
@@ -33,7 +33,7 @@
     }
 }
 
-/** What somebody wishes a gate to come to. */
+/** The state that an operator or a deploy file requests for a gate. */
 enum class Target(val storedName: String) {
     DORMANT("dormant"),
     ENABLED("enabled"),
@@ -46,16 +46,16 @@
     }
 }
 
-/** Who changed something, when by the time of day, and for what reason. */
+/** Who made a change, when (wall time), and for what reason. */
 data class Provenance(val by: String, val atMs: Long, val reason: String) {
     /** The stored form. */
     fun toFields(): Fields = mapOf("by" to by, "at" to atMs, "why" to reason)
 
     companion object {
-        private const val LONGEST_REASON = 80
+        private const val MAX_REASON_LENGTH = 80
 
-        /** Reasons come from operators: a long one must not keep the record from being stored. */
-        fun of(by: String, atMs: Long, reason: String) = Provenance(by, atMs, reason.take(LONGEST_REASON))
+        /** Truncates [reason]: operators write reasons, and a long one must not make the record too large to store. */
+        fun of(by: String, atMs: Long, reason: String) = Provenance(by, atMs, reason.take(MAX_REASON_LENGTH))
 
         fun parse(fields: Fields) = Provenance(fields.text("by"), fields.count("at"), fields.text("why"))
     }
@@ -64,17 +64,18 @@
 /**
  * The stored state of one feature.
  *
- * @property requires the least version that reads the feature's form, for controllers that do not know the feature
- * @property generation grows with each move: progress of a migration counts only for the generation that it was made
- *   under
+ * @property requires the minimum version that reads the feature's format, for controllers that do not know the feature
+ * @property generation incremented with each transition: progress of a migration is valid only for the generation
+ *   during which it was made
+ * @property provenance the gate's last transition
  */
-data class Gate(val state: GateState, val requires: FormatVersion, val generation: Long, val moved: Provenance) {
+data class Gate(val state: GateState, val requires: FormatVersion, val generation: Long, val provenance: Provenance) {
     /** The stored form. */
     fun toFields(): Fields = mapOf(
         "state" to state.storedName,
         "requires" to requires.value.toLong(),
         "generation" to generation,
-        "moved" to moved.toFields(),
+        "moved" to provenance.toFields(),
     )
 
     companion object {
@@ -87,7 +88,7 @@
     }
 }
 
-/** What an operator wishes a gate to come to; it goes before what the deploy files say. */
+/** The target that an operator has set for a gate; it takes precedence over the targets in deploy files. */
 data class TargetOverride(val target: Target, val provenance: Provenance) {
     /** The stored form. */
     fun toFields(): Fields = mapOf("target" to target.storedName, "made" to provenance.toFields())
@@ -98,7 +99,7 @@
     }
 }
 
-/** One line of the rollout's history. */
+/** One change in the rollout's history. */
 data class HistoryEntry(val change: String, val provenance: Provenance) {
     /** The stored form. */
     fun toFields(): Fields = mapOf("what" to change, "made" to provenance.toFields())
@@ -109,9 +110,9 @@
 }
 
 /**
- * All that is stored of the rollout, under one key, so that one condition covers every gate.
+ * The stored state of the rollout, under one key, so that one precondition covers every gate.
  *
- * @property excluded controllers that do not count, by label, and who excluded them
+ * @property excluded the controllers that do not participate, by label, with who excluded them
  */
 data class RolloutRecord(
     val gates: Map<FeatureName, Gate> = emptyMap(),
@@ -119,19 +120,19 @@
     val excluded: Map<String, Provenance> = emptyMap(),
     val history: List<HistoryEntry> = emptyList(),
 ) {
-    /** The state of the gate of [feature]; one without a gate is dormant. */
+    /** The state of the gate of [feature]; a feature without a gate is dormant. */
     fun stateOf(feature: FeatureName): GateState = gates[feature]?.state ?: GateState.DORMANT
 
-    /** The least version that a process needs to read all that is stored, or may be stored at any moment. */
+    /** The minimum version that reads everything that is stored now or may be stored at any moment. */
     val requiredVersion: FormatVersion
         get() = gates.values.filter { it.state.isActive }.maxOfOrNull { it.requires } ?: FormatVersion.NONE
 
-    /** The oldest form that may still be stored: what is finalized is not found in its old form any more. */
+    /** The oldest format version that may still be stored: no record of a finalized feature has its old format. */
     val finalizedVersion: FormatVersion
         get() = gates.values.filter { it.state == GateState.FINALIZED }.maxOfOrNull { it.requires }
             ?: FormatVersion.NONE
 
-    /** With [feature]'s gate moved to [state]. */
+    /** A copy with the gate of [feature] in [state]. */
     fun withGateState(feature: Feature, state: GateState, provenance: Provenance): RolloutRecord {
         val generation = (gates[feature.name]?.generation ?: 0L) + 1
         return copy(
@@ -139,28 +140,26 @@
         ).withHistoryEntry("${feature.name} ${state.storedName}", provenance)
     }
 
-    /** With an operator's [target] for [feature]. */
+    /** A copy with an operator's [target] for [feature]. */
     fun withTargetOverride(feature: FeatureName, target: Target, provenance: Provenance): RolloutRecord = copy(
         targetOverrides = targetOverrides + (feature to TargetOverride(target, provenance)),
     ).withHistoryEntry("$feature wished ${target.storedName}", provenance)
 
-    /** With the controller [label] not counted. */
+    /** A copy in which the controller [label] is excluded. */
     fun withExcluded(label: String, provenance: Provenance): RolloutRecord =
         copy(excluded = excluded + (label to provenance)).withHistoryEntry("$label excluded", provenance)
 
-    /** With the controller [label] counted again. */
+    /** A copy in which the controller [label] is no longer excluded. */
     fun withIncluded(label: String, provenance: Provenance): RolloutRecord =
         copy(excluded = excluded - label).withHistoryEntry("$label included", provenance)
 
     private fun withHistoryEntry(change: String, provenance: Provenance) =
-        copy(history = (history + HistoryEntry(change, provenance)).takeLast(LONGEST_HISTORY))
+        copy(history = (history + HistoryEntry(change, provenance)).takeLast(MAX_HISTORY_ENTRIES))
 
-    /** As it is stored: with as much of the history as leaves it small enough for the smallest values. */
-
-    /** The stored form. */
+    /** The stored form, with as many of the latest history entries as fit the smallest limit on the size of a value. */
     fun toFields(): Fields {
         var kept = history
-        while (kept.isNotEmpty() && BodyCodec.jsonSize(fieldsWith(kept)) > LARGEST_WITH_HISTORY) kept = kept.drop(1)
+        while (kept.isNotEmpty() && BodyCodec.jsonSize(fieldsWith(kept)) > MAX_BYTES_WITH_HISTORY) kept = kept.drop(1)
         return fieldsWith(kept)
     }
 
@@ -173,27 +172,26 @@
     )
 
     companion object {
-        /** The layout of the record itself. A process that finds a newer one cannot know what it may write. */
+        /** The layout of this record itself. A process that reads a newer layout cannot tell what it may write. */
         private const val LAYOUT = 1L
 
-        /** Enough to see who opposed whom. */
-        private const val LONGEST_HISTORY = 8
+        /** Enough to see which operators have made opposing changes. */
+        private const val MAX_HISTORY_ENTRIES = 8
 
-        /** In bytes. */
-        private const val LARGEST_WITH_HISTORY = 1_700
+        private const val MAX_BYTES_WITH_HISTORY = 1_700
 
         fun parse(fields: Fields): RolloutRecord {
             val layout = fields.count("layout")
             if (layout != LAYOUT) throw MalformedException("its layout is $layout, this version reads $LAYOUT")
             return RolloutRecord(
-                named(fields.map("gates")) { Gate.parse(it) },
-                named(fields.map("wishes")) { TargetOverride.parse(it) },
+                parseByFeature(fields.map("gates")) { Gate.parse(it) },
+                parseByFeature(fields.map("wishes")) { TargetOverride.parse(it) },
                 fields.map("excluded").mapValues { Provenance.parse(asFields(it.value)) },
                 fields.maps("history").map { HistoryEntry.parse(it) },
             )
         }
 
-        private fun <T> named(fields: Fields, parse: (Fields) -> T): Map<FeatureName, T> =
+        private fun <T> parseByFeature(fields: Fields, parse: (Fields) -> T): Map<FeatureName, T> =
             fields.entries.associate { FeatureName(it.key) to parse(asFields(it.value)) }
     }
 }
--- a/src/main/kotlin/io/reedmast/rollout/RolloutStore.kt
+++ b/src/main/kotlin/io/reedmast/rollout/RolloutStore.kt
@@ -5,21 +5,21 @@
 import io.reedmast.kvstore.ReadResult
 
 /**
- * The store as the rollout needs it: conditional changes, and reads of the newest values.
+ * The operations of the store that the rollout uses: conditional transactions, and reads of the latest values.
  *
- * Results come later, on the thread that calls the rollout's classes. A change whose answer was lost is reported only
- * once it is certain whether it was applied.
+ * Results are delivered asynchronously, on the thread that calls the rollout's classes. The outcome of a transaction
+ * whose answer was lost is reported only once it is certain whether the transaction was applied.
  */
 interface RolloutStore {
-    /** Stores [change], whose own callback gets the outcome. */
+    /** Commits the transaction [change], whose own callback receives the outcome. */
     fun commit(change: CasTransaction)
 
-    /** Reads the key [path]; [done] gets [ReadResult.Failed] if the store did not answer. */
+    /** Reads the key [path]; [done] receives [ReadResult.Failed] if the store did not answer. */
     fun get(path: String, done: (ReadResult) -> Unit)
 
-    /** All records whose keys begin with [prefix], in key order. */
+    /** Lists all records whose keys begin with [prefix], in key order. */
     fun list(prefix: String, done: (ListResult) -> Unit)
 
-    /** How much of the budget of changes is left, as a part of a second's worth. */
+    /** How many write permits are left, as a fraction of one second's permits. */
     fun writePermitLevel(): Double
 }
--- a/src/main/kotlin/io/reedmast/rollout/RolloutView.kt
+++ b/src/main/kotlin/io/reedmast/rollout/RolloutView.kt
@@ -7,11 +7,11 @@
 import org.slf4j.LoggerFactory
 
 /**
- * What one process knows of the rollout: the stored record, what controllers publish of themselves, and the progress of
- * migrations.
+ * What one process has read of the rollout: the rollout record, what controllers publish about themselves, the progress
+ * of migrations, and drain orders.
  *
- * It is told of every value under the cluster's keys, by listings and by the watch, in any order; the newer version of
- * a key counts.
+ * Receives every value under the cluster's keys, from listings and from the watch, in any order; the newer version of a
+ * key takes precedence.
  */
 class RolloutView(private val registry: FeatureRegistry, private val self: String) {
     private val log = LoggerFactory.getLogger("rollout")
@@ -21,15 +21,15 @@
     private var appliedVersion = 0L
 
     /**
-     * The gates as last read. While the record cannot be read they are those of before, whose version no write can
-     * match.
+     * The gates as last read. While the record cannot be read these are the earlier ones: since their version is no
+     * longer the stored one, every write on condition of them fails.
      */
     var gates: GateSnapshot = GateSnapshot.NONE
         private set
 
     /**
-     * Whether this process may take part, by what it has read so far. It is asked for with every decision, and worked
-     * out with every change.
+     * Whether this process may take part, according to what it has read so far. Computed when the record changes, as it
+     * is read for every decision.
      */
     var admission: Admission = Admission.Admitted
         private set
@@ -44,16 +44,16 @@
 
     val drainOrders: Map<String, StoredDrainOrder> get() = drains
 
-    /** All keys are about to be told anew: what is not among them is gone. */
+    /** Discards everything, before all keys are applied again: a key that is not among them no longer exists. */
     fun reset() {
         present.clear()
         progress.clear()
         drains.clear()
         appliedVersion = 0L
-        accept(GateSnapshot.NONE)
+        setGates(GateSnapshot.NONE)
     }
 
-    /** Takes up the value under [path], if it is one of the rollout's keys; a null [value] is a deletion. */
+    /** Applies the value under [path], if that is one of the rollout's keys; a null [value] is a deletion. */
     fun applyRecord(path: String, value: Fields?, version: Long) {
         when {
             path == Keys.ROLLOUT -> applyRolloutRecord(value, version)
@@ -67,15 +67,15 @@
         if (version <= appliedVersion) return
         appliedVersion = version
         try {
-            accept(if (value == null) GateSnapshot.NONE else GateSnapshot(RolloutRecord.parse(value), version))
+            setGates(if (value == null) GateSnapshot.NONE else GateSnapshot(RolloutRecord.parse(value), version))
         } catch (e: MalformedException) {
             val reason = "${Keys.ROLLOUT} cannot be read: ${e.message}"
             admission = Admission.RecordUnreadable(reason)
-            log.error("{}; nothing is written until it can be", reason)
+            log.error("{}; writing nothing until it can be read", reason)
         }
     }
 
-    private fun accept(snapshot: GateSnapshot) {
+    private fun setGates(snapshot: GateSnapshot) {
         gates = snapshot
         admission = Admission.of(self, registry.range, snapshot.record)
     }
@@ -111,8 +111,8 @@
     }
 
     /**
-     * What a decision about gates is made from; [shards] are the shards' owners, and [externallyFinalized] features
-     * with records of their own.
+     * The input of a decision about gates; [shards] are the shards' owners, and [externallyFinalized] the features that
+     * separate records show to be finalized.
      */
     fun snapshot(configured: Set<String>, shards: List<ShardOwnership?>, externallyFinalized: Set<FeatureName>) =
         ClusterSnapshot(
@@ -124,7 +124,7 @@
         )
 
     companion object {
-        /** The field of a membership key in which earlier versions name theirs. */
+        /** The field of a membership key in which earlier versions state their version. */
         const val LEGACY_VERSION = "format"
     }
 }
--- a/src/main/kotlin/io/reedmast/rollout/StatusResult.kt
+++ b/src/main/kotlin/io/reedmast/rollout/StatusResult.kt
@@ -1,10 +1,10 @@
 package io.reedmast.rollout
 
-/** What came of reading the state of the rollout. */
+/** The result of reading the state of the rollout. */
 sealed interface StatusResult {
-    /** The state as its records give it. */
+    /** The state according to the stored records. */
     class Known(val status: RolloutStatus) : StatusResult
 
-    /** The store did not answer, or a record cannot be read; [reason] says which. */
+    /** The store did not answer or a record cannot be read, as [reason] states. */
     class Unknown(val reason: String) : StatusResult
 }
--- a/src/main/kotlin/io/reedmast/rollout/StoredProgress.kt
+++ b/src/main/kotlin/io/reedmast/rollout/StoredProgress.kt
@@ -1,4 +1,4 @@
 package io.reedmast.rollout
 
-/** Progress of a migration as stored, with the version of its key. */
+/** The stored progress of a migration, with the version of its key. */
 data class StoredProgress(val progress: MigrationProgress, val version: Long)
--- a/src/test/kotlin/io/reedmast/rollout/EmbeddedRolloutTest.kt
+++ b/src/test/kotlin/io/reedmast/rollout/EmbeddedRolloutTest.kt
@@ -9,10 +9,10 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** The rollout as another program embeds it: a store of its own, features of its own, and no controller. */
+/** Tests the rollout as embedded in another program, with its own store and features and without a controller. */
 class EmbeddedRolloutTest {
-    /** Counters in words become numbers. */
-    private object Numbers : RecordMigration {
+    /** Converts counters from strings to numbers. */
+    private object CounterMigration : RecordMigration {
         override val scope = MigrationScope.SHARD
 
         override fun prefix(shard: Int) = "counter/$shard/"
@@ -26,7 +26,7 @@
         override fun backward(record: Fields): Fields = mapOf("count" to record["count"].toString())
     }
 
-    private object Free : RecordAccess {
+    private object UncontendedRecords : RecordAccess {
         override fun tryAcquire(path: String) = true
 
         override fun release(path: String, version: Long?) = Unit
@@ -34,29 +34,35 @@
 
     private val store = MapStore()
     private var now = 0L
-    private val feature = Feature(FeatureName("numbers"), FormatVersion(1), migration = Numbers)
+    private val feature = Feature(FeatureName("numbers"), FormatVersion(1), migration = CounterMigration)
     private val registry = FeatureRegistry(listOf(feature), VersionRange(FormatVersion.NONE, FormatVersion(1)))
-    private val act = Provenance.of("a test", 0L, "a reason")
+    private val provenance = Provenance.of("a test", 0L, "a reason")
     private val fence = Precondition("counter-owner", 1L)
     private val view = RolloutView(registry, "a")
 
     private fun refresh() = store.items.values.forEach { view.applyRecord(it.path, it.value, it.version) }
 
-    private fun begin(state: GateState, records: Int) {
+    private fun setUp(state: GateState, records: Int) {
         store.put("counter-owner", emptyMap())
         repeat(records) { store.put("counter/0/%03d".format(it), mapOf("count" to "$it")) }
-        gate(state)
+        setGate(state)
     }
 
-    private fun gate(state: GateState) {
-        store.put(Keys.ROLLOUT, view.gates.record.withGateState(feature, state, act).toFields())
+    private fun setGate(state: GateState) {
+        store.put(Keys.ROLLOUT, view.gates.record.withGateState(feature, state, provenance).toFields())
         refresh()
     }
 
-    private fun reconciler(valueBytes: Int = 8_192) =
-        MigrationReconciler(MigrationUnit.Shard(0), registry, store, Free, MigrationPace(recordIntervalMs = 10), {
+    private fun reconciler(valueBytes: Int = 8_192) = MigrationReconciler(
+        MigrationUnit.Shard(0),
+        registry,
+        store,
+        UncontendedRecords,
+        MigrationPace(recordIntervalMs = 10),
+        {
             now
-        }) { valueBytes }
+        },
+    ) { valueBytes }
 
     private fun MigrationReconciler.run(ticks: Int) = repeat(ticks) {
         now += 10
@@ -71,20 +77,20 @@
     private fun progress() = view.progressOf(feature.name, MigrationUnit.Shard(0))?.progress
 
     @Test
-    fun `records go forward and back, and progress says when all have`() {
-        begin(GateState.ENABLED, records = 5)
+    fun `records are migrated forward and back, and progress shows when all have been`() {
+        setUp(GateState.ENABLED, records = 5)
         reconciler().run(10)
         assertEquals((0L until 5L).toList(), counts())
         assertTrue(progress()?.complete ?: false)
-        gate(GateState.REVERTING)
+        setGate(GateState.REVERTING)
         reconciler().run(10)
         assertEquals((0 until 5).map { "$it" }, counts())
         assertEquals(Direction.BACKWARD, progress()?.direction)
     }
 
     @Test
-    fun `another process goes on where one has stopped`() {
-        begin(GateState.ENABLED, records = 40)
+    fun `another process continues where one has stopped`() {
+        setUp(GateState.ENABLED, records = 40)
         reconciler().run(30)
         val halfway = counts().count { it is Long }
         assertTrue(halfway in 17..39, "$halfway")
@@ -95,23 +101,23 @@
         assertTrue(progress()?.complete ?: false)
     }
 
-    /** What was complete before says nothing of records that have gone back since. */
+    /** Progress that was complete before the rollback is not valid for records that have been converted back since. */
     @Test
-    fun `a rollback that is itself taken back halfway has all records migrated again`() {
-        begin(GateState.ENABLED, records = 5)
+    fun `after a rollback that is cancelled halfway, all records are migrated again`() {
+        setUp(GateState.ENABLED, records = 5)
         reconciler().run(10)
-        gate(GateState.REVERTING)
+        setGate(GateState.REVERTING)
         reconciler().run(4)
         assertTrue(counts().any { it is String } && counts().any { it is Long }, "${counts()}")
-        gate(GateState.ENABLED)
+        setGate(GateState.ENABLED)
         reconciler().run(10)
         assertEquals((0L until 5L).toList(), counts())
         assertEquals(view.gates.record.gates.getValue(feature.name).generation, progress()?.generation)
     }
 
     @Test
-    fun `an unreadable record is left, counted, and keeps the migration from being complete`() {
-        begin(GateState.ENABLED, records = 3)
+    fun `an unreadable record is left unchanged, counted, and keeps the migration from completing`() {
+        setUp(GateState.ENABLED, records = 3)
         store.put("counter/0/001", mapOf("count" to "many"))
         reconciler().run(10)
         assertEquals(listOf<Any>(0L, "many", 2L), counts())
@@ -124,20 +130,20 @@
     }
 
     @Test
-    fun `a record that does not fit its value is left`() {
-        begin(GateState.ENABLED, records = 2)
+    fun `a record that is too large for a value after conversion is left unchanged`() {
+        setUp(GateState.ENABLED, records = 2)
         reconciler(valueBytes = 20).run(10)
         assertEquals(listOf("0", "1"), counts())
         assertEquals(2L, progress()?.oversized)
     }
 
     @Test
-    fun `records wait while the permits are needed by others, but not for ever`() {
-        begin(GateState.ENABLED, records = 2)
+    fun `writes wait while few permits are left, but not indefinitely`() {
+        setUp(GateState.ENABLED, records = 2)
         store.permitLevel = 0.5
         val reconciler = reconciler().apply { run(10) }
         assertEquals(listOf("0", "1"), counts())
-        // Where that is always so, a record goes now and then.
+        // If the permit level stays low, a record is still written from time to time.
         reconciler.run(600)
         assertEquals(1, counts().count { it is Long })
         reconciler.run(600)
@@ -145,18 +151,18 @@
     }
 
     @Test
-    fun `a write that arrives after the gate has moved, or its writer has lost the fence, changes nothing`() {
-        begin(GateState.ENABLED, records = 1)
-        val held = ArrayList<() -> Unit>().also { store.hold = it }
+    fun `a write that arrives after the gate has changed, or its writer has lost the fence, changes nothing`() {
+        setUp(GateState.ENABLED, records = 1)
+        val held = ArrayList<() -> Unit>().also { store.heldCommits = it }
         reconciler().run(3)
-        store.hold = null
-        gate(GateState.REVERTING)
+        store.heldCommits = null
+        setGate(GateState.REVERTING)
         held.forEach { it() }
         assertEquals(listOf("0"), counts())
-        gate(GateState.ENABLED)
-        store.hold = held.apply { clear() }
+        setGate(GateState.ENABLED)
+        store.heldCommits = held.apply { clear() }
         reconciler().run(3)
-        store.hold = null
+        store.heldCommits = null
         store.put("counter-owner", emptyMap())
         assertEquals(1, held.size)
         held.forEach { it() }
@@ -164,7 +170,7 @@
     }
 
     @Test
-    fun `a leader who has been replaced, or has seen a controller that is gone, moves nothing`() {
+    fun `a leader that has been replaced, or has read an outdated membership key, changes no gate`() {
         val member = MemberVersions(registry.range, mapOf(feature.name to Target.ENABLED), "life", false).toFields()
         store.put(Keys.LEADER, mapOf("label" to "a"))
         store.put(Keys.member("a"), member)
@@ -180,16 +186,16 @@
         store.put(Keys.LEADER, mapOf("label" to "b"))
         coordinator.runOnce(seen, snapshot())
         assertEquals(null, store.items[Keys.ROLLOUT])
-        val old = snapshot()
+        val outdated = snapshot()
         store.put(Keys.member("a"), member)
-        coordinator.runOnce(store.items.getValue(Keys.LEADER).version, old)
+        coordinator.runOnce(store.items.getValue(Keys.LEADER).version, outdated)
         assertEquals(null, store.items[Keys.ROLLOUT])
         refresh()
         coordinator.runOnce(store.items.getValue(Keys.LEADER).version, snapshot())
         assertEquals(GateState.READY, view.gates.record.stateOf(feature.name))
-        val few = RolloutCoordinator(registry, "a", { now }, store, view, maxPreconditions = 3) {}
-        few.runOnce(store.items.getValue(Keys.LEADER).version, snapshot())
+        val limited = RolloutCoordinator(registry, "a", { now }, store, view, maxPreconditions = 3) {}
+        limited.runOnce(store.items.getValue(Keys.LEADER).version, snapshot())
         assertEquals(GateState.READY, view.gates.record.stateOf(feature.name))
-        assertTrue("4 conditions" in few.waitReasons.getValue(feature.name))
+        assertTrue("4 conditions" in limited.waitReasons.getValue(feature.name))
     }
 }
--- a/src/test/kotlin/io/reedmast/rollout/MapStore.kt
+++ b/src/test/kotlin/io/reedmast/rollout/MapStore.kt
@@ -9,20 +9,20 @@
 import io.reedmast.wire.Fields
 import java.util.TreeMap
 
-/** Conditional writes over a map; while there is a list in [hold], changes are put there instead. */
+/** A [RolloutStore] in memory; while [heldCommits] is a list, transactions are added to it instead of being applied. */
 class MapStore : RolloutStore {
     val items = TreeMap<String, StoredItem>()
     private var revision = 0L
     var reads = 0
     var permitLevel = 1.0
-    var hold: MutableList<() -> Unit>? = null
+    var heldCommits: MutableList<() -> Unit>? = null
 
     fun put(path: String, value: Fields) {
         items[path] = StoredItem(path, value, ++revision)
     }
 
     override fun commit(change: CasTransaction) {
-        hold?.let { held ->
+        heldCommits?.let { held ->
             held.add { apply(change) }
             return
         }
--- a/src/test/kotlin/io/reedmast/rollout/RolloutAdministrationTest.kt
+++ b/src/test/kotlin/io/reedmast/rollout/RolloutAdministrationTest.kt
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** Operators' acts: what is refused and why, and two operators in the same moment. */
+/** Tests operators' actions: what is refused and why, and two operators acting at once. */
 class RolloutAdministrationTest {
     private val store = MapStore()
     private val base = Feature(FeatureName("base"), FormatVersion(1))
@@ -25,19 +25,19 @@
         override fun externallyFinalized(items: List<StoredItem>) = emptySet<FeatureName>()
     }
     private val administration = RolloutAdministration(registry, setOf("n0", "n1"), records, { 0L }, store)
-    private val act = Attribution("somebody", "a reason")
+    private val attribution = Attribution("somebody", "a reason")
 
-    private fun present(label: String, drained: Boolean = false) =
+    private fun publishMember(label: String, drained: Boolean = false) =
         store.put(Keys.member(label), MemberVersions(registry.range, emptyMap(), "$label-life", drained).toFields())
 
-    private fun result(act: (((AdministrationResult) -> Unit)) -> Unit): AdministrationResult? {
+    private fun result(action: (((AdministrationResult) -> Unit)) -> Unit): AdministrationResult? {
         var result: AdministrationResult? = null
-        act { result = it }
+        action { result = it }
         return result
     }
 
-    private fun refused(reason: String, act: (((AdministrationResult) -> Unit)) -> Unit) {
-        val refused = result(act) as? AdministrationResult.Refused
+    private fun assertRefused(reason: String, action: (((AdministrationResult) -> Unit)) -> Unit) {
+        val refused = result(action) as? AdministrationResult.Refused
         assertTrue(refused?.reason?.contains(reason) ?: false, "$refused")
     }
 
@@ -45,30 +45,30 @@
         store.items[Keys.ROLLOUT]?.let { RolloutRecord.parse(it.value) } ?: RolloutRecord()
 
     @Test
-    fun `an exclusion of an unknown, a living, an owning and the last controller is refused`() {
-        present("n0")
-        present("n1")
-        refused("no controller n7") { administration.exclude("n7", act, it) }
-        refused("n1 is alive") { administration.exclude("n1", act, it) }
+    fun `excluding a controller that is unknown, alive, owns a shard or is the last one is refused`() {
+        publishMember("n0")
+        publishMember("n1")
+        assertRefused("no controller n7") { administration.exclude("n7", attribution, it) }
+        assertRefused("n1 is alive") { administration.exclude("n1", attribution, it) }
         store.items.remove(Keys.member("n1"))
-        refused("still owns shard 1") { administration.exclude("n1", act, it) }
+        assertRefused("still owns shard 1") { administration.exclude("n1", attribution, it) }
         owners = listOf("n0", "n0")
-        assertEquals(AdministrationResult.Done, result { administration.exclude("n1", act, it) })
-        refused("excluded already") { administration.exclude("n1", act, it) }
-        refused("the last controller") { administration.exclude("n0", act, it) }
-        assertEquals(AdministrationResult.Done, result { administration.include("n1", act, it) })
-        refused("not excluded") { administration.include("n1", act, it) }
+        assertEquals(AdministrationResult.Done, result { administration.exclude("n1", attribution, it) })
+        assertRefused("excluded already") { administration.exclude("n1", attribution, it) }
+        assertRefused("the last controller") { administration.exclude("n0", attribution, it) }
+        assertEquals(AdministrationResult.Done, result { administration.include("n1", attribution, it) })
+        assertRefused("not excluded") { administration.include("n1", attribution, it) }
     }
 
     @Test
-    fun `an exclusion fails if the controller comes back in the same moment`() {
+    fun `an exclusion fails if the controller returns before it is stored`() {
         owners = listOf("n0", "n0")
-        present("n0")
-        val held = ArrayList<() -> Unit>().also { store.hold = it }
+        publishMember("n0")
+        val held = ArrayList<() -> Unit>().also { store.heldCommits = it }
         var result: AdministrationResult? = null
-        administration.exclude("n1", act) { result = it }
-        store.hold = null
-        present("n1")
+        administration.exclude("n1", attribution) { result = it }
+        store.heldCommits = null
+        publishMember("n1")
         held.forEach { it() }
         assertTrue(
             (result as? AdministrationResult.Refused)?.reason?.contains("c/node/n1 changed meanwhile") ?: false,
@@ -77,13 +77,13 @@
     }
 
     @Test
-    fun `of two operators who act at once the second is told, and the record keeps who wished what`() {
-        present("n0")
-        present("n1")
-        val held = ArrayList<() -> Unit>().also { store.hold = it }
+    fun `of two operators who act at once one is refused, and the record shows whose target it has`() {
+        publishMember("n0")
+        publishMember("n1")
+        val held = ArrayList<() -> Unit>().also { store.heldCommits = it }
         var first: AdministrationResult? = null
         administration.setTarget(base.name, Target.ENABLED, Attribution("first", "early"), { first = it })
-        store.hold = null
+        store.heldCommits = null
         assertEquals(
             AdministrationResult.Done,
             result {
@@ -97,22 +97,27 @@
     }
 
     /**
-     * An operator's act failed at times with "c/rollout changed meanwhile; look again", though nobody else had acted:
-     * the leader had moved a gate between the act's reading and its write. LoopbackRolloutTest failed by it in one of
-     * eight plays at a load of six to ten ("[enable, dense-pages, ...]: reedmast: c/rollout changed meanwhile"). What
-     * operators decided is the same when read again, so the act goes through; the test above holds that it is refused
-     * where another operator has decided something.
+     * Guards against an operator's action that fails with "c/rollout changed meanwhile; look again" although no other
+     * operator has acted: the leader has changed a gate between the action's read and its write. LoopbackRolloutTest
+     * failed by this in one of eight runs at a load of six to ten ("[enable, dense-pages, ...]: reedmast: c/rollout
+     * changed meanwhile"). The operators' decisions are the same when read again, so the action succeeds; the test
+     * above checks that it is refused if another operator has decided something.
      */
     @Test
-    fun `an act that meets a move of the leader's goes through`() {
-        present("n0")
-        present("n1")
-        assertEquals(AdministrationResult.Done, result { administration.setTarget(base.name, Target.ENABLED, act, it) })
+    fun `an action that conflicts with a gate transition by the leader succeeds`() {
+        publishMember("n0")
+        publishMember("n1")
+        assertEquals(
+            AdministrationResult.Done,
+            result {
+                administration.setTarget(base.name, Target.ENABLED, attribution, it)
+            },
+        )
         val provenance = Provenance.of("leader n0", 0L, "all controllers read it")
-        val held = ArrayList<() -> Unit>().also { store.hold = it }
+        val held = ArrayList<() -> Unit>().also { store.heldCommits = it }
         var result: AdministrationResult? = null
-        administration.setTarget(feature.name, Target.ENABLED, act) { result = it }
-        store.hold = null
+        administration.setTarget(feature.name, Target.ENABLED, attribution) { result = it }
+        store.heldCommits = null
         store.put(Keys.ROLLOUT, record().withGateState(base, GateState.READY, provenance).toFields())
         held.forEach { it() }
         assertEquals(AdministrationResult.Done, result)
@@ -120,17 +125,22 @@
         assertEquals(GateState.READY, record().gates.getValue(base.name).state)
     }
 
-    /** A leader that moves gates all the time does not keep the operator waiting for ever. */
+    /** A leader that changes gates continually does not keep the operator waiting indefinitely. */
     @Test
-    fun `an act that meets moves again and again is refused in the end`() {
-        present("n0")
-        present("n1")
-        assertEquals(AdministrationResult.Done, result { administration.setTarget(base.name, Target.ENABLED, act, it) })
+    fun `an action that keeps conflicting with gate transitions is refused after a few attempts`() {
+        publishMember("n0")
+        publishMember("n1")
+        assertEquals(
+            AdministrationResult.Done,
+            result {
+                administration.setTarget(base.name, Target.ENABLED, attribution, it)
+            },
+        )
         val provenance = Provenance.of("leader n0", 0L, "a move")
         var moves = 0
-        val held = ArrayList<() -> Unit>().also { store.hold = it }
+        val held = ArrayList<() -> Unit>().also { store.heldCommits = it }
         var result: AdministrationResult? = null
-        administration.drain("n1", act) { result = it }
+        administration.drain("n1", attribution) { result = it }
         while (held.isNotEmpty()) {
             store.put(Keys.ROLLOUT, record().withGateState(base, GateState.READY, provenance).toFields())
             moves++
@@ -141,46 +151,56 @@
     }
 
     @Test
-    fun `wishes that cannot come true are refused`() {
-        refused("there is no feature") { administration.setTarget(FeatureName("other"), Target.ENABLED, act, it) }
-        assertEquals(AdministrationResult.Done, result { administration.setTarget(base.name, Target.DORMANT, act, it) })
-        refused("base, which is wished dormant") { administration.setTarget(feature.name, Target.ENABLED, act, it) }
+    fun `targets that cannot be reached are refused`() {
+        assertRefused("there is no feature") {
+            administration.setTarget(FeatureName("other"), Target.ENABLED, attribution, it)
+        }
+        assertEquals(
+            AdministrationResult.Done,
+            result {
+                administration.setTarget(base.name, Target.DORMANT, attribution, it)
+            },
+        )
+        assertRefused("base, which is wished dormant") {
+            administration.setTarget(feature.name, Target.ENABLED, attribution, it)
+        }
         val provenance = Provenance.of("a test", 0L, "a reason")
         store.put(Keys.ROLLOUT, record().withGateState(base, GateState.FINALIZED, provenance).toFields())
-        refused("is finalized") { administration.setTarget(base.name, Target.DORMANT, act, it) }
+        assertRefused("is finalized") { administration.setTarget(base.name, Target.DORMANT, attribution, it) }
     }
 
     @Test
-    fun `a controller may be stopped once it is drained and the others have all shards`() {
+    fun `a controller may be stopped once it is drained and the others own all shards`() {
         fun reasons(label: String): String {
             var readiness: Readiness? = null
             administration.readiness(label) { readiness = it }
             return (readiness as? Readiness.NotReady)?.reasons?.joinToString().orEmpty()
         }
-        present("n0")
+        publishMember("n0")
         assertTrue("n1 is silent" in reasons("n0"))
-        present("n1")
+        publishMember("n1")
         assertTrue("n1 owns shard 1" in reasons("n1"))
-        assertEquals(AdministrationResult.Done, result { administration.drain("n1", act, it) })
-        refused("n1 is being drained") { administration.drain("n0", act, it) }
+        assertEquals(AdministrationResult.Done, result { administration.drain("n1", attribution, it) })
+        assertRefused("n1 is being drained") { administration.drain("n0", attribution, it) }
         assertTrue("n1 is being drained" in reasons("n0"))
         owners = listOf("n0", "n0")
         assertTrue("has not said that it is drained" in reasons("n1"))
-        present("n1", drained = true)
+        publishMember("n1", drained = true)
         assertEquals("", reasons("n1"))
         assertEquals(AdministrationResult.Done, result { administration.endDrain("n1", it) })
-        refused("not being drained") { administration.endDrain("n1", it) }
+        assertRefused("not being drained") { administration.endDrain("n1", it) }
     }
 
     /**
-     * A controller that happens to own no shard was not to be stopped either, but the operator was not told to drain it:
-     * "n0 must not be stopped: n0 has not said that it is drained". LoopbackRolloutTest failed by it at a load of 12: at
-     * the first start n2 had acquired shard 0 a moment before n0 could ("shard 0: acquired by n2, token 3145728").
+     * Guards against an answer that does not tell the operator to drain a controller which happens to own no shard and
+     * still must not be stopped: "n0 must not be stopped: n0 has not said that it is drained". LoopbackRolloutTest
+     * failed by this at a load of 12: at the first start n2 had acquired shard 0 just before n0 could ("shard 0:
+     * acquired by n2, token 3145728").
      */
     @Test
-    fun `whoever asks about a controller without shards is told to drain it`() {
-        present("n0")
-        present("n1")
+    fun `a query whether a controller without shards may be stopped says to drain it first`() {
+        publishMember("n0")
+        publishMember("n1")
         owners = listOf("n1", "n1")
         var readiness: Readiness? = null
         administration.readiness("n0") { readiness = it }
@@ -189,15 +209,15 @@
     }
 
     @Test
-    fun `nothing is changed while the record of the rollout cannot be read`() {
+    fun `nothing is changed while the rollout record cannot be read`() {
         store.put(Keys.ROLLOUT, mapOf("layout" to 99L))
         val before = store.items.toMap()
-        refused("its layout is 99") { administration.setTarget(base.name, Target.ENABLED, act, it) }
-        refused("its layout is 99") { administration.exclude("n1", act, it) }
+        assertRefused("its layout is 99") { administration.setTarget(base.name, Target.ENABLED, attribution, it) }
+        assertRefused("its layout is 99") { administration.exclude("n1", attribution, it) }
         assertEquals(before, store.items.toMap())
     }
 
-    /** The largest record that operators can bring about fits the smallest values. */
+    /** The largest record that operators can cause fits the smallest limit on the size of a value. */
     @Test
     fun `long reasons do not make the record too large`() {
         var record = RolloutRecord()
--- a/src/test/kotlin/io/reedmast/rollout/RolloutMeasurement.kt
+++ b/src/test/kotlin/io/reedmast/rollout/RolloutMeasurement.kt
@@ -8,17 +8,18 @@
 import kotlin.random.Random
 
 /**
- * Measures what a rollout of dense pages costs and gains in the stand-in world, beside the same days without it:
- * `RolloutMeasurementKt 150 1500`.
+ * Measures the costs and gains of rolling out dense pages in the simulated world, compared with the same days without
+ * the rollout: `RolloutMeasurementKt 150 1500`, with the numbers of machines as arguments.
  *
- * Times are simulated; the processor time is that of this whole process, stand-ins included.
+ * Times are simulated. The CPU time is that of the whole process, which includes the simulated components; all of it
+ * runs on one thread.
  */
 private class RolloutMeasurement(private val machines: Int, private val rollOut: Boolean) {
     private val random = Random(machines)
-    private val latency = Histogram(LONGEST_MS, 3)
+    private val latency = Histogram(MAX_WAIT_MS, 3)
     private var submissions = 0
 
-    private fun head(): List<String> = listOf(
+    private fun scenarioHead(): List<String> = listOf(
         "nodes 3",
         "seed 1",
         "value-kb 8",
@@ -42,25 +43,23 @@
             ),
         )
         world.jobs[jobId] = World.SimJob(spec, RUN_MS, false)
-        ask(world, spec.jobId, world.now())
+        submitUntilAccepted(world, spec.jobId, world.now())
     }
 
-    /** As users do: refused for overload, it is tried again. */
-    private fun ask(world: World, jobId: String, since: Long) {
-        if (world.now() - since > LONGEST_MS) return
+    /** Submits the job and, like a user, retries a submission that is refused because of overload. */
+    private fun submitUntilAccepted(world: World, jobId: String, since: Long) {
+        if (world.now() - since > MAX_WAIT_MS) return
         val spec = world.jobs.getValue(jobId).spec
         world.controllers.random(random).ask(jobId, { controller, answer -> controller.submit(spec, answer) }) {
-            if (it.status <
-                FIRST_REFUSAL
-            ) {
+            if (it.status < FIRST_REFUSED_STATUS) {
                 latency.recordValue(world.now() - since)
             } else {
-                world.after(RETRY_MS) { ask(world, jobId, since) }
+                world.after(RETRY_MS) { submitUntilAccepted(world, jobId, since) }
             }
         }
     }
 
-    private fun load(world: World) {
+    private fun generateLoad(world: World) {
         repeat(maxOf(1, machines / MACHINES_PER_JOB_A_SECOND)) {
             val service = random.nextInt(3) == 0
             submit(
@@ -70,7 +69,7 @@
                 "t${random.nextInt(TEAMS)}",
             )
         }
-        world.after(1_000) { load(world) }
+        world.after(1_000) { generateLoad(world) }
     }
 
     private class Window(
@@ -95,7 +94,7 @@
             newPages,
             cpuMs() - cpu,
             latency.getValueAtPercentile(MEDIAN),
-            latency.getValueAtPercentile(HIGH),
+            latency.getValueAtPercentile(PERCENTILE_99),
         )
     }
 
@@ -103,19 +102,19 @@
 
     private fun await(world: World, condition: () -> Boolean): Long {
         val since = world.now()
-        while (!condition() && world.now() - since < LONGEST_MS) world.runUntil(world.now() + STEP_MS)
+        while (!condition() && world.now() - since < MAX_WAIT_MS) world.runUntil(world.now() + STEP_MS)
         return world.now() - since
     }
 
     fun run() {
         val scenario = Scenario(
-            head() + "at 5 submit wk-900000 kind=service team=t0 tasks=1 priority=urgent insist=true",
+            scenarioHead() + "at 5 submit wk-900000 kind=service team=t0 tasks=1 priority=urgent insist=true",
         ).also {
             it.run()
         }
         val world = scenario.world
         repeat(machines / MACHINES_PER_SERVICE) { submit(world, "service", 2, "t${it % TEAMS}") }
-        load(world)
+        generateLoad(world)
         world.runUntil(WARM_UP_MS)
         val windows = arrayListOf(window(world, "before", WINDOW_S))
         val operator = SimOperator(world)
@@ -130,7 +129,7 @@
             println("  enabled after $enabled ms, $pages pages migrated $migrated ms later")
             println(
                 "  meanwhile ${world.store.changes - changes} changes, accepted p99 ${latency.getValueAtPercentile(
-                    HIGH,
+                    PERCENTILE_99,
                 )} ms",
             )
         }
@@ -148,23 +147,23 @@
     private companion object {
         const val TEAMS = 6
         const val RUN_MS = 20_000L
-        const val LONGEST_MS = 300_000L
+        const val MAX_WAIT_MS = 300_000L
         const val RETRY_MS = 1_500L
-        const val FIRST_REFUSAL = 429
+        const val FIRST_REFUSED_STATUS = 429
         const val MACHINES_PER_JOB_A_SECOND = 300
         const val MACHINES_PER_SERVICE = 3
         const val STEP_MS = 100L
         const val WARM_UP_MS = 60_000L
         const val WINDOW_S = 90
 
-        /** Each size has been migrated by then. */
+        /** By this time the migration has finished for each number of machines. */
         const val AFTER_MS = 400_000L
         const val MEDIAN = 50.0
-        const val HIGH = 99.0
+        const val PERCENTILE_99 = 99.0
     }
 }
 
-/** Plays each size without and with the rollout. */
+/** Runs each number of machines without and with the rollout. */
 fun main(args: Array<String>) {
     for (machines in args.map { it.toInt() }) {
         for (rollOut in listOf(false, true)) {
--- a/src/test/kotlin/io/reedmast/rollout/RolloutPlannerTest.kt
+++ b/src/test/kotlin/io/reedmast/rollout/RolloutPlannerTest.kt
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test
 import org.junit.jupiter.api.assertThrows
 
-/** Which gate moves, and why the others stay, in pictures of the cluster that are made by hand. */
+/** Tests which gate changes, and why the others keep their state, on hand-made snapshots of the cluster. */
 class RolloutPlannerTest {
     private object ShardRecords : RecordMigration {
         override val scope = MigrationScope.SHARD
@@ -25,8 +25,8 @@
     private val fixed = Feature(FeatureName("fixed"), FormatVersion(3), revertible = false)
     private val registry =
         FeatureRegistry(listOf(feature, base, fixed), VersionRange(FormatVersion.NONE, FormatVersion(3)))
-    private val decision = RolloutPlanner(registry)
-    private val act = Provenance.of("somebody", 0L, "a reason")
+    private val planner = RolloutPlanner(registry)
+    private val provenance = Provenance.of("somebody", 0L, "a reason")
 
     private fun member(newest: Int, desired: Map<FeatureName, Target> = emptyMap(), oldest: Int = 0) = PresentMember(
         MemberVersions(VersionRange(FormatVersion(oldest), FormatVersion(newest)), desired, "life", false),
@@ -52,99 +52,116 @@
     )
 
     private fun record(vararg states: Pair<Feature, GateState>) = states.fold(RolloutRecord()) { record, (of, state) ->
-        record.withGateState(of, state, act)
+        record.withGateState(of, state, provenance)
     }
 
-    private fun RolloutRecord.withTarget(of: Feature, target: Target) = withTargetOverride(of.name, target, act)
+    private fun RolloutRecord.withTarget(of: Feature, target: Target) = withTargetOverride(of.name, target, provenance)
 
-    private fun complete(direction: Direction, generation: Long, vararg units: Int) = units.associate {
+    private fun completeProgress(direction: Direction, generation: Long, vararg units: Int) = units.associate {
         (feature.name to MigrationUnit.Shard(it) as MigrationUnit) to
             MigrationProgress(direction, generation, complete = true)
     }
 
-    private fun RolloutPlan.moves(to: GateState, of: Feature = feature) {
-        assertEquals(of.name to to, move?.let { it.feature.name to it.to }, "$waitReasons")
+    private fun RolloutPlan.assertTransition(to: GateState, of: Feature = feature) {
+        assertEquals(of.name to to, transition?.let { it.feature.name to it.to }, "$waitReasons")
     }
 
-    private fun RolloutPlan.waits(reason: String, of: Feature = feature) {
-        assertNull(move)
+    private fun RolloutPlan.assertWaits(reason: String, of: Feature = feature) {
+        assertNull(transition)
         assertTrue(waitReasons[of.name]?.contains(reason) ?: false, "$waitReasons")
     }
 
     @Test
-    fun `nothing moves that nobody wishes`() {
-        val plan = decision.plan(RolloutRecord(), snapshot())
-        assertNull(plan.move)
+    fun `no gate changes without a requested target`() {
+        val plan = planner.plan(RolloutRecord(), snapshot())
+        assertNull(plan.transition)
         assertEquals(emptyMap<FeatureName, String>(), plan.waitReasons)
     }
 
     @Test
-    fun `a gate is ready once every counted controller is there and reads the form`() {
-        val wished = record().withTarget(base, Target.ENABLED)
-        decision.plan(wished, snapshot()).moves(GateState.READY, base)
-        decision.plan(
-            wished,
+    fun `a gate is ready once every participating controller is present and reads the format`() {
+        val requested = record().withTarget(base, Target.ENABLED)
+        planner.plan(requested, snapshot()).assertTransition(GateState.READY, base)
+        planner.plan(
+            requested,
             snapshot(present = mapOf("n0" to member(3), "n1" to member(3))),
-        ).waits("n2 is silent", base)
-        decision.plan(
-            wished,
+        ).assertWaits("n2 is silent", base)
+        planner.plan(
+            requested,
             snapshot(present = mapOf("n0" to member(3), "n1" to member(1), "n2" to member(3))),
-        ).waits("n1 has versions 0 to 1", base)
-        val without = wished.withExcluded("n2", act)
-        decision.plan(
+        ).assertWaits("n1 has versions 0 to 1", base)
+        val without = requested.withExcluded("n2", provenance)
+        planner.plan(
             without,
             snapshot(present = mapOf("n0" to member(3), "n1" to member(3))),
-        ).moves(GateState.READY, base)
+        ).assertTransition(GateState.READY, base)
     }
 
     @Test
-    fun `a ready gate closes again when a controller goes back`() {
+    fun `a ready gate becomes dormant again when a controller returns to an earlier version`() {
         val ready = record(base to GateState.READY).withTarget(base, Target.ENABLED)
-        decision.plan(
+        planner.plan(
             ready,
             snapshot(present = mapOf("n0" to member(3), "n1" to member(1), "n2" to member(3))),
-        ).moves(GateState.DORMANT, base)
+        ).assertTransition(GateState.DORMANT, base)
     }
 
     @Test
-    fun `enabling is on condition of every controller's key and every shard's owner`() {
+    fun `enabling has preconditions on every controller's key and every shard's owner`() {
         val ready = record(base to GateState.READY).withTarget(base, Target.ENABLED)
-        val move = decision.plan(ready, snapshot()).also { it.moves(GateState.ENABLED, base) }.move
+        val transition = planner.plan(ready, snapshot()).also {
+            it.assertTransition(GateState.ENABLED, base)
+        }.transition
         assertEquals(
             listOf("n0", "n1", "n2").map { Keys.member(it) to 13L } + (0..2).map { Keys.shard(it) to 100L + it },
-            move?.preconditions?.map { it.path to it.version },
+            transition?.preconditions?.map { it.path to it.version },
         )
     }
 
     @Test
-    fun `no gate is enabled while a controller that does not count owns a shard`() {
-        val ready = record(base to GateState.READY).withTarget(base, Target.ENABLED).withExcluded("n2", act)
-        decision.plan(ready, snapshot()).waits("shard 2 is owned by n2", base)
+    fun `no gate is enabled while an excluded controller owns a shard`() {
+        val ready = record(base to GateState.READY).withTarget(base, Target.ENABLED).withExcluded("n2", provenance)
+        planner.plan(ready, snapshot()).assertWaits("shard 2 is owned by n2", base)
     }
 
     @Test
-    fun `a feature waits for its dependency, and for the migration of that`() {
-        val wished = record(feature to GateState.READY, base to GateState.READY).withTarget(feature, Target.ENABLED)
-        decision.plan(wished, snapshot()).waits("base is not enabled")
-        decision.plan(wished.withGateState(base, GateState.ENABLED, act), snapshot()).moves(GateState.ENABLED)
+    fun `a feature waits for its dependency, and for the dependency's migration`() {
+        val requested = record(feature to GateState.READY, base to GateState.READY).withTarget(feature, Target.ENABLED)
+        planner.plan(requested, snapshot()).assertWaits("base is not enabled")
+        planner.plan(
+            requested.withGateState(base, GateState.ENABLED, provenance),
+            snapshot(),
+        ).assertTransition(GateState.ENABLED)
     }
 
     @Test
-    fun `a feature is not finalized before all units are migrated in the gate's own generation`() {
+    fun `a feature is not finalized before all units are migrated in the gate's current generation`() {
         val enabled = record(
             base to GateState.FINALIZED,
             feature to GateState.READY,
             feature to GateState.ENABLED,
         ).withTarget(feature, Target.FINALIZED)
-        decision.plan(enabled, snapshot(progress = complete(Direction.FORWARD, 2, 0, 1))).waits("being migrated")
-        decision.plan(enabled, snapshot(progress = complete(Direction.FORWARD, 1, 0, 1, 2))).waits("being migrated")
-        decision.plan(enabled, snapshot(progress = complete(Direction.BACKWARD, 2, 0, 1, 2))).waits("being migrated")
-        decision.plan(enabled, snapshot(progress = complete(Direction.FORWARD, 2, 0, 1, 2))).moves(GateState.FINALIZED)
+        planner.plan(
+            enabled,
+            snapshot(progress = completeProgress(Direction.FORWARD, 2, 0, 1)),
+        ).assertWaits("being migrated")
+        planner.plan(
+            enabled,
+            snapshot(progress = completeProgress(Direction.FORWARD, 1, 0, 1, 2)),
+        ).assertWaits("being migrated")
+        planner.plan(
+            enabled,
+            snapshot(progress = completeProgress(Direction.BACKWARD, 2, 0, 1, 2)),
+        ).assertWaits("being migrated")
+        planner.plan(
+            enabled,
+            snapshot(progress = completeProgress(Direction.FORWARD, 2, 0, 1, 2)),
+        ).assertTransition(GateState.FINALIZED)
         val blocked = mapOf(
             (feature.name to MigrationUnit.Shard(1) as MigrationUnit) to
                 MigrationProgress(Direction.FORWARD, 2, unreadable = 4),
         )
-        decision.plan(enabled, snapshot(progress = blocked)).waits("4 records cannot be migrated")
+        planner.plan(enabled, snapshot(progress = blocked)).assertWaits("4 records cannot be migrated")
     }
 
     @Test
@@ -153,49 +170,55 @@
             base to GateState.ENABLED,
             feature to GateState.ENABLED,
         ).withTarget(feature, Target.FINALIZED)
-        decision.plan(
+        planner.plan(
             enabled,
-            snapshot(progress = complete(Direction.FORWARD, 1, 0, 1, 2)),
-        ).waits("base is not finalized")
+            snapshot(progress = completeProgress(Direction.FORWARD, 1, 0, 1, 2)),
+        ).assertWaits("base is not finalized")
     }
 
     @Test
-    fun `going back takes records back before the gate closes`() {
+    fun `a feature that is reverted becomes dormant only after its records are converted back`() {
         val enabled = record(
             base to GateState.ENABLED,
             feature to GateState.ENABLED,
         ).withTarget(feature, Target.DORMANT)
-        decision.plan(enabled, snapshot()).moves(GateState.REVERTING)
-        val reverting = enabled.withGateState(feature, GateState.REVERTING, act)
-        decision.plan(reverting, snapshot(progress = complete(Direction.BACKWARD, 2, 0, 2))).waits("being migrated")
-        decision.plan(reverting, snapshot(progress = complete(Direction.BACKWARD, 2, 0, 1, 2))).moves(GateState.DORMANT)
-        decision.plan(reverting.withTarget(feature, Target.ENABLED), snapshot()).moves(GateState.ENABLED)
+        planner.plan(enabled, snapshot()).assertTransition(GateState.REVERTING)
+        val reverting = enabled.withGateState(feature, GateState.REVERTING, provenance)
+        planner.plan(
+            reverting,
+            snapshot(progress = completeProgress(Direction.BACKWARD, 2, 0, 2)),
+        ).assertWaits("being migrated")
+        planner.plan(
+            reverting,
+            snapshot(progress = completeProgress(Direction.BACKWARD, 2, 0, 1, 2)),
+        ).assertTransition(GateState.DORMANT)
+        planner.plan(reverting.withTarget(feature, Target.ENABLED), snapshot()).assertTransition(GateState.ENABLED)
     }
 
     @Test
-    fun `what others depend on, is finalized or cannot be taken back stays`() {
+    fun `a feature that others depend on, is finalized or is not revertible cannot be reverted`() {
         val both = record(base to GateState.ENABLED, feature to GateState.ENABLED).withTarget(base, Target.DORMANT)
-        decision.plan(both, snapshot()).waits("feature depends on it", base)
-        decision.plan(
+        planner.plan(both, snapshot()).assertWaits("feature depends on it", base)
+        planner.plan(
             record(base to GateState.FINALIZED).withTarget(base, Target.DORMANT),
             snapshot(),
-        ).waits("it is finalized", base)
-        decision.plan(
+        ).assertWaits("it is finalized", base)
+        planner.plan(
             record(fixed to GateState.ENABLED).withTarget(fixed, Target.DORMANT),
             snapshot(),
-        ).waits("cannot be taken back", fixed)
+        ).assertWaits("cannot be taken back", fixed)
     }
 
     @Test
-    fun `deploy files that differ move nothing, and an operator's wish goes before them`() {
+    fun `deploy files that differ change no gate, and an operator's target takes precedence over them`() {
         val enabled = mapOf(base.name to Target.ENABLED)
         val differ =
             snapshot(present = mapOf("n0" to member(3, enabled), "n1" to member(3), "n2" to member(3, enabled)))
-        decision.plan(RolloutRecord(), differ).waits("the deploy files differ", base)
-        decision.plan(record().withTarget(base, Target.ENABLED), differ).moves(GateState.READY, base)
+        planner.plan(RolloutRecord(), differ).assertWaits("the deploy files differ", base)
+        planner.plan(record().withTarget(base, Target.ENABLED), differ).assertTransition(GateState.READY, base)
         val agree = snapshot(present = listOf("n0", "n1", "n2").associateWith { member(3, enabled) })
-        decision.plan(RolloutRecord(), agree).moves(GateState.READY, base)
-        assertNull(decision.plan(record(base to GateState.READY).withTarget(base, Target.DORMANT), agree).move)
+        planner.plan(RolloutRecord(), agree).assertTransition(GateState.READY, base)
+        assertNull(planner.plan(record(base to GateState.READY).withTarget(base, Target.DORMANT), agree).transition)
     }
 
     @Test
@@ -217,16 +240,16 @@
         assertTrue(Admission.of("n0", range, record(base to GateState.ENABLED)) is Admission.Incompatible)
         assertEquals(
             Admission.Excluded,
-            Admission.of("n0", range, record(base to GateState.FINALIZED).withExcluded("n0", act)),
+            Admission.of("n0", range, record(base to GateState.FINALIZED).withExcluded("n0", provenance)),
         )
         assertEquals(
             Admission.Admitted,
-            Admission.of("n1", range, record(base to GateState.FINALIZED).withExcluded("n0", act)),
+            Admission.of("n1", range, record(base to GateState.FINALIZED).withExcluded("n0", provenance)),
         )
     }
 
     @Test
-    fun `a registry with a cycle, a double or an unknown dependency is refused`() {
+    fun `a registry with a cycle, a duplicate, an unknown dependency or an unsupported version is rejected`() {
         val range = VersionRange(FormatVersion.NONE, FormatVersion(3))
         val a = Feature(FeatureName("a"), FormatVersion(1), setOf(FeatureName("b")))
         val b = Feature(FeatureName("b"), FormatVersion(1), setOf(FeatureName("a")))
--- a/src/test/kotlin/io/reedmast/rollout/RolloutProperties.kt
+++ b/src/test/kotlin/io/reedmast/rollout/RolloutProperties.kt
@@ -11,34 +11,34 @@
 import org.junit.jupiter.api.Test
 
 /**
- * Generated orders of replacements, crashes, freezes, rollbacks and lost answers, played by real controllers in the
- * stand-in world.
+ * Generated sequences of replacements, crashes, freezes, rollbacks, lost answers and other faults, run by real
+ * controllers in the simulated world.
  *
- * The world checks every stored form, every page that is read and every move of a gate (RolloutRules) besides the rules
- * of the protocol. When all is over, the gates must stand where a model of them says, and no service may have been
- * placed anew without need. A failing order is shrunk to a short one and printed as a scenario.
+ * The world checks every stored format, every page that is read and every gate transition (RolloutRules) besides the
+ * rules of the protocol. At the end the gates must be in the states that a model predicts, and no service may have been
+ * placed again without need. A failing sequence is shrunk to a short one and printed as a scenario.
  */
 class RolloutProperties {
-    /** One thing that happens, [afterMs] after the one before. */
+    /** An action that happens [afterMs] after the previous one. */
     data class Step(val afterMs: Long, val action: Action)
 
-    /** What an operator does or what goes wrong, in the words of scenarios. */
+    /** An operator's action or a fault, as lines of a scenario. */
     sealed interface Action {
         fun lines(at: Double): List<String>
     }
 
-    data class Replace(val node: Int, val version: Int, val downMs: Long) : Action {
+    data class ReplaceController(val node: Int, val version: Int, val downMs: Long) : Action {
         override fun lines(at: Double) =
             listOf("at $at version n$node $version", "at ${at + downMs / 1000.0} start n$node")
     }
 
-    data class Wish(val feature: String, val target: Target) : Action {
+    data class SetTarget(val feature: String, val target: Target) : Action {
         override fun lines(at: Double) =
             listOf("at $at operator ${if (target == Target.ENABLED) "enable" else "revert"} $feature perhaps")
     }
 
-    data class Trouble(val text: String) : Action {
-        override fun lines(at: Double) = listOf("at $at $text")
+    data class Fault(val line: String) : Action {
+        override fun lines(at: Double) = listOf("at $at $line")
     }
 
     private val features = listOf("fenced-tokens", "dense-pages")
@@ -50,50 +50,50 @@
             nodes,
             Arbitraries.integers().between(1, 3),
             Arbitraries.longs().between(100, 9_000),
-        ).`as`(::Replace)
-        val wishes = Combinators.combine(
+        ).`as`(::ReplaceController)
+        val targets = Combinators.combine(
             Arbitraries.of(features),
             Arbitraries.of(Target.ENABLED, Target.ENABLED, Target.DORMANT),
-        ).`as`(::Wish)
+        ).`as`(::SetTarget)
         val keys = Arbitraries.of("c/rollout", "c/token", "c/migration", "page/", "c/slice", "c/node")
-        val lost = Combinators.combine(nodes, keys).`as` { node, key -> Trouble("lose-answer n$node $key") }
+        val lost = Combinators.combine(nodes, keys).`as` { node, key -> Fault("lose-answer n$node $key") }
         val late = Combinators.combine(nodes, Arbitraries.integers().between(1, 20), keys).`as` { node, s, key ->
-            Trouble("late-commit n$node $s $key")
+            Fault("late-commit n$node $s $key")
         }
         val frozen = Combinators.combine(nodes, Arbitraries.integers().between(1, 20)).`as` { node, s ->
-            Trouble("stand-still n$node $s")
+            Fault("stand-still n$node $s")
         }
-        val outages = Arbitraries.integers().between(1, 8).map { Trouble("outage $it") }
-        val excluded = nodes.map { Trouble("operator exclude n$it perhaps") }
-        val drained = nodes.map { Trouble("operator drain n$it perhaps") }
-        val actions = Arbitraries.oneOf(replacements, wishes, wishes, lost, late, frozen, outages, excluded, drained)
+        val outages = Arbitraries.integers().between(1, 8).map { Fault("outage $it") }
+        val excluded = nodes.map { Fault("operator exclude n$it perhaps") }
+        val drained = nodes.map { Fault("operator drain n$it perhaps") }
+        val actions = Arbitraries.oneOf(replacements, targets, targets, lost, late, frozen, outages, excluded, drained)
         return Combinators.combine(Arbitraries.longs().between(0, 6_000), actions).`as` { ms, action ->
             Step(ms, action as Action)
         }.list().ofMinSize(1).ofMaxSize(14)
     }
 
     /**
-     * What the gates come to once every controller is new and nothing is in the way: the last wish that was not refused
-     * at once.
+     * The states that the gates reach once every controller has the new version and nothing blocks them: those of the
+     * last targets that were not refused at once.
      */
     private class GateModel {
-        private val wished = HashMap<String, Target>()
+        private val targets = HashMap<String, Target>()
 
         fun settle(final: Target): Map<String, String> {
-            wished["fenced-tokens"] = final
-            wished["dense-pages"] = final
-            return wished.mapValues { if (it.value == Target.ENABLED) "enabled" else "taken-back" }
+            targets["fenced-tokens"] = final
+            targets["dense-pages"] = final
+            return targets.mapValues { if (it.value == Target.ENABLED) "enabled" else "taken-back" }
         }
     }
 
     private fun scenario(steps: List<Step>, final: Target): List<String> {
         val events = ArrayList<String>()
-        var at = BEGIN_S
+        var at = START_S
         for (step in steps) {
             at = Math.round((at + step.afterMs / 1000.0) * 1000) / 1000.0
             events.addAll(step.action.lines(at))
         }
-        val end = Math.ceil(at) + LONGEST_TROUBLE_S
+        val end = Math.ceil(at) + MAX_FAULT_DURATION_S
         for (node in 0 until MEMBERS) {
             events.addAll(
                 listOf("at ${end + node} version n$node 3", "at ${end + node + 0.3} start n$node"),
@@ -101,7 +101,7 @@
         }
         val order = if (final == Target.ENABLED) features else features.reversed()
         order.forEachIndexed { i, feature ->
-            events.addAll(Wish(feature, final).lines(end + 10 + i * if (final == Target.ENABLED) 0 else 45))
+            events.addAll(SetTarget(feature, final).lines(end + 10 + i * if (final == Target.ENABLED) 0 else 45))
         }
         GateModel().settle(final).forEach { (feature, state) ->
             events.add("at ${end + 90} expect gate $feature $state")
@@ -112,7 +112,7 @@
         return head + events.sortedBy { it.split(' ')[1].toDouble() }
     }
 
-    private fun play(steps: List<Step>, final: Target) {
+    private fun run(steps: List<Step>, final: Target) {
         val lines = scenario(steps, final)
         try {
             Scenario(lines).run()
@@ -122,22 +122,22 @@
     }
 
     @Property(tries = 60, seed = "2001")
-    fun `whatever the order, forms are readable to all who count and the gates settle`(
+    fun `whatever the sequence, formats are readable to all participants and the gates settle`(
         @ForAll("steps") steps: List<Step>,
         @ForAll last: Boolean,
-    ) = play(steps, if (last) Target.ENABLED else Target.DORMANT)
+    ) = run(steps, if (last) Target.ENABLED else Target.DORMANT)
 
     @Test
-    fun `without any trouble the order is played as it is written`() =
-        assertEquals(Unit, play(listOf(Step(0, Wish("fenced-tokens", Target.ENABLED))), Target.ENABLED))
+    fun `a sequence without faults runs as written`() =
+        assertEquals(Unit, run(listOf(Step(0, SetTarget("fenced-tokens", Target.ENABLED))), Target.ENABLED))
 
     private companion object {
         const val MEMBERS = 3
         const val TASKS = 12
-        const val BEGIN_S = 12.0
+        const val START_S = 12.0
 
-        /** Late transactions and freezes are over by then. */
-        const val LONGEST_TROUBLE_S = 30.0
+        /** By this time late transactions have been carried out and freezes have ended. */
+        const val MAX_FAULT_DURATION_S = 30.0
         val head = listOf(
             "nodes 3",
             "value-kb 2",
