--- a/src/test/kotlin/io/reedmast/sim/BehaviourDigest.kt
+++ b/src/test/kotlin/io/reedmast/sim/BehaviourDigest.kt
@@ -24,10 +24,10 @@
 fun main(args: Array<String>) {
     System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", "off")
     when (args.firstOrNull()) {
-        "write" -> File(args[1]).writeText(playAll(digestDays()).joinToString("") { "$it\n" })
+        "write" -> File(args[1]).writeText(runAll(digestDays()).joinToString("") { "$it\n" })
         "compare" -> exitProcess(if (compare(File(args[1]).readLines()) == 0) 0 else 1)
         "transcript" -> File(args[2]).bufferedWriter().use { out ->
-            digestDays().first { it.name == args[1] }.play(out)
+            digestDays().first { it.name == args[1] }.run(out)
         }
         else -> error("usage: write FILE, compare FILE, or transcript DAY FILE")
     }
@@ -40,7 +40,7 @@
 
 /** A day and the lines of its scenario. */
 private class DigestDay(val name: String, private val lines: () -> List<String>) {
-    fun play(transcript: Appendable? = null): DayDigest {
+    fun run(transcript: Appendable? = null): DayDigest {
         val scenario = Scenario(lines())
         val recorder = OutputRecorder(transcript)
         scenario.world.recorder = recorder
@@ -85,10 +85,10 @@
     }
 
 /** Plays the days on several threads; each has a world of its own. */
-private fun playAll(days: List<DigestDay>): List<DayDigest> {
+private fun runAll(days: List<DigestDay>): List<DayDigest> {
     val threads = Executors.newFixedThreadPool(System.getenv("DIGEST_THREADS")?.toInt() ?: DEFAULT_THREADS)
     try {
-        return threads.invokeAll(days.map { Callable { it.play() } }).map { it.get() }
+        return threads.invokeAll(days.map { Callable { it.run() } }).map { it.get() }
     } finally {
         threads.shutdownNow()
     }
@@ -96,12 +96,12 @@
 
 /** Prints the days whose digests differ from [expected], and returns how many do. */
 private fun compare(expected: List<String>): Int {
-    val played = playAll(digestDays()).map { it.toString() }
-    val differing = played.filter { it !in expected }.map { "differs: $it" } +
+    val results = runAll(digestDays()).map { it.toString() }
+    val differing = results.filter { it !in expected }.map { "differs: $it" } +
         expected.filter { line ->
-            played.none { it.substringBefore(' ') == line.substringBefore(' ') }
+            results.none { it.substringBefore(' ') == line.substringBefore(' ') }
         }.map { "not played: $it" }
     differing.forEach { println(it) }
-    println("${played.size - differing.count { it.startsWith("differs") }} of ${played.size} days are as in the file")
+    println("${results.size - differing.count { it.startsWith("differs") }} of ${results.size} days are as in the file")
     return differing.size
 }
--- a/src/test/kotlin/io/reedmast/sim/OutputRecorderTest.kt
+++ b/src/test/kotlin/io/reedmast/sim/OutputRecorderTest.kt
@@ -39,12 +39,12 @@
      */
     @Test
     fun `a day that is played twice has one digest`() {
-        fun play(): String {
+        fun run(): String {
             val scenario = Scenario(RandomDay(1, gangs = true).lines())
             val recorder = OutputRecorder().also { scenario.world.recorder = it }
             scenario.run()
             return recorder.result()
         }
-        assertEquals(play(), play())
+        assertEquals(run(), run())
     }
 }
--- a/src/test/kotlin/io/reedmast/sim/RolloutRules.kt
+++ b/src/test/kotlin/io/reedmast/sim/RolloutRules.kt
@@ -18,7 +18,7 @@
 class RolloutRules(private val world: World) {
     private var record = RolloutRecord()
 
-    private fun state(path: String, value: Fields) = when {
+    private fun formOf(path: String, value: Fields) = when {
         path.startsWith("page/") -> DensePages.FEATURE to DensePages.isDense(value)
         path == Keys.TOKEN_COUNTER -> ClusterFeatures.FENCED_TOKENS to ("fencedToken" in value)
         else -> null
@@ -26,31 +26,31 @@
 
     /** Called with each value as it is stored. */
     fun checkStored(path: String, value: Fields) {
-        if (path == Keys.ROLLOUT) noteMoves(value)
-        val (feature, isNew) = state(path, value) ?: return
-        val now = record.stateOf(feature)
-        val newAllowed = now == GateState.ENABLED || now == GateState.FINALIZED
-        if (path == Keys.TOKEN_COUNTER && !isNew && takesOpenCounter(value)) return
-        if (path == Keys.TOKEN_COUNTER) counterIsOpen = !isNew
+        if (path == Keys.ROLLOUT) checkGateMoves(value)
+        val (feature, isNew) = formOf(path, value) ?: return
+        val gateState = record.stateOf(feature)
+        val newAllowed = gateState == GateState.ENABLED || gateState == GateState.FINALIZED
+        if (path == Keys.TOKEN_COUNTER && !isNew && isAcquisitionBeforeRollouts(value)) return
+        if (path == Keys.TOKEN_COUNTER) isCounterUnfenced = !isNew
         if (isNew !=
             newAllowed
         ) {
             world.rules.addViolation(
                 "wrong_form $path is stored ${if (isNew) "in the new" else "in the old"} form " +
-                    "while $feature is ${now.storedName}",
+                    "while $feature is ${gateState.storedName}",
             )
         }
     }
 
-    private var counterIsOpen = true
+    private var isCounterUnfenced = true
 
     /**
      * A version from before the rollout may take shards until the counter has been migrated; what depends on the fence
      * waits for that.
      */
-    private fun takesOpenCounter(value: Fields): Boolean {
+    private fun isAcquisitionBeforeRollouts(value: Fields): Boolean {
         val sender = StoreMessages.transactionId(value) ?: return false
-        return counterIsOpen && world.controllers.any { it.predatedRollouts(sender) }
+        return isCounterUnfenced && world.controllers.any { it.predatedRollouts(sender) }
     }
 
     /**
@@ -61,25 +61,27 @@
         val sender = world.controllers.firstOrNull { transaction.id.startsWith("${it.label}-") } ?: return
         // What is carried out late was sent by the process of then, whatever runs there now.
         if (sender.predatedRollouts(transaction.id) || transaction.preconditions.any { it.path == Keys.ROLLOUT }) return
-        transaction.writes.filterIsInstance<Write.Put>().filter { put -> conditional.any { put.path.startsWith(it) } }
+        transaction.writes.filterIsInstance<Write.Put>().filter { put ->
+            guardedPrefixes.any { put.path.startsWith(it) }
+        }
             .forEach { world.rules.addViolation("unconditional ${it.path} by ${sender.label}") }
     }
 
-    private fun noteMoves(value: Fields) {
+    private fun checkGateMoves(value: Fields) {
         val next = try {
             RolloutRecord.parse(value)
         } catch (e: MalformedException) {
             return
         }
         for ((name, gate) in next.gates) {
-            val before = record.stateOf(name)
-            if (gate.state != before && gate.state !in allowed.getValue(before)) {
-                world.rules.addViolation("gate_jumped $name from ${before.storedName} to ${gate.state.storedName}")
+            val previous = record.stateOf(name)
+            if (gate.state != previous && gate.state !in allowedMoves.getValue(previous)) {
+                world.rules.addViolation("gate_jumped $name from ${previous.storedName} to ${gate.state.storedName}")
             }
             if (gate.state == GateState.ENABLED &&
-                before != GateState.ENABLED
+                previous != GateState.ENABLED
             ) {
-                checkAllRead(gate.requires.value, next, "$name is enabled")
+                checkAllCanRead(gate.requires.value, next, "$name is enabled")
             }
         }
         if (next.finalizedVersion <
@@ -91,14 +93,14 @@
     }
 
     /** Whoever counts must be able to read what may be written from now on. */
-    private fun checkAllRead(version: Int, next: RolloutRecord, what: String) {
+    private fun checkAllCanRead(version: Int, next: RolloutRecord, event: String) {
         for (controller in world.controllers) {
             if (controller.label in next.excluded || !controller.up || controller.terminationReason != null) continue
             val owns = controller.process?.cluster?.activeOwners().orEmpty().isNotEmpty()
             if (owns &&
                 controller.newestReadableVersion < version
             ) {
-                world.rules.addViolation("unreadable_for ${controller.label}: $what")
+                world.rules.addViolation("unreadable_for ${controller.label}: $event")
             }
         }
     }
@@ -115,8 +117,9 @@
     }
 
     private companion object {
-        val conditional = listOf(Keys.MEMBERS, Keys.LEADER, Keys.TOKEN_COUNTER, "page/", Keys.ROLLOUT, Keys.MIGRATIONS)
-        val allowed = mapOf(
+        val guardedPrefixes =
+            listOf(Keys.MEMBERS, Keys.LEADER, Keys.TOKEN_COUNTER, "page/", Keys.ROLLOUT, Keys.MIGRATIONS)
+        val allowedMoves = mapOf(
             GateState.DORMANT to setOf(GateState.READY),
             GateState.READY to setOf(GateState.DORMANT, GateState.ENABLED),
             GateState.ENABLED to setOf(GateState.REVERTING, GateState.FINALIZED),
--- a/src/test/kotlin/io/reedmast/sim/RuleChecker.kt
+++ b/src/test/kotlin/io/reedmast/sim/RuleChecker.kt
@@ -27,8 +27,8 @@
     val startCounts = HashMap<String, Int>()
 
     private val running = HashMap<String, RunningTasks>()
-    private val heldCount = HashMap<String, Int>()
-    private val cancelled = HashSet<String>()
+    private val residentCount = HashMap<String, Int>()
+    private val cancelledJobs = HashSet<String>()
 
     /**
      * Since when a job has had room somewhere, its team was below its limit, and none of its tasks was on a machine.
@@ -44,7 +44,7 @@
 
     /** A worker has taken up a launch: the task takes room there from now on. */
     fun taskLaunched(worker: SimWorker, id: TaskId, attempt: Long) {
-        heldCount.merge(id.jobId, 1, Int::plus)
+        residentCount.merge(id.jobId, 1, Int::plus)
         if (!world.store.isPlaced(
                 id,
                 attempt,
@@ -61,9 +61,9 @@
         val machines = running.getOrPut(id.jobId) { RunningTasks() }.machines.getOrPut(id) { ArrayList(1) }
         machines.add(worker)
         if (machines.size > 1) addViolation("ran_twice $id on ${machines.map { it.name }}")
-        checkOneAttempt(id, attempt)
+        checkSingleAttempt(id, attempt)
         checkQuota(id)
-        checkPlace(worker, id)
+        checkPlacementRules(worker, id)
         checkCancelled(id.jobId)
     }
 
@@ -71,19 +71,19 @@
     private val gangAttempts = HashMap<String, Long>()
 
     /** A gang has one attempt at a time: the old one must be gone everywhere before the next begins anywhere. */
-    private fun checkOneAttempt(id: TaskId, attempt: Long) {
+    private fun checkSingleAttempt(id: TaskId, attempt: Long) {
         if (!world.jobs.getValue(id.jobId).spec.isGang) return
-        val before = gangAttempts.put(id.jobId, attempt)
-        if (before != null && before != attempt &&
+        val previous = gangAttempts.put(id.jobId, attempt)
+        if (previous != null && previous != attempt &&
             runningCount(id.jobId) > 1
         ) {
-            addViolation("two_attempts $id: $before and $attempt")
+            addViolation("two_attempts $id: $previous and $attempt")
         }
     }
 
     /** A task is over, killed, or gone with its machine. */
     fun taskEnded(worker: SimWorker, id: TaskId, wasStarted: Boolean) {
-        heldCount.merge(id.jobId, -1, Int::plus)
+        residentCount.merge(id.jobId, -1, Int::plus)
         if (!wasStarted) return
         val tasks = running[id.jobId]?.machines ?: return
         tasks[id]?.remove(worker)
@@ -110,10 +110,10 @@
         val limit = world.settings.teams.first { it.name == teamName }.maxCpus
         if (limit <= 0) return
         val used = usedCpus(teamName)
-        if (used > limit + SLACK) addViolation("quota of $teamName: $used")
+        if (used > limit + CPU_TOLERANCE) addViolation("quota of $teamName: $used")
     }
 
-    private fun checkPlace(worker: SimWorker, id: TaskId) {
+    private fun checkPlacementRules(worker: SimWorker, id: TaskId) {
         val spec = world.jobs.getValue(id.jobId).spec
         val others = running.getValue(id.jobId).machines.values.flatten()
         val wrong =
@@ -124,7 +124,7 @@
         if (wrong) addViolation("wrong_place $id on ${worker.name} in ${worker.zone}")
     }
 
-    fun checkCancelled() = cancelled.forEach { checkCancelled(it) }
+    fun checkCancelled() = cancelledJobs.forEach { checkCancelled(it) }
 
     private fun checkCancelled(jobId: String) {
         val cancelledAt = world.jobs[jobId]?.cancelledAt ?: return
@@ -137,24 +137,24 @@
     // ---- what users are told
     // ------------------------------------------------------------------------------------------
 
-    /** [known]: whether the job had been accepted before the question was asked. */
-    fun answered(jobId: String, answer: UserAnswer, known: Boolean) {
-        if (known && answer.status in REFUSALS) addViolation("forgotten $jobId: ${answer.status}")
-        val stage = answer.job?.state?.wireName ?: return
+    /** [wasAccepted]: whether the job had been accepted before the question was asked. */
+    fun answered(jobId: String, answer: UserAnswer, wasAccepted: Boolean) {
+        if (wasAccepted && answer.status in REJECTION_STATUSES) addViolation("forgotten $jobId: ${answer.status}")
+        val state = answer.job?.state?.wireName ?: return
         val job = world.jobs[jobId]
         if (job == null) addViolation("invented $jobId")
-        val before = answeredStates[jobId]
-        if (before in FINAL && stage != before) addViolation("went_back $jobId from $before to $stage")
-        if (stage == "done" && job != null &&
+        val previous = answeredStates[jobId]
+        if (previous in FINAL_STATES && state != previous) addViolation("went_back $jobId from $previous to $state")
+        if (state == "done" && job != null &&
             job.completedTasks.size < job.spec.taskCount
         ) {
             addViolation("not_done $jobId")
         }
-        if (!isStored(jobId)) addViolation("told_unstored $jobId: $stage")
-        answeredStates[jobId] = stage
-        if (stage == "aborted" && job != null && job.cancelledAt == 0L) {
+        if (!isStored(jobId)) addViolation("told_unstored $jobId: $state")
+        answeredStates[jobId] = state
+        if (state == "aborted" && job != null && job.cancelledAt == 0L) {
             job.cancelledAt = world.now()
-            cancelled.add(jobId)
+            cancelledJobs.add(jobId)
         }
     }
 
@@ -169,49 +169,50 @@
      */
     fun checkNeglected() {
         if (world.now() < world.faultFreeSince) return
-        val room = world.workers.values.filter { it.alive }.map { it to it.freeCpus() }
+        val freeCpusByWorker = world.workers.values.filter { it.alive }.map { it to it.freeCpus() }
         for ((jobId, job) in world.jobs) {
-            if (!waits(jobId, job) || !underLimit(job) || !hasRoom(job, room)) {
+            if (!isWaiting(jobId, job) || !isUnderLimit(job) || !hasRoom(job, freeCpusByWorker)) {
                 neglectedSince[jobId] = world.now()
-            } else if (world.now() - maxOf(neglectedSince[jobId] ?: 0L, world.faultFreeSince) > NEGLECT_MS) {
+            } else if (world.now() - maxOf(neglectedSince[jobId] ?: 0L, world.faultFreeSince) > NEGLECTED_AFTER_MS) {
                 addViolation("neglected $jobId")
                 neglectedSince[jobId] = world.now()
             }
         }
     }
 
-    private fun waits(jobId: String, job: World.SimJob) =
-        jobId in answeredStates && answeredStates[jobId] !in FINAL && !job.fails &&
-            (job.spec.isService || job.completedTasks.size < job.spec.taskCount) && (heldCount[jobId] ?: 0) == 0
+    private fun isWaiting(jobId: String, job: World.SimJob) =
+        jobId in answeredStates && answeredStates[jobId] !in FINAL_STATES && !job.fails &&
+            (job.spec.isService || job.completedTasks.size < job.spec.taskCount) && (residentCount[jobId] ?: 0) == 0
 
     /** FreeCapacity for a task of the job, or for all of a gang, in one zone if it needs that. */
-    private fun hasRoom(job: World.SimJob, room: List<Pair<SimWorker, Double>>): Boolean {
-        val fitting = room.filter { (worker, cpus) -> fits(job, worker, cpus) }
+    private fun hasRoom(job: World.SimJob, freeCpusByWorker: List<Pair<SimWorker, Double>>): Boolean {
+        val fitting = freeCpusByWorker.filter { (worker, cpus) -> fits(job, worker, cpus) }
         if (!job.spec.isGang) return fitting.isNotEmpty()
-        val places = fitting.groupBy({ (worker, _) -> if (job.spec.oneZone) worker.zone else "" }, { (_, cpus) ->
+        val slotsByZone = fitting.groupBy({ (worker, _) -> if (job.spec.oneZone) worker.zone else "" }, { (_, cpus) ->
             (
                 (
                     cpus +
-                        SLACK
+                        CPU_TOLERANCE
                     ) /
                     job.spec.cpus
                 ).toInt()
         })
-        return places.values.any { it.sum() >= job.spec.taskCount }
+        return slotsByZone.values.any { it.sum() >= job.spec.taskCount }
     }
 
     private fun fits(job: World.SimJob, worker: SimWorker, freeCpus: Double) =
-        freeCpus + SLACK >= job.spec.cpus && isEligible(job.spec, worker.machineType.label, worker.zone, worker.spot)
+        freeCpus + CPU_TOLERANCE >= job.spec.cpus &&
+            isEligible(job.spec, worker.machineType.label, worker.zone, worker.spot)
 
     /** Whether the team's limit leaves room for one more task of the job. */
-    private fun underLimit(job: World.SimJob): Boolean {
+    private fun isUnderLimit(job: World.SimJob): Boolean {
         val limit = world.settings.teams.first { it.name == job.spec.teamName }.maxCpus
         if (limit == 0.0) return true
-        val used = heldCount.entries.sumOf { (jobId, count) ->
+        val used = residentCount.entries.sumOf { (jobId, count) ->
             val spec = world.jobs[jobId]?.spec
             if (spec?.teamName == job.spec.teamName) count * spec.cpus else 0.0
         }
-        return used + job.spec.cpus * (if (job.spec.isGang) job.spec.taskCount else 1) <= limit + SLACK
+        return used + job.spec.cpus * (if (job.spec.isGang) job.spec.taskCount else 1) <= limit + CPU_TOLERANCE
     }
 
     /** Accepted jobs that have not got what they were promised. */
@@ -220,7 +221,7 @@
         val count = runningCount(jobId)
         when {
             answeredStates[jobId] == "aborted" -> if (count > 0) "$jobId is cancelled and runs" else null
-            job.fails || !underLimit(job) -> null
+            job.fails || !isUnderLimit(job) -> null
             job.spec.isService -> if (count !=
                 job.spec.taskCount
             ) {
@@ -240,9 +241,9 @@
     }
 
     private companion object {
-        val FINAL = setOf("done", "aborted")
-        val REFUSALS = setOf(400, 404, 422)
-        const val NEGLECT_MS = 90_000L
-        const val SLACK = 1e-6
+        val FINAL_STATES = setOf("done", "aborted")
+        val REJECTION_STATUSES = setOf(400, 404, 422)
+        const val NEGLECTED_AFTER_MS = 90_000L
+        const val CPU_TOLERANCE = 1e-6
     }
 }
--- a/src/test/kotlin/io/reedmast/sim/RuleCheckerTest.kt
+++ b/src/test/kotlin/io/reedmast/sim/RuleCheckerTest.kt
@@ -21,12 +21,12 @@
     private val spot = world.addWorker("m", "x", spot = true, bootMs = 1_000_000)
     private val task = TaskId("wk-1", 0)
 
-    private fun submitted(vararg args: Pair<String, String>) {
+    private fun addJob(vararg args: Pair<String, String>) {
         val spec = World.spec("wk-1", mapOf("team" to "a", "tasks" to "4") + args)
         world.jobs["wk-1"] = World.SimJob(spec, 1_000, false)
     }
 
-    private fun stored() {
+    private fun storeJob() {
         world.store.commit(
             StoreTransaction(
                 "t",
@@ -38,53 +38,53 @@
 
     private fun answer(state: JobState) = UserAnswer(200, JobStatus("wk-1", state))
 
-    private fun assertFound(rule: String) {
+    private fun assertViolation(rule: String) {
         assertEquals(1, rules.violations.size, "${rules.violations}")
         assertTrue(rule in rules.violations.single(), rules.violations.single())
     }
 
     @Test
     fun forgotten() {
-        submitted()
-        rules.answered("wk-1", UserAnswer(404), known = true)
-        assertFound("forgotten wk-1")
+        addJob()
+        rules.answered("wk-1", UserAnswer(404), wasAccepted = true)
+        assertViolation("forgotten wk-1")
     }
 
     @Test
-    fun `an answer that nobody has stored`() {
-        submitted()
-        rules.answered("wk-1", answer(JobState.QUEUED), known = false)
-        assertFound("told_unstored wk-1")
+    fun `an answer about a job that is not stored`() {
+        addJob()
+        rules.answered("wk-1", answer(JobState.QUEUED), wasAccepted = false)
+        assertViolation("told_unstored wk-1")
     }
 
     @Test
-    fun `gone back`() {
-        submitted()
-        stored()
-        rules.answered("wk-1", answer(JobState.CANCELLED), known = true)
-        rules.answered("wk-1", answer(JobState.QUEUED), known = true)
-        assertFound("went_back wk-1")
+    fun `a final state that changes`() {
+        addJob()
+        storeJob()
+        rules.answered("wk-1", answer(JobState.CANCELLED), wasAccepted = true)
+        rules.answered("wk-1", answer(JobState.QUEUED), wasAccepted = true)
+        assertViolation("went_back wk-1")
     }
 
     @Test
-    fun `not done`() {
-        submitted()
-        stored()
-        rules.answered("wk-1", answer(JobState.DONE), known = true)
-        assertFound("not_done wk-1")
+    fun `done before all tasks have completed`() {
+        addJob()
+        storeJob()
+        rules.answered("wk-1", answer(JobState.DONE), wasAccepted = true)
+        assertViolation("not_done wk-1")
     }
 
     @Test
-    fun `ran twice`() {
-        submitted()
+    fun `a task that runs on two machines`() {
+        addJob()
         rules.taskStarted(ordinary, task, attempt = 1)
         rules.taskStarted(other, task, attempt = 1)
-        assertFound("ran_twice wk-1/0")
+        assertViolation("ran_twice wk-1/0")
     }
 
     @Test
-    fun `a task that has left may start elsewhere`() {
-        submitted()
+    fun `a task that has ended may start elsewhere`() {
+        addJob()
         rules.taskStarted(ordinary, task, attempt = 1)
         rules.taskEnded(ordinary, task, wasStarted = true)
         rules.taskStarted(other, task, attempt = 1)
@@ -93,22 +93,22 @@
 
     @Test
     fun quota() {
-        submitted()
+        addJob()
         (0..2).forEach { rules.taskStarted(ordinary, TaskId("wk-1", it), attempt = 1) }
-        assertFound("quota of a")
+        assertViolation("quota of a")
     }
 
     @Test
     fun `two attempts of a gang at once`() {
-        submitted("kind" to "gang")
+        addJob("kind" to "gang")
         rules.taskStarted(ordinary, task, attempt = 1)
         rules.taskStarted(ordinary, TaskId("wk-1", 1), attempt = 2)
-        assertFound("two_attempts wk-1/1")
+        assertViolation("two_attempts wk-1/1")
     }
 
     @Test
-    fun `a gang's next attempt may start once the last one has left`() {
-        submitted("kind" to "gang")
+    fun `a gang's next attempt may start once the previous one has ended`() {
+        addJob("kind" to "gang")
         rules.taskStarted(ordinary, task, attempt = 1)
         rules.taskEnded(ordinary, task, wasStarted = true)
         rules.taskStarted(ordinary, task, attempt = 2)
@@ -116,53 +116,53 @@
     }
 
     @Test
-    fun `wrong kind of machine`() {
-        submitted()
+    fun `on a spot machine that the job does not allow`() {
+        addJob()
         rules.taskStarted(spot, task, attempt = 1)
-        assertFound("wrong_place wk-1/0")
+        assertViolation("wrong_place wk-1/0")
     }
 
     @Test
-    fun `in two zones`() {
-        submitted("oneZone" to "true")
+    fun `in two zones of a job that needs one`() {
+        addJob("oneZone" to "true")
         rules.taskStarted(ordinary, task, attempt = 1)
         rules.taskStarted(other, TaskId("wk-1", 1), attempt = 1)
-        assertFound("wrong_place wk-1/1")
+        assertViolation("wrong_place wk-1/1")
     }
 
     @Test
-    fun `ran on after its cancellation`() {
-        submitted()
-        stored()
+    fun `a job that still runs after its cancellation`() {
+        addJob()
+        storeJob()
         rules.taskStarted(ordinary, task, attempt = 1)
-        rules.answered("wk-1", answer(JobState.CANCELLED), known = true)
+        rules.answered("wk-1", answer(JobState.CANCELLED), wasAccepted = true)
         world.runUntil(world.now() + 40_000)
         rules.checkCancelled()
         assertEquals(emptyList<String>(), rules.violations)
         world.runUntil(world.now() + 2_000)
         rules.checkCancelled()
-        assertFound("ran_cancelled wk-1/0")
+        assertViolation("ran_cancelled wk-1/0")
     }
 
     @Test
-    fun `launched where no page places it`() {
-        submitted()
+    fun `launched on a machine where no stored page places it`() {
+        addJob()
         rules.taskLaunched(ordinary, task, attempt = 7)
-        assertFound("launched_unstored wk-1/0")
+        assertViolation("launched_unstored wk-1/0")
     }
 
     @Test
-    fun `neglected beside room`() {
-        submitted()
-        stored()
+    fun `neglected although a machine has room`() {
+        addJob()
+        storeJob()
         val idle = world.addWorker("m", "x", spot = false, bootMs = 0)
-        rules.answered("wk-1", answer(JobState.QUEUED), known = true)
+        rules.answered("wk-1", answer(JobState.QUEUED), wasAccepted = true)
         world.faultFreeSince = world.now()
         world.runUntil(world.now() + 1_000)
         assertTrue(idle.alive)
         rules.checkNeglected()
         world.runUntil(world.now() + 100_000)
         rules.checkNeglected()
-        assertFound("neglected wk-1")
+        assertViolation("neglected wk-1")
     }
 }
--- a/src/test/kotlin/io/reedmast/sim/Scenario.kt
+++ b/src/test/kotlin/io/reedmast/sim/Scenario.kt
@@ -17,9 +17,9 @@
 import io.reedmast.wire.MachineType
 import io.reedmast.wire.TaskId
 import io.reedmast.wire.UserAnswer
+import kotlin.random.Random
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
-import kotlin.random.Random
 
 /**
  * Plays a day in the stand-in world. A line is `at SECONDS VERB ARGUMENTS`, in order of time; before them `controllers N`,
@@ -251,15 +251,15 @@
             "darken" -> world.setZonePartitioned(words[1], words[2] == "on")
             "sicken" -> world.workers[words[1]]?.unhealthy = words[2] == "on"
             "deafen" -> world.workers[words[1]]?.unreachable = words[2] == "on"
-            "copies" -> world.workers[words[1]]?.reportCopyDelayMs = (words[2].toDouble() * 1000).toLong()
-            "lag-jobs" -> world.controllers.first { it.label == words[1] }.jobWatchDelayMs =
+            "copies" -> world.workers[words[1]]?.heartbeatCopyDelayMs = (words[2].toDouble() * 1000).toLong()
+            "lag-jobs" -> world.controllers.first { it.label == words[1] }.jobWatchIntervalMs =
                 (words[2].toDouble() * 1000).toLong()
             "slow-state" -> world.storeSlowdown = words[1].toLong()
             "spoil" -> world.store.corrupt(words[1])
             // Its power is gone: nobody is told.
             "kill-machine" -> world.workers[words[1]]?.powerOff()
             // It reaches no controller, while direct commands reach it.
-            "mute" -> world.workers[words[1]]?.cannotReport = words[2] == "on"
+            "mute" -> world.workers[words[1]]?.heartbeatsLost = words[2] == "on"
             // That share of transactions gets no answer and is carried out 2 to 12 s later, after newer ones.
             "late-writes" -> world.delayedCommitRate = words[1].toDouble()
             // A planted fault: the owner's books lose the job as soon as it is in them.
@@ -276,7 +276,7 @@
             "note-attempts" -> noted[words[1]] = world.attempts(words[1])
             // From now on nothing goes wrong any more.
             "calm" -> world.faultFreeSince = world.now()
-            "lose-answers" -> world.workers[words[1]]?.answersLost = words[2] == "on"
+            "lose-answers" -> world.workers[words[1]]?.heartbeatAnswersLost = words[2] == "on"
             "hang" -> world.workers[words[1]]?.hang((words[2].toDouble() * 1000).toLong())
             "stand-still" -> world.controllers.first {
                 it.label == words[1]
--- a/src/test/kotlin/io/reedmast/sim/SimController.kt
+++ b/src/test/kotlin/io/reedmast/sim/SimController.kt
@@ -72,11 +72,11 @@
     var process: Controller? = null
 
     /** The watch on jobs answers this much later than it could. */
-    var jobWatchDelayMs = 0L
-    private var jobsDue = 0L
-    private var watchedTo = 0L
-    private var jobsWatchedTo = 0L
-    private var loaded = false
+    var jobWatchIntervalMs = 0L
+    private var nextJobWatchAt = 0L
+    private var watchedRevision = 0L
+    private var watchedJobsRevision = 0L
+    private var snapshotLoaded = false
 
     /** Until then the process stands still, while its clocks run. */
     private var pausedUntil = 0L
@@ -97,7 +97,7 @@
         terminationReason = null
         processNumber++
         pausedUntil = 0L
-        loaded = false
+        snapshotLoaded = false
         val incarnation = "$label-$processNumber"
         if (predatesRollouts) incarnationsBeforeRollouts.add(incarnation)
         val settings = world.settingsOf(index).let { if (predatesRollouts) it.copy(nextStoreLimits = null) else it }
@@ -110,8 +110,8 @@
     }
 
     private fun registry(): FeatureRegistry {
-        val known = ClusterFeatures.registry.inOrder.filter { it.requires <= newestVersion }
-        return FeatureRegistry(known, VersionRange(FormatVersion.NONE, newestVersion))
+        val supported = ClusterFeatures.registry.inOrder.filter { it.requires <= newestVersion }
+        return FeatureRegistry(supported, VersionRange(FormatVersion.NONE, newestVersion))
     }
 
     /** The process ends by itself, since it does not fit what has been rolled out. */
@@ -126,11 +126,11 @@
         process = null
     }
 
-    private fun runOnce(of: Int) {
-        if (processNumber != of) return
+    private fun runOnce(ofProcess: Int) {
+        if (processNumber != ofProcess) return
         process?.runOnce()
         recordHealth()
-        later(TICK_MS) { runOnce(of) }
+        later(RUN_INTERVAL_MS) { runOnce(ofProcess) }
     }
 
     private var recordedHealth = false
@@ -142,36 +142,36 @@
         recordedHealth = healthy
     }
 
-    private fun watch(of: Int) {
-        if (processNumber != of) return
-        val c = process ?: return
-        fun again() = later(WATCH_MS * world.storeSlowdown) { watch(of) }
+    private fun watch(ofProcess: Int) {
+        if (processNumber != ofProcess) return
+        val current = process ?: return
+        fun again() = later(WATCH_INTERVAL_MS * world.storeSlowdown) { watch(ofProcess) }
         if (!reachesStore) {
             again()
-        } else if (loaded) {
-            follow(c)
+        } else if (snapshotLoaded) {
+            deliverChanges(current)
             again()
         } else {
-            load(of, c, ::again)
+            load(ofProcess, current, ::again)
         }
     }
 
     /** Reads all keys, as a process does when it starts and when the changes that it asks for are no longer kept. */
-    private fun load(of: Int, c: Controller, done: () -> Unit) {
+    private fun load(ofProcess: Int, current: Controller, done: () -> Unit) {
         val askedAt = world.now()
-        list(of, Keys.CLUSTER) { cluster ->
+        list(ofProcess, Keys.CLUSTER) { cluster ->
             val jobsAskedAt = world.now()
-            list(of, Keys.LIVE_JOBS) { jobs ->
+            list(ofProcess, Keys.LIVE_JOBS) { jobs ->
                 if (cluster is ListResult.Listing && jobs is ListResult.Listing) {
-                    loaded = true
-                    watchedTo = cluster.revision
-                    jobsWatchedTo = jobs.revision
-                    c.cluster.watchResults.onClusterSnapshot(
+                    snapshotLoaded = true
+                    watchedRevision = cluster.revision
+                    watchedJobsRevision = jobs.revision
+                    current.cluster.watchResults.onClusterSnapshot(
                         cluster.items.filter { isVisible(it.path) }.map(::asVisible),
                         cluster.revision,
                         askedAt,
                     )
-                    c.cluster.watchResults.onJobsSnapshot(jobs.items, jobs.revision, jobsAskedAt)
+                    current.cluster.watchResults.onJobsSnapshot(jobs.items, jobs.revision, jobsAskedAt)
                 }
                 done()
             }
@@ -185,32 +185,32 @@
     private fun asVisible(path: String, value: Fields): Fields =
         if (predatesRollouts) asBeforeRollouts(path, value) else value
 
-    private fun follow(c: Controller) {
+    private fun deliverChanges(current: Controller) {
         val store = world.store
-        val news = store.changesSince(watchedTo)
-        if (news == null) {
-            loaded = false
+        val changes = store.changesSince(watchedRevision)
+        if (changes == null) {
+            snapshotLoaded = false
             return
         }
-        watchedTo = store.revision
-        val clusterNews = news.filter { it.path.startsWith(Keys.CLUSTER) && isVisible(it.path) }
-        c.cluster.watchResults.onClusterEvents(
-            clusterNews.map {
+        watchedRevision = store.revision
+        val clusterChanges = changes.filter { it.path.startsWith(Keys.CLUSTER) && isVisible(it.path) }
+        current.cluster.watchResults.onClusterEvents(
+            clusterChanges.map {
                 it.copy(value = it.value?.let { value -> asVisible(it.path, value) })
             },
-            watchedTo,
+            watchedRevision,
             world.now(),
         )
-        if (world.now() < jobsDue) return
-        val jobNews = store.changesSince(jobsWatchedTo)
-        if (jobNews == null) {
-            loaded = false
+        if (world.now() < nextJobWatchAt) return
+        val jobChanges = store.changesSince(watchedJobsRevision)
+        if (jobChanges == null) {
+            snapshotLoaded = false
             return
         }
-        jobsDue = world.now() + jobWatchDelayMs
-        jobsWatchedTo = store.revision
-        c.cluster.watchResults.onJobEvents(
-            jobNews.filter {
+        nextJobWatchAt = world.now() + jobWatchIntervalMs
+        watchedJobsRevision = store.revision
+        current.cluster.watchResults.onJobEvents(
+            jobChanges.filter {
                 it.path.startsWith(Keys.JOBS)
             },
             store.revision,
@@ -219,11 +219,11 @@
     }
 
     /** Reads the keys with [prefix] page by page, each at its own moment; fails if the store is lost meanwhile. */
-    fun list(of: Int, prefix: String, done: (ListResult) -> Unit) {
+    fun list(ofProcess: Int, prefix: String, done: (ListResult) -> Unit) {
         val items = ArrayList<StoredItem>()
         var revision = -1L
         fun page(after: String?) {
-            if (processNumber != of) return
+            if (processNumber != ofProcess) return
             if (!reachesStore) {
                 done(ListResult.Failed)
                 return
@@ -233,7 +233,7 @@
             items.addAll(page.items)
             world.rolloutRules.checkRead(this, page.items.map { it.path to it.value })
             if (page.more) {
-                later(PAGE_MS * world.storeSlowdown) { page(items.last().path) }
+                later(LIST_PAGE_DELAY_MS * world.storeSlowdown) { page(items.last().path) }
             } else {
                 done(ListResult.Listing(items, revision))
             }
@@ -243,25 +243,25 @@
 
     fun sendRequest(
         jobId: String,
-        question: (Controller, (UserAnswer) -> Unit) -> Unit,
+        request: (Controller, (UserAnswer) -> Unit) -> Unit,
         done: (UserAnswer) -> Unit = {
         },
     ) {
-        val asked = processNumber
-        val known = jobId in world.rules.answeredStates
+        val ofProcess = processNumber
+        val wasAccepted = jobId in world.rules.answeredStates
         later(0) {
-            val c = process?.takeIf { processNumber == asked } ?: return@later
-            question(c) {
+            val current = process?.takeIf { processNumber == ofProcess } ?: return@later
+            request(current) {
                 world.recorder?.record(world.now(), label, "user $jobId ${it.status} ${it.retryAfterS}", it.toFields())
-                world.rules.answered(jobId, it, known)
+                world.rules.answered(jobId, it, wasAccepted)
                 done(it)
             }
         }
     }
 
     fun receive(message: PeerMessage) {
-        val receiving = processNumber
-        later(PEER_MS) { if (processNumber == receiving) process?.onPeerMessage(message) }
+        val ofProcess = processNumber
+        later(PEER_DELAY_MS) { if (processNumber == ofProcess) process?.onPeerMessage(message) }
     }
 
     companion object {
@@ -272,9 +272,9 @@
             else -> value
         }
 
-        private const val TICK_MS = 50L
-        private const val WATCH_MS = 40L
-        private const val PAGE_MS = 5L
-        private const val PEER_MS = 2L
+        private const val RUN_INTERVAL_MS = 50L
+        private const val WATCH_INTERVAL_MS = 40L
+        private const val LIST_PAGE_DELAY_MS = 5L
+        private const val PEER_DELAY_MS = 2L
     }
 }
--- a/src/test/kotlin/io/reedmast/sim/SimGang.kt
+++ b/src/test/kotlin/io/reedmast/sim/SimGang.kt
@@ -16,13 +16,13 @@
         /** Its machine executes nothing. */
         val hung: Boolean
 
-        fun show(state: TaskState)
+        fun setState(state: TaskState)
 
         /** The task exits by itself. */
         fun exit(cause: TaskEndCause)
     }
 
-    private enum class Phase { WAITING, RUNNING, STOPPING, BROKEN, OVER }
+    private enum class Phase { WAITING, RUNNING, STOPPING, FAILED, ENDED }
 
     private val members = LinkedHashMap<Int, Member>()
     private var phase = Phase.WAITING
@@ -31,14 +31,14 @@
     private val stoppedTasks = HashSet<Int>()
 
     /** The task has its image. */
-    fun ready(member: Member) {
+    fun taskReady(member: Member) {
         members[member.task] = member
-        member.show(TaskState.WAITING)
+        member.setState(TaskState.WAITING)
         if (phase != Phase.WAITING) {
             // It has come too late for the attempt, and waits in vain.
             exitLater(member, world.settings.workers.gangTimeoutS, TaskEndCause.GANG_TIMED_OUT)
         } else if (members.size == job.spec.taskCount) {
-            begin()
+            start()
         } else {
             exitLater(member, world.settings.workers.gangTimeoutS, TaskEndCause.GANG_TIMED_OUT) {
                 phase == Phase.WAITING
@@ -46,81 +46,87 @@
         }
     }
 
-    private fun begin() {
+    private fun start() {
         phase = Phase.RUNNING
         startedAt = world.now()
-        members.values.forEach { it.show(TaskState.RUNNING) }
+        members.values.forEach { it.setState(TaskState.RUNNING) }
         if (job.fails) {
-            world.after(FAILS_AFTER_MS) { members.values.toList().forEach { it.exit(TaskEndCause.ERROR) } }
+            world.after(FAILURE_DELAY_MS) { members.values.toList().forEach { it.exit(TaskEndCause.ERROR) } }
             return
         }
         world.after(maxOf(1L, job.runMs - job.savedProgressMs)) { if (phase == Phase.RUNNING) complete() }
     }
 
     private fun complete() {
-        phase = Phase.OVER
+        phase = Phase.ENDED
         val all = members.values.toList()
         all.forEach { job.complete(it.task) }
         all.forEach { it.exit(TaskEndCause.DONE) }
     }
 
     /** A task has disappeared, or its machine hangs. */
-    fun lost(task: Int) {
+    fun taskLost(task: Int) {
         val member = members.remove(task) ?: return
         when (phase) {
-            Phase.RUNNING, Phase.STOPPING -> breakUp()
+            Phase.RUNNING, Phase.STOPPING -> fail()
             else -> Unit
         }
-        if (member.hung && phase == Phase.BROKEN) members[task] = member
+        if (member.hung && phase == Phase.FAILED) members[task] = member
     }
 
     private fun progressMs() = job.savedProgressMs + world.now() - startedAt
 
-    private fun breakUp() {
+    private fun fail() {
         if (phase == Phase.RUNNING && job.spec.checkpointS > 0) {
-            val mark = (job.spec.checkpointS * 1000).toLong()
-            job.savedProgressMs = maxOf(job.savedProgressMs, progressMs() / mark * mark)
+            val intervalMs = (job.spec.checkpointS * 1000).toLong()
+            job.savedProgressMs = maxOf(job.savedProgressMs, progressMs() / intervalMs * intervalMs)
         }
-        phase = Phase.BROKEN
+        phase = Phase.FAILED
         members.values.toList().forEach {
             exitLater(it, world.settings.workers.peerLossDetectionS, TaskEndCause.PEER_LOST)
         }
     }
 
-    private fun exitLater(member: Member, seconds: Double, cause: TaskEndCause, still: () -> Boolean = { true }) {
-        world.after((seconds * 1000).toLong()) { if (members[member.task] === member && still()) member.exit(cause) }
+    private fun exitLater(member: Member, seconds: Double, cause: TaskEndCause, condition: () -> Boolean = { true }) {
+        world.after((seconds * 1000).toLong()) {
+            if (members[member.task] === member &&
+                condition()
+            ) {
+                member.exit(cause)
+            }
+        }
     }
 
     /** A stop has reached the task; true if it saves and exits by itself, false if it exits at once. */
-    fun stops(task: Int, graceS: Double): Boolean {
+    fun requestStop(task: Int, graceS: Double): Boolean {
         val saves = job.spec.resumable && graceS >= job.spec.saveS
-        if (!saves || phase == Phase.WAITING || phase == Phase.BROKEN || phase == Phase.OVER) return false
+        if (!saves || phase == Phase.WAITING || phase == Phase.FAILED || phase == Phase.ENDED) return false
         if (phase == Phase.RUNNING) {
             phase = Phase.STOPPING
             firstStopAt = world.now()
             val progress = progressMs()
-            val patience = world.settings.workers.peerLossDetectionS
-            world.after(maxOf((job.spec.saveS * 1000).toLong(), (patience * 1000).toLong() / 2)) { save(progress) }
+            val peerTimeoutS = world.settings.workers.peerLossDetectionS
+            world.after(maxOf((job.spec.saveS * 1000).toLong(), (peerTimeoutS * 1000).toLong() / 2)) { save(progress) }
             members.values.toList().forEach {
-                exitLater(it, patience + job.spec.saveS, TaskEndCause.PEER_LOST) {
+                exitLater(it, peerTimeoutS + job.spec.saveS, TaskEndCause.PEER_LOST) {
                     phase ==
                         Phase.STOPPING
                 }
             }
         }
         stoppedTasks.add(task)
-        members[task]?.show(TaskState.SAVING)
+        members[task]?.setState(TaskState.SAVING)
         return true
     }
 
     private fun save(progress: Long) {
         if (phase != Phase.STOPPING || stoppedTasks.size < members.size) return
-        phase = Phase.OVER
+        phase = Phase.ENDED
         job.savedProgressMs = progress
         members.values.toList().forEach { it.exit(TaskEndCause.HALTED) }
     }
 
     private companion object {
-        const val FAILS_AFTER_MS = 200L
+        const val FAILURE_DELAY_MS = 200L
     }
 }
--- a/src/test/kotlin/io/reedmast/sim/SimGateway.kt
+++ b/src/test/kotlin/io/reedmast/sim/SimGateway.kt
@@ -31,37 +31,37 @@
 import io.reedmast.wire.WorkerReplies
 import kotlin.random.Random
 
-/** All I/O of one process of a [SimController], its life number [life]: what it gets back depends on the world's troubles. */
+/** All I/O of one process of a [SimController], its process number [processNumber]: what it gets back depends on the world's troubles. */
 class SimGateway(
     private val world: World,
     private val controller: SimController,
-    private val life: Int,
+    private val processNumber: Int,
     private val limits: EffectiveLimits,
     incarnation: String,
 ) : Gateway {
     private val store get() = world.store
-    private val slow get() = world.storeSlowdown
+    private val slowdown get() = world.storeSlowdown
     private val writeLimiter = WriteRateLimiter(world.writesPerS, world::now)
-    private val queue = CommitQueue(limits.target, writeLimiter, MAX_SUBMISSIONS_QUEUED, world::now)
+    private val queue = CommitQueue(limits.target, writeLimiter, MAX_QUEUED_SUBMISSIONS, world::now)
     private val ids = TransactionIds(incarnation)
-    private val jitter = Random(life * 31 + controller.index)
+    private val jitter = Random(processNumber * 31 + controller.index)
     private var idleCommitters = COMMITTERS
-    private var waiting = false
+    private var drainScheduled = false
 
     override var isAvailable = true
         private set
 
-    private val reachable: Boolean get() = controller.reachesStore && controller.processNumber == life
+    private val reachable: Boolean get() = controller.reachesStore && controller.processNumber == processNumber
 
     private fun record(kind: String, body: Fields) {
         world.recorder?.record(world.now(), controller.label, kind, body)
     }
 
-    private fun <T> reply(ms: Long, done: (T) -> Unit, make: () -> T) = world.after(ms) {
+    private fun <T> reply(ms: Long, done: (T) -> Unit, compute: () -> T) = world.after(ms) {
         // What was answered while the process stood still is as old as the answer.
-        if (controller.processNumber == life) {
-            val made = make()
-            controller.later(0) { if (controller.processNumber == life) done(made) }
+        if (controller.processNumber == processNumber) {
+            val result = compute()
+            controller.later(0) { if (controller.processNumber == processNumber) done(result) }
         }
     }
 
@@ -80,13 +80,13 @@
         return true
     }
 
-    private fun asBeforeRollouts(change: CasTransaction) = CasTransaction(
-        change.preconditions.filter { it.path != Keys.ROLLOUT },
-        change.writes.map {
+    private fun asBeforeRollouts(transaction: CasTransaction) = CasTransaction(
+        transaction.preconditions.filter { it.path != Keys.ROLLOUT },
+        transaction.writes.map {
             if (it is Write.Put) it.copy(value = SimController.asBeforeRollouts(it.path, it.value)) else it
         },
-        change.writePriority,
-        change.done,
+        transaction.writePriority,
+        transaction.done,
     )
 
     private fun drain() {
@@ -95,18 +95,18 @@
                 is CommitQueue.Polled.Batch -> {
                     idleCommitters--
                     resolve(
-                        InDoubtResolution(polled.transactions, ids, jitter::nextDouble) { change, outcome ->
-                            change.done(outcome)
+                        InDoubtResolution(polled.transactions, ids, jitter::nextDouble) { transaction, outcome ->
+                            transaction.done(outcome)
                         },
                     )
                 }
 
                 is CommitQueue.Polled.Wait -> {
-                    if (!waiting) {
-                        waiting = true
+                    if (!drainScheduled) {
+                        drainScheduled = true
                         controller.later(polled.forMs) {
-                            waiting = false
-                            if (controller.processNumber == life) drain()
+                            drainScheduled = false
+                            if (controller.processNumber == processNumber) drain()
                         }
                     }
                     return
@@ -120,7 +120,7 @@
     private fun resolve(resolution: InDoubtResolution) {
         when (val step = resolution.nextStep()) {
             is ResolutionStep.Send -> controller.later(step.pauseMs) {
-                if (controller.processNumber == life) {
+                if (controller.processNumber == processNumber) {
                     send(step.transaction) {
                         isAvailable = it !is CommitReply.NotExecuted && it !is CommitReply.Unknown
                         if (it is CommitReply.Malformed && limits.exceedsOnlyReduced(step.transaction)) limits.reduce()
@@ -132,7 +132,7 @@
             }
 
             is ResolutionStep.Read -> controller.later(step.pauseMs) {
-                if (controller.processNumber == life) {
+                if (controller.processNumber == processNumber) {
                     get(step.path) {
                         resolution.onReadResult(it)
                         resolve(resolution)
@@ -148,53 +148,55 @@
     }
 
     private fun record(transaction: StoreTransaction) {
-        val conditions = transaction.preconditions.map { StoreMessages.precondition(it.path, it.version) }
+        val preconditions = transaction.preconditions.map { StoreMessages.precondition(it.path, it.version) }
         val writes = transaction.writes.map {
             when (it) {
                 is Write.Put -> StoreMessages.put(it.path, it.value, it.lease, transaction.id)
                 is Write.Delete -> StoreMessages.delete(it.path)
             }
         }
-        record("commit", StoreMessages.transaction(conditions, writes))
+        record("commit", StoreMessages.transaction(preconditions, writes))
     }
 
     private fun send(transaction: StoreTransaction, done: (CommitReply) -> Unit) {
         record(transaction)
-        val late = controller.commitDelayMs
-        if (late > 0L && transaction.writes.any { controller.delayedCommitKey in it.path }) {
+        val delayMs = controller.commitDelayMs
+        if (delayMs > 0L && transaction.writes.any { controller.delayedCommitKey in it.path }) {
             controller.commitDelayMs = 0L
-            world.after(late) {
+            world.after(delayMs) {
                 val outcome = store.commit(transaction)
-                reply(ANSWER_MS, done) { outcome }
+                reply(REPLY_DELAY_MS, done) { outcome }
             }
             return
         }
-        val lost = controller.loseCommitReplyFor
-        if (lost != null && transaction.writes.any { lost in it.path }) {
+        val lostReplyKey = controller.loseCommitReplyFor
+        if (lostReplyKey != null && transaction.writes.any { lostReplyKey in it.path }) {
             controller.loseCommitReplyFor = null
-            world.after(SEND_MS * slow) { if (reachable) store.commit(transaction) }
-            reply(COMMIT_PATIENCE_MS, done) { CommitReply.Unknown }
+            world.after(SEND_DELAY_MS * slowdown) { if (reachable) store.commit(transaction) }
+            reply(COMMIT_TIMEOUT_MS, done) { CommitReply.Unknown }
             return
         }
         val chance = world.random.nextDouble()
         when {
             chance < world.delayedCommitRate -> {
-                world.after(world.random.nextLong(LATE_FROM_MS, LATE_TO_MS)) { if (store.up) store.commit(transaction) }
-                reply(COMMIT_PATIENCE_MS, done) { CommitReply.Unknown }
+                world.after(world.random.nextLong(MIN_COMMIT_DELAY_MS, MAX_COMMIT_DELAY_MS)) {
+                    if (store.up) store.commit(transaction)
+                }
+                reply(COMMIT_TIMEOUT_MS, done) { CommitReply.Unknown }
             }
 
             chance < world.delayedCommitRate + world.lostReplyRate -> {
-                world.after(SEND_MS * slow) { if (reachable) store.commit(transaction) }
-                reply(COMMIT_PATIENCE_MS, done) { CommitReply.Unknown }
+                world.after(SEND_DELAY_MS * slowdown) { if (reachable) store.commit(transaction) }
+                reply(COMMIT_TIMEOUT_MS, done) { CommitReply.Unknown }
             }
 
-            else -> controller.later(SEND_MS * slow) {
-                if (controller.processNumber != life) return@later
+            else -> controller.later(SEND_DELAY_MS * slowdown) {
+                if (controller.processNumber != processNumber) return@later
                 if (controller.partitionedFromStore) {
-                    reply(COMMIT_PATIENCE_MS, done) { CommitReply.Unknown }
+                    reply(COMMIT_TIMEOUT_MS, done) { CommitReply.Unknown }
                 } else {
                     val outcome = if (store.up) store.commit(transaction) else CommitReply.NotExecuted
-                    reply(ANSWER_MS, done) { outcome }
+                    reply(REPLY_DELAY_MS, done) { outcome }
                 }
             }
         }
@@ -202,7 +204,7 @@
 
     override fun get(path: String, done: (ReadResult) -> Unit) {
         record("get $path", emptyMap())
-        reply(GET_MS * slow, done) {
+        reply(GET_DELAY_MS * slowdown, done) {
             if (!reachable) {
                 ReadResult.Failed
             } else {
@@ -214,14 +216,14 @@
 
     override fun list(prefix: String, done: (ListResult) -> Unit) {
         record("list $prefix", emptyMap())
-        reply(LIST_MS * slow, { _: Unit -> controller.list(life, prefix, done) }) {}
+        reply(LIST_DELAY_MS * slowdown, { _: Unit -> controller.list(processNumber, prefix, done) }) {}
     }
 
     override fun writePermitLevel(): Double = writeLimiter.permitLevel()
 
     override fun extendLease(lease: Long?, lifeMs: Long, done: (LeaseState) -> Unit) {
         record("lease $lease", StoreMessages.leaseRequest(lifeMs))
-        reply(GET_MS, done) {
+        reply(GET_DELAY_MS, done) {
             when {
                 !reachable -> LeaseState.Unknown
                 lease == null -> LeaseState.Held(store.grantLease(lifeMs), true)
@@ -232,7 +234,7 @@
     }
 
     override fun shareLimits(aliveControllers: Int, leading: Boolean) =
-        writeLimiter.setRate(world.writesPerS * SAFETY / aliveControllers)
+        writeLimiter.setRate(world.writesPerS * WRITE_RATE_MARGIN / aliveControllers)
 
     // ---- other controllers and workers
     // --------------------------------------------------------------------------------
@@ -251,34 +253,37 @@
         world.messageCount++
         record("direct $addr", WorkerReplies.directCall(token, epoch, commands))
         val worker = world.workerAt(addr)
-        val late = controller.directCallDelayMs
+        val delayMs = controller.directCallDelayMs
         controller.directCallDelayMs = 0L
         when {
-            worker == null || controller.partitionedFromWorkers || worker.partitioned -> reply(NO_ROUTE_MS, done) {
+            worker == null || controller.partitionedFromWorkers || worker.partitioned -> reply(
+                NO_ROUTE_DELAY_MS,
+                done,
+            ) {
                 Reply.NotSent("no route")
             }
 
-            worker.unreachable -> reply(DIRECT_PATIENCE_MS, done) { Reply.Unanswered("deaf") }
+            worker.unreachable -> reply(DIRECT_CALL_TIMEOUT_MS, done) { Reply.Unanswered("deaf") }
 
-            late > 0L -> {
-                world.after(late) { worker.handleDirectCall(token, epoch, commands) }
-                reply(DIRECT_PATIENCE_MS, done) { Reply.Unanswered("late") }
+            delayMs > 0L -> {
+                world.after(delayMs) { worker.handleDirectCall(token, epoch, commands) }
+                reply(DIRECT_CALL_TIMEOUT_MS, done) { Reply.Unanswered("late") }
             }
 
             worker.hung -> {
                 worker.whenResumed { worker.handleDirectCall(token, epoch, commands) }
-                reply(DIRECT_PATIENCE_MS, done) { Reply.Unanswered("hung") }
+                reply(DIRECT_CALL_TIMEOUT_MS, done) { Reply.Unanswered("hung") }
             }
 
-            else -> controller.later(DIRECT_MS) {
-                if (controller.processNumber != life) return@later
+            else -> controller.later(DIRECT_CALL_DELAY_MS) {
+                if (controller.processNumber != processNumber) return@later
                 val answer = worker.handleDirectCall(token, epoch, commands)
                 if (world.directCallRepeatDelayMs >
                     0L
                 ) {
                     world.after(world.directCallRepeatDelayMs) { worker.handleDirectCall(token, epoch, commands) }
                 }
-                reply(DIRECT_MS, done) { answer }
+                reply(DIRECT_CALL_DELAY_MS, done) { answer }
             }
         }
     }
@@ -305,10 +310,10 @@
             ),
         )
         if (world.provisioningReplyDelayMs == 0L && world.provisioningRepliesToLose == 0) {
-            reply(CLOUD_MS, done) { world.provision(request) }
+            reply(CLOUD_DELAY_MS, done) { world.provision(request) }
             return
         }
-        world.after(CLOUD_MS) {
+        world.after(CLOUD_DELAY_MS) {
             val result = world.provision(request)
             val isLost = world.provisioningRepliesToLose > 0
             if (isLost) world.provisioningRepliesToLose--
@@ -318,7 +323,7 @@
 
     override fun returnMachines(machineNames: List<String>, done: (ReturnResult) -> Unit) {
         record("return", CloudMessages.returnRequest(machineNames))
-        world.after(CLOUD_MS) {
+        world.after(CLOUD_DELAY_MS) {
             val result = world.returnMachines(machineNames)
             reply(1, done) { result }
         }
@@ -326,7 +331,7 @@
 
     override fun listMachines(done: (CloudListing<ListedMachine>) -> Unit) {
         record("machines", emptyMap())
-        reply(CLOUD_MS, done) {
+        reply(CLOUD_DELAY_MS, done) {
             val machines = world.workers.values.map {
                 ListedMachine(it.name, it.addr, it.machineType.label, it.zone, it.spot, "running", 0.0)
             }
@@ -336,24 +341,24 @@
 
     override fun machineTypes(done: (CloudListing<MachineType>) -> Unit) {
         record("flavors", emptyMap())
-        reply(TYPES_MS, done) { CloudListing.Complete(world.machineTypes) }
+        reply(MACHINE_TYPES_DELAY_MS, done) { CloudListing.Complete(world.machineTypes) }
     }
 
     private companion object {
         const val COMMITTERS = 3
-        const val MAX_SUBMISSIONS_QUEUED = 64
-        const val SAFETY = 0.9
-        const val SEND_MS = 3L
-        const val ANSWER_MS = 3L
-        const val GET_MS = 4L
-        const val LIST_MS = 5L
-        const val CLOUD_MS = 200L
-        const val TYPES_MS = 100L
-        const val DIRECT_MS = 2L
-        const val NO_ROUTE_MS = 800L
-        const val DIRECT_PATIENCE_MS = 2_500L
-        const val COMMIT_PATIENCE_MS = 2_500L
-        const val LATE_FROM_MS = 2_000L
-        const val LATE_TO_MS = 12_000L
+        const val MAX_QUEUED_SUBMISSIONS = 64
+        const val WRITE_RATE_MARGIN = 0.9
+        const val SEND_DELAY_MS = 3L
+        const val REPLY_DELAY_MS = 3L
+        const val GET_DELAY_MS = 4L
+        const val LIST_DELAY_MS = 5L
+        const val CLOUD_DELAY_MS = 200L
+        const val MACHINE_TYPES_DELAY_MS = 100L
+        const val DIRECT_CALL_DELAY_MS = 2L
+        const val NO_ROUTE_DELAY_MS = 800L
+        const val DIRECT_CALL_TIMEOUT_MS = 2_500L
+        const val COMMIT_TIMEOUT_MS = 2_500L
+        const val MIN_COMMIT_DELAY_MS = 2_000L
+        const val MAX_COMMIT_DELAY_MS = 12_000L
     }
 }
--- a/src/test/kotlin/io/reedmast/sim/SimOperator.kt
+++ b/src/test/kotlin/io/reedmast/sim/SimOperator.kt
@@ -24,11 +24,11 @@
 
 /** An operator of the [World], who acts through the same library call as the command line. */
 class SimOperator(private val world: World) {
-    private var transactions = 0
+    private var transactionCount = 0
 
     private val store = object : RolloutStore {
         override fun commit(change: CasTransaction) {
-            val transaction = StoreTransaction("operator-${++transactions}", change.preconditions, change.writes)
+            val transaction = StoreTransaction("operator-${++transactionCount}", change.preconditions, change.writes)
             val outcome = when (
                 val reply = if (world.store.up) {
                     world.store.commit(
@@ -75,7 +75,7 @@
      * for a reason with that word.
      */
     fun act(words: List<String>) {
-        val refusal = words.firstOrNull { it.startsWith("refused=") }?.substringAfter('=')?.replace('_', ' ')
+        val expectedRefusal = words.firstOrNull { it.startsWith("refused=") }?.substringAfter('=')?.replace('_', ' ')
         val by = Attribution(words.firstOrNull { it.startsWith("by=") }?.substringAfter('=') ?: "operator", "a test")
         var result: AdministrationResult? = null
         val done = { of: AdministrationResult -> result = of }
@@ -94,12 +94,12 @@
         // As chance has it, an act may be impossible just then.
         if ("perhaps" in words) return
         val at = "at ${world.now() / 1000.0} s: operator ${words.joinToString(" ")}: $result"
-        if (refusal ==
+        if (expectedRefusal ==
             null
         ) {
             assertEquals(AdministrationResult.Done, result, at)
         } else {
-            assertTrue((result as? AdministrationResult.Refused)?.reason?.contains(refusal) ?: false, at)
+            assertTrue((result as? AdministrationResult.Refused)?.reason?.contains(expectedRefusal) ?: false, at)
         }
     }
 
--- a/src/test/kotlin/io/reedmast/sim/SimStore.kt
+++ b/src/test/kotlin/io/reedmast/sim/SimStore.kt
@@ -21,10 +21,10 @@
     private class Entry(val value: Fields, val version: Long, val lease: Long?)
 
     private val entries = TreeMap<String, Entry>()
-    private val log = ArrayList<WatchEvent>()
+    private val changeLog = ArrayList<WatchEvent>()
     private val leases = HashMap<Long, Long>()
     private var leaseCount = 0L
-    private var droppedTo = 0L
+    private var compactedRevision = 0L
 
     /** How many items one page of a listing holds, and how many changes are kept for those who follow. */
     var pageSize = 500
@@ -69,17 +69,17 @@
     /** All changes after the revision, null if they are no longer kept. */
     fun changesSince(after: Long): List<WatchEvent>? {
         expire()
-        if (after < droppedTo) return null
-        var from = log.size
-        while (from > 0 && log[from - 1].version > after) from--
-        return log.subList(from, log.size).toList()
+        if (after < compactedRevision) return null
+        var from = changeLog.size
+        while (from > 0 && changeLog[from - 1].version > after) from--
+        return changeLog.subList(from, changeLog.size).toList()
     }
 
     /** Forgets changes, as the service does once it has kept [retainedChanges] newer ones. */
-    private fun dropOld() {
-        if (log.size < retainedChanges * 2) return
-        val dropped = log.subList(0, log.size - retainedChanges)
-        droppedTo = dropped.last().version
+    private fun compactLog() {
+        if (changeLog.size < retainedChanges * 2) return
+        val dropped = changeLog.subList(0, changeLog.size - retainedChanges)
+        compactedRevision = dropped.last().version
         dropped.clear()
     }
 
@@ -94,16 +94,16 @@
     fun corrupt(path: String) {
         revision++
         entries[path] = Entry(mapOf("form" to 0L), revision, null)
-        log.add(WatchEvent(path, mapOf("form" to 0L), revision))
+        changeLog.add(WatchEvent(path, mapOf("form" to 0L), revision))
     }
 
     /** Puts a chunk that cannot be read before the others of a page. */
     fun corruptChunk(path: String) {
-        val held = entries.getValue(path)
-        val value = held.value + ("chunks" to listOf(mapOf("form" to 0L)) + held.value.maps("chunks"))
+        val current = entries.getValue(path)
+        val value = current.value + ("chunks" to listOf(mapOf("form" to 0L)) + current.value.maps("chunks"))
         revision++
         entries[path] = Entry(value, revision, null)
-        log.add(WatchEvent(path, value, revision))
+        changeLog.add(WatchEvent(path, value, revision))
     }
 
     /** The limits that hold instead of those in the settings, since some moment that nobody was told of. */
@@ -156,22 +156,22 @@
                 is Write.Delete -> remove(write.path)
             }
         }
-        dropOld()
+        compactLog()
         return CommitReply.Applied(revision)
     }
 
     /** The attempts that stored pages place, with their machines. */
-    private val placed = HashMap<String, Set<Triple<TaskId, Long, String>>>()
+    private val placementsByPage = HashMap<String, Set<Triple<TaskId, Long, String>>>()
 
     /** Whether a stored page places the attempt on the machine. */
-    fun isPlaced(id: TaskId, attempt: Long, machineName: String): Boolean = placed.values.any {
+    fun isPlaced(id: TaskId, attempt: Long, machineName: String): Boolean = placementsByPage.values.any {
         Triple(id, attempt, machineName) in
             it
     }
 
-    private fun recordPage(path: String, value: Fields) {
+    private fun recordPlacements(path: String, value: Fields) {
         if (!path.startsWith("page/")) return
-        placed[path] = PageFormat.chunksOf(value) { throw it }
+        placementsByPage[path] = PageFormat.chunksOf(value) { throw it }
             .flatMapTo(HashSet()) { chunk ->
                 chunk.placements.map { Triple(TaskId(chunk.jobId, it.task), it.attempt, it.machineName) }
             }
@@ -194,10 +194,10 @@
                 MachineListPart.parse(entry.value).records.firstOrNull { it.name == machineName }
             } ?: return
         val path = Keys.machineList(shard, 0)
-        val held = entries[path]?.let { MachineListPart.parse(it.value) } ?: MachineListPart.EMPTY
-        if (held.contains(machineName)) return
+        val current = entries[path]?.let { MachineListPart.parse(it.value) } ?: MachineListPart.EMPTY
+        if (current.contains(machineName)) return
         duplicatedMachines.add(machineName)
-        replace(path, held.copy(records = held.records + from).toFields())
+        replace(path, current.copy(records = current.records + from).toFields())
     }
 
     /** Stored pages place the tasks of the job on [machineName]. */
@@ -207,7 +207,7 @@
             if ("chunks" !in value) return@forEach
             val chunks = value.maps("chunks").map { if (it["job"] == jobId) onMachine(it, machineName) else it }
             replace(path, value + ("chunks" to chunks))
-            recordPage(path, value + ("chunks" to chunks))
+            recordPlacements(path, value + ("chunks" to chunks))
         }
     }
 
@@ -218,11 +218,11 @@
         revision++
         val stored = BodyCodec.readCbor(BodyCodec.writeCbor(value))
         entries[path] = Entry(stored, revision, null)
-        log.add(WatchEvent(path, stored, revision))
+        changeLog.add(WatchEvent(path, stored, revision))
     }
 
     /** A machine that comes to a shard must not be named by a page of another one, whose next owner would return it. */
-    private fun checkMoved(path: String, value: Fields) {
+    private fun checkMachinesMoved(path: String, value: Fields) {
         val shard = path.removePrefix(Keys.MACHINES).substringBefore('/')
         duplicatedMachines.removeIf { shardsListing(it).size < 2 }
         val machineNames = MachineListPart.parse(value).records.mapTo(HashSet()) { it.name } - duplicatedMachines
@@ -232,12 +232,14 @@
                 it.name in machineNames
             }.forEach { world.rules.addViolation("in_two_shards ${it.name}: $path and $other") }
         }
-        for ((page, attempts) in placed) {
+        for ((page, attempts) in placementsByPage) {
             if (page.startsWith("page/$shard/")) continue
-            val of = page.removePrefix("page/").substringBefore('/').toInt()
-            attempts.filter { it.third in machineNames && Keys.liveJob(of, it.first.jobId) in entries }
+            val pageShard = page.removePrefix("page/").substringBefore('/').toInt()
+            attempts.filter { it.third in machineNames && Keys.liveJob(pageShard, it.first.jobId) in entries }
                 .forEach {
-                    world.rules.addViolation("moved_while_placed ${it.third} to shard $shard, ${it.first} of shard $of")
+                    world.rules.addViolation(
+                        "moved_while_placed ${it.third} to shard $shard, ${it.first} of shard $pageShard",
+                    )
                 }
         }
     }
@@ -246,15 +248,15 @@
         // Through the wire and back, as the real service would give it.
         val value = BodyCodec.readCbor(BodyCodec.writeCbor(StoreMessages.stored(write.value, transactionId)))
         entries[write.path] = Entry(value, revision, write.lease)
-        recordPage(write.path, value)
+        recordPlacements(write.path, value)
         putsByKind.merge(write.path.substringBefore('/'), 1, Int::plus)
         world.rolloutRules.checkStored(write.path, value)
-        if (write.path.startsWith(Keys.MACHINES)) checkMoved(write.path, value)
-        log.add(WatchEvent(write.path, value, revision))
+        if (write.path.startsWith(Keys.MACHINES)) checkMachinesMoved(write.path, value)
+        changeLog.add(WatchEvent(write.path, value, revision))
     }
 
     private fun remove(path: String) {
-        if (entries.remove(path) != null) log.add(WatchEvent(path, null, revision))
+        if (entries.remove(path) != null) changeLog.add(WatchEvent(path, null, revision))
     }
 
     fun grantLease(lifeMs: Long): Long {
@@ -269,8 +271,8 @@
 
     private fun expire() {
         if (!up) return
-        val over = leases.filterValues { it < world.now() }.keys.toList()
-        for (lease in over) {
+        val expired = leases.filterValues { it < world.now() }.keys.toList()
+        for (lease in expired) {
             leases.remove(lease)
             val paths = entries.filterValues { it.lease == lease }.keys.toList()
             if (paths.isNotEmpty()) revision++
--- a/src/test/kotlin/io/reedmast/sim/SimWorker.kt
+++ b/src/test/kotlin/io/reedmast/sim/SimWorker.kt
@@ -28,16 +28,16 @@
     val addr = "10.1.0.1:$name"
     private val tasks = LinkedHashMap<Pair<TaskId, Long>, Task>()
     private val images = HashSet<String>()
-    private val resumed = ArrayList<() -> Unit>()
+    private val onResume = ArrayList<() -> Unit>()
     private var controller = 0
     private var epoch = 1L
     private var sequence = 0L
-    private var seenToken = 0L
-    private var leaseFrom = 0L
-    private var gone = false
-    private var inFlight = false
-    private var reportDue = 0L
-    private var lastSent = -1_000L
+    private var highestToken = 0L
+    private var leaseRenewedAt = 0L
+    private var poweredOff = false
+    private var heartbeatInFlight = false
+    private var heartbeatDueAt = 0L
+    private var lastSentAt = -1_000L
     var hung = false
         private set
 
@@ -45,29 +45,36 @@
     var partitioned = false
 
     /** Answers to reports are lost as long as this is set. */
-    var answersLost = false
+    var heartbeatAnswersLost = false
 
     /** Neither answers nor commands reach this machine, while its reports arrive. */
     var unreachable = false
 
     /** No report of it reaches any controller, while direct commands reach it. */
-    var cannotReport = false
+    var heartbeatsLost = false
 
     /** Every task fails here soon after it has started. */
     var unhealthy = false
 
     /** Each report comes once more, this much later, to every controller; 0: none does. */
-    var reportCopyDelayMs = 0L
+    var heartbeatCopyDelayMs = 0L
     var started = false
         private set
 
-    fun startedTasks(): List<TaskId> = if (gone) emptyList() else tasks.values.filter { it.isStarted }.map { it.id }
+    fun startedTasks(): List<TaskId> = if (poweredOff) {
+        emptyList()
+    } else {
+        tasks.values.filter {
+            it.isStarted
+        }.map { it.id }
+    }
 
     /** Up, and nothing wrong with it. */
-    val alive: Boolean get() = started && !gone && !hung && !partitioned && !unreachable && !cannotReport && !unhealthy
+    val alive: Boolean get() = started && !poweredOff && !hung && !partitioned && !unreachable && !heartbeatsLost &&
+        !unhealthy
 
     /** Tasks that take room here, whether they have begun to run or not. */
-    fun held(): List<TaskId> = if (gone) {
+    fun residentTasks(): List<TaskId> = if (poweredOff) {
         emptyList()
     } else {
         tasks.values.filter {
@@ -76,7 +83,7 @@
     }
 
     /** The attempts that are on the machine. */
-    fun attempts(): Map<TaskId, Long> = if (gone) {
+    fun attempts(): Map<TaskId, Long> = if (poweredOff) {
         emptyMap()
     } else {
         tasks.values.filter { it.state != TaskState.ENDED }.associate {
@@ -85,70 +92,70 @@
         }
     }
 
-    fun freeCpus(): Double = machineType.cpus - held().sumOf { world.jobs[it.jobId]?.spec?.cpus ?: 0.0 }
+    fun freeCpus(): Double = machineType.cpus - residentTasks().sumOf { world.jobs[it.jobId]?.spec?.cpus ?: 0.0 }
 
     fun start() {
-        if (gone) return
+        if (poweredOff) return
         started = true
-        leaseFrom = world.now()
-        step()
+        leaseRenewedAt = world.now()
+        tick()
     }
 
     fun powerOff() {
-        dropAll()
-        gone = true
+        removeAllTasks()
+        poweredOff = true
     }
 
     /** All tasks are gone, with their machine or with its session. */
-    private fun dropAll() {
+    private fun removeAllTasks() {
         val lost = tasks.values.filter { it.state != TaskState.ENDED }
         lost.forEach { world.rules.taskEnded(this, it.id, it.isStarted) }
         tasks.clear()
-        lost.forEach { gangOf(it)?.lost(it.id.task) }
+        lost.forEach { gangOf(it)?.taskLost(it.id.task) }
     }
 
     fun hang(ms: Long) {
         hung = true
-        tasks.values.filter { it.isStarted }.toList().forEach { gangOf(it)?.lost(it.id.task) }
+        tasks.values.filter { it.isStarted }.toList().forEach { gangOf(it)?.taskLost(it.id.task) }
         world.after(ms) {
             hung = false
             // A resumed machine first notices that its lease is over, if it is.
             checkLease()
-            resumed.toList().also { resumed.clear() }.forEach { it() }
+            onResume.toList().also { onResume.clear() }.forEach { it() }
         }
     }
 
     fun whenResumed(work: () -> Unit) {
-        resumed.add(work)
+        onResume.add(work)
     }
 
-    private fun step() {
-        if (gone) return
+    private fun tick() {
+        if (poweredOff) return
         if (!hung) {
             checkLease()
-            if (!inFlight && world.now() >= reportDue && world.now() - lastSent >= 500) send()
+            if (!heartbeatInFlight && world.now() >= heartbeatDueAt && world.now() - lastSentAt >= 500) send()
         }
-        world.after(100) { step() }
+        world.after(100) { tick() }
     }
 
     private fun checkLease() {
-        if (world.now() - leaseFrom > world.settings.workers.leaseS * 1000) {
+        if (world.now() - leaseRenewedAt > world.settings.workers.leaseS * 1000) {
             if (attempts().isNotEmpty()) world.leasesExpiredWithTasks++
-            dropAll()
+            removeAllTasks()
             epoch++
-            leaseFrom = world.now()
-            changed()
+            leaseRenewedAt = world.now()
+            requestHeartbeat()
         }
     }
 
-    private fun changed() {
-        reportDue = minOf(reportDue, world.now())
+    private fun requestHeartbeat() {
+        heartbeatDueAt = minOf(heartbeatDueAt, world.now())
     }
 
     private fun status(): WorkerStatus {
         sequence++
         return WorkerStatus(
-            name, addr, machineType.label, zone, spot, epoch, sequence, seenToken, null,
+            name, addr, machineType.label, zone, spot, epoch, sequence, highestToken, null,
             tasks.values.map {
                 TaskStatus(it.id, it.attempt, it.state, it.cause)
             },
@@ -156,77 +163,77 @@
     }
 
     private fun send() {
-        inFlight = true
-        lastSent = world.now()
+        heartbeatInFlight = true
+        lastSentAt = world.now()
         val sentAt = world.now()
-        val sentIn = epoch
-        reportDue = world.now() + 3_000
+        val sentInEpoch = epoch
+        heartbeatDueAt = world.now() + 3_000
         val status = status()
         val target = world.controllers[controller]
-        if (reportCopyDelayMs >
+        if (heartbeatCopyDelayMs >
             0L
         ) {
-            world.after(reportCopyDelayMs) {
+            world.after(heartbeatCopyDelayMs) {
                 world.controllers.filter { it.up }.forEach { world.deliverHeartbeat(it, status) }
             }
         }
         world.after(2) {
-            val reaches = target.up && !target.partitionedFromWorkers && !partitioned && !cannotReport
-            val answer = if (reaches) world.deliverHeartbeat(target, status) else null
-            if (answersLost || unreachable || answer == null) {
-                world.after(if (target.up) 4_000 else 10) { next(1_000) }
+            val isReachable = target.up && !target.partitionedFromWorkers && !partitioned && !heartbeatsLost
+            val answer = if (isReachable) world.deliverHeartbeat(target, status) else null
+            if (heartbeatAnswersLost || unreachable || answer == null) {
+                world.after(if (target.up) 4_000 else 10) { tryNextController(1_000) }
             } else {
-                world.after(2) { take(answer, sentAt, sentIn) }
+                world.after(2) { handleAnswer(answer, sentAt, sentInEpoch) }
             }
         }
     }
 
-    private fun next(ms: Long) {
+    private fun tryNextController(ms: Long) {
         controller = (controller + 1) % world.controllers.size
-        reportDue = world.now() + ms
-        inFlight = false
+        heartbeatDueAt = world.now() + ms
+        heartbeatInFlight = false
     }
 
-    private fun take(answer: WorkerAnswer, sentAt: Long, sentIn: Long) {
-        if (gone) return
+    private fun handleAnswer(answer: WorkerAnswer, sentAt: Long, sentInEpoch: Long) {
+        if (poweredOff) return
         if (hung) {
-            whenResumed { inFlight = false }
+            whenResumed { heartbeatInFlight = false }
             return
         }
-        inFlight = false
+        heartbeatInFlight = false
         when (answer) {
             is WorkerAnswer.Commands -> {
-                if (answer.token < seenToken || sentIn != epoch) return
-                if (answer.token > seenToken) {
-                    seenToken = answer.token
-                    changed()
+                if (answer.token < highestToken || sentInEpoch != epoch) return
+                if (answer.token > highestToken) {
+                    highestToken = answer.token
+                    requestHeartbeat()
                 }
-                leaseFrom = sentAt
+                leaseRenewedAt = sentAt
                 answer.commands.forEach { execute(it) }
             }
 
             is WorkerAnswer.Redirect -> {
                 val to = world.controllers.indexOfFirst { it.label == answer.label }
                 if (to < 0 || to == controller) {
-                    next(1_000)
+                    tryNextController(1_000)
                 } else {
                     controller = to
-                    reportDue = world.now() + 100
+                    heartbeatDueAt = world.now() + 100
                 }
             }
 
             WorkerAnswer.Unavailable -> {
-                next(1_000)
+                tryNextController(1_000)
             }
         }
     }
 
     fun handleDirectCall(token: Long, ofEpoch: Long, commands: List<WorkerCommand>): Reply {
-        if (gone || !started) return Reply.Unanswered("gone")
-        if (token < seenToken || ofEpoch != epoch) return Reply.Answer(409, fields(status()))
-        if (token > seenToken) {
-            seenToken = token
-            changed()
+        if (poweredOff || !started) return Reply.Unanswered("gone")
+        if (token < highestToken || ofEpoch != epoch) return Reply.Answer(409, fields(status()))
+        if (token > highestToken) {
+            highestToken = token
+            requestHeartbeat()
         }
         commands.forEach { execute(it) }
         return Reply.Answer(200, fields(status()))
@@ -268,7 +275,7 @@
     }
 
     private fun stop(task: Task, graceS: Double) {
-        if (task.isStarted && gangOf(task)?.stops(task.id.task, graceS) == true) return
+        if (task.isStarted && gangOf(task)?.requestStop(task.id.task, graceS) == true) return
         end(task, TaskEndCause.HALTED)
     }
 
@@ -278,16 +285,16 @@
         return job.gangsByAttempt.getOrPut(task.attempt) { SimGang(world, job) }
     }
 
-    private inner class GangMember(private val of: Task) : SimGang.Member {
-        override val task get() = of.id.task
+    private inner class GangMember(private val memberTask: Task) : SimGang.Member {
+        override val task get() = memberTask.id.task
         override val hung get() = this@SimWorker.hung
 
-        override fun show(state: TaskState) {
-            of.state = state
-            changed()
+        override fun setState(state: TaskState) {
+            memberTask.state = state
+            requestHeartbeat()
         }
 
-        override fun exit(cause: TaskEndCause) = later(0, of) { end(of, cause) }
+        override fun exit(cause: TaskEndCause) = later(0, memberTask) { end(memberTask, cause) }
     }
 
     private fun launch(command: WorkerCommand.StartTask) {
@@ -295,16 +302,16 @@
         val job = world.jobs[command.id.jobId]
         val busy = tasks.values.any { it.id == command.id && it.state != TaskState.ENDED }
         tasks[command.id to command.attempt] = task
-        changed()
+        requestHeartbeat()
         if (busy || job == null) {
-            refuse(task, if (busy) TaskEndCause.BUSY else TaskEndCause.UNKNOWN)
+            markEnded(task, if (busy) TaskEndCause.BUSY else TaskEndCause.UNKNOWN)
             return
         }
         val used = tasks.values.filter {
             it.state != TaskState.ENDED
         }.sumOf { world.jobs.getValue(it.id.jobId).spec.cpus }
         if (used > machineType.cpus + 1e-6) {
-            refuse(task, TaskEndCause.NO_ROOM)
+            markEnded(task, TaskEndCause.NO_ROOM)
             return
         }
         world.rules.taskLaunched(this, command.id, command.attempt)
@@ -315,15 +322,15 @@
     private fun run(task: Task, job: World.SimJob) {
         images.add(job.spec.image)
         task.state = TaskState.RUNNING
-        changed()
+        requestHeartbeat()
         world.rules.taskStarted(this, task.id, task.attempt)
         when {
             task.id.task in job.completedTasks && !job.spec.isService -> later(1, task) { end(task, TaskEndCause.DONE) }
             unhealthy && job.spec.isGang -> {
-                gangOf(task)?.ready(GangMember(task))
+                gangOf(task)?.taskReady(GangMember(task))
                 later(200, task) { end(task, TaskEndCause.ERROR) }
             }
-            job.spec.isGang -> gangOf(task)?.ready(GangMember(task))
+            job.spec.isGang -> gangOf(task)?.taskReady(GangMember(task))
             unhealthy || job.fails -> later(200, task) { end(task, TaskEndCause.ERROR) }
             !job.spec.isService -> later(job.runMs, task) {
                 job.complete(task.id.task)
@@ -335,22 +342,22 @@
     /** A task's own time: it stands still while the machine hangs, and ends with the task. */
     private fun later(ms: Long, task: Task, work: () -> Unit) {
         world.after(ms) {
-            if (gone || tasks[task.id to task.attempt] !== task || task.state == TaskState.ENDED) return@after
+            if (poweredOff || tasks[task.id to task.attempt] !== task || task.state == TaskState.ENDED) return@after
             if (hung) whenResumed { later(1, task, work) } else work()
         }
     }
 
     private fun end(task: Task, cause: TaskEndCause) {
         world.rules.taskEnded(this, task.id, task.isStarted)
-        refuse(task, cause)
-        gangOf(task)?.lost(task.id.task)
+        markEnded(task, cause)
+        gangOf(task)?.taskLost(task.id.task)
     }
 
     /** The task ends before it has taken any room. */
-    private fun refuse(task: Task, cause: TaskEndCause) {
+    private fun markEnded(task: Task, cause: TaskEndCause) {
         task.state = TaskState.ENDED
         task.cause = cause
-        changed()
+        requestHeartbeat()
     }
 
     private fun fields(status: WorkerStatus): Map<String, Any?> = mapOf(
--- a/src/test/kotlin/io/reedmast/sim/World.kt
+++ b/src/test/kotlin/io/reedmast/sim/World.kt
@@ -43,7 +43,7 @@
 
     /** How often a worker's lease ended with tasks on it. */
     var leasesExpiredWithTasks = 0
-    private val requests = HashMap<String, List<String>>()
+    private val machinesByRequest = HashMap<String, List<String>>()
     private var machineCount = 0
     var capacity = Int.MAX_VALUE
 
@@ -104,7 +104,7 @@
         val name = "host-%06d".format(machineCount++)
         val worker = SimWorker(this, name, machineTypes.first { it.label == typeName }, zone, spot, time)
         workers[name] = worker
-        worker.partitioned = zone in unavailableZones
+        worker.partitioned = zone in partitionedZones
         workersByAddr[worker.addr] = worker
         after(bootMs) { worker.start() }
         return worker
@@ -113,10 +113,10 @@
     /** Each direct call that was carried out arrives once more, this much later; 0: none does. */
     var directCallRepeatDelayMs = 0L
 
-    private val unavailableZones = HashSet<String>()
+    private val partitionedZones = HashSet<String>()
 
     fun setZonePartitioned(zone: String, on: Boolean) {
-        if (on) unavailableZones.add(zone) else unavailableZones.remove(zone)
+        if (on) partitionedZones.add(zone) else partitionedZones.remove(zone)
         workers.values.filter { it.zone == zone }.forEach { it.partitioned = on }
     }
 
@@ -149,11 +149,13 @@
 
     fun workerAt(addr: String): SimWorker? = workersByAddr[addr]
 
-    fun provision(rental: ProvisioningRequest): ProvisioningResult {
-        val names = requests.getOrPut(rental.requestName) {
+    fun provision(request: ProvisioningRequest): ProvisioningResult {
+        val names = machinesByRequest.getOrPut(request.requestName) {
             if (cloudUnavailable) return ProvisioningResult.Failed
-            val count = minOf(rental.count, capacity - workers.size).coerceAtLeast(0)
-            (0 until count).map { addWorker(rental.typeName, rental.zone, rental.spot, bootMs(rental.typeName)).name }
+            val count = minOf(request.count, capacity - workers.size).coerceAtLeast(0)
+            (0 until count).map {
+                addWorker(request.typeName, request.zone, request.spot, bootMs(request.typeName)).name
+            }
         }
         return if (names.isEmpty()) ProvisioningResult.NoCapacity else ProvisioningResult.Machines(names)
     }
