--- a/src/test/kotlin/io/reedmast/sim/BehaviourDigest.kt
+++ b/src/test/kotlin/io/reedmast/sim/BehaviourDigest.kt
@@ -10,16 +10,16 @@
 import kotlin.system.exitProcess
 
 /**
- * Plays every scenario and a set of made-up days, and compares what left the controllers with what left those of
- * another version.
+ * Runs every scenario file and a set of generated days, and compares the output of the controllers with that of
+ * another version. A day is one simulation run, defined by the lines of a scenario.
  *
  * It is meant for changes that must not alter behaviour. Run it from the project's root with the tests' class path:
  *
- *     BehaviourDigestKt write FILE        plays all days and writes a line for each: name, digest, number of messages
- *     BehaviourDigestKt compare FILE      plays all days and lists those that differ; exit code 1 if there are any
- *     BehaviourDigestKt transcript DAY FILE   writes every message of one day, to find where two versions part
+ *     BehaviourDigestKt write FILE        runs all days and writes a line for each: name, digest, number of messages
+ *     BehaviourDigestKt compare FILE      runs all days and lists those that differ; exit code 1 if there are any
+ *     BehaviourDigestKt transcript DAY FILE   writes every message of one day, to find where two versions diverge
  *
- * The variable DIGEST_THREADS says how many days are played at once (default 4).
+ * The environment variable DIGEST_THREADS sets how many days run in parallel (default 4).
  */
 fun main(args: Array<String>) {
     System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", "off")
@@ -38,7 +38,7 @@
     override fun toString() = "$name $digest $messages"
 }
 
-/** A day and the lines of its scenario. */
+/** A day, and the scenario lines that define it. */
 private class DigestDay(val name: String, private val lines: () -> List<String>) {
     fun run(transcript: Appendable? = null): DayDigest {
         val scenario = Scenario(lines())
@@ -84,7 +84,7 @@
         DigestDay("large-rollout-day/$seed") { LargeDay(seed, upgrade = true, rollout = true).lines() }
     }
 
-/** Plays the days on several threads; each has a world of its own. */
+/** Runs the days on several threads; each day has its own [World]. */
 private fun runAll(days: List<DigestDay>): List<DayDigest> {
     val threads = Executors.newFixedThreadPool(System.getenv("DIGEST_THREADS")?.toInt() ?: DEFAULT_THREADS)
     try {
@@ -94,7 +94,7 @@
     }
 }
 
-/** Prints the days whose digests differ from [expected], and returns how many do. */
+/** Prints the days that differ from [expected] or occur only there, and returns their number. */
 private fun compare(expected: List<String>): Int {
     val results = runAll(digestDays()).map { it.toString() }
     val differing = results.filter { it !in expected }.map { "differs: $it" } +
--- a/src/test/kotlin/io/reedmast/sim/OutputRecorder.kt
+++ b/src/test/kotlin/io/reedmast/sim/OutputRecorder.kt
@@ -8,23 +8,22 @@
 import java.security.MessageDigest
 
 /**
- * A digest over everything that leaves the controllers of a [World], in order and with simulated times: answers to
- * users and workers, commands, store transactions and reads, cloud calls and messages to peers. Log lines are no part
- * of it.
+ * Computes a digest of all output of the controllers of a [World], in order and with simulated times: answers to users
+ * and workers, commands, store transactions and reads, cloud calls and messages to peers. Log lines are not included.
  *
- * Everything is recorded in its encoded form, so that renamed classes and fields leave the digest as it is.
+ * Everything is recorded in its encoded form, so that renaming classes and fields does not change the digest.
  */
 class OutputRecorder(
-    /** Receives one line for each message, to find where two digests part; null if nobody asks. */
+    /** Receives one line for each message, to find where two runs diverge; null if that is not needed. */
     private val transcript: Appendable? = null,
 ) {
     private val digest = MessageDigest.getInstance("SHA-256")
 
-    /** How many messages were recorded. */
+    /** The number of recorded messages. */
     var count = 0
         private set
 
-    /** The digest of all that was recorded, in hexadecimal; nothing may be recorded after it. */
+    /** The digest of everything recorded, in hexadecimal; nothing may be recorded after this call. */
     fun result(): String = digest.digest().take(DIGEST_BYTES).joinToString("") { "%02x".format(it) }
 
     fun record(atMs: Long, controller: String, kind: String, body: Fields) =
--- a/src/test/kotlin/io/reedmast/sim/OutputRecorderTest.kt
+++ b/src/test/kotlin/io/reedmast/sim/OutputRecorderTest.kt
@@ -4,7 +4,7 @@
 import org.junit.jupiter.api.Assertions.assertNotEquals
 import org.junit.jupiter.api.Test
 
-/** The digest by which changes are held to leave behaviour as it is. */
+/** Tests the digest that is used to check that a change does not alter behaviour. */
 class OutputRecorderTest {
     private val body = mapOf("put" to "c/slice/0", "v" to mapOf("token" to 1L))
 
@@ -16,7 +16,7 @@
     }
 
     @Test
-    fun `time, sender, body and order of messages all count`() {
+    fun `the digest depends on the time, sender, body and order of messages`() {
         val digest = digestOf { record(5, "n0", "commit", body) }
         assertNotEquals(digest, digestOf { record(6, "n0", "commit", body) })
         assertNotEquals(digest, digestOf { record(5, "n1", "commit", body) })
@@ -34,11 +34,10 @@
     }
 
     /**
-     * Two plays of one day send the same messages: without that, no difference between two versions would mean
-     * anything.
+     * Two runs of one day must send the same messages; otherwise a difference between two versions would prove nothing.
      */
     @Test
-    fun `a day that is played twice has one digest`() {
+    fun `two runs of one day have the same digest`() {
         fun run(): String {
             val scenario = Scenario(RandomDay(1, gangs = true).lines())
             val recorder = OutputRecorder().also { scenario.world.recorder = it }
--- a/src/test/kotlin/io/reedmast/sim/RecordingGateway.kt
+++ b/src/test/kotlin/io/reedmast/sim/RecordingGateway.kt
@@ -16,7 +16,7 @@
 import io.reedmast.wire.Reply
 import io.reedmast.wire.WorkerCommand
 
-/** Notes what a class asks of the world, and answers nothing: for tests of one class alone. */
+/** Records transactions and direct commands and never calls back; for tests of a single class. */
 class RecordingGateway : Gateway {
     val commits = ArrayList<CasTransaction>()
     val directCommands = ArrayList<WorkerCommand>()
--- a/src/test/kotlin/io/reedmast/sim/RolloutRules.kt
+++ b/src/test/kotlin/io/reedmast/sim/RolloutRules.kt
@@ -12,8 +12,8 @@
 import io.reedmast.wire.StoreMessages
 
 /**
- * The rules of the rollout, checked on every value that is stored and every page that is read, by what the store holds:
- * gates move only as they may, and nothing is written or read by a process in a form that the gates do not allow to it.
+ * Checks the rules of the rollout on every value that is stored and every page that is read, against the stored rollout
+ * record: gates make only allowed moves, and no process writes or reads a form that the gates do not allow it.
  */
 class RolloutRules(private val world: World) {
     private var record = RolloutRecord()
@@ -24,7 +24,7 @@
         else -> null
     }
 
-    /** Called with each value as it is stored. */
+    /** Checks a value that has just been stored. */
     fun checkStored(path: String, value: Fields) {
         if (path == Keys.ROLLOUT) checkGateMoves(value)
         val (feature, isNew) = formOf(path, value) ?: return
@@ -45,8 +45,9 @@
     private var isCounterUnfenced = true
 
     /**
-     * A version from before the rollout may take shards until the counter has been migrated; what depends on the fence
-     * waits for that.
+     * Whether the value was written by a version that predates rollouts, while the counter is still in the open form.
+     * Such a version may acquire shards until the counter has been migrated; features that depend on the fenced form
+     * are not enabled before that.
      */
     private fun isAcquisitionBeforeRollouts(value: Fields): Boolean {
         val sender = StoreMessages.transactionId(value) ?: return false
@@ -54,12 +55,12 @@
     }
 
     /**
-     * Whatever lets a process take part, or has a form that depends on the gates, is on condition that they are as the
-     * process has read them.
+     * Every put that lets a process participate in the cluster, or whose form depends on the gates, must have the
+     * precondition that the gates have not changed since the process read them.
      */
     fun checkSent(transaction: StoreTransaction) {
         val sender = world.controllers.firstOrNull { transaction.id.startsWith("${it.label}-") } ?: return
-        // What is carried out late was sent by the process of then, whatever runs there now.
+        // A delayed transaction was sent by the process that ran then, whatever version runs there now.
         if (sender.predatedRollouts(transaction.id) || transaction.preconditions.any { it.path == Keys.ROLLOUT }) return
         transaction.writes.filterIsInstance<Write.Put>().filter { put ->
             guardedPrefixes.any { put.path.startsWith(it) }
@@ -92,7 +93,7 @@
         record = next
     }
 
-    /** Whoever counts must be able to read what may be written from now on. */
+    /** Every running controller that owns a shard and is not excluded must read what may be written from now on. */
     private fun checkAllCanRead(version: Int, next: RolloutRecord, event: String) {
         for (controller in world.controllers) {
             if (controller.label in next.excluded || !controller.up || controller.terminationReason != null) continue
@@ -105,7 +106,7 @@
         }
     }
 
-    /** A process reads the pages of a shard that it has taken. */
+    /** Checks that the process can read the form of the pages of a shard that it has acquired. */
     fun checkRead(controller: SimController, items: List<Pair<String, Fields>>) {
         val dense =
             items.firstOrNull { (path, value) -> path.startsWith("page/") && DensePages.isDense(value) } ?: return
--- a/src/test/kotlin/io/reedmast/sim/RuleChecker.kt
+++ b/src/test/kotlin/io/reedmast/sim/RuleChecker.kt
@@ -6,24 +6,24 @@
 import io.reedmast.wire.UserAnswer
 
 /**
- * The rules of the protocol, checked by what users were told, what runs on each worker and what the store holds. The
- * controllers' own books are not asked.
+ * Checks the rules of the protocol against the answers that users got, the tasks that run on each worker and the
+ * contents of the store. The controllers' own state is not consulted.
  *
- * Besides the rules, two conditions on which they rest are checked, since they fail long before a user sees it: a job
- * that a user was told of stands in the store, and a task is launched only where a stored page places it.
+ * Two conditions that the rules rely on are checked too, since they fail long before a user notices anything: a job
+ * that a user got an answer about is in the store, and a task is launched only where a stored page places it.
  */
 class RuleChecker(private val world: World) {
     private class RunningTasks {
         val machines = HashMap<TaskId, MutableList<SimWorker>>()
     }
 
-    /** Broken rules, with the time of each. */
+    /** The rules that were broken, each with its simulated time. */
     val violations = ArrayList<String>()
 
-    /** What users were last told of each job. */
+    /** The state of each job in the last answer to a user. */
     val answeredStates = HashMap<String, String>()
 
-    /** How often tasks of a job have started. */
+    /** How many times tasks of each job have started. */
     val startCounts = HashMap<String, Int>()
 
     private val running = HashMap<String, RunningTasks>()
@@ -31,7 +31,8 @@
     private val cancelledJobs = HashSet<String>()
 
     /**
-     * Since when a job has had room somewhere, its team was below its limit, and none of its tasks was on a machine.
+     * Since when each job has been waiting although a machine had room, its team was below its limit and none of its
+     * tasks was on a machine.
      */
     private val neglectedSince = HashMap<String, Long>()
 
@@ -39,10 +40,7 @@
         violations.add("${world.now() / 1000.0} s: $what")
     }
 
-    // ---- what workers do
-    // ----------------------------------------------------------------------------------------------
-
-    /** A worker has taken up a launch: the task takes room there from now on. */
+    /** A worker has accepted a launch: the task occupies resources there from now on. */
     fun taskLaunched(worker: SimWorker, id: TaskId, attempt: Long) {
         residentCount.merge(id.jobId, 1, Int::plus)
         if (!world.store.isPlaced(
@@ -55,7 +53,7 @@
         }
     }
 
-    /** A task has its image and runs. */
+    /** A task has fetched its image and runs. */
     fun taskStarted(worker: SimWorker, id: TaskId, attempt: Long) {
         startCounts.merge(id.jobId, 1, Int::plus)
         val machines = running.getOrPut(id.jobId) { RunningTasks() }.machines.getOrPut(id) { ArrayList(1) }
@@ -67,10 +65,10 @@
         checkCancelled(id.jobId)
     }
 
-    /** The attempt of each gang that is on machines. */
+    /** The latest attempt of each gang that has been started. */
     private val gangAttempts = HashMap<String, Long>()
 
-    /** A gang has one attempt at a time: the old one must be gone everywhere before the next begins anywhere. */
+    /** A gang has one attempt at a time: it must have ended on all machines before the next one starts on any. */
     private fun checkSingleAttempt(id: TaskId, attempt: Long) {
         if (!world.jobs.getValue(id.jobId).spec.isGang) return
         val previous = gangAttempts.put(id.jobId, attempt)
@@ -81,7 +79,7 @@
         }
     }
 
-    /** A task is over, killed, or gone with its machine. */
+    /** A task has completed, was killed or disappeared with its machine; [wasStarted] if it had started to run. */
     fun taskEnded(worker: SimWorker, id: TaskId, wasStarted: Boolean) {
         residentCount.merge(id.jobId, -1, Int::plus)
         if (!wasStarted) return
@@ -90,14 +88,14 @@
         if (tasks[id]?.isEmpty() == true) tasks.remove(id)
     }
 
-    /** A test has moved a task that runs from one worker to another. */
+    /** A test has moved a running task from one worker to another. */
     fun taskMoved(from: SimWorker, to: SimWorker, id: TaskId) {
         val machines = running.getValue(id.jobId).machines.getValue(id)
         machines.remove(from)
         machines.add(to)
     }
 
-    /** How many tasks of the job run. */
+    /** The number of running tasks of the job. */
     fun runningCount(jobId: String): Int = running[jobId]?.machines?.values?.sumOf { it.size } ?: 0
 
     private fun usedCpus(teamName: String): Double = running.entries.sumOf { (jobId, tasks) ->
@@ -134,10 +132,7 @@
         }
     }
 
-    // ---- what users are told
-    // ------------------------------------------------------------------------------------------
-
-    /** [wasAccepted]: whether the job had been accepted before the question was asked. */
+    /** A user got [answer]; [wasAccepted] if the job had been accepted before the request was sent. */
     fun answered(jobId: String, answer: UserAnswer, wasAccepted: Boolean) {
         if (wasAccepted && answer.status in REJECTION_STATUSES) addViolation("forgotten $jobId: ${answer.status}")
         val state = answer.job?.state?.wireName ?: return
@@ -161,11 +156,9 @@
     private fun isStored(jobId: String): Boolean = world.store.get(Keys.endedJob(jobId)) != null ||
         (0 until world.settings.shardCount).any { world.store.get(Keys.liveJob(it, jobId)) != null }
 
-    // ---- what becomes of accepted jobs
-    // --------------------------------------------------------------------------------
-
     /**
-     * Once the troubles are over, no job waits 90 s while a machine that fits has room and its team is under its limit.
+     * Once all faults have ended, no job waits longer than 90 s while an eligible machine has room and its team is
+     * below its limit.
      */
     fun checkNeglected() {
         if (world.now() < world.faultFreeSince) return
@@ -184,7 +177,7 @@
         jobId in answeredStates && answeredStates[jobId] !in FINAL_STATES && !job.fails &&
             (job.spec.isService || job.completedTasks.size < job.spec.taskCount) && (residentCount[jobId] ?: 0) == 0
 
-    /** FreeCapacity for a task of the job, or for all of a gang, in one zone if it needs that. */
+    /** Whether there is room for one task of the job or, for a gang, for all its tasks, in one zone if required. */
     private fun hasRoom(job: World.SimJob, freeCpusByWorker: List<Pair<SimWorker, Double>>): Boolean {
         val fitting = freeCpusByWorker.filter { (worker, cpus) -> fits(job, worker, cpus) }
         if (!job.spec.isGang) return fitting.isNotEmpty()
@@ -204,7 +197,7 @@
         freeCpus + CPU_TOLERANCE >= job.spec.cpus &&
             isEligible(job.spec, worker.machineType.label, worker.zone, worker.spot)
 
-    /** Whether the team's limit leaves room for one more task of the job. */
+    /** Whether the team's limit allows one more task of the job or, for a gang, all its tasks. */
     private fun isUnderLimit(job: World.SimJob): Boolean {
         val limit = world.settings.teams.first { it.name == job.spec.teamName }.maxCpus
         if (limit == 0.0) return true
@@ -215,7 +208,7 @@
         return used + job.spec.cpus * (if (job.spec.isGang) job.spec.taskCount else 1) <= limit + CPU_TOLERANCE
     }
 
-    /** Accepted jobs that have not got what they were promised. */
+    /** Accepted jobs that have not completed, do not run as required, or still run after their cancellation. */
     fun unsettled(): List<String> = answeredStates.keys.sorted().mapNotNull { jobId ->
         val job = world.jobs.getValue(jobId)
         val count = runningCount(jobId)
--- a/src/test/kotlin/io/reedmast/sim/RuleCheckerTest.kt
+++ b/src/test/kotlin/io/reedmast/sim/RuleCheckerTest.kt
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** Each rule is broken on purpose: a checker that finds nothing must be one that could. */
+/** Breaks each rule on purpose, to show that [RuleChecker] detects it. */
 class RuleCheckerTest {
     private val world = Scenario(listOf("team a 8 2", "machine-type m 4 5")).world
     private val rules = world.rules
--- a/src/test/kotlin/io/reedmast/sim/Scenario.kt
+++ b/src/test/kotlin/io/reedmast/sim/Scenario.kt
@@ -17,9 +17,9 @@
 import io.reedmast.wire.MachineType
 import io.reedmast.wire.TaskId
 import io.reedmast.wire.UserAnswer
-import kotlin.random.Random
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
+import kotlin.random.Random
 
 /**
  * Plays a day in the stand-in world. A line is `at SECONDS VERB ARGUMENTS`, in order of time; before them `controllers N`,
--- a/src/test/kotlin/io/reedmast/sim/SimController.kt
+++ b/src/test/kotlin/io/reedmast/sim/SimController.kt
@@ -17,46 +17,54 @@
 import io.reedmast.wire.Fields
 import io.reedmast.wire.UserAnswer
 
-/** One controller of the [World]; [up] and the cuts say what reaches it. */
+/** One controller of the [World], with its process and the faults that are injected into it. */
 class SimController(private val world: World, val index: Int) {
     val label = world.settingsOf(index).label
     var up = false
     var partitionedFromStore = false
     var partitionedFromWorkers = false
 
-    /** Nothing passes between this controller and the other controllers. */
+    /** Whether no message passes between this controller and the other controllers. */
     var partitionedFromPeers = false
 
-    /** Sends of the next direct commands arrive this much later, and their answers are lost. */
+    /** The next direct call arrives after this delay, and its answer is lost; 0: no delay. */
     var directCallDelayMs = 0L
 
-    /** The next transaction that writes [delayedCommitKey] is applied this much later, whatever has become of the controller. */
+    /**
+     * The next transaction that writes a key containing [delayedCommitKey] is applied after this delay, even if the
+     * controller has crashed or is partitioned by then; 0: no delay.
+     */
     var commitDelayMs = 0L
     var delayedCommitKey = ""
 
-    /** The next transaction that writes a key with this in its name is applied at once, and its answer lost. */
+    /** The next transaction that writes a key containing this text is applied as usual, and its reply is lost. */
     var loseCommitReplyFor: String? = null
+
+    /**
+     * Increases when a process starts or crashes. A callback that was scheduled by another process than the current one
+     * does nothing.
+     */
     var processNumber = 0
 
     /**
-     * The process has the version before reduced limits and formats: it knows only the limits of today, names no format
-     * of its own and does not see what others name.
+     * The process runs the version from before reduced limits, formats and rollouts: it knows only the current limits,
+     * announces no format of its own and does not see the formats that others announce.
      */
     var predatesRollouts = false
 
-    /** The process knows the rollout, and the features up to this version of the stored forms only. */
+    /** The newest version of the stored forms that a process with rollouts knows; it knows no later features. */
     var newestVersion = ClusterFeatures.registry.range.newest
 
     private val incarnationsBeforeRollouts = HashSet<String>()
 
-    /** Whether the process that sent the transaction had the version before formats and rollouts. */
+    /** Whether the transaction was sent by a process of the version that predates formats and rollouts. */
     fun predatedRollouts(transactionId: String): Boolean =
         transactionId.substringBeforeLast('-') in incarnationsBeforeRollouts
 
-    /** The newest stored form that the process reads. */
+    /** The newest version of the stored forms that the process reads. */
     val newestReadableVersion: Int get() = if (predatesRollouts) 0 else newestVersion.value
 
-    /** How far its time of day is from the true one. */
+    /** The error of its wall clock. */
     var clockErrorMs = 0L
     private val clock = object : Clock {
         override fun now() = world.now()
@@ -64,21 +72,21 @@
         override fun wallTime() = world.wallTime() + clockErrorMs
     }
 
-    /** What its deploy file wishes. */
+    /** The targets in its deploy file. */
     var desired: Map<FeatureName, Target> = emptyMap()
 
-    /** Why the process has ended by itself, if it has. */
+    /** Why the process has terminated itself; null if it has not. */
     var terminationReason: String? = null
     var process: Controller? = null
 
-    /** The watch on jobs answers this much later than it could. */
+    /** The minimum interval between deliveries of job changes to the process; 0: with every poll of the watch. */
     var jobWatchIntervalMs = 0L
     private var nextJobWatchAt = 0L
     private var watchedRevision = 0L
     private var watchedJobsRevision = 0L
     private var snapshotLoaded = false
 
-    /** Until then the process stands still, while its clocks run. */
+    /** The process is paused until then, while its clocks go on. */
     private var pausedUntil = 0L
     val isPaused: Boolean get() = world.now() < pausedUntil
     val reachesStore: Boolean get() = !partitionedFromStore && world.store.up
@@ -87,7 +95,7 @@
         pausedUntil = world.now() + ms
     }
 
-    /** The process does [work] after [ms], or once it goes on if it stands still then. */
+    /** Runs [work] after [ms], or at the end of the pause if the process is paused then. */
     fun later(ms: Long, work: () -> Unit) {
         world.after(ms) { if (isPaused) world.after(pausedUntil - world.now(), work) else work() }
     }
@@ -114,7 +122,7 @@
         return FeatureRegistry(supported, VersionRange(FormatVersion.NONE, newestVersion))
     }
 
-    /** The process ends by itself, since it does not fit what has been rolled out. */
+    /** The process terminates itself, since it is not compatible with what has been rolled out. */
     fun terminate(reason: String) {
         terminationReason = reason
         crash()
@@ -156,7 +164,7 @@
         }
     }
 
-    /** Reads all keys, as a process does when it starts and when the changes that it asks for are no longer kept. */
+    /** Reads all watched keys, as a process does at its start and when the store no longer has the changes it needs. */
     private fun load(ofProcess: Int, current: Controller, done: () -> Unit) {
         val askedAt = world.now()
         list(ofProcess, Keys.CLUSTER) { cluster ->
@@ -218,7 +226,7 @@
         )
     }
 
-    /** Reads the keys with [prefix] page by page, each at its own moment; fails if the store is lost meanwhile. */
+    /** Reads the keys with [prefix] page by page, each page at a later time; fails if the store becomes unreachable. */
     fun list(ofProcess: Int, prefix: String, done: (ListResult) -> Unit) {
         val items = ArrayList<StoredItem>()
         var revision = -1L
@@ -265,7 +273,7 @@
     }
 
     companion object {
-        /** What a version before formats and rollouts writes, and sees, of a record. */
+        /** A record as a version that predates formats and rollouts writes it and sees it. */
         fun asBeforeRollouts(path: String, value: Fields): Fields = when {
             path.startsWith(Keys.MEMBERS) -> value.filterKeys { it == "label" || it == "txn" }
             path == Keys.TOKEN_COUNTER && "fencedToken" in value -> mapOf("form" to 0L)
--- a/src/test/kotlin/io/reedmast/sim/SimGang.kt
+++ b/src/test/kotlin/io/reedmast/sim/SimGang.kt
@@ -4,21 +4,21 @@
 import io.reedmast.wire.TaskState
 
 /**
- * One attempt of a gang, over all its workers: its tasks wait for each other, run, save and complete together.
+ * One attempt of a gang, across all its workers: its tasks wait for each other, run, save and complete together.
  *
- * The workers find each other by the attempt number, whatever the controllers know.
+ * Tasks of the same attempt number find each other without the controllers.
  */
 class SimGang(private val world: World, private val job: World.SimJob) {
     /** A task of the attempt on its worker. */
     interface Member {
         val task: Int
 
-        /** Its machine executes nothing. */
+        /** Whether its machine hangs and executes nothing. */
         val hung: Boolean
 
         fun setState(state: TaskState)
 
-        /** The task exits by itself. */
+        /** The task exits on its own. */
         fun exit(cause: TaskEndCause)
     }
 
@@ -30,12 +30,12 @@
     private var firstStopAt = 0L
     private val stoppedTasks = HashSet<Int>()
 
-    /** The task has its image. */
+    /** The task has fetched its image and waits for the others. */
     fun taskReady(member: Member) {
         members[member.task] = member
         member.setState(TaskState.WAITING)
         if (phase != Phase.WAITING) {
-            // It has come too late for the attempt, and waits in vain.
+            // The attempt is no longer waiting for tasks, so this one can only time out.
             exitLater(member, world.settings.workers.gangTimeoutS, TaskEndCause.GANG_TIMED_OUT)
         } else if (members.size == job.spec.taskCount) {
             start()
@@ -64,7 +64,7 @@
         all.forEach { it.exit(TaskEndCause.DONE) }
     }
 
-    /** A task has disappeared, or its machine hangs. */
+    /** A task has ended or disappeared, or its machine hangs. */
     fun taskLost(task: Int) {
         val member = members.remove(task) ?: return
         when (phase) {
@@ -97,7 +97,7 @@
         }
     }
 
-    /** A stop has reached the task; true if it saves and exits by itself, false if it exits at once. */
+    /** Handles a stop command; true if the task saves and exits on its own, false if it exits without saving. */
     fun requestStop(task: Int, graceS: Double): Boolean {
         val saves = job.spec.resumable && graceS >= job.spec.saveS
         if (!saves || phase == Phase.WAITING || phase == Phase.FAILED || phase == Phase.ENDED) return false
--- a/src/test/kotlin/io/reedmast/sim/SimGateway.kt
+++ b/src/test/kotlin/io/reedmast/sim/SimGateway.kt
@@ -31,7 +31,10 @@
 import io.reedmast.wire.WorkerReplies
 import kotlin.random.Random
 
-/** All I/O of one process of a [SimController], its process number [processNumber]: what it gets back depends on the world's troubles. */
+/**
+ * All I/O of the process of a [SimController] with the number [processNumber]; its results depend on the faults that
+ * are injected into the [World].
+ */
 class SimGateway(
     private val world: World,
     private val controller: SimController,
@@ -58,15 +61,13 @@
     }
 
     private fun <T> reply(ms: Long, done: (T) -> Unit, compute: () -> T) = world.after(ms) {
-        // What was answered while the process stood still is as old as the answer.
+        // The result is computed now; a paused process receives it, outdated as it may be, at the end of the pause.
         if (controller.processNumber == processNumber) {
             val result = compute()
             controller.later(0) { if (controller.processNumber == processNumber) done(result) }
         }
     }
 
-    // ---- the store --------------------------------------------------------------------------------------------
-
     override fun commit(transaction: CasTransaction, refusable: Boolean): Boolean {
         if (controller.predatesRollouts && transaction.writes.any { it.path == Keys.FORMAT }) return true
         if (!queue.offer(
@@ -236,9 +237,6 @@
     override fun shareLimits(aliveControllers: Int, leading: Boolean) =
         writeLimiter.setRate(world.writesPerS * WRITE_RATE_MARGIN / aliveControllers)
 
-    // ---- other controllers and workers
-    // --------------------------------------------------------------------------------
-
     override fun broadcast(message: PeerMessage) {
         world.controllers.filter { it.index != controller.index }.forEach { send(ControllerId(it.index), message) }
     }
@@ -263,11 +261,11 @@
                 Reply.NotSent("no route")
             }
 
-            worker.unreachable -> reply(DIRECT_CALL_TIMEOUT_MS, done) { Reply.Unanswered("deaf") }
+            worker.unreachable -> reply(DIRECT_CALL_TIMEOUT_MS, done) { Reply.Unanswered("unreachable") }
 
             delayMs > 0L -> {
                 world.after(delayMs) { worker.handleDirectCall(token, epoch, commands) }
-                reply(DIRECT_CALL_TIMEOUT_MS, done) { Reply.Unanswered("late") }
+                reply(DIRECT_CALL_TIMEOUT_MS, done) { Reply.Unanswered("delayed") }
             }
 
             worker.hung -> {
@@ -295,9 +293,6 @@
 
     override fun expectMachines(count: Int) = Unit
 
-    // ---- the cloud
-    // ----------------------------------------------------------------------------------------------------
-
     override fun provision(request: ProvisioningRequest, done: (ProvisioningResult) -> Unit) {
         record(
             "rent",
--- a/src/test/kotlin/io/reedmast/sim/SimOperator.kt
+++ b/src/test/kotlin/io/reedmast/sim/SimOperator.kt
@@ -22,7 +22,7 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 
-/** An operator of the [World], who acts through the same library call as the command line. */
+/** An operator of the [World], who uses the same [RolloutAdministration] as the command line. */
 class SimOperator(private val world: World) {
     private var transactionCount = 0
 
@@ -71,8 +71,10 @@
     }
 
     /**
-     * `WISH FEATURE`, or `exclude`, `include`, `drain`, `undrain`, `ready` with a controller; `refused=WORD` if it must be,
-     * for a reason with that word.
+     * Performs the action in [words]: `enable`, `finalize` or `revert` with a feature, or `exclude`, `include`,
+     * `drain`, `undrain` or `ready` with a controller. It must succeed or, with `refused=WORD`, be refused for a reason
+     * that contains the word (underscores stand for spaces); with `perhaps` its result is not checked. `by=NAME` names
+     * the operator.
      */
     fun act(words: List<String>) {
         val expectedRefusal = words.firstOrNull { it.startsWith("refused=") }?.substringAfter('=')?.replace('_', ' ')
@@ -89,9 +91,9 @@
             "drain" -> administration.drain(words[1], by, done)
             "undrain" -> administration.endDrain(words[1], done)
             "ready" -> administration.readiness(words[1]) { done(asResult(it)) }
-            else -> error("an operator does not ${words[0]}")
+            else -> error("unknown operator action: ${words[0]}")
         }
-        // As chance has it, an act may be impossible just then.
+        // In a randomly generated day the action may be impossible at that time.
         if ("perhaps" in words) return
         val at = "at ${world.now() / 1000.0} s: operator ${words.joinToString(" ")}: $result"
         if (expectedRefusal ==
@@ -111,14 +113,14 @@
     private fun status(): RolloutStatus {
         var status: RolloutStatus? = null
         administration().status { status = (it as? StatusResult.Known)?.status }
-        return status ?: error("no status")
+        return status ?: error("the rollout status could not be read")
     }
 
     fun gateState(feature: String): String = status().let {
         it.snapshot.stateOf(FeatureName(feature), it.view.gates.record).storedName
     }
 
-    /** Whether all records of the feature have the form that its gate wants. */
+    /** Whether all records of the feature have the form that its gate requires. */
     fun isMigrated(feature: String): Boolean = status().let { status ->
         ClusterFeatures.registry[FeatureName(feature)]?.let { status.snapshot.isMigrated(it, status.view.gates.record) }
             ?: false
@@ -126,7 +128,7 @@
 
     fun waitReasons(): String = status().waitReasons.toString()
 
-    /** The forms in which pages, or the token counter, are stored. */
+    /** The stored forms of all pages (`pages`) or of the token counter (`token`). */
     fun formsOf(what: String): Set<String> = when (what) {
         "pages" -> world.store.all("page/").mapTo(HashSet()) { if (DensePages.isDense(it.value)) "dense" else "plain" }
         "token" -> world.store.all(Keys.TOKEN_COUNTER).mapTo(HashSet()) {
@@ -138,6 +140,6 @@
                 "open"
             }
         }
-        else -> error("nothing has the form of $what")
+        else -> error("neither pages nor token: $what")
     }
 }
--- a/src/test/kotlin/io/reedmast/sim/SimStore.kt
+++ b/src/test/kotlin/io/reedmast/sim/SimStore.kt
@@ -16,7 +16,7 @@
 import io.reedmast.wire.maps
 import java.util.TreeMap
 
-/** The store of PROTOCOL: conditional transactions, stamps, leases. */
+/** The store of PROTOCOL: conditional transactions, versions, leases. */
 class SimStore(private val world: World) {
     private class Entry(val value: Fields, val version: Long, val lease: Long?)
 
@@ -26,8 +26,10 @@
     private var leaseCount = 0L
     private var compactedRevision = 0L
 
-    /** How many items one page of a listing holds, and how many changes are kept for those who follow. */
+    /** How many items one page of a listing holds. */
     var pageSize = 500
+
+    /** How many changes are retained at least, for watches. */
     var retainedChanges = 10_000
     var revision = 1L
         private set
@@ -47,7 +49,7 @@
         return entries[path]?.let { StoredItem(path, it.value, it.version) }
     }
 
-    /** All keys with a prefix, at once. */
+    /** All keys with a prefix, in a single read. */
     fun all(prefix: String): List<StoredItem> {
         expire()
         return entries.tailMap(prefix).entries.takeWhile {
@@ -55,7 +57,7 @@
         }.map { StoredItem(it.key, it.value.value, it.value.version) }
     }
 
-    /** Some of the keys with a prefix, and whether there are more. */
+    /** One page of the keys with a prefix, and whether there are more. */
     class Page(val items: List<StoredItem>, val more: Boolean)
 
     fun page(prefix: String, after: String?): Page {
@@ -66,7 +68,7 @@
         return Page(items.take(pageSize), items.size > pageSize)
     }
 
-    /** All changes after the revision, null if they are no longer kept. */
+    /** All changes after the revision [after]; null if some of them are no longer retained. */
     fun changesSince(after: Long): List<WatchEvent>? {
         expire()
         if (after < compactedRevision) return null
@@ -75,7 +77,7 @@
         return changeLog.subList(from, changeLog.size).toList()
     }
 
-    /** Forgets changes, as the service does once it has kept [retainedChanges] newer ones. */
+    /** Drops old changes, as the real store does once there are [retainedChanges] newer ones. */
     private fun compactLog() {
         if (changeLog.size < retainedChanges * 2) return
         val dropped = changeLog.subList(0, changeLog.size - retainedChanges)
@@ -83,21 +85,21 @@
         dropped.clear()
     }
 
-    /** Puts and deletes applied, each of which counts against the service's limit. */
+    /** The number of puts and deletes applied; each counts towards the store's limit on writes. */
     var writeCount = 0
         private set
 
-    /** Puts applied, by the first part of their keys. */
+    /** The number of puts applied, by the first segment of their keys. */
     val putsByKind = HashMap<String, Int>()
 
-    /** The form of [BodyCodec] values as another version, or nobody, would write them. */
+    /** Replaces a value by one in an unreadable form, which only another version, or none at all, would write. */
     fun corrupt(path: String) {
         revision++
         entries[path] = Entry(mapOf("form" to 0L), revision, null)
         changeLog.add(WatchEvent(path, mapOf("form" to 0L), revision))
     }
 
-    /** Puts a chunk that cannot be read before the others of a page. */
+    /** Inserts an unreadable chunk before the others of a page. */
     fun corruptChunk(path: String) {
         val current = entries.getValue(path)
         val value = current.value + ("chunks" to listOf(mapOf("form" to 0L)) + current.value.maps("chunks"))
@@ -106,11 +108,11 @@
         changeLog.add(WatchEvent(path, value, revision))
     }
 
-    /** The limits that hold instead of those in the settings, since some moment that nobody was told of. */
+    /** The limits that apply instead of those in the settings; they are reduced without notice to the controllers. */
     var reducedLimits: StoreLimits? = null
     private val limits get() = reducedLimits ?: world.settings.storeLimits
 
-    /** What the service never took is a mistake of ours, whatever becomes of it. */
+    /** A transaction above the limits in the settings is a fault of the sender, whether or not it would be applied. */
     private fun checkLimits(transaction: StoreTransaction) {
         val limits = world.settings.storeLimits
         if (transaction.writes.size >
@@ -137,7 +139,7 @@
         expire()
         checkLimits(transaction)
         world.rolloutRules.checkSent(transaction)
-        if (isTooLarge(transaction)) return CommitReply.Malformed("the value is too large")
+        if (isTooLarge(transaction)) return CommitReply.Malformed("transaction exceeds the store limits")
         val failed = transaction.preconditions.filter {
             (entries[it.path]?.version ?: 0L) != it.version
         }.mapTo(HashSet()) { it.path }
@@ -160,7 +162,7 @@
         return CommitReply.Applied(revision)
     }
 
-    /** The attempts that stored pages place, with their machines. */
+    /** The attempts that each stored page places, with their machines. */
     private val placementsByPage = HashMap<String, Set<Triple<TaskId, Long, String>>>()
 
     /** Whether a stored page places the attempt on the machine. */
@@ -177,17 +179,17 @@
             }
     }
 
-    /** Machines that a test has put into the records of two shards, until one of them names it no more. */
+    /** Machines that a test has put into the records of two shards, until only one of them lists the machine. */
     private val duplicatedMachines = HashSet<String>()
 
-    /** The shards whose records name the machine. */
+    /** The shards whose records list the machine. */
     fun shardsListing(machineName: String): List<Int> = entries.tailMap(Keys.MACHINES).entries
         .takeWhile { it.key.startsWith(Keys.MACHINES) }
         .filter { "form" !in it.value.value && MachineListPart.parse(it.value.value).contains(machineName) }
         .map { it.key.removePrefix(Keys.MACHINES).substringBefore('/').toInt() }
         .distinct()
 
-    /** Puts a machine of another shard into the first record of [shard] too, as an earlier version did at times. */
+    /** Adds a machine of another shard to the first record of [shard] too, as an earlier version sometimes did. */
     fun duplicateMachineRecord(machineName: String, shard: Int) {
         val from = entries.filterKeys { it.startsWith(Keys.MACHINES) }.values
             .firstNotNullOfOrNull { entry ->
@@ -200,7 +202,7 @@
         replace(path, current.copy(records = current.records + from).toFields())
     }
 
-    /** Stored pages place the tasks of the job on [machineName]. */
+    /** Changes the stored pages so that they place the tasks of the job on [machineName]. */
     fun movePlacements(jobId: String, machineName: String) {
         entries.keys.filter { it.startsWith("page/") }.toList().forEach { path ->
             val value = entries.getValue(path).value
@@ -221,7 +223,10 @@
         changeLog.add(WatchEvent(path, stored, revision))
     }
 
-    /** A machine that comes to a shard must not be named by a page of another one, whose next owner would return it. */
+    /**
+     * A machine that is added to a shard must not be in the records of another shard, nor be named by a page of one:
+     * that shard's next owner would return the machine.
+     */
     private fun checkMachinesMoved(path: String, value: Fields) {
         val shard = path.removePrefix(Keys.MACHINES).substringBefore('/')
         duplicatedMachines.removeIf { shardsListing(it).size < 2 }
@@ -245,7 +250,7 @@
     }
 
     private fun put(write: Write.Put, transactionId: String) {
-        // Through the wire and back, as the real service would give it.
+        // The value is encoded and decoded, as it would be by the real store.
         val value = BodyCodec.readCbor(BodyCodec.writeCbor(StoreMessages.stored(write.value, transactionId)))
         entries[write.path] = Entry(value, revision, write.lease)
         recordPlacements(write.path, value)
--- a/src/test/kotlin/io/reedmast/sim/SimWorker.kt
+++ b/src/test/kotlin/io/reedmast/sim/SimWorker.kt
@@ -10,7 +10,7 @@
 import io.reedmast.wire.WorkerCommand
 import io.reedmast.wire.WorkerStatus
 
-/** A worker of PROTOCOL: tokens, sessions, leases, images, and the commands' effects. */
+/** A worker of PROTOCOL: tokens, epochs, leases, images, and the effects of commands. */
 class SimWorker(
     private val world: World,
     val name: String,
@@ -41,22 +41,22 @@
     var hung = false
         private set
 
-    /** Nothing passes between this machine and any controller. */
+    /** Whether no message passes between this machine and any controller. */
     var partitioned = false
 
-    /** Answers to reports are lost as long as this is set. */
+    /** Whether answers to its heartbeats are lost. */
     var heartbeatAnswersLost = false
 
-    /** Neither answers nor commands reach this machine, while its reports arrive. */
+    /** Whether neither answers nor direct calls reach this machine, while its heartbeats arrive. */
     var unreachable = false
 
-    /** No report of it reaches any controller, while direct commands reach it. */
+    /** Whether none of its heartbeats reaches a controller, while direct calls reach it. */
     var heartbeatsLost = false
 
-    /** Every task fails here soon after it has started. */
+    /** Whether every task fails here soon after it has started. */
     var unhealthy = false
 
-    /** Each report comes once more, this much later, to every controller; 0: none does. */
+    /** A copy of each heartbeat reaches every running controller after this delay; 0: there are no copies. */
     var heartbeatCopyDelayMs = 0L
     var started = false
         private set
@@ -69,11 +69,11 @@
         }.map { it.id }
     }
 
-    /** Up, and nothing wrong with it. */
+    /** Whether the machine has started and no fault affects it. */
     val alive: Boolean get() = started && !poweredOff && !hung && !partitioned && !unreachable && !heartbeatsLost &&
         !unhealthy
 
-    /** Tasks that take room here, whether they have begun to run or not. */
+    /** Tasks that occupy resources here, whether they have started to run or not. */
     fun residentTasks(): List<TaskId> = if (poweredOff) {
         emptyList()
     } else {
@@ -82,7 +82,7 @@
         }.map { it.id }
     }
 
-    /** The attempts that are on the machine. */
+    /** The attempt of each task on the machine that has not ended. */
     fun attempts(): Map<TaskId, Long> = if (poweredOff) {
         emptyMap()
     } else {
@@ -106,7 +106,7 @@
         poweredOff = true
     }
 
-    /** All tasks are gone, with their machine or with its session. */
+    /** Removes all tasks, because the machine is powered off or its epoch has ended. */
     private fun removeAllTasks() {
         val lost = tasks.values.filter { it.state != TaskState.ENDED }
         lost.forEach { world.rules.taskEnded(this, it.id, it.isStarted) }
@@ -119,7 +119,7 @@
         tasks.values.filter { it.isStarted }.toList().forEach { gangOf(it)?.taskLost(it.id.task) }
         world.after(ms) {
             hung = false
-            // A resumed machine first notices that its lease is over, if it is.
+            // A machine that resumes first checks whether its lease has expired.
             checkLease()
             onResume.toList().also { onResume.clear() }.forEach { it() }
         }
@@ -229,7 +229,7 @@
     }
 
     fun handleDirectCall(token: Long, ofEpoch: Long, commands: List<WorkerCommand>): Reply {
-        if (poweredOff || !started) return Reply.Unanswered("gone")
+        if (poweredOff || !started) return Reply.Unanswered("the machine is off or has not started")
         if (token < highestToken || ofEpoch != epoch) return Reply.Answer(409, fields(status()))
         if (token > highestToken) {
             highestToken = token
@@ -257,7 +257,7 @@
         }
     }
 
-    /** The tasks of the job that run here run on [to] from now on, as if they had been started there. */
+    /** Moves the running tasks of the job to the worker [to], as if they had been started there. */
     fun moveTasks(jobId: String, to: SimWorker) {
         val job = world.jobs.getValue(jobId)
         for ((key, task) in tasks.filterValues { it.id.jobId == jobId && it.isStarted }.toList()) {
@@ -279,7 +279,7 @@
         end(task, TaskEndCause.HALTED)
     }
 
-    /** The attempt that the task belongs to, if its job is a gang. */
+    /** The gang attempt that the task belongs to; null if its job is no gang. */
     private fun gangOf(task: Task): SimGang? {
         val job = world.jobs[task.id.jobId]?.takeIf { it.spec.isGang } ?: return null
         return job.gangsByAttempt.getOrPut(task.attempt) { SimGang(world, job) }
@@ -339,7 +339,7 @@
         }
     }
 
-    /** A task's own time: it stands still while the machine hangs, and ends with the task. */
+    /** Runs [work] after [ms], or soon after the machine resumes if it hangs then, unless the task has ended. */
     private fun later(ms: Long, task: Task, work: () -> Unit) {
         world.after(ms) {
             if (poweredOff || tasks[task.id to task.attempt] !== task || task.state == TaskState.ENDED) return@after
@@ -353,7 +353,7 @@
         gangOf(task)?.taskLost(task.id.task)
     }
 
-    /** The task ends before it has taken any room. */
+    /** Marks the task as ended, without notice to the [RuleChecker]: a refused task never occupied any resources. */
     private fun markEnded(task: Task, cause: TaskEndCause) {
         task.state = TaskState.ENDED
         task.cause = cause
--- a/src/test/kotlin/io/reedmast/sim/World.kt
+++ b/src/test/kotlin/io/reedmast/sim/World.kt
@@ -18,7 +18,7 @@
 import java.util.PriorityQueue
 import kotlin.random.Random
 
-/** A deterministic world: simulated time, a store, a cloud, workers and users, around real controllers. */
+/** A deterministic simulation of everything around real controllers: time, a store, a cloud, workers and users. */
 class World(
     val settingsOf: (Int) -> Settings,
     controllerCount: Int,
@@ -38,46 +38,46 @@
     val rules = RuleChecker(this)
     val rolloutRules = RolloutRules(this)
 
-    /** Records what leaves the controllers, if anybody wants to know. */
+    /** Records the output of the controllers; null if it is not needed. */
     var recorder: OutputRecorder? = null
 
-    /** How often a worker's lease ended with tasks on it. */
+    /** How often a worker's lease expired while tasks were on it. */
     var leasesExpiredWithTasks = 0
     private val machinesByRequest = HashMap<String, List<String>>()
     private var machineCount = 0
     var capacity = Int.MAX_VALUE
 
-    /** How many times longer the store takes than usual. */
+    /** The factor by which the store is slower than usual. */
     var storeSlowdown = 1L
 
-    /** HeartbeatHandler and direct commands that have arrived somewhere. */
+    /** The number of heartbeats delivered to controllers and of direct calls sent to workers. */
     var messageCount = 0
 
-    /** What chance decides: the same for every run. */
+    /** The source of all random decisions, seeded so that every run is the same. */
     var random = Random(1)
 
-    /** The share of transactions that get no answer and are carried out late. */
+    /** The fraction of transactions that get no reply and are applied after a delay. */
     var delayedCommitRate = 0.0
 
-    /** The share of transactions that are carried out at once and get no answer. */
+    /** The fraction of transactions that are applied as usual and whose reply is lost. */
     var lostReplyRate = 0.0
 
-    /** How many changes a second the controllers allow themselves together; the store refuses more if it is told to. */
+    /** The number of writes per second that all controllers together allow themselves. */
     var writesPerS = UNLIMITED
 
-    /** Since when no trouble is left. */
+    /** Since when no fault is injected any more. */
     var faultFreeSince = Long.MAX_VALUE
 
-    /** Machines that were returned, in order. */
+    /** The machines that were returned to the cloud, in order. */
     val returnedMachines = ArrayList<String>()
 
-    /** Rentals are carried out at once and answered this much later; 0: both happen in the same moment. */
+    /** The cloud replies this long after it has provisioned machines; 0: at the same time. */
     var provisioningReplyDelayMs = 0L
 
-    /** So many answers to rentals are lost from now on; the machines are rented all the same. */
+    /** The number of replies to provisioning requests that are still to be lost; the machines are rented anyway. */
     var provisioningRepliesToLose = 0
 
-    /** The cloud neither rents nor takes machines back while this is set. */
+    /** Whether the cloud neither provisions machines nor takes any back. */
     var cloudUnavailable = false
     val settings = settingsOf(0)
 
@@ -110,7 +110,7 @@
         return worker
     }
 
-    /** Each direct call that was carried out arrives once more, this much later; 0: none does. */
+    /** Each direct call that was executed arrives again after this delay; 0: none does. */
     var directCallRepeatDelayMs = 0L
 
     private val partitionedZones = HashSet<String>()
@@ -120,13 +120,15 @@
         workers.values.filter { it.zone == zone }.forEach { it.partitioned = on }
     }
 
-    /** A job as a scenario describes it, with what its tasks really do. */
+    /** A job as described by a scenario, with the actual behaviour of its tasks. */
     class SimJob(val spec: JobSpec, val runMs: Long, val fails: Boolean) {
         var cancelledAt = 0L
         val completedTasks = HashSet<Int>()
 
-        /** Of a gang: the progress that no stop takes away, and its attempts. */
+        /** Of a gang: the progress that is kept when an attempt stops or fails. */
         var savedProgressMs = 0L
+
+        /** Of a gang: its attempts, by their numbers. */
         val gangsByAttempt = HashMap<Long, SimGang>()
         var onCompletion: (() -> Unit)? = null
 
@@ -135,7 +137,7 @@
         }
     }
 
-    /** Where each task of the job is, and under which attempt. */
+    /** The machine and the attempt of each task of the job. */
     fun attempts(jobId: String): Map<TaskId, Pair<String, Long>> = workers.values.flatMap { w ->
         w.attempts().filterKeys { it.jobId == jobId }.map { (id, attempt) ->
             id to
@@ -160,7 +162,7 @@
         return if (names.isEmpty()) ProvisioningResult.NoCapacity else ProvisioningResult.Machines(names)
     }
 
-    /** Takes machines back, unless the cloud does not answer. */
+    /** Takes machines back, unless the cloud is unavailable. */
     fun returnMachines(machineNames: List<String>): ReturnResult {
         if (cloudUnavailable) return ReturnResult.UNCONFIRMED
         for (name in machineNames) {
@@ -205,7 +207,7 @@
     fun deliverHeartbeat(controller: SimController, status: WorkerStatus): WorkerAnswer? {
         messageCount++
         if (controller.isPaused) {
-            // It is read once the process goes on, and the answer finds nobody.
+            // The process handles the heartbeat when it is no longer paused, and the answer is lost.
             controller.later(0) { controller.process?.onHeartbeat(status) }
             return null
         }
