--- a/src/test/kotlin/io/reedmast/sim/BehaviourDigest.kt
+++ b/src/test/kotlin/io/reedmast/sim/BehaviourDigest.kt
@@ -10,24 +10,24 @@
 import kotlin.system.exitProcess
 
 /**
- * Plays every scenario and a set of made-up days, and compares what left the controllers with what left those of
- * another version.
+ * Runs every scenario file and a set of generated days, and compares the output of the controllers with that of
+ * another version. A day is one simulation run, defined by the lines of a scenario.
  *
  * It is meant for changes that must not alter behaviour. Run it from the project's root with the tests' class path:
  *
- *     BehaviourDigestKt write FILE        plays all days and writes a line for each: name, digest, number of messages
- *     BehaviourDigestKt compare FILE      plays all days and lists those that differ; exit code 1 if there are any
- *     BehaviourDigestKt transcript DAY FILE   writes every message of one day, to find where two versions part
+ *     BehaviourDigestKt write FILE        runs all days and writes a line for each: name, digest, number of messages
+ *     BehaviourDigestKt compare FILE      runs all days and lists those that differ; exit code 1 if there are any
+ *     BehaviourDigestKt transcript DAY FILE   writes every message of one day, to find where two versions diverge
  *
- * The variable DIGEST_THREADS says how many days are played at once (default 4).
+ * The environment variable DIGEST_THREADS sets how many days run in parallel (default 4).
  */
 fun main(args: Array<String>) {
     System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", "off")
     when (args.firstOrNull()) {
-        "write" -> File(args[1]).writeText(playAll(digestDays()).joinToString("") { "$it\n" })
+        "write" -> File(args[1]).writeText(runAll(digestDays()).joinToString("") { "$it\n" })
         "compare" -> exitProcess(if (compare(File(args[1]).readLines()) == 0) 0 else 1)
         "transcript" -> File(args[2]).bufferedWriter().use { out ->
-            digestDays().first { it.name == args[1] }.play(out)
+            digestDays().first { it.name == args[1] }.run(out)
         }
         else -> error("usage: write FILE, compare FILE, or transcript DAY FILE")
     }
@@ -38,9 +38,9 @@
     override fun toString() = "$name $digest $messages"
 }
 
-/** A day and the lines of its scenario. */
+/** A day, and the scenario lines that define it. */
 private class DigestDay(val name: String, private val lines: () -> List<String>) {
-    fun play(transcript: Appendable? = null): DayDigest {
+    fun run(transcript: Appendable? = null): DayDigest {
         val scenario = Scenario(lines())
         val recorder = OutputRecorder(transcript)
         scenario.world.recorder = recorder
@@ -84,24 +84,24 @@
         DigestDay("large-rollout-day/$seed") { LargeDay(seed, upgrade = true, rollout = true).lines() }
     }
 
-/** Plays the days on several threads; each has a world of its own. */
-private fun playAll(days: List<DigestDay>): List<DayDigest> {
+/** Runs the days on several threads; each day has its own [World]. */
+private fun runAll(days: List<DigestDay>): List<DayDigest> {
     val threads = Executors.newFixedThreadPool(System.getenv("DIGEST_THREADS")?.toInt() ?: DEFAULT_THREADS)
     try {
-        return threads.invokeAll(days.map { Callable { it.play() } }).map { it.get() }
+        return threads.invokeAll(days.map { Callable { it.run() } }).map { it.get() }
     } finally {
         threads.shutdownNow()
     }
 }
 
-/** Prints the days whose digests differ from [expected], and returns how many do. */
+/** Prints the days that differ from [expected] or occur only there, and returns their number. */
 private fun compare(expected: List<String>): Int {
-    val played = playAll(digestDays()).map { it.toString() }
-    val differing = played.filter { it !in expected }.map { "differs: $it" } +
+    val results = runAll(digestDays()).map { it.toString() }
+    val differing = results.filter { it !in expected }.map { "differs: $it" } +
         expected.filter { line ->
-            played.none { it.substringBefore(' ') == line.substringBefore(' ') }
+            results.none { it.substringBefore(' ') == line.substringBefore(' ') }
         }.map { "not played: $it" }
     differing.forEach { println(it) }
-    println("${played.size - differing.count { it.startsWith("differs") }} of ${played.size} days are as in the file")
+    println("${results.size - differing.count { it.startsWith("differs") }} of ${results.size} days are as in the file")
     return differing.size
 }
--- a/src/test/kotlin/io/reedmast/sim/RolloutRules.kt
+++ b/src/test/kotlin/io/reedmast/sim/RolloutRules.kt
@@ -12,74 +12,77 @@
 import io.reedmast.wire.StoreMessages
 
 /**
- * The rules of the rollout, checked on every value that is stored and every page that is read, by what the store holds:
- * gates move only as they may, and nothing is written or read by a process in a form that the gates do not allow to it.
+ * Checks the rules of the rollout on every value that is stored and every page that is read, against the stored rollout
+ * record: gates make only allowed moves, and no process writes or reads a form that the gates do not allow it.
  */
 class RolloutRules(private val world: World) {
     private var record = RolloutRecord()
 
-    private fun state(path: String, value: Fields) = when {
+    private fun formOf(path: String, value: Fields) = when {
         path.startsWith("page/") -> DensePages.FEATURE to DensePages.isDense(value)
         path == Keys.TOKEN_COUNTER -> ClusterFeatures.FENCED_TOKENS to ("fencedToken" in value)
         else -> null
     }
 
-    /** Called with each value as it is stored. */
+    /** Checks a value that has just been stored. */
     fun checkStored(path: String, value: Fields) {
-        if (path == Keys.ROLLOUT) noteMoves(value)
-        val (feature, isNew) = state(path, value) ?: return
-        val now = record.stateOf(feature)
-        val newAllowed = now == GateState.ENABLED || now == GateState.FINALIZED
-        if (path == Keys.TOKEN_COUNTER && !isNew && takesOpenCounter(value)) return
-        if (path == Keys.TOKEN_COUNTER) counterIsOpen = !isNew
+        if (path == Keys.ROLLOUT) checkGateMoves(value)
+        val (feature, isNew) = formOf(path, value) ?: return
+        val gateState = record.stateOf(feature)
+        val newAllowed = gateState == GateState.ENABLED || gateState == GateState.FINALIZED
+        if (path == Keys.TOKEN_COUNTER && !isNew && isAcquisitionBeforeRollouts(value)) return
+        if (path == Keys.TOKEN_COUNTER) isCounterUnfenced = !isNew
         if (isNew !=
             newAllowed
         ) {
             world.rules.addViolation(
                 "wrong_form $path is stored ${if (isNew) "in the new" else "in the old"} form " +
-                    "while $feature is ${now.storedName}",
+                    "while $feature is ${gateState.storedName}",
             )
         }
     }
 
-    private var counterIsOpen = true
+    private var isCounterUnfenced = true
 
     /**
-     * A version from before the rollout may take shards until the counter has been migrated; what depends on the fence
-     * waits for that.
+     * Whether the value was written by a version that predates rollouts, while the counter is still in the open form.
+     * Such a version may acquire shards until the counter has been migrated; features that depend on the fenced form
+     * are not enabled before that.
      */
-    private fun takesOpenCounter(value: Fields): Boolean {
+    private fun isAcquisitionBeforeRollouts(value: Fields): Boolean {
         val sender = StoreMessages.transactionId(value) ?: return false
-        return counterIsOpen && world.controllers.any { it.predatedRollouts(sender) }
+        return isCounterUnfenced && world.controllers.any { it.predatedRollouts(sender) }
     }
 
     /**
-     * Whatever lets a process take part, or has a form that depends on the gates, is on condition that they are as the
-     * process has read them.
+     * Every put that lets a process participate in the cluster, or whose form depends on the gates, must have the
+     * precondition that the gates have not changed since the process read them.
      */
     fun checkSent(transaction: StoreTransaction) {
         val sender = world.controllers.firstOrNull { transaction.id.startsWith("${it.label}-") } ?: return
-        // What is carried out late was sent by the process of then, whatever runs there now.
+        // A delayed transaction was sent by the process that ran then, whatever version runs there now.
         if (sender.predatedRollouts(transaction.id) || transaction.preconditions.any { it.path == Keys.ROLLOUT }) return
-        transaction.writes.filterIsInstance<Write.Put>().filter { put -> conditional.any { put.path.startsWith(it) } }
+        transaction.writes.filterIsInstance<Write.Put>().filter { put ->
+            guardedPrefixes.any { put.path.startsWith(it) }
+        }
             .forEach { world.rules.addViolation("unconditional ${it.path} by ${sender.label}") }
     }
 
-    private fun noteMoves(value: Fields) {
+    private fun checkGateMoves(value: Fields) {
         val next = try {
             RolloutRecord.parse(value)
         } catch (e: MalformedException) {
             return
         }
         for ((name, gate) in next.gates) {
-            val before = record.stateOf(name)
-            if (gate.state != before && gate.state !in allowed.getValue(before)) {
-                world.rules.addViolation("gate_jumped $name from ${before.storedName} to ${gate.state.storedName}")
+            val previous = record.stateOf(name)
+            if (gate.state != previous && gate.state !in allowedMoves.getValue(previous)) {
+                world.rules.addViolation("gate_jumped $name from ${previous.storedName} to ${gate.state.storedName}")
             }
             if (gate.state == GateState.ENABLED &&
-                before != GateState.ENABLED
+                previous != GateState.ENABLED
             ) {
-                checkAllRead(gate.requires.value, next, "$name is enabled")
+                checkAllCanRead(gate.requires.value, next, "$name is enabled")
             }
         }
         if (next.finalizedVersion <
@@ -90,20 +93,20 @@
         record = next
     }
 
-    /** Whoever counts must be able to read what may be written from now on. */
-    private fun checkAllRead(version: Int, next: RolloutRecord, what: String) {
+    /** Every running controller that owns a shard and is not excluded must read what may be written from now on. */
+    private fun checkAllCanRead(version: Int, next: RolloutRecord, event: String) {
         for (controller in world.controllers) {
             if (controller.label in next.excluded || !controller.up || controller.terminationReason != null) continue
             val owns = controller.process?.cluster?.activeOwners().orEmpty().isNotEmpty()
             if (owns &&
                 controller.newestReadableVersion < version
             ) {
-                world.rules.addViolation("unreadable_for ${controller.label}: $what")
+                world.rules.addViolation("unreadable_for ${controller.label}: $event")
             }
         }
     }
 
-    /** A process reads the pages of a shard that it has taken. */
+    /** Checks that the process can read the form of the pages of a shard that it has acquired. */
     fun checkRead(controller: SimController, items: List<Pair<String, Fields>>) {
         val dense =
             items.firstOrNull { (path, value) -> path.startsWith("page/") && DensePages.isDense(value) } ?: return
@@ -115,8 +118,9 @@
     }
 
     private companion object {
-        val conditional = listOf(Keys.MEMBERS, Keys.LEADER, Keys.TOKEN_COUNTER, "page/", Keys.ROLLOUT, Keys.MIGRATIONS)
-        val allowed = mapOf(
+        val guardedPrefixes =
+            listOf(Keys.MEMBERS, Keys.LEADER, Keys.TOKEN_COUNTER, "page/", Keys.ROLLOUT, Keys.MIGRATIONS)
+        val allowedMoves = mapOf(
             GateState.DORMANT to setOf(GateState.READY),
             GateState.READY to setOf(GateState.DORMANT, GateState.ENABLED),
             GateState.ENABLED to setOf(GateState.REVERTING, GateState.FINALIZED),
--- a/src/test/kotlin/io/reedmast/sim/RuleChecker.kt
+++ b/src/test/kotlin/io/reedmast/sim/RuleChecker.kt
@@ -6,32 +6,33 @@
 import io.reedmast.wire.UserAnswer
 
 /**
- * The rules of the protocol, checked by what users were told, what runs on each worker and what the store holds. The
- * controllers' own books are not asked.
+ * Checks the rules of the protocol against the answers that users got, the tasks that run on each worker and the
+ * contents of the store. The controllers' own state is not consulted.
  *
- * Besides the rules, two conditions on which they rest are checked, since they fail long before a user sees it: a job
- * that a user was told of stands in the store, and a task is launched only where a stored page places it.
+ * Two conditions that the rules rely on are checked too, since they fail long before a user notices anything: a job
+ * that a user got an answer about is in the store, and a task is launched only where a stored page places it.
  */
 class RuleChecker(private val world: World) {
     private class RunningTasks {
         val machines = HashMap<TaskId, MutableList<SimWorker>>()
     }
 
-    /** Broken rules, with the time of each. */
+    /** The rules that were broken, each with its simulated time. */
     val violations = ArrayList<String>()
 
-    /** What users were last told of each job. */
+    /** The state of each job in the last answer to a user. */
     val answeredStates = HashMap<String, String>()
 
-    /** How often tasks of a job have started. */
+    /** How many times tasks of each job have started. */
     val startCounts = HashMap<String, Int>()
 
     private val running = HashMap<String, RunningTasks>()
-    private val heldCount = HashMap<String, Int>()
-    private val cancelled = HashSet<String>()
+    private val residentCount = HashMap<String, Int>()
+    private val cancelledJobs = HashSet<String>()
 
     /**
-     * Since when a job has had room somewhere, its team was below its limit, and none of its tasks was on a machine.
+     * Since when each job has been waiting although a machine had room, its team was below its limit and none of its
+     * tasks was on a machine.
      */
     private val neglectedSince = HashMap<String, Long>()
 
@@ -39,12 +40,9 @@
         violations.add("${world.now() / 1000.0} s: $what")
     }
 
-    // ---- what workers do
-    // ----------------------------------------------------------------------------------------------
-
-    /** A worker has taken up a launch: the task takes room there from now on. */
+    /** A worker has accepted a launch: the task occupies resources there from now on. */
     fun taskLaunched(worker: SimWorker, id: TaskId, attempt: Long) {
-        heldCount.merge(id.jobId, 1, Int::plus)
+        residentCount.merge(id.jobId, 1, Int::plus)
         if (!world.store.isPlaced(
                 id,
                 attempt,
@@ -55,49 +53,49 @@
         }
     }
 
-    /** A task has its image and runs. */
+    /** A task has fetched its image and runs. */
     fun taskStarted(worker: SimWorker, id: TaskId, attempt: Long) {
         startCounts.merge(id.jobId, 1, Int::plus)
         val machines = running.getOrPut(id.jobId) { RunningTasks() }.machines.getOrPut(id) { ArrayList(1) }
         machines.add(worker)
         if (machines.size > 1) addViolation("ran_twice $id on ${machines.map { it.name }}")
-        checkOneAttempt(id, attempt)
+        checkSingleAttempt(id, attempt)
         checkQuota(id)
-        checkPlace(worker, id)
+        checkPlacementRules(worker, id)
         checkCancelled(id.jobId)
     }
 
-    /** The attempt of each gang that is on machines. */
+    /** The latest attempt of each gang that has been started. */
     private val gangAttempts = HashMap<String, Long>()
 
-    /** A gang has one attempt at a time: the old one must be gone everywhere before the next begins anywhere. */
-    private fun checkOneAttempt(id: TaskId, attempt: Long) {
+    /** A gang has one attempt at a time: it must have ended on all machines before the next one starts on any. */
+    private fun checkSingleAttempt(id: TaskId, attempt: Long) {
         if (!world.jobs.getValue(id.jobId).spec.isGang) return
-        val before = gangAttempts.put(id.jobId, attempt)
-        if (before != null && before != attempt &&
+        val previous = gangAttempts.put(id.jobId, attempt)
+        if (previous != null && previous != attempt &&
             runningCount(id.jobId) > 1
         ) {
-            addViolation("two_attempts $id: $before and $attempt")
+            addViolation("two_attempts $id: $previous and $attempt")
         }
     }
 
-    /** A task is over, killed, or gone with its machine. */
+    /** A task has completed, was killed or disappeared with its machine; [wasStarted] if it had started to run. */
     fun taskEnded(worker: SimWorker, id: TaskId, wasStarted: Boolean) {
-        heldCount.merge(id.jobId, -1, Int::plus)
+        residentCount.merge(id.jobId, -1, Int::plus)
         if (!wasStarted) return
         val tasks = running[id.jobId]?.machines ?: return
         tasks[id]?.remove(worker)
         if (tasks[id]?.isEmpty() == true) tasks.remove(id)
     }
 
-    /** A test has moved a task that runs from one worker to another. */
+    /** A test has moved a running task from one worker to another. */
     fun taskMoved(from: SimWorker, to: SimWorker, id: TaskId) {
         val machines = running.getValue(id.jobId).machines.getValue(id)
         machines.remove(from)
         machines.add(to)
     }
 
-    /** How many tasks of the job run. */
+    /** The number of running tasks of the job. */
     fun runningCount(jobId: String): Int = running[jobId]?.machines?.values?.sumOf { it.size } ?: 0
 
     private fun usedCpus(teamName: String): Double = running.entries.sumOf { (jobId, tasks) ->
@@ -110,10 +108,10 @@
         val limit = world.settings.teams.first { it.name == teamName }.maxCpus
         if (limit <= 0) return
         val used = usedCpus(teamName)
-        if (used > limit + SLACK) addViolation("quota of $teamName: $used")
+        if (used > limit + CPU_TOLERANCE) addViolation("quota of $teamName: $used")
     }
 
-    private fun checkPlace(worker: SimWorker, id: TaskId) {
+    private fun checkPlacementRules(worker: SimWorker, id: TaskId) {
         val spec = world.jobs.getValue(id.jobId).spec
         val others = running.getValue(id.jobId).machines.values.flatten()
         val wrong =
@@ -124,7 +122,7 @@
         if (wrong) addViolation("wrong_place $id on ${worker.name} in ${worker.zone}")
     }
 
-    fun checkCancelled() = cancelled.forEach { checkCancelled(it) }
+    fun checkCancelled() = cancelledJobs.forEach { checkCancelled(it) }
 
     private fun checkCancelled(jobId: String) {
         val cancelledAt = world.jobs[jobId]?.cancelledAt ?: return
@@ -134,93 +132,89 @@
         }
     }
 
-    // ---- what users are told
-    // ------------------------------------------------------------------------------------------
-
-    /** [known]: whether the job had been accepted before the question was asked. */
-    fun answered(jobId: String, answer: UserAnswer, known: Boolean) {
-        if (known && answer.status in REFUSALS) addViolation("forgotten $jobId: ${answer.status}")
-        val stage = answer.job?.state?.wireName ?: return
+    /** A user got [answer]; [wasAccepted] if the job had been accepted before the request was sent. */
+    fun answered(jobId: String, answer: UserAnswer, wasAccepted: Boolean) {
+        if (wasAccepted && answer.status in REJECTION_STATUSES) addViolation("forgotten $jobId: ${answer.status}")
+        val state = answer.job?.state?.wireName ?: return
         val job = world.jobs[jobId]
         if (job == null) addViolation("invented $jobId")
-        val before = answeredStates[jobId]
-        if (before in FINAL && stage != before) addViolation("went_back $jobId from $before to $stage")
-        if (stage == "done" && job != null &&
+        val previous = answeredStates[jobId]
+        if (previous in FINAL_STATES && state != previous) addViolation("went_back $jobId from $previous to $state")
+        if (state == "done" && job != null &&
             job.completedTasks.size < job.spec.taskCount
         ) {
             addViolation("not_done $jobId")
         }
-        if (!isStored(jobId)) addViolation("told_unstored $jobId: $stage")
-        answeredStates[jobId] = stage
-        if (stage == "aborted" && job != null && job.cancelledAt == 0L) {
+        if (!isStored(jobId)) addViolation("told_unstored $jobId: $state")
+        answeredStates[jobId] = state
+        if (state == "aborted" && job != null && job.cancelledAt == 0L) {
             job.cancelledAt = world.now()
-            cancelled.add(jobId)
+            cancelledJobs.add(jobId)
         }
     }
 
     private fun isStored(jobId: String): Boolean = world.store.get(Keys.endedJob(jobId)) != null ||
         (0 until world.settings.shardCount).any { world.store.get(Keys.liveJob(it, jobId)) != null }
 
-    // ---- what becomes of accepted jobs
-    // --------------------------------------------------------------------------------
-
     /**
-     * Once the troubles are over, no job waits 90 s while a machine that fits has room and its team is under its limit.
+     * Once all faults have ended, no job waits longer than 90 s while an eligible machine has room and its team is
+     * below its limit.
      */
     fun checkNeglected() {
         if (world.now() < world.faultFreeSince) return
-        val room = world.workers.values.filter { it.alive }.map { it to it.freeCpus() }
+        val freeCpusByWorker = world.workers.values.filter { it.alive }.map { it to it.freeCpus() }
         for ((jobId, job) in world.jobs) {
-            if (!waits(jobId, job) || !underLimit(job) || !hasRoom(job, room)) {
+            if (!isWaiting(jobId, job) || !isUnderLimit(job) || !hasRoom(job, freeCpusByWorker)) {
                 neglectedSince[jobId] = world.now()
-            } else if (world.now() - maxOf(neglectedSince[jobId] ?: 0L, world.faultFreeSince) > NEGLECT_MS) {
+            } else if (world.now() - maxOf(neglectedSince[jobId] ?: 0L, world.faultFreeSince) > NEGLECTED_AFTER_MS) {
                 addViolation("neglected $jobId")
                 neglectedSince[jobId] = world.now()
             }
         }
     }
 
-    private fun waits(jobId: String, job: World.SimJob) =
-        jobId in answeredStates && answeredStates[jobId] !in FINAL && !job.fails &&
-            (job.spec.isService || job.completedTasks.size < job.spec.taskCount) && (heldCount[jobId] ?: 0) == 0
+    private fun isWaiting(jobId: String, job: World.SimJob) =
+        jobId in answeredStates && answeredStates[jobId] !in FINAL_STATES && !job.fails &&
+            (job.spec.isService || job.completedTasks.size < job.spec.taskCount) && (residentCount[jobId] ?: 0) == 0
 
-    /** FreeCapacity for a task of the job, or for all of a gang, in one zone if it needs that. */
-    private fun hasRoom(job: World.SimJob, room: List<Pair<SimWorker, Double>>): Boolean {
-        val fitting = room.filter { (worker, cpus) -> fits(job, worker, cpus) }
+    /** Whether there is room for one task of the job or, for a gang, for all its tasks, in one zone if required. */
+    private fun hasRoom(job: World.SimJob, freeCpusByWorker: List<Pair<SimWorker, Double>>): Boolean {
+        val fitting = freeCpusByWorker.filter { (worker, cpus) -> fits(job, worker, cpus) }
         if (!job.spec.isGang) return fitting.isNotEmpty()
-        val places = fitting.groupBy({ (worker, _) -> if (job.spec.oneZone) worker.zone else "" }, { (_, cpus) ->
+        val slotsByZone = fitting.groupBy({ (worker, _) -> if (job.spec.oneZone) worker.zone else "" }, { (_, cpus) ->
             (
                 (
                     cpus +
-                        SLACK
+                        CPU_TOLERANCE
                     ) /
                     job.spec.cpus
                 ).toInt()
         })
-        return places.values.any { it.sum() >= job.spec.taskCount }
+        return slotsByZone.values.any { it.sum() >= job.spec.taskCount }
     }
 
     private fun fits(job: World.SimJob, worker: SimWorker, freeCpus: Double) =
-        freeCpus + SLACK >= job.spec.cpus && isEligible(job.spec, worker.machineType.label, worker.zone, worker.spot)
+        freeCpus + CPU_TOLERANCE >= job.spec.cpus &&
+            isEligible(job.spec, worker.machineType.label, worker.zone, worker.spot)
 
-    /** Whether the team's limit leaves room for one more task of the job. */
-    private fun underLimit(job: World.SimJob): Boolean {
+    /** Whether the team's limit allows one more task of the job or, for a gang, all its tasks. */
+    private fun isUnderLimit(job: World.SimJob): Boolean {
         val limit = world.settings.teams.first { it.name == job.spec.teamName }.maxCpus
         if (limit == 0.0) return true
-        val used = heldCount.entries.sumOf { (jobId, count) ->
+        val used = residentCount.entries.sumOf { (jobId, count) ->
             val spec = world.jobs[jobId]?.spec
             if (spec?.teamName == job.spec.teamName) count * spec.cpus else 0.0
         }
-        return used + job.spec.cpus * (if (job.spec.isGang) job.spec.taskCount else 1) <= limit + SLACK
+        return used + job.spec.cpus * (if (job.spec.isGang) job.spec.taskCount else 1) <= limit + CPU_TOLERANCE
     }
 
-    /** Accepted jobs that have not got what they were promised. */
+    /** Accepted jobs that have not completed, do not run as required, or still run after their cancellation. */
     fun unsettled(): List<String> = answeredStates.keys.sorted().mapNotNull { jobId ->
         val job = world.jobs.getValue(jobId)
         val count = runningCount(jobId)
         when {
             answeredStates[jobId] == "aborted" -> if (count > 0) "$jobId is cancelled and runs" else null
-            job.fails || !underLimit(job) -> null
+            job.fails || !isUnderLimit(job) -> null
             job.spec.isService -> if (count !=
                 job.spec.taskCount
             ) {
@@ -240,9 +234,9 @@
     }
 
     private companion object {
-        val FINAL = setOf("done", "aborted")
-        val REFUSALS = setOf(400, 404, 422)
-        const val NEGLECT_MS = 90_000L
-        const val SLACK = 1e-6
+        val FINAL_STATES = setOf("done", "aborted")
+        val REJECTION_STATUSES = setOf(400, 404, 422)
+        const val NEGLECTED_AFTER_MS = 90_000L
+        const val CPU_TOLERANCE = 1e-6
     }
 }
--- a/src/test/kotlin/io/reedmast/sim/SimController.kt
+++ b/src/test/kotlin/io/reedmast/sim/SimController.kt
@@ -17,46 +17,54 @@
 import io.reedmast.wire.Fields
 import io.reedmast.wire.UserAnswer
 
-/** One controller of the [World]; [up] and the cuts say what reaches it. */
+/** One controller of the [World], with its process and the faults that are injected into it. */
 class SimController(private val world: World, val index: Int) {
     val label = world.settingsOf(index).label
     var up = false
     var partitionedFromStore = false
     var partitionedFromWorkers = false
 
-    /** Nothing passes between this controller and the other controllers. */
+    /** Whether no message passes between this controller and the other controllers. */
     var partitionedFromPeers = false
 
-    /** Sends of the next direct commands arrive this much later, and their answers are lost. */
+    /** The next direct call arrives after this delay, and its answer is lost; 0: no delay. */
     var directCallDelayMs = 0L
 
-    /** The next transaction that writes [delayedCommitKey] is applied this much later, whatever has become of the controller. */
+    /**
+     * The next transaction that writes a key containing [delayedCommitKey] is applied after this delay, even if the
+     * controller has crashed or is partitioned by then; 0: no delay.
+     */
     var commitDelayMs = 0L
     var delayedCommitKey = ""
 
-    /** The next transaction that writes a key with this in its name is applied at once, and its answer lost. */
+    /** The next transaction that writes a key containing this text is applied as usual, and its reply is lost. */
     var loseCommitReplyFor: String? = null
+
+    /**
+     * Increases when a process starts or crashes. A callback that was scheduled by another process than the current one
+     * does nothing.
+     */
     var processNumber = 0
 
     /**
-     * The process has the version before reduced limits and formats: it knows only the limits of today, names no format
-     * of its own and does not see what others name.
+     * The process runs the version from before reduced limits, formats and rollouts: it knows only the current limits,
+     * announces no format of its own and does not see the formats that others announce.
      */
     var predatesRollouts = false
 
-    /** The process knows the rollout, and the features up to this version of the stored forms only. */
+    /** The newest version of the stored forms that a process with rollouts knows; it knows no later features. */
     var newestVersion = ClusterFeatures.registry.range.newest
 
     private val incarnationsBeforeRollouts = HashSet<String>()
 
-    /** Whether the process that sent the transaction had the version before formats and rollouts. */
+    /** Whether the transaction was sent by a process of the version that predates formats and rollouts. */
     fun predatedRollouts(transactionId: String): Boolean =
         transactionId.substringBeforeLast('-') in incarnationsBeforeRollouts
 
-    /** The newest stored form that the process reads. */
+    /** The newest version of the stored forms that the process reads. */
     val newestReadableVersion: Int get() = if (predatesRollouts) 0 else newestVersion.value
 
-    /** How far its time of day is from the true one. */
+    /** The error of its wall clock. */
     var clockErrorMs = 0L
     private val clock = object : Clock {
         override fun now() = world.now()
@@ -64,21 +72,21 @@
         override fun wallTime() = world.wallTime() + clockErrorMs
     }
 
-    /** What its deploy file wishes. */
+    /** The targets in its deploy file. */
     var desired: Map<FeatureName, Target> = emptyMap()
 
-    /** Why the process has ended by itself, if it has. */
+    /** Why the process has terminated itself; null if it has not. */
     var terminationReason: String? = null
     var process: Controller? = null
 
-    /** The watch on jobs answers this much later than it could. */
-    var jobWatchDelayMs = 0L
-    private var jobsDue = 0L
-    private var watchedTo = 0L
-    private var jobsWatchedTo = 0L
-    private var loaded = false
+    /** The minimum interval between deliveries of job changes to the process; 0: with every poll of the watch. */
+    var jobWatchIntervalMs = 0L
+    private var nextJobWatchAt = 0L
+    private var watchedRevision = 0L
+    private var watchedJobsRevision = 0L
+    private var snapshotLoaded = false
 
-    /** Until then the process stands still, while its clocks run. */
+    /** The process is paused until then, while its clocks go on. */
     private var pausedUntil = 0L
     val isPaused: Boolean get() = world.now() < pausedUntil
     val reachesStore: Boolean get() = !partitionedFromStore && world.store.up
@@ -87,7 +95,7 @@
         pausedUntil = world.now() + ms
     }
 
-    /** The process does [work] after [ms], or once it goes on if it stands still then. */
+    /** Runs [work] after [ms], or at the end of the pause if the process is paused then. */
     fun later(ms: Long, work: () -> Unit) {
         world.after(ms) { if (isPaused) world.after(pausedUntil - world.now(), work) else work() }
     }
@@ -97,7 +105,7 @@
         terminationReason = null
         processNumber++
         pausedUntil = 0L
-        loaded = false
+        snapshotLoaded = false
         val incarnation = "$label-$processNumber"
         if (predatesRollouts) incarnationsBeforeRollouts.add(incarnation)
         val settings = world.settingsOf(index).let { if (predatesRollouts) it.copy(nextStoreLimits = null) else it }
@@ -110,11 +118,11 @@
     }
 
     private fun registry(): FeatureRegistry {
-        val known = ClusterFeatures.registry.inOrder.filter { it.requires <= newestVersion }
-        return FeatureRegistry(known, VersionRange(FormatVersion.NONE, newestVersion))
+        val supported = ClusterFeatures.registry.inOrder.filter { it.requires <= newestVersion }
+        return FeatureRegistry(supported, VersionRange(FormatVersion.NONE, newestVersion))
     }
 
-    /** The process ends by itself, since it does not fit what has been rolled out. */
+    /** The process terminates itself, since it is not compatible with what has been rolled out. */
     fun terminate(reason: String) {
         terminationReason = reason
         crash()
@@ -126,11 +134,11 @@
         process = null
     }
 
-    private fun runOnce(of: Int) {
-        if (processNumber != of) return
+    private fun runOnce(ofProcess: Int) {
+        if (processNumber != ofProcess) return
         process?.runOnce()
         recordHealth()
-        later(TICK_MS) { runOnce(of) }
+        later(RUN_INTERVAL_MS) { runOnce(ofProcess) }
     }
 
     private var recordedHealth = false
@@ -142,36 +150,36 @@
         recordedHealth = healthy
     }
 
-    private fun watch(of: Int) {
-        if (processNumber != of) return
-        val c = process ?: return
-        fun again() = later(WATCH_MS * world.storeSlowdown) { watch(of) }
+    private fun watch(ofProcess: Int) {
+        if (processNumber != ofProcess) return
+        val current = process ?: return
+        fun again() = later(WATCH_INTERVAL_MS * world.storeSlowdown) { watch(ofProcess) }
         if (!reachesStore) {
             again()
-        } else if (loaded) {
-            follow(c)
+        } else if (snapshotLoaded) {
+            deliverChanges(current)
             again()
         } else {
-            load(of, c, ::again)
+            load(ofProcess, current, ::again)
         }
     }
 
-    /** Reads all keys, as a process does when it starts and when the changes that it asks for are no longer kept. */
-    private fun load(of: Int, c: Controller, done: () -> Unit) {
+    /** Reads all watched keys, as a process does at its start and when the store no longer has the changes it needs. */
+    private fun load(ofProcess: Int, current: Controller, done: () -> Unit) {
         val askedAt = world.now()
-        list(of, Keys.CLUSTER) { cluster ->
+        list(ofProcess, Keys.CLUSTER) { cluster ->
             val jobsAskedAt = world.now()
-            list(of, Keys.LIVE_JOBS) { jobs ->
+            list(ofProcess, Keys.LIVE_JOBS) { jobs ->
                 if (cluster is ListResult.Listing && jobs is ListResult.Listing) {
-                    loaded = true
-                    watchedTo = cluster.revision
-                    jobsWatchedTo = jobs.revision
-                    c.cluster.watchResults.onClusterSnapshot(
+                    snapshotLoaded = true
+                    watchedRevision = cluster.revision
+                    watchedJobsRevision = jobs.revision
+                    current.cluster.watchResults.onClusterSnapshot(
                         cluster.items.filter { isVisible(it.path) }.map(::asVisible),
                         cluster.revision,
                         askedAt,
                     )
-                    c.cluster.watchResults.onJobsSnapshot(jobs.items, jobs.revision, jobsAskedAt)
+                    current.cluster.watchResults.onJobsSnapshot(jobs.items, jobs.revision, jobsAskedAt)
                 }
                 done()
             }
@@ -185,32 +193,32 @@
     private fun asVisible(path: String, value: Fields): Fields =
         if (predatesRollouts) asBeforeRollouts(path, value) else value
 
-    private fun follow(c: Controller) {
+    private fun deliverChanges(current: Controller) {
         val store = world.store
-        val news = store.changesSince(watchedTo)
-        if (news == null) {
-            loaded = false
+        val changes = store.changesSince(watchedRevision)
+        if (changes == null) {
+            snapshotLoaded = false
             return
         }
-        watchedTo = store.revision
-        val clusterNews = news.filter { it.path.startsWith(Keys.CLUSTER) && isVisible(it.path) }
-        c.cluster.watchResults.onClusterEvents(
-            clusterNews.map {
+        watchedRevision = store.revision
+        val clusterChanges = changes.filter { it.path.startsWith(Keys.CLUSTER) && isVisible(it.path) }
+        current.cluster.watchResults.onClusterEvents(
+            clusterChanges.map {
                 it.copy(value = it.value?.let { value -> asVisible(it.path, value) })
             },
-            watchedTo,
+            watchedRevision,
             world.now(),
         )
-        if (world.now() < jobsDue) return
-        val jobNews = store.changesSince(jobsWatchedTo)
-        if (jobNews == null) {
-            loaded = false
+        if (world.now() < nextJobWatchAt) return
+        val jobChanges = store.changesSince(watchedJobsRevision)
+        if (jobChanges == null) {
+            snapshotLoaded = false
             return
         }
-        jobsDue = world.now() + jobWatchDelayMs
-        jobsWatchedTo = store.revision
-        c.cluster.watchResults.onJobEvents(
-            jobNews.filter {
+        nextJobWatchAt = world.now() + jobWatchIntervalMs
+        watchedJobsRevision = store.revision
+        current.cluster.watchResults.onJobEvents(
+            jobChanges.filter {
                 it.path.startsWith(Keys.JOBS)
             },
             store.revision,
@@ -218,12 +226,12 @@
         )
     }
 
-    /** Reads the keys with [prefix] page by page, each at its own moment; fails if the store is lost meanwhile. */
-    fun list(of: Int, prefix: String, done: (ListResult) -> Unit) {
+    /** Reads the keys with [prefix] page by page, each page at a later time; fails if the store becomes unreachable. */
+    fun list(ofProcess: Int, prefix: String, done: (ListResult) -> Unit) {
         val items = ArrayList<StoredItem>()
         var revision = -1L
         fun page(after: String?) {
-            if (processNumber != of) return
+            if (processNumber != ofProcess) return
             if (!reachesStore) {
                 done(ListResult.Failed)
                 return
@@ -233,7 +241,7 @@
             items.addAll(page.items)
             world.rolloutRules.checkRead(this, page.items.map { it.path to it.value })
             if (page.more) {
-                later(PAGE_MS * world.storeSlowdown) { page(items.last().path) }
+                later(LIST_PAGE_DELAY_MS * world.storeSlowdown) { page(items.last().path) }
             } else {
                 done(ListResult.Listing(items, revision))
             }
@@ -243,38 +251,38 @@
 
     fun sendRequest(
         jobId: String,
-        question: (Controller, (UserAnswer) -> Unit) -> Unit,
+        request: (Controller, (UserAnswer) -> Unit) -> Unit,
         done: (UserAnswer) -> Unit = {
         },
     ) {
-        val asked = processNumber
-        val known = jobId in world.rules.answeredStates
+        val ofProcess = processNumber
+        val wasAccepted = jobId in world.rules.answeredStates
         later(0) {
-            val c = process?.takeIf { processNumber == asked } ?: return@later
-            question(c) {
+            val current = process?.takeIf { processNumber == ofProcess } ?: return@later
+            request(current) {
                 world.recorder?.record(world.now(), label, "user $jobId ${it.status} ${it.retryAfterS}", it.toFields())
-                world.rules.answered(jobId, it, known)
+                world.rules.answered(jobId, it, wasAccepted)
                 done(it)
             }
         }
     }
 
     fun receive(message: PeerMessage) {
-        val receiving = processNumber
-        later(PEER_MS) { if (processNumber == receiving) process?.onPeerMessage(message) }
+        val ofProcess = processNumber
+        later(PEER_DELAY_MS) { if (processNumber == ofProcess) process?.onPeerMessage(message) }
     }
 
     companion object {
-        /** What a version before formats and rollouts writes, and sees, of a record. */
+        /** A record as a version that predates formats and rollouts writes it and sees it. */
         fun asBeforeRollouts(path: String, value: Fields): Fields = when {
             path.startsWith(Keys.MEMBERS) -> value.filterKeys { it == "label" || it == "txn" }
             path == Keys.TOKEN_COUNTER && "fencedToken" in value -> mapOf("form" to 0L)
             else -> value
         }
 
-        private const val TICK_MS = 50L
-        private const val WATCH_MS = 40L
-        private const val PAGE_MS = 5L
-        private const val PEER_MS = 2L
+        private const val RUN_INTERVAL_MS = 50L
+        private const val WATCH_INTERVAL_MS = 40L
+        private const val LIST_PAGE_DELAY_MS = 5L
+        private const val PEER_DELAY_MS = 2L
     }
 }
--- a/src/test/kotlin/io/reedmast/sim/SimStore.kt
+++ b/src/test/kotlin/io/reedmast/sim/SimStore.kt
@@ -16,18 +16,20 @@
 import io.reedmast.wire.maps
 import java.util.TreeMap
 
-/** The store of PROTOCOL: conditional transactions, stamps, leases. */
+/** The store of PROTOCOL: conditional transactions, versions, leases. */
 class SimStore(private val world: World) {
     private class Entry(val value: Fields, val version: Long, val lease: Long?)
 
     private val entries = TreeMap<String, Entry>()
-    private val log = ArrayList<WatchEvent>()
+    private val changeLog = ArrayList<WatchEvent>()
     private val leases = HashMap<Long, Long>()
     private var leaseCount = 0L
-    private var droppedTo = 0L
+    private var compactedRevision = 0L
 
-    /** How many items one page of a listing holds, and how many changes are kept for those who follow. */
+    /** How many items one page of a listing holds. */
     var pageSize = 500
+
+    /** How many changes are retained at least, for watches. */
     var retainedChanges = 10_000
     var revision = 1L
         private set
@@ -47,7 +49,7 @@
         return entries[path]?.let { StoredItem(path, it.value, it.version) }
     }
 
-    /** All keys with a prefix, at once. */
+    /** All keys with a prefix, in a single read. */
     fun all(prefix: String): List<StoredItem> {
         expire()
         return entries.tailMap(prefix).entries.takeWhile {
@@ -55,7 +57,7 @@
         }.map { StoredItem(it.key, it.value.value, it.value.version) }
     }
 
-    /** Some of the keys with a prefix, and whether there are more. */
+    /** One page of the keys with a prefix, and whether there are more. */
     class Page(val items: List<StoredItem>, val more: Boolean)
 
     fun page(prefix: String, after: String?): Page {
@@ -66,51 +68,51 @@
         return Page(items.take(pageSize), items.size > pageSize)
     }
 
-    /** All changes after the revision, null if they are no longer kept. */
+    /** All changes after the revision [after]; null if some of them are no longer retained. */
     fun changesSince(after: Long): List<WatchEvent>? {
         expire()
-        if (after < droppedTo) return null
-        var from = log.size
-        while (from > 0 && log[from - 1].version > after) from--
-        return log.subList(from, log.size).toList()
+        if (after < compactedRevision) return null
+        var from = changeLog.size
+        while (from > 0 && changeLog[from - 1].version > after) from--
+        return changeLog.subList(from, changeLog.size).toList()
     }
 
-    /** Forgets changes, as the service does once it has kept [retainedChanges] newer ones. */
-    private fun dropOld() {
-        if (log.size < retainedChanges * 2) return
-        val dropped = log.subList(0, log.size - retainedChanges)
-        droppedTo = dropped.last().version
+    /** Drops old changes, as the real store does once there are [retainedChanges] newer ones. */
+    private fun compactLog() {
+        if (changeLog.size < retainedChanges * 2) return
+        val dropped = changeLog.subList(0, changeLog.size - retainedChanges)
+        compactedRevision = dropped.last().version
         dropped.clear()
     }
 
-    /** Puts and deletes applied, each of which counts against the service's limit. */
+    /** The number of puts and deletes applied; each counts towards the store's limit on writes. */
     var writeCount = 0
         private set
 
-    /** Puts applied, by the first part of their keys. */
+    /** The number of puts applied, by the first segment of their keys. */
     val putsByKind = HashMap<String, Int>()
 
-    /** The form of [BodyCodec] values as another version, or nobody, would write them. */
+    /** Replaces a value by one in an unreadable form, which only another version, or none at all, would write. */
     fun corrupt(path: String) {
         revision++
         entries[path] = Entry(mapOf("form" to 0L), revision, null)
-        log.add(WatchEvent(path, mapOf("form" to 0L), revision))
+        changeLog.add(WatchEvent(path, mapOf("form" to 0L), revision))
     }
 
-    /** Puts a chunk that cannot be read before the others of a page. */
+    /** Inserts an unreadable chunk before the others of a page. */
     fun corruptChunk(path: String) {
-        val held = entries.getValue(path)
-        val value = held.value + ("chunks" to listOf(mapOf("form" to 0L)) + held.value.maps("chunks"))
+        val current = entries.getValue(path)
+        val value = current.value + ("chunks" to listOf(mapOf("form" to 0L)) + current.value.maps("chunks"))
         revision++
         entries[path] = Entry(value, revision, null)
-        log.add(WatchEvent(path, value, revision))
+        changeLog.add(WatchEvent(path, value, revision))
     }
 
-    /** The limits that hold instead of those in the settings, since some moment that nobody was told of. */
+    /** The limits that apply instead of those in the settings; they are reduced without notice to the controllers. */
     var reducedLimits: StoreLimits? = null
     private val limits get() = reducedLimits ?: world.settings.storeLimits
 
-    /** What the service never took is a mistake of ours, whatever becomes of it. */
+    /** A transaction above the limits in the settings is a fault of the sender, whether or not it would be applied. */
     private fun checkLimits(transaction: StoreTransaction) {
         val limits = world.settings.storeLimits
         if (transaction.writes.size >
@@ -137,7 +139,7 @@
         expire()
         checkLimits(transaction)
         world.rolloutRules.checkSent(transaction)
-        if (isTooLarge(transaction)) return CommitReply.Malformed("the value is too large")
+        if (isTooLarge(transaction)) return CommitReply.Malformed("transaction exceeds the store limits")
         val failed = transaction.preconditions.filter {
             (entries[it.path]?.version ?: 0L) != it.version
         }.mapTo(HashSet()) { it.path }
@@ -156,58 +158,58 @@
                 is Write.Delete -> remove(write.path)
             }
         }
-        dropOld()
+        compactLog()
         return CommitReply.Applied(revision)
     }
 
-    /** The attempts that stored pages place, with their machines. */
-    private val placed = HashMap<String, Set<Triple<TaskId, Long, String>>>()
+    /** The attempts that each stored page places, with their machines. */
+    private val placementsByPage = HashMap<String, Set<Triple<TaskId, Long, String>>>()
 
     /** Whether a stored page places the attempt on the machine. */
-    fun isPlaced(id: TaskId, attempt: Long, machineName: String): Boolean = placed.values.any {
+    fun isPlaced(id: TaskId, attempt: Long, machineName: String): Boolean = placementsByPage.values.any {
         Triple(id, attempt, machineName) in
             it
     }
 
-    private fun recordPage(path: String, value: Fields) {
+    private fun recordPlacements(path: String, value: Fields) {
         if (!path.startsWith("page/")) return
-        placed[path] = PageFormat.chunksOf(value) { throw it }
+        placementsByPage[path] = PageFormat.chunksOf(value) { throw it }
             .flatMapTo(HashSet()) { chunk ->
                 chunk.placements.map { Triple(TaskId(chunk.jobId, it.task), it.attempt, it.machineName) }
             }
     }
 
-    /** Machines that a test has put into the records of two shards, until one of them names it no more. */
+    /** Machines that a test has put into the records of two shards, until only one of them lists the machine. */
     private val duplicatedMachines = HashSet<String>()
 
-    /** The shards whose records name the machine. */
+    /** The shards whose records list the machine. */
     fun shardsListing(machineName: String): List<Int> = entries.tailMap(Keys.MACHINES).entries
         .takeWhile { it.key.startsWith(Keys.MACHINES) }
         .filter { "form" !in it.value.value && MachineListPart.parse(it.value.value).contains(machineName) }
         .map { it.key.removePrefix(Keys.MACHINES).substringBefore('/').toInt() }
         .distinct()
 
-    /** Puts a machine of another shard into the first record of [shard] too, as an earlier version did at times. */
+    /** Adds a machine of another shard to the first record of [shard] too, as an earlier version sometimes did. */
     fun duplicateMachineRecord(machineName: String, shard: Int) {
         val from = entries.filterKeys { it.startsWith(Keys.MACHINES) }.values
             .firstNotNullOfOrNull { entry ->
                 MachineListPart.parse(entry.value).records.firstOrNull { it.name == machineName }
             } ?: return
         val path = Keys.machineList(shard, 0)
-        val held = entries[path]?.let { MachineListPart.parse(it.value) } ?: MachineListPart.EMPTY
-        if (held.contains(machineName)) return
+        val current = entries[path]?.let { MachineListPart.parse(it.value) } ?: MachineListPart.EMPTY
+        if (current.contains(machineName)) return
         duplicatedMachines.add(machineName)
-        replace(path, held.copy(records = held.records + from).toFields())
+        replace(path, current.copy(records = current.records + from).toFields())
     }
 
-    /** Stored pages place the tasks of the job on [machineName]. */
+    /** Changes the stored pages so that they place the tasks of the job on [machineName]. */
     fun movePlacements(jobId: String, machineName: String) {
         entries.keys.filter { it.startsWith("page/") }.toList().forEach { path ->
             val value = entries.getValue(path).value
             if ("chunks" !in value) return@forEach
             val chunks = value.maps("chunks").map { if (it["job"] == jobId) onMachine(it, machineName) else it }
             replace(path, value + ("chunks" to chunks))
-            recordPage(path, value + ("chunks" to chunks))
+            recordPlacements(path, value + ("chunks" to chunks))
         }
     }
 
@@ -218,11 +220,14 @@
         revision++
         val stored = BodyCodec.readCbor(BodyCodec.writeCbor(value))
         entries[path] = Entry(stored, revision, null)
-        log.add(WatchEvent(path, stored, revision))
+        changeLog.add(WatchEvent(path, stored, revision))
     }
 
-    /** A machine that comes to a shard must not be named by a page of another one, whose next owner would return it. */
-    private fun checkMoved(path: String, value: Fields) {
+    /**
+     * A machine that is added to a shard must not be in the records of another shard, nor be named by a page of one:
+     * that shard's next owner would return the machine.
+     */
+    private fun checkMachinesMoved(path: String, value: Fields) {
         val shard = path.removePrefix(Keys.MACHINES).substringBefore('/')
         duplicatedMachines.removeIf { shardsListing(it).size < 2 }
         val machineNames = MachineListPart.parse(value).records.mapTo(HashSet()) { it.name } - duplicatedMachines
@@ -232,29 +237,31 @@
                 it.name in machineNames
             }.forEach { world.rules.addViolation("in_two_shards ${it.name}: $path and $other") }
         }
-        for ((page, attempts) in placed) {
+        for ((page, attempts) in placementsByPage) {
             if (page.startsWith("page/$shard/")) continue
-            val of = page.removePrefix("page/").substringBefore('/').toInt()
-            attempts.filter { it.third in machineNames && Keys.liveJob(of, it.first.jobId) in entries }
+            val pageShard = page.removePrefix("page/").substringBefore('/').toInt()
+            attempts.filter { it.third in machineNames && Keys.liveJob(pageShard, it.first.jobId) in entries }
                 .forEach {
-                    world.rules.addViolation("moved_while_placed ${it.third} to shard $shard, ${it.first} of shard $of")
+                    world.rules.addViolation(
+                        "moved_while_placed ${it.third} to shard $shard, ${it.first} of shard $pageShard",
+                    )
                 }
         }
     }
 
     private fun put(write: Write.Put, transactionId: String) {
-        // Through the wire and back, as the real service would give it.
+        // The value is encoded and decoded, as it would be by the real store.
         val value = BodyCodec.readCbor(BodyCodec.writeCbor(StoreMessages.stored(write.value, transactionId)))
         entries[write.path] = Entry(value, revision, write.lease)
-        recordPage(write.path, value)
+        recordPlacements(write.path, value)
         putsByKind.merge(write.path.substringBefore('/'), 1, Int::plus)
         world.rolloutRules.checkStored(write.path, value)
-        if (write.path.startsWith(Keys.MACHINES)) checkMoved(write.path, value)
-        log.add(WatchEvent(write.path, value, revision))
+        if (write.path.startsWith(Keys.MACHINES)) checkMachinesMoved(write.path, value)
+        changeLog.add(WatchEvent(write.path, value, revision))
     }
 
     private fun remove(path: String) {
-        if (entries.remove(path) != null) log.add(WatchEvent(path, null, revision))
+        if (entries.remove(path) != null) changeLog.add(WatchEvent(path, null, revision))
     }
 
     fun grantLease(lifeMs: Long): Long {
@@ -269,8 +276,8 @@
 
     private fun expire() {
         if (!up) return
-        val over = leases.filterValues { it < world.now() }.keys.toList()
-        for (lease in over) {
+        val expired = leases.filterValues { it < world.now() }.keys.toList()
+        for (lease in expired) {
             leases.remove(lease)
             val paths = entries.filterValues { it.lease == lease }.keys.toList()
             if (paths.isNotEmpty()) revision++
