--- a/src/main/kotlin/io/reedmast/app/ControllerProcess.kt
+++ b/src/main/kotlin/io/reedmast/app/ControllerProcess.kt
@@ -61,7 +61,8 @@
             startThread("peers") { peers.run(listening) }
         } catch (e: IOException) {
             throw StartupException(
-                "cannot listen on front ${settings.apiAddress} or cluster_listen ${settings.clusterAddress}: ${e.message}",
+                "cannot listen on front ${settings.apiAddress} or " +
+                    "cluster_listen ${settings.clusterAddress}: ${e.message}",
                 e,
             )
         }
--- a/src/main/kotlin/io/reedmast/cli/ControllerOptions.kt
+++ b/src/main/kotlin/io/reedmast/cli/ControllerOptions.kt
@@ -5,9 +5,9 @@
 import io.reedmast.settings.Tuning
 
 /**
- * What the command line asks of a controller.
+ * The options that the command line gives a controller.
  *
- * @property exitAfterS after how many seconds the process ends with exit code 0; null if it runs until it is killed
+ * @property exitAfterS seconds after which the process ends with exit code 0; null: it runs until it is killed.
  */
 class ControllerOptions(
     val settings: Settings,
@@ -16,5 +16,5 @@
     val exitAfterS: Double?,
 )
 
-/** A controller cannot start with the settings that it was given; the message says why. */
+/** Thrown if a controller cannot start with the settings that it was given; the message gives the reason. */
 class StartupException(message: String, cause: Throwable) : Exception(message, cause)
--- a/src/main/kotlin/io/reedmast/cli/Reedmast.kt
+++ b/src/main/kotlin/io/reedmast/cli/Reedmast.kt
@@ -21,8 +21,8 @@
 import java.nio.file.Path
 
 /**
- * The `reedmast` command: one controller, which runs until it is killed. [runController] runs it, and throws
- * [StartupException] if it cannot start.
+ * The `reedmast` command: runs one controller until it is killed. [runController] runs the controller and throws
+ * [StartupException] if the controller cannot start.
  */
 class Reedmast(private val runController: (ControllerOptions) -> Unit) : CoreCliktCommand("reedmast") {
     private val config by option(help = "Settings file (JSON) of this controller", metavar = "FILE").required()
@@ -68,7 +68,7 @@
         )
     }
 
-    /** Without a subcommand it runs a controller. */
+    /** Without a subcommand, the command runs a controller. */
     override val invokeWithoutSubcommand = true
 
     override fun help(context: Context): String = "Runs one controller of a reedmast cluster. " +
@@ -112,7 +112,10 @@
         }
     }
 
-    /** A rehearsal serves nobody: on ports of its own it would fail, and the build with it, beside another build. */
+    /**
+     * Replaces the configured ports by free ones. A rehearsal serves no clients; on fixed ports it would fail, and with
+     * it the build, while another build runs on the same host.
+     */
     private fun withEphemeralPorts(settings: Settings) = settings.copy(
         apiAddress = InetSocketAddress(settings.apiAddress.address, 0),
         clusterAddress = InetSocketAddress(settings.clusterAddress.address, 0),
--- a/src/main/kotlin/io/reedmast/cli/RolloutCommand.kt
+++ b/src/main/kotlin/io/reedmast/cli/RolloutCommand.kt
@@ -26,12 +26,12 @@
 import java.time.Instant
 
 /**
- * Opens the store for one command, which is named by its incarnation in what it writes. Calls of the store answer
- * before they return.
+ * Opens the store for one command; the incarnation identifies the command in what it writes. Each call of the store
+ * invokes its callback before it returns.
  */
 typealias StoreOpener = (settings: Settings, incarnation: String) -> RolloutStore
 
-/** `reedmast rollout`: questions and acts of operators, carried out through the store that [openStore] opens. */
+/** `reedmast rollout`: the operators' queries and changes, executed through the store that [openStore] opens. */
 class RolloutCommand(openStore: StoreOpener) : CoreCliktCommand("rollout") {
     init {
         subcommands(
@@ -54,26 +54,18 @@
                 Target.DORMANT,
                 "Take a feature back: migrated records get their old form again",
             ),
-            ControllerCommand(openStore, "exclude", "Do not count a controller that is silent") {
-                    name,
-                    attribution,
-                    onResult,
-                ->
-                exclude(name, attribution, onResult)
+            ControllerCommand(openStore, "exclude", "Do not count a controller that is silent") { name, by, onResult ->
+                exclude(name, by, onResult)
             },
-            ControllerCommand(openStore, "include", "Count an excluded controller again") {
-                    name,
-                    attribution,
-                    onResult,
-                ->
-                include(name, attribution, onResult)
+            ControllerCommand(openStore, "include", "Count an excluded controller again") { name, by, onResult ->
+                include(name, by, onResult)
             },
             ControllerCommand(openStore, "drain", "Have a controller give its shards up before it is stopped") {
                     name,
-                    attribution,
+                    by,
                     onResult,
                 ->
-                drain(name, attribution, onResult)
+                drain(name, by, onResult)
             },
             ControllerCommand(openStore, "undrain", "Have a drained controller take shards again") {
                     name,
@@ -91,7 +83,7 @@
     override fun run() = Unit
 }
 
-/** What every subcommand of `reedmast rollout` has: the store, and how results are shown. */
+/** Base class of the subcommands of `reedmast rollout`: opens the store and prints results. */
 internal abstract class AdministrationCommand(
     private val openStore: StoreOpener,
     name: String,
--- a/src/main/kotlin/io/reedmast/deploy/RolloutFile.kt
+++ b/src/main/kotlin/io/reedmast/deploy/RolloutFile.kt
@@ -18,10 +18,10 @@
 import java.nio.file.Files
 import java.nio.file.Path
 
-/** The deploy file of the rollout cannot be used; the message says which part of it, and why. */
+/** Thrown if the rollout file cannot be used; the message names the part of it that is at fault, and the reason. */
 class RolloutFileException(message: String, cause: Throwable? = null) : Exception(message, cause)
 
-/** The operators' file of desired features, checked against its schema and against what this binary knows. */
+/** Reads the operators' file of desired features; checks it against its schema and this binary's features. */
 object RolloutFile {
     private const val SCHEMA = "rollout.schema.json"
 
@@ -52,7 +52,7 @@
         val json = try {
             JsonParser(text).parse()
         } catch (e: JsonParseException) {
-            throw RolloutFileException("it is not JSON: ${e.message}", e)
+            throw RolloutFileException("the file is not JSON: ${e.message}", e)
         }
         val failure = Validator.forSchema(SchemaLoader(schema()).load()).validate(json) ?: return
         throw RolloutFileException(describe(failure))
@@ -61,18 +61,18 @@
     private fun schema(): String {
         val resource =
             RolloutFile::class.java.getResourceAsStream(SCHEMA)
-                ?: error("$SCHEMA is not in this program")
+                ?: error("schema $SCHEMA is missing from the class path")
         return resource.use { it.readAllBytes().decodeToString() }
     }
 
-    /** The innermost failure says most. */
+    /** Describes the innermost failure, which is the most specific one. */
     private fun describe(failure: ValidationFailure): String {
         val innermost = generateSequence(failure) { it.causes.firstOrNull() }.last()
         val location = innermost.instance.location
         return "line ${location.lineNumber}, ${location.pointer}: ${innermost.message}"
     }
 
-    /** What no controller could ever carry out is refused before it starts. */
+    /** Refuses targets that no controller could ever carry out, before the controller starts. */
     private fun check(desired: Map<FeatureName, Target>, registry: FeatureRegistry) {
         for ((name, target) in desired) {
             val feature = registry[name]
--- a/src/main/kotlin/io/reedmast/settings/CloudLimits.kt
+++ b/src/main/kotlin/io/reedmast/settings/CloudLimits.kt
@@ -1,4 +1,9 @@
 package io.reedmast.settings
 
-/** The requests a second that the cloud accepts from all controllers together, and by how much its list is behind. */
+/**
+ * The limits of the cloud.
+ *
+ * @property requestsPerS the requests per second that it accepts from all controllers together.
+ * @property listLagS by how many seconds its machine list lags.
+ */
 data class CloudLimits(val requestsPerS: Double, val listLagS: Double)
--- a/src/main/kotlin/io/reedmast/settings/Indices.kt
+++ b/src/main/kotlin/io/reedmast/settings/Indices.kt
@@ -1,16 +1,16 @@
 package io.reedmast.settings
 
-// Names of teams, zones, controllers and shards are dense indices, from 0, once the settings have been read.
+// Once the settings have been read, teams, zones, controllers and shards are identified by dense indices from 0.
 
-/** The place of a team in [Settings.teams]. */
+/** The index of a team in [Settings.teams]. */
 @JvmInline
 value class TeamId(val value: Int)
 
-/** The place of a zone in [Settings.zones]. */
+/** The index of a zone in [Settings.zones]. */
 @JvmInline
 value class ZoneIndex(val value: Int)
 
-/** The place of a controller in [Settings.members]. */
+/** The index of a controller in [Settings.members]. */
 @JvmInline
 value class ControllerId(val value: Int)
 
--- a/src/main/kotlin/io/reedmast/settings/Settings.kt
+++ b/src/main/kotlin/io/reedmast/settings/Settings.kt
@@ -9,14 +9,14 @@
 import java.nio.file.Path
 
 /**
- * What the platform hands over to a controller at its start.
+ * The settings that the platform gives a controller when it starts.
  *
- * @property label this controller's name.
- * @property apiAddress where users and workers are served.
- * @property clusterAddress where the other controllers are served.
- * @property members every controller in name order, so that all controllers agree on their indices.
- * @property self this controller's place in [members].
- * @property maxConnections how many connections this process may have open.
+ * @property label the name of this controller.
+ * @property apiAddress the address at which users and workers are served (`front`).
+ * @property clusterAddress the address at which the other controllers are served (`cluster_listen`).
+ * @property members all controllers, sorted by label so that every controller assigns the same indices.
+ * @property self the index of this controller in [members].
+ * @property maxConnections the maximum number of connections that this process may have open.
  */
 data class Settings(
     val label: String,
@@ -31,15 +31,15 @@
     val objectives: List<Objective>,
     val workers: WorkerRules,
     val storeLimits: StoreLimits,
-    /** What the store will allow from some moment after an upgrade, which it does not announce. */
+    /** The limits that the store will have from some moment after an upgrade; it does not announce that moment. */
     val nextStoreLimits: StoreLimits?,
     val cloudLimits: CloudLimits,
     val maxConnections: Int,
 ) {
-    /** The teams by their names, which are distinct. */
+    /** The teams by name; the names are distinct. */
     val teamsByName: Map<String, TeamId> = teams.withIndex().associate { (i, team) -> team.name to TeamId(i) }
 
-    /** As many shards as controllers; teams are assigned to them in turn. */
+    /** There are as many shards as controllers; teams are assigned to shards round-robin. */
     val shardCount: Int get() = members.size
 
     /** The shard that a team belongs to. */
@@ -61,7 +61,7 @@
         private fun readJson(file: Path, bytes: ByteArray): Fields = try {
             BodyCodec.readJson(bytes)
         } catch (e: MalformedException) {
-            throw SettingsException("$file is not a JSON map: ${e.message}", e)
+            throw SettingsException("settings file $file is not a JSON map: ${e.message}", e)
         }
     }
 }
--- a/src/main/kotlin/io/reedmast/settings/SettingsException.kt
+++ b/src/main/kotlin/io/reedmast/settings/SettingsException.kt
@@ -1,4 +1,4 @@
 package io.reedmast.settings
 
-/** The settings cannot be used; the message names the file or the field, and goes to the operator as it is. */
+/** Thrown if the settings cannot be used; operators see the message, which names the file or the field, as it is. */
 class SettingsException(message: String, cause: Throwable? = null) : Exception(message, cause)
--- a/src/main/kotlin/io/reedmast/settings/SettingsParser.kt
+++ b/src/main/kotlin/io/reedmast/settings/SettingsParser.kt
@@ -11,11 +11,11 @@
 import java.net.InetSocketAddress
 
 /**
- * Reads [Settings] section by section, in an order that stays as it is: the first field that cannot be used is the one
- * that is reported. Unknown fields are ignored.
+ * Parses [Settings] section by section. The order of the sections must stay as it is: only the first field that cannot
+ * be used is reported. Unknown fields are ignored.
  */
 internal class SettingsParser(private val root: Fields) {
-    /** The settings; throws [SettingsException] for the first field that cannot be used. */
+    /** Parses the settings; throws [SettingsException] for the first field that cannot be used. */
     fun parse(): Settings {
         val label = label()
         val apiAddress = at("") { address("front", root.text("front")) }
@@ -51,12 +51,12 @@
         return label
     }
 
-    /** This controller and the others, in name order. */
+    /** This controller and the others, sorted by label. */
     private fun members(self: Member): List<Member> {
         val seeds = if (root["seeds"] == null) emptyList() else at("") { root.maps("seeds") }
         val others = seeds.mapIndexed { i, seed -> at("seeds[$i].") { member(seed) } }
         val members = (others + self).sortedBy { it.label }
-        requireDistinct(members.map { it.label }, "seeds name a label twice")
+        requireDistinct(members.map { it.label }, "label and seeds contain the same label twice")
         return members
     }
 
@@ -65,7 +65,7 @@
     private fun requireControllerCount(facts: Fields, memberCount: Int) {
         val nodes = at("facts.") { facts.count("nodes") }
         if (nodes != memberCount.toLong()) {
-            throw SettingsException("facts.nodes is $nodes, but label and seeds name $memberCount nodes")
+            throw SettingsException("facts.nodes is $nodes, but label and seeds list $memberCount nodes")
         }
     }
 
@@ -80,10 +80,8 @@
                 peerLossDetectionS = workers.optionalAmount("gang_peer_s") ?: WorkerRules.DEFAULT_PEER_LOSS_DETECTION_S,
             )
         }
-        if (rules.cancelDeadlineS <=
-            rules.leaseS
-        ) {
-            throw SettingsException("facts.workers.cancel_s must be above lease_s")
+        if (rules.cancelDeadlineS <= rules.leaseS) {
+            throw SettingsException("facts.workers.cancel_s must be above facts.workers.lease_s")
         }
         return rules
     }
@@ -109,7 +107,7 @@
         )
     }
 
-    /** The limits that are announced for later; one that is not named stays as it is. */
+    /** The limits that are announced for later; a limit that is not given keeps its current value. */
     private fun nextStoreLimits(store: Fields, current: StoreLimits): StoreLimits? {
         if (store["next"] == null) return null
         val next = at("facts.state.next: ") { store.map("next") }
@@ -143,14 +141,14 @@
 
     private fun zones(facts: Fields): List<String> = at("facts.") {
         val zones = facts["zones"] as? List<*> ?: throw MalformedException("zones is missing or not a list")
-        zones.map { it as? String ?: throw MalformedException("zones holds something that is not text") }
+        zones.map { it as? String ?: throw MalformedException("zones contains a value that is not text") }
     }
 
     private fun teams(facts: Fields): List<TeamShare> {
         val sections = at("facts.") { facts.maps("teams") }
         if (sections.isEmpty()) throw SettingsException("facts.teams is empty")
         val teams = sections.mapIndexed { i, section -> at("facts.teams[$i].") { team(section) } }
-        requireDistinct(teams.map { it.name }, "facts.teams names a team twice")
+        requireDistinct(teams.map { it.name }, "facts.teams contains the same name twice")
         return teams
     }
 
@@ -190,7 +188,7 @@
     private fun address(name: String, text: String): InetSocketAddress {
         val ipAddress = text.substringBeforeLast(':', missingDelimiterValue = "")
         val port = text.substringAfterLast(':', missingDelimiterValue = "").toIntOrNull()
-        // By IP numbers only: a name would be looked up, and there may be nobody to ask.
+        // Only numeric IP addresses: a host name would need a DNS lookup, and there may be no DNS server to answer it.
         if (port == null || port !in 1..MAX_PORT || !ipAddress.matches(IP_ADDRESS)) {
             throw MalformedException("$name is not an address of the form 10.0.0.1:8080: $text")
         }
@@ -201,7 +199,7 @@
         }
     }
 
-    /** Has [read] done; if a field is malformed, it is reported by its path, of which [prefix] is the beginning. */
+    /** Calls [read]; throws a [SettingsException] that names a malformed field by its path: [prefix] and the name. */
     private inline fun <T> at(prefix: String, read: () -> T): T = try {
         read()
     } catch (e: MalformedException) {
--- a/src/main/kotlin/io/reedmast/settings/StoreLimits.kt
+++ b/src/main/kotlin/io/reedmast/settings/StoreLimits.kt
@@ -1,12 +1,12 @@
 package io.reedmast.settings
 
 /**
- * What the store accepts, from all controllers together.
+ * What the store accepts from all controllers together.
  *
- * @property requestsPerS requests a second, of any kind.
- * @property writesPerS puts and deletes a second.
- * @property valueBytes the size of one value as JSON.
- * @property opsPerCommit puts and deletes in one transaction.
+ * @property requestsPerS requests of any kind per second.
+ * @property writesPerS puts and deletes per second.
+ * @property valueBytes the size of one value as JSON, in bytes.
+ * @property writesPerTransaction puts and deletes in one transaction.
  */
 data class StoreLimits(
     val requestsPerS: Double,
@@ -14,7 +14,7 @@
     val valueBytes: Int,
     val writesPerTransaction: Int,
 ) {
-    /** How many preconditions one transaction may hold (PROTOCOL, POST /commit). */
+    /** The maximum number of preconditions in one transaction (PROTOCOL, POST /commit). */
     val maxPreconditions: Int get() = writesPerTransaction * PRECONDITIONS_PER_WRITE
 
     private companion object {
--- a/src/main/kotlin/io/reedmast/settings/Tuning.kt
+++ b/src/main/kotlin/io/reedmast/settings/Tuning.kt
@@ -1,6 +1,6 @@
 package io.reedmast.settings
 
-/** What the operators may tune, in seconds; each is a flag and a variable, with these defaults. */
+/** Parameters that operators may tune, in seconds: each has a flag, an environment variable and this default. */
 data class Tuning(
     /** The sliding window over which charged use is counted. */
     val usageWindowS: Double = DEFAULT_USAGE_WINDOW_S,
@@ -8,9 +8,9 @@
     val maxProtectedRunTimeS: Double = DEFAULT_MAX_PROTECTED_RUN_TIME_S,
     /** How often the leader resizes shards. */
     val resizeIntervalS: Double = 3.0,
-    /** How often owners write team totals. */
+    /** How often shard owners write usage summaries, with the totals of the teams. */
     val usageSummaryIntervalS: Double = 5.0,
-    /** How long an empty ordinary machine is kept before it is returned; null: worked out from boot and fetch times. */
+    /** How long an empty on-demand machine is kept before it is returned; null: derived from boot and fetch times. */
     val idleTimeoutS: Double? = null,
 ) {
     private companion object {
--- a/src/main/kotlin/io/reedmast/settings/WorkerRules.kt
+++ b/src/main/kotlin/io/reedmast/settings/WorkerRules.kt
@@ -1,13 +1,13 @@
 package io.reedmast.settings
 
 /**
- * How workers behave, in seconds (PROTOCOL, Workers and Leases).
+ * Intervals and time limits of the workers, in seconds (PROTOCOL, Workers and Leases).
  *
  * @property heartbeatIntervalS the nominal interval of heartbeats; a worker varies it by up to a quarter.
- * @property leaseS how long after its last answered heartbeat a worker kills its tasks.
- * @property cancelDeadlineS within what time of a cancellation all tasks of the job must be gone.
+ * @property leaseS the time after its last answered heartbeat at which a worker kills its tasks.
+ * @property cancelDeadlineS the time after a cancellation within which all tasks of the job must be gone.
  * @property gangTimeoutS how long a task waits for the rest of its gang.
- * @property peerLossDetectionS how soon the tasks of a gang notice that one is gone.
+ * @property peerLossDetectionS how soon the other tasks of a gang notice that one of them is gone.
  */
 data class WorkerRules(
     val heartbeatIntervalS: Double,
--- a/src/main/kotlin/io/reedmast/wire/BodyCodec.kt
+++ b/src/main/kotlin/io/reedmast/wire/BodyCodec.kt
@@ -11,7 +11,7 @@
 import java.math.BigInteger
 
 /**
- * Reads and writes message bodies as plain maps, lists, texts, numbers and booleans.
+ * Reads and writes message bodies as plain maps, lists, strings, numbers and booleans.
  *
  * Only Jackson's streaming layer is used. Binding to classes would load several hundred classes at start, and a
  * controller's start-up time is part of every failover.
@@ -82,7 +82,7 @@
         else -> throw MalformedException("a value of a kind that is not used here")
     }
 
-    /** A Long, or a BigInteger if it does not fit one. */
+    /** A Long, or a BigInteger if the number does not fit in a Long. */
     private fun readInteger(parser: JsonParser): Number {
         val number = parser.numberValue
         return if (number is BigInteger) number else number.toLong()
@@ -98,7 +98,7 @@
     /** [fields] as JSON. */
     fun writeJson(fields: Fields): ByteArray = jsonOf(fields).toByteArray()
 
-    /** The size that the store counts a value by: its length as JSON, in bytes. */
+    /** The size of a value as the store counts it: its length as JSON, in bytes. */
     fun jsonSize(value: Fields): Int = jsonOf(value).size()
 
     private fun jsonOf(fields: Fields): ByteArrayOutputStream {
--- a/src/main/kotlin/io/reedmast/wire/CloudMessages.kt
+++ b/src/main/kotlin/io/reedmast/wire/CloudMessages.kt
@@ -1,6 +1,6 @@
 package io.reedmast.wire
 
-/** The bodies that the cloud takes and gives. */
+/** Request and response bodies of the cloud. */
 object CloudMessages {
     private const val NO_CAPACITY = "no capacity"
 
@@ -8,10 +8,10 @@
     fun rentalRequest(requestName: String, typeName: String, zone: String, spot: Boolean, count: Int): Fields =
         mapOf("charter" to requestName, "build" to typeName, "yard" to zone, "driftwood" to spot, "count" to count)
 
-    /** The names of the machines that a rental has brought. */
+    /** The names of the machines in the answer to a rental request. */
     fun rentedMachines(body: Fields): List<String> = body.optionalTexts("hosts").orEmpty()
 
-    /** Whether a refusal says that there are no such machines, rather than that the cloud is in an outage. */
+    /** Whether a refusal means that there are no such machines, rather than that the cloud has an outage. */
     fun isOutOfCapacity(body: Fields): Boolean = body["error"] == NO_CAPACITY
 
     /** A request to return machines. */
--- a/src/main/kotlin/io/reedmast/wire/Fields.kt
+++ b/src/main/kotlin/io/reedmast/wire/Fields.kt
@@ -3,11 +3,11 @@
 import java.math.BigDecimal
 import java.math.BigInteger
 
-/** A message body: a map keyed by text, as it comes from CBOR or from the JSON settings file. */
+/** A message body: a map with text keys, as read from CBOR or from the JSON settings file. */
 typealias Fields = Map<String, Any?>
 
 // Field access with the checks that every message needs. A null field counts as omitted. Each function throws a
-// MalformedException that names the field if it is not of its kind, or is omitted and not optional.
+// MalformedException that names the field if the field has the wrong type, or is omitted and not optional.
 
 /** The text under [name]. */
 fun Fields.text(name: String): String = this[name] as? String ?: throw missingOrWrongType("text", name)
@@ -38,7 +38,7 @@
 /** A finite decimal of at least 0; null if it is omitted. */
 fun Fields.optionalAmount(name: String): Double? = if (this[name] == null) null else amount(name)
 
-/** An integer from 0 up. Tokens above 2^63 are refused: no controller ever allocates one. */
+/** An integer of at least 0. Tokens of 2^63 or more are refused: no controller ever allocates one. */
 fun Fields.count(name: String): Long {
     val value =
         when (val raw = this[name]) {
@@ -50,9 +50,9 @@
     return value
 }
 
-/** An integer from 0 up; null if it is omitted. */
+/** An integer of at least 0; null if it is omitted. */
 fun Fields.optionalCount(name: String): Long? = if (this[name] == null) null else count(name)
 
-/** Why the field [name] cannot be read as [kind]. */
+/** The exception for the field [name], which is missing or is not [kind]. */
 internal fun Fields.missingOrWrongType(kind: String, name: String) =
     MalformedException(if (this[name] == null) "$name is missing" else "$name is not $kind")
--- a/src/main/kotlin/io/reedmast/wire/HttpCaller.kt
+++ b/src/main/kotlin/io/reedmast/wire/HttpCaller.kt
@@ -5,11 +5,11 @@
 import java.net.URI
 
 /**
- * Calls other processes over HTTP with CBOR bodies; blocking, connections kept open and reused as long as [keepAlive]
- * holds. Thread-safe.
+ * Calls other processes over HTTP with CBOR bodies. Calls block. Connections are kept open and reused while [keepAlive]
+ * returns true. Thread-safe.
  *
  * @param connectTimeoutMs how long to wait for a connection.
- * @param readTimeoutMs how long to wait for bytes of an answer, unless a call says otherwise.
+ * @param readTimeoutMs how long to wait for bytes of an answer, unless a call gives its own time.
  */
 class HttpCaller(
     private val connectTimeoutMs: Int,
@@ -38,11 +38,11 @@
             connection.disconnect()
             Reply.Unanswered(e.toString())
         } catch (e: MalformedException) {
-            Reply.Unanswered("nonsense in the answer: ${e.message}")
+            Reply.Unanswered("malformed answer: ${e.message}")
         }
     }
 
-    /** A POST without a body still announces a length, of 0. */
+    /** A POST without a body still sends a content length, of 0. */
     private fun requestBytes(method: String, body: Fields?): ByteArray? = when {
         body != null -> BodyCodec.writeCbor(body)
         method == "POST" -> NO_BYTES
@@ -71,7 +71,7 @@
     private fun setBodyHeaders(connection: HttpURLConnection, size: Int) {
         connection.doOutput = true
         connection.setRequestProperty("Content-Type", "application/cbor")
-        // A fixed length also keeps HttpURLConnection from sending a failed POST a second time on its own.
+        // A fixed length also prevents HttpURLConnection from resending a failed POST by itself.
         connection.setFixedLengthStreamingMode(size)
     }
 
--- a/src/main/kotlin/io/reedmast/wire/HttpStatus.kt
+++ b/src/main/kotlin/io/reedmast/wire/HttpStatus.kt
@@ -1,6 +1,6 @@
 package io.reedmast.wire
 
-/** The status codes that the protocol gives a meaning to. */
+/** The HTTP status codes that have a meaning in the protocol. */
 object HttpStatus {
     const val OK = 200
     const val BAD_REQUEST = 400
--- a/src/main/kotlin/io/reedmast/wire/JobShape.kt
+++ b/src/main/kotlin/io/reedmast/wire/JobShape.kt
@@ -1,6 +1,6 @@
 package io.reedmast.wire
 
-/** How the tasks of a job belong together; [wireName] is the name in messages and records. */
+/** How the tasks of a job run in relation to each other; [wireName] is the name in messages and records. */
 enum class JobShape(val wireName: String) {
     /** Independent tasks, each of which runs to completion. */
     ARRAY("array"),
@@ -13,7 +13,7 @@
     ;
 
     companion object {
-        /** The shape of this name; throws [MalformedException] if there is none. */
+        /** The shape called [text] in messages; throws [MalformedException] if there is none. */
         fun of(text: String): JobShape =
             entries.firstOrNull { it.wireName == text } ?: throw MalformedException("shape is unknown: $text")
     }
--- a/src/main/kotlin/io/reedmast/wire/JobSpec.kt
+++ b/src/main/kotlin/io/reedmast/wire/JobSpec.kt
@@ -1,12 +1,12 @@
 package io.reedmast.wire
 
 /**
- * A job as its user described it (PROTOCOL, POST /submissions). Durations are in seconds, sizes in GB.
+ * A job as its user submitted it (PROTOCOL, POST /submissions). Durations are in seconds, sizes in GB.
  *
- * @property jobClass the class of jobs that it belongs to, by which objectives are set.
+ * @property jobClass the class of the job; objectives are set for classes.
  * @property taskCount number of tasks, from 1 to [MAX_TASKS].
  * @property cpus what each task takes of its machine; [gpus] and [memoryGb] likewise.
- * @property image what a machine must have fetched before a task can start; [imageGb] is its size.
+ * @property image the image that a machine must have fetched before a task can start; [imageGb] is its size.
  * @property allowedTypes labels of the machine types that it may use; null: any.
  * @property zone the only zone that it may use; null: any.
  * @property oneZone whether all tasks must be in the same zone.
@@ -15,7 +15,7 @@
  * @property estimateS its owner's estimate of a task's run time without the image fetch; 0 for services.
  * @property checkpointS the interval of progress after which a task saves a checkpoint; 0: it never saves.
  * @property saveS how long a task takes to save when it is stopped.
- * @property deadlineS when the job should be complete, from its submission; null: no deadline.
+ * @property deadlineS the time from its submission within which the job should be complete; null: no deadline.
  */
 data class JobSpec(
     val jobId: String,
@@ -45,10 +45,10 @@
     /** Whether its tasks run at the same time or not at all. */
     val isGang: Boolean get() = shape == JobShape.GANG
 
-    /** Whether a task that is stopped can go on from its last checkpoint. */
+    /** Whether a task that was stopped can resume from its last checkpoint. */
     val resumable: Boolean get() = checkpointS > 0.0
 
-    /** The job as [parse] reads it, and as its record holds it. */
+    /** The fields of the job, as [parse] reads them and as its record stores them. */
     fun toFields(): Fields = mapOf(
         "ref" to jobId,
         "lot" to jobClass,
@@ -78,7 +78,7 @@
         private val JOB_ID = Regex("wk-[0-9]{1,18}")
         private const val MAX_NAME_LENGTH = 200
 
-        /** Users' ids are always of this form, and only what has it can ever have been accepted. */
+        /** Whether [text] has the form of all job ids; no job with an id of another form can have been accepted. */
         fun isJobId(text: String): Boolean = JOB_ID.matches(text)
 
         /** Reads a submission or a record; throws [MalformedException] for the first field that is not valid. */
--- a/src/main/kotlin/io/reedmast/wire/JobState.kt
+++ b/src/main/kotlin/io/reedmast/wire/JobState.kt
@@ -9,6 +9,6 @@
     CANCELLED("aborted"),
     ;
 
-    /** Whether the job is over, so that this never changes again. */
+    /** Whether the job is over; a final state never changes again. */
     val isFinal: Boolean get() = this == DONE || this == CANCELLED
 }
--- a/src/main/kotlin/io/reedmast/wire/ListedMachine.kt
+++ b/src/main/kotlin/io/reedmast/wire/ListedMachine.kt
@@ -3,9 +3,9 @@
 /**
  * An entry of the cloud's machine list (PROTOCOL, GET /machines).
  *
- * @property addr its worker's address; null as long as it has none.
+ * @property addr the address of its worker; null while it has none.
  * @property stage `booting`, `running` or `failed`.
- * @property ageS the time since the rental request, as of the moment that the list describes.
+ * @property ageS the time since the rental request, at the moment that the list describes.
  */
 data class ListedMachine(
     val name: String,
--- a/src/main/kotlin/io/reedmast/wire/MachineType.kt
+++ b/src/main/kotlin/io/reedmast/wire/MachineType.kt
@@ -5,10 +5,10 @@
  *
  * @property cacheGb space for images.
  * @property fetchGbPerS the rate at which images are fetched; above 0.
- * @property hourlyPrice the price of an ordinary machine.
- * @property spotPrice the present price of a spot machine by the hour; null: there are none.
+ * @property hourlyPrice the hourly price of an on-demand machine.
+ * @property spotPrice the current hourly price of a spot machine; null: there are no spot machines of this type.
  * @property bootS the nominal time from the rental until the worker runs.
- * @property zones the zones that have the type.
+ * @property zones the zones that offer the type.
  */
 data class MachineType(
     val label: String,
@@ -22,7 +22,7 @@
     val bootS: Double,
     val zones: List<String>,
 ) {
-    /** How many tasks of these dimensions an empty machine holds. */
+    /** How many tasks with these resource requirements fit on an empty machine. */
     fun capacityFor(cpus: Double, gpus: Double, memoryGb: Double): Int {
         var taskCount = Double.MAX_VALUE
         if (cpus > 0) taskCount = minOf(taskCount, this.cpus / cpus)
@@ -32,11 +32,11 @@
     }
 
     companion object {
-        /** Added before a quotient is cut to an integer, such as 0.3 / 0.1. */
+        /** Added before a quotient is truncated to an integer: 0.3 / 0.1, for example, is slightly below 3. */
         private const val ROUNDING_ERROR = 1e-9
         private const val DEFAULT_FETCH_GB_PER_S = 0.1
 
-        /** Keeps fetch times finite: they are quotients by the rate. */
+        /** Lower bound that keeps fetch times finite: they are image sizes divided by the rate. */
         private const val MIN_FETCH_GB_PER_S = 0.001
 
         /** All types in the answer to `GET /flavors`. */
--- a/src/main/kotlin/io/reedmast/wire/MalformedException.kt
+++ b/src/main/kotlin/io/reedmast/wire/MalformedException.kt
@@ -1,4 +1,4 @@
 package io.reedmast.wire
 
-/** Something on the wire, or in the store, that does not have the form it should have. */
+/** Thrown if a message or a stored value does not have the required form. */
 class MalformedException(message: String, cause: Throwable? = null) : Exception(message, cause)
--- a/src/main/kotlin/io/reedmast/wire/NestedFields.kt
+++ b/src/main/kotlin/io/reedmast/wire/NestedFields.kt
@@ -2,7 +2,7 @@
 
 // Access to fields that hold maps and lists, with the same checks as for single values.
 
-/** [value] as a map; what is read from CBOR or JSON has only text as keys. */
+/** [value] as a map; the cast of its keys is safe, since maps read from CBOR or JSON have only text keys. */
 @Suppress("UNCHECKED_CAST")
 fun asFields(value: Any?): Fields = value as? Map<String, Any?> ?: throw MalformedException("a map was expected")
 
--- a/src/main/kotlin/io/reedmast/wire/Priority.kt
+++ b/src/main/kotlin/io/reedmast/wire/Priority.kt
@@ -9,13 +9,13 @@
     ;
 
     /**
-     * Work of the lowest priority declares no minimum run time: it is not charged, and any funded request may take its
-     * place.
+     * Whether work of this priority is charged. Work of the lowest priority declares no minimum run time: it is not
+     * charged, and may be preempted for any funded request.
      */
     val isFunded: Boolean get() = this != BEST_EFFORT
 
     companion object {
-        /** The priority of this name; throws [MalformedException] if there is none. */
+        /** The priority called [text] in messages; throws [MalformedException] if there is none. */
         fun of(text: String): Priority =
             entries.firstOrNull { it.wireName == text } ?: throw MalformedException("rank is unknown: $text")
     }
--- a/src/main/kotlin/io/reedmast/wire/Reply.kt
+++ b/src/main/kotlin/io/reedmast/wire/Reply.kt
@@ -1,6 +1,6 @@
 package io.reedmast.wire
 
-/** What came of an HTTP call. */
+/** The outcome of an HTTP call. */
 sealed interface Reply {
     /** An answer was read; [body] is empty if the answer has none. */
     data class Answer(val status: Int, val body: Fields) : Reply
@@ -8,9 +8,9 @@
     /** No connection was made, so the request cannot have been executed and never will be. */
     data class NotSent(val reason: String) : Reply
 
-    /** There is an answer, larger than this side reads. */
+    /** There is an answer, but it is larger than this side reads. */
     data object TooLarge : Reply
 
-    /** The request may have been executed, or may yet be. */
+    /** No well-formed answer was read: the request may have been executed, or may still be executed. */
     data class Unanswered(val reason: String) : Reply
 }
--- a/src/main/kotlin/io/reedmast/wire/StoreReplies.kt
+++ b/src/main/kotlin/io/reedmast/wire/StoreReplies.kt
@@ -1,17 +1,17 @@
 package io.reedmast.wire
 
-/** The bodies that the store answers with; each function throws [MalformedException] if its part is not valid. */
+/** Bodies of the store's answers; each function throws [MalformedException] if the part that it reads is not valid. */
 object StoreReplies {
     /** The id of a new lease. */
     fun leaseId(body: Fields): Long = body.count("holding")
 
-    /** The revision at which the store has answered. */
+    /** The revision of the store that the answer describes. */
     fun revision(body: Fields): Long = body.count("epoch")
 
     /** The keys whose conditions did not hold. */
     fun failedKeys(body: Fields): Set<String> = body.optionalTexts("failed").orEmpty().toSet()
 
-    /** Why a request was refused. */
+    /** The reason why a request was refused. */
     fun error(body: Fields): String = body["error"].toString()
 
     /** A single key with its value. */
--- a/src/main/kotlin/io/reedmast/wire/TaskEndCause.kt
+++ b/src/main/kotlin/io/reedmast/wire/TaskEndCause.kt
@@ -11,10 +11,10 @@
     /** It failed. */
     ERROR("error"),
 
-    /** Its start was refused: the machine has not enough free resources. */
+    /** Its start was refused: the machine does not have enough free resources. */
     NO_ROOM("no_room"),
 
-    /** Its start was refused: the task is on this machine with another attempt. */
+    /** Its start was refused: another attempt at the task is on this machine. */
     BUSY("busy"),
 
     /** Its start was refused: there is no such job or task. */
--- a/src/main/kotlin/io/reedmast/wire/TaskId.kt
+++ b/src/main/kotlin/io/reedmast/wire/TaskId.kt
@@ -5,7 +5,7 @@
     override fun toString(): String = "$jobId/$task"
 
     companion object {
-        /** Reads what [TaskId.toString] writes; throws [MalformedException] for anything else. */
+        /** Parses the form that [TaskId.toString] returns; throws [MalformedException] for anything else. */
         fun parse(text: String): TaskId {
             val slash = text.lastIndexOf('/')
             val task = if (slash > 0) text.substring(slash + 1).toIntOrNull() else null
--- a/src/main/kotlin/io/reedmast/wire/TaskState.kt
+++ b/src/main/kotlin/io/reedmast/wire/TaskState.kt
@@ -9,7 +9,7 @@
     WAITING("waiting"),
     RUNNING("running"),
 
-    /** It was stopped and saves its progress. */
+    /** It was stopped and is saving its progress. */
     SAVING("saving"),
 
     /** It is over, see [TaskEndCause]. */
--- a/src/main/kotlin/io/reedmast/wire/TaskStatus.kt
+++ b/src/main/kotlin/io/reedmast/wire/TaskStatus.kt
@@ -15,10 +15,10 @@
             )
         }
 
-        /** An unknown state: the task is on the machine, and not known to run. */
+        /** An unknown state is read as one of a task that is on the machine but not known to run. */
         private fun state(name: String) = TaskState.entries.firstOrNull { it.wireName == name } ?: TaskState.FETCHING
 
-        /** An unknown cause still means that the attempt is over without a result. */
+        /** An unknown cause is read as an error: the attempt is over without a result in any case. */
         private fun cause(name: String?) =
             TaskEndCause.entries.firstOrNull { it.wireName == name } ?: TaskEndCause.ERROR
     }
--- a/src/main/kotlin/io/reedmast/wire/UserAnswer.kt
+++ b/src/main/kotlin/io/reedmast/wire/UserAnswer.kt
@@ -1,10 +1,10 @@
 package io.reedmast.wire
 
 /**
- * The answer to a user: a job's status, or why there is none.
+ * The answer to a user: a job's status, or the reason why there is none.
  *
  * @property status the HTTP status.
- * @property retryAfterS after how many seconds to ask again; null: the user decides.
+ * @property retryAfterS the number of seconds after which to ask again; null: the user decides.
  */
 data class UserAnswer(
     val status: Int,
--- a/src/main/kotlin/io/reedmast/wire/WorkerCommand.kt
+++ b/src/main/kotlin/io/reedmast/wire/WorkerCommand.kt
@@ -1,6 +1,6 @@
 package io.reedmast.wire
 
-/** A command to a worker about one attempt at a task. Every command can be repeated, see [ForgetTask]. */
+/** A command to a worker about one attempt at a task. Every command can be sent again, but see [ForgetTask]. */
 sealed interface WorkerCommand {
     val id: TaskId
     val attempt: Long
@@ -14,7 +14,7 @@
     /** Remove an ended task from the heartbeats. A [StartTask] repeated after this starts the attempt again. */
     data class ForgetTask(override val id: TaskId, override val attempt: Long) : WorkerCommand
 
-    /** The command as workers read it. */
+    /** The form in which workers receive the command. */
     fun toFields(): Fields = when (this) {
         is StartTask -> mapOf("verb" to "launch", "piece" to id.toString(), "try" to attempt)
         is StopTask -> mapOf("verb" to "stop", "piece" to id.toString(), "try" to attempt, "mercyS" to graceS)
--- a/src/main/kotlin/io/reedmast/wire/WorkerStatus.kt
+++ b/src/main/kotlin/io/reedmast/wire/WorkerStatus.kt
@@ -6,8 +6,8 @@
  * @property epoch the worker's incarnation: starts at 1, and increases each time its lease expires.
  * @property sequence increases with every status; the one with the larger ([epoch], [sequence]) is the newer one.
  * @property token the highest fencing token that the worker has seen.
- * @property noticeS seconds until the cloud takes the machine away; null: no notice.
- * @property tasks all tasks on the machine, those that have ended included until they are forgotten by command.
+ * @property noticeS seconds until the cloud reclaims the machine; null: it has given no notice.
+ * @property tasks all tasks on the machine, including ended ones until a [WorkerCommand.ForgetTask] removes them.
  */
 data class WorkerStatus(
     val machineName: String,
--- a/src/test/kotlin/io/reedmast/app/CommandLineTest.kt
+++ b/src/test/kotlin/io/reedmast/app/CommandLineTest.kt
@@ -6,7 +6,7 @@
 import java.nio.file.Files
 import java.nio.file.Path
 
-/** The program as an operator starts it: the exit code once was 0 whatever went wrong. */
+/** Starts the program as an operator does. Guards against a fault: the exit code was 0 whatever went wrong. */
 class CommandLineTest {
     private fun run(vararg args: String): Pair<Int, String> {
         val java = Path.of(System.getProperty("java.home"), "bin", "java").toString()
@@ -20,7 +20,7 @@
     }
 
     @Test
-    fun `flags and settings that cannot be used end with 2 and say why on standard error`() {
+    fun `unusable flags and settings end the program with exit code 2 and the reason on standard error`() {
         val flag = run("--bogus")
         assertEquals(2, flag.first)
         assertTrue("--bogus" in flag.second && "Usage" in flag.second, flag.second)
@@ -31,7 +31,7 @@
     }
 
     @Test
-    fun `a rollout file that cannot be used ends the program with 2 and one line`() {
+    fun `an unusable rollout file ends the program with exit code 2 and one line on standard error`() {
         val settings = "deploy/rehearsal.json"
         val file = Files.createTempFile("rollout", ".json")
         Files.writeString(file, "{\"features\":{\"denser-pages\":\"enabled\"}}")
@@ -46,7 +46,7 @@
     }
 
     @Test
-    fun `an act whose cluster does not answer is refused with 1 and one line`() {
+    fun `a command is refused with exit code 1 and the reason if the store does not answer`() {
         val refused = run(
             *("--config deploy/rehearsal.json rollout enable fenced-tokens --by somebody --why").split(
                 ' ',
--- a/src/test/kotlin/io/reedmast/deploy/RolloutFileTest.kt
+++ b/src/test/kotlin/io/reedmast/deploy/RolloutFileTest.kt
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.assertThrows
 import java.nio.file.Path
 
-/** The operators' file: what it says is taken over, and each kind of error has a message that names the place. */
+/** The content of the operators' rollout file is read, and the message of each kind of error names the place. */
 class RolloutFileTest {
     private fun refused(text: String, vararg words: String) {
         val message = assertThrows<RolloutFileException> {
@@ -21,7 +21,7 @@
     }
 
     @Test
-    fun `the file that is shipped can be used`() {
+    fun `the shipped file can be used`() {
         val options = RolloutFile.load(Path.of("deploy/rollout.json"), ClusterFeatures.registry)
         assertEquals(
             mapOf(ClusterFeatures.FENCED_TOKENS to Target.ENABLED, DensePages.FEATURE to Target.ENABLED),
@@ -31,12 +31,12 @@
     }
 
     @Test
-    fun `a pace that is not given is the default`() {
+    fun `the default pace is used if the file gives none`() {
         assertEquals(MigrationPace(), RolloutFile.parse("""{"features":{}}""", ClusterFeatures.registry).pace)
     }
 
     @Test
-    fun `what is no JSON, has a wrong type, an unknown field or a number out of range`() {
+    fun `a file that is not JSON, or has a wrong type, an unknown field or a number out of range, is refused`() {
         refused("{", "not JSON")
         refused("[]", "line 1")
         refused("{}", "features")
@@ -48,7 +48,7 @@
     }
 
     @Test
-    fun `a feature that is unknown, or contradicts what it depends on`() {
+    fun `a feature that is unknown, or contradicts the target of a dependency, is refused`() {
         refused("{\"features\":{\"denser-pages\":\"enabled\"}}", "denser-pages", "fenced-tokens")
         refused(
             "{\"features\":{\"dense-pages\":\"enabled\",\"fenced-tokens\":\"dormant\"}}",
@@ -59,7 +59,7 @@
     }
 
     @Test
-    fun `a file that is not there`() {
+    fun `the message names a file that does not exist`() {
         val message = assertThrows<RolloutFileException> {
             RolloutFile.load(Path.of("no/such/file"), ClusterFeatures.registry)
         }.message.orEmpty()
--- a/src/test/kotlin/io/reedmast/settings/SettingsTest.kt
+++ b/src/test/kotlin/io/reedmast/settings/SettingsTest.kt
@@ -13,7 +13,7 @@
 
     private fun parse(text: String) = Settings.parse(BodyCodec.readJson(text.toByteArray()))
 
-    private fun complaint(text: String): String = assertThrows(SettingsException::class.java) {
+    private fun errorMessage(text: String): String = assertThrows(SettingsException::class.java) {
         parse(text)
     }.message.orEmpty()
 
@@ -37,13 +37,13 @@
         )
         for ((old, case) in cases) {
             assertTrue(old in good, old)
-            val message = complaint(good.replaceFirst(old, case.first))
+            val message = errorMessage(good.replaceFirst(old, case.first))
             assertTrue(case.second in message, "$message should name ${case.second}")
         }
     }
 
     @Test
-    fun `limits that come later are read as far as they are named`() {
+    fun `limits announced for later are read, and those not given keep their current values`() {
         assertEquals(null, parse(good).nextStoreLimits)
         val later =
             parse(
@@ -58,7 +58,7 @@
             "{ \"txn_ops\": [] }" to "facts.state.next.txn_ops",
             "7" to "next",
         )) {
-            val message = complaint(good.replaceFirst("\"txn_ops\": 16", "\"txn_ops\": 16, \"next\": $next"))
+            val message = errorMessage(good.replaceFirst("\"txn_ops\": 16", "\"txn_ops\": 16, \"next\": $next"))
             assertTrue(field in message, "$message should name $field")
         }
     }
--- a/src/test/kotlin/io/reedmast/wire/WireTest.kt
+++ b/src/test/kotlin/io/reedmast/wire/WireTest.kt
@@ -19,18 +19,18 @@
     private fun parse(fields: Map<String, Any?>) = JobSpec.parse(BodyCodec.readCbor(BodyCodec.writeCbor(fields)))
 
     @Test
-    fun `integers are read where decimals are usual, and null is as good as omitted`() {
+    fun `integers are read as decimals where these are expected, and null counts as omitted`() {
         assertEquals(1.0, parse(job).cpus)
         assertEquals(parse(job), parse(job - "yard" - "builds" - "dueS"))
     }
 
     @Test
-    fun `a job survives being stored`() {
+    fun `a job is the same after it has been stored and read`() {
         assertEquals(parse(job), parse(parse(job).toFields()))
     }
 
     @Test
-    fun `any width of float and form of length is read`() {
+    fun `floats of any width and lengths of any form are read`() {
         // {"a": 1.5 (half), "b": 1.5 (single), "c": [_ 1]} with an indefinite map.
         val bytes = HexFormat.of().parseHex("bf" + "6161" + "f93e00" + "6162" + "fa3fc00000" + "6163" + "9f01ff" + "ff")
         val fields = BodyCodec.readCbor(bytes)
@@ -40,7 +40,7 @@
     }
 
     @Test
-    fun `malformed submissions are told from good ones`() {
+    fun `malformed submissions are refused`() {
         val bad =
             listOf(
                 job - "ref", job + ("ref" to 7), job + ("ref" to "a/b"), job + ("pieces" to 0),
@@ -53,9 +53,9 @@
         for (fields in bad) assertThrows(MalformedException::class.java, { parse(fields) }, fields.toString())
     }
 
-    /** A job that lacks a field must not be accepted: only what may be null may also be left out. */
+    /** A job that lacks a field must not be accepted: only a field that may be null may be omitted. */
     @Test
-    fun `every field but those that may be null is required, and of its own kind`() {
+    fun `every field is checked for its type, and is required unless it may be null`() {
         val optional = setOf("builds", "yard", "dueS")
         for (name in job.keys - optional) {
             assertThrows(MalformedException::class.java, { parse(job - name) }, "without $name")
@@ -86,7 +86,7 @@
     }
 
     @Test
-    fun `what is not one CBOR map is malformed`() {
+    fun `a body that is not exactly one CBOR map is malformed`() {
         for (bytes in listOf(
             byteArrayOf(),
             byteArrayOf(0x01),
@@ -100,7 +100,7 @@
     }
 
     @Test
-    fun `counts are integers from 0 up`() {
+    fun `counts are integers of at least 0`() {
         assertEquals(5L, mapOf("n" to 5).count("n"))
         assertThrows(MalformedException::class.java) { mapOf("n" to -1L).count("n") }
         assertThrows(MalformedException::class.java) { mapOf("n" to 1.0).count("n") }
