--- a/src/main/kotlin/io/reedmast/app/AsyncCalls.kt
+++ b/src/main/kotlin/io/reedmast/app/AsyncCalls.kt
@@ -4,35 +4,35 @@
 import java.util.concurrent.RejectedExecutionException
 import java.util.concurrent.TimeUnit
 
-/** Has blocking calls done on pools of threads and brings their results back to [eventLoop]. */
+/** Runs blocking calls on thread pools and delivers their results on [eventLoop]. */
 internal class AsyncCalls(private val eventLoop: EventLoop) {
     private val log = LoggerFactory.getLogger("calls")
 
     /**
-     * Has [blockingCall] done by [pool] and posts its result to [done] on the event loop. [done] gets [notMade] instead
-     * if the pool has too much to do, or if the call comes to its turn more than [staleMs] milliseconds later.
+     * Runs [blockingCall] on [pool] and passes its result to [done] on the event loop. The call is not made, and [done]
+     * gets [fallback], if the pool's queue is full or the call waits there for more than [maxWaitMs] milliseconds.
      *
-     * What was decided seconds ago may be wrong by now: the process may have stood still meanwhile and been replaced,
-     * or hung machines kept the threads. No rule rests on it, but a machine might be returned that another owner has
-     * filled.
+     * A decision made seconds ago may be wrong by now: the process may have been suspended since and lost its shards to
+     * other owners, or calls to hung machines may have occupied all threads. No guarantee depends on [maxWaitMs], but
+     * without it a machine could be returned to the cloud after another owner has started tasks on it.
      */
     fun <T> call(
         pool: WorkPool,
         blockingCall: () -> T,
-        notMade: T,
+        fallback: T,
         done: (T) -> Unit,
-        staleMs: Long = Long.MAX_VALUE,
+        maxWaitMs: Long = Long.MAX_VALUE,
     ) {
-        val decidedAt = System.nanoTime()
+        val requestedAt = System.nanoTime()
         try {
             pool.execute {
-                val waitedMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - decidedAt)
-                val result = if (waitedMs > staleMs) notMade else blockingCall()
+                val waitedMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - requestedAt)
+                val result = if (waitedMs > maxWaitMs) fallback else blockingCall()
                 eventLoop.post { done(result) }
             }
         } catch (e: RejectedExecutionException) {
-            log.debug("a call is not made", e)
-            eventLoop.post { done(notMade) }
+            log.debug("call not made: all threads are busy and the queue is full", e)
+            eventLoop.post { done(fallback) }
         }
     }
 }
--- a/src/main/kotlin/io/reedmast/app/CloudGateway.kt
+++ b/src/main/kotlin/io/reedmast/app/CloudGateway.kt
@@ -18,21 +18,21 @@
 import java.net.HttpURLConnection
 import java.util.concurrent.TimeUnit
 
-/** The cloud over the network, kept within this controller's part of the cloud's rate limit. */
+/** Client of the cloud's API, which keeps within this controller's share of the cloud's rate limit. */
 internal class CloudGateway(private val settings: Settings, private val calls: AsyncCalls) : Cloud {
     private val log = LoggerFactory.getLogger("cloud")
     private val pool = WorkPool("cloud", THREADS, MAX_QUEUED_CALLS)
     private val caller = HttpCaller(CONNECT_MS, READ_MS)
     private val rateLimiter = RateLimiter.create(settings.cloudLimits.requestsPerS / settings.members.size)
 
-    /** Sets this controller's part of the rate limit. The leader rents and lists; the others only return machines. */
+    /** Sets this controller's share of the rate limit. The leader rents and lists; the others only return machines. */
     fun shareLimit(aliveControllers: Int, leading: Boolean) {
-        val part = when {
+        val share = when {
             aliveControllers == 1 -> 1.0
-            leading -> LEADERS_PART
-            else -> (1.0 - LEADERS_PART) / (aliveControllers - 1)
+            leading -> LEADER_SHARE
+            else -> (1.0 - LEADER_SHARE) / (aliveControllers - 1)
         }
-        rateLimiter.rate = settings.cloudLimits.requestsPerS * part * SAFETY_FACTOR
+        rateLimiter.rate = settings.cloudLimits.requestsPerS * share * SAFETY_FACTOR
     }
 
     override fun provision(request: ProvisioningRequest, done: (ProvisioningResult) -> Unit) {
@@ -44,7 +44,7 @@
                 request.spot,
                 request.count,
             )
-        calls.call(pool, { provisioningResult(ask("POST", "/machines", body)) }, ProvisioningResult.Failed, done)
+        calls.call(pool, { provisioningResult(send("POST", "/machines", body)) }, ProvisioningResult.Failed, done)
     }
 
     private fun provisioningResult(reply: Reply): ProvisioningResult {
@@ -65,10 +65,10 @@
     }
 
     override fun returnMachines(machineNames: List<String>, done: (ReturnResult) -> Unit) =
-        calls.call(pool, { returnResult(machineNames) }, ReturnResult.UNCONFIRMED, done, STALE_RETURN_MS)
+        calls.call(pool, { returnResult(machineNames) }, ReturnResult.UNCONFIRMED, done, MAX_RETURN_WAIT_MS)
 
     private fun returnResult(machineNames: List<String>): ReturnResult {
-        val reply = ask("POST", "/machines/return", CloudMessages.returnRequest(machineNames))
+        val reply = send("POST", "/machines/return", CloudMessages.returnRequest(machineNames))
         return if (okAnswer(reply) == null) ReturnResult.UNCONFIRMED else ReturnResult.CONFIRMED
     }
 
@@ -84,12 +84,12 @@
         return CloudListing.Complete(machines)
     }
 
-    /** One page of the list of machines, and whether there are more after it. */
+    /** One page of the list of machines; [hasMore] if further pages follow. */
     private class MachinePage(val machines: List<ListedMachine>, val hasMore: Boolean)
 
     private fun readPage(last: ListedMachine?): MachinePage? {
         val after = last?.let { "after=${it.name}&" }.orEmpty()
-        val answer = okAnswer(ask("GET", "/machines?${after}most=$MACHINES_PER_PAGE")) ?: return null
+        val answer = okAnswer(send("GET", "/machines?${after}most=$MACHINES_PER_PAGE")) ?: return null
         return parseOrNull {
             MachinePage(CloudMessages.listedMachines(answer.body), CloudMessages.hasMore(answer.body))
         }
@@ -99,16 +99,16 @@
         calls.call(pool, ::readMachineTypes, CloudListing.Unavailable, done)
 
     private fun readMachineTypes(): CloudListing<MachineType> {
-        val answer = okAnswer(ask("GET", "/flavors")) ?: return CloudListing.Unavailable
+        val answer = okAnswer(send("GET", "/flavors")) ?: return CloudListing.Unavailable
         return parseOrNull { CloudListing.Complete(MachineType.parseAll(answer.body)) } ?: CloudListing.Unavailable
     }
 
     private fun okAnswer(reply: Reply): Reply.Answer? =
         (reply as? Reply.Answer)?.takeIf { it.status == HttpURLConnection.HTTP_OK }
 
-    private fun ask(method: String, path: String, body: Fields? = null): Reply {
+    private fun send(method: String, path: String, body: Fields? = null): Reply {
         if (!rateLimiter.tryAcquire(MAX_PERMIT_WAIT_S, TimeUnit.SECONDS)) {
-            return Reply.NotSent("over this controller's part of the limit")
+            return Reply.NotSent("no permit within $MAX_PERMIT_WAIT_S s: over this controller's share of the limit")
         }
         val reply = caller.call(method, settings.cloudAddress, path, body)
         if (okAnswer(reply) == null) log.info("{} {}: {}", method, path, reply)
@@ -130,8 +130,8 @@
         const val READ_MS = 6000
         const val MAX_PERMIT_WAIT_S = 10L
         const val MACHINES_PER_PAGE = 500
-        const val LEADERS_PART = 0.6
+        const val LEADER_SHARE = 0.6
         const val SAFETY_FACTOR = 0.95
-        const val STALE_RETURN_MS = 15_000L
+        const val MAX_RETURN_WAIT_MS = 15_000L
     }
 }
--- a/src/main/kotlin/io/reedmast/app/Controller.kt
+++ b/src/main/kotlin/io/reedmast/app/Controller.kt
@@ -21,20 +21,22 @@
 import io.reedmast.wire.WorkerCommand
 import io.reedmast.wire.WorkerStatus
 
-/** The answer to a worker's report. */
+/** The answer to a worker's heartbeat. */
 sealed interface WorkerAnswer {
-    /** What the worker is to do, under this fencing token. */
+    /** Commands for the worker under this fencing token, possibly none. */
     data class Commands(val token: Long, val commands: List<WorkerCommand>) : WorkerAnswer
 
-    /** Another controller answers this worker; null: nobody is known to. */
+    /** The worker must turn to the controller with this label; if it is null, it must find the right one by itself. */
     data class Redirect(val label: String?) : WorkerAnswer
 
-    /** This controller must not answer workers now: they go on as they are and ask again. */
+    /** This controller must not answer workers now: they continue unchanged and send another heartbeat. */
     data object Unavailable : WorkerAnswer
 }
 
 /**
- * All the deciding parts of a controller, joined; used by one thread. [incarnation] names this process and no other.
+ * Combines all classes of a controller that make decisions. Used only on the event loop.
+ *
+ * @param incarnation identifies this process; never reused by another one.
  */
 class Controller(
     private val settings: Settings,
@@ -46,62 +48,59 @@
     rollout: RolloutOptions = RolloutOptions(ClusterFeatures.registry),
 ) {
     private var machineTypes: Map<String, MachineType> = emptyMap()
-    private var machineTypesAsked = false
-    private var machineTypesDue = 0L
+    private var isMachineTypesRequestPending = false
+    private var nextMachineTypesRequestAt = 0L
     val cluster = Cluster(settings, tuning, clock, gateway, limits, { machineTypes.values }, incarnation, rollout)
     private val autoscaler = Autoscaler(settings, tuning, clock, gateway, cluster, { machineTypes }, incarnation)
     private val jobs = JobRequestHandler(settings, clock, gateway, limits, cluster) { machineTypes }
 
-    private var runDue = 0L
+    private var nextRunAt = 0L
 
-    /** Called every few milliseconds: decisions that are due, and at times the slower duties. */
+    /** Called periodically: makes the decisions that are due and, every [RUN_INTERVAL_MS], does the slower work. */
     fun runOnce() {
         val now = clock.now()
-        // What has just come up gets work before it is asked whether it is of use.
+        // First, so that machines that have just started get tasks before it is checked whether they are needed.
         cluster.reconcile()
-        if (now >= runDue) {
-            runDue = now + RUN_INTERVAL_MS
-            askMachineTypes()
+        if (now >= nextRunAt) {
+            nextRunAt = now + RUN_INTERVAL_MS
+            requestMachineTypes()
             cluster.runOnce()
             autoscaler.runOnce()
         }
     }
 
-    private fun askMachineTypes() {
+    private fun requestMachineTypes() {
         val now = clock.now()
-        if (machineTypesAsked || now < machineTypesDue) return
-        machineTypesAsked = true
+        if (isMachineTypesRequestPending || now < nextMachineTypesRequestAt) return
+        isMachineTypesRequestPending = true
         gateway.machineTypes { listing ->
-            machineTypesAsked = false
+            isMachineTypesRequestPending = false
             when (listing) {
                 is CloudListing.Complete -> onMachineTypes(listing.items)
-                CloudListing.Unavailable -> machineTypesDue = clock.now() + MACHINE_TYPES_RETRY_MS
+                CloudListing.Unavailable -> nextMachineTypesRequestAt = clock.now() + MACHINE_TYPES_RETRY_MS
             }
         }
     }
 
     private fun onMachineTypes(listed: List<MachineType>) {
         if (listed.isEmpty()) {
-            machineTypesDue = clock.now() + MACHINE_TYPES_RETRY_MS
+            nextMachineTypesRequestAt = clock.now() + MACHINE_TYPES_RETRY_MS
             return
         }
-        machineTypesDue = clock.now() + MACHINE_TYPES_EVERY_MS
+        nextMachineTypesRequestAt = clock.now() + MACHINE_TYPES_INTERVAL_MS
         machineTypes = listed.associateBy { it.label }
         cluster.activeOwners().forEach { it.onMachineTypesChanged() }
     }
 
-    /**
-     * Handles the heartbeat of any worker: of one of this controller, of another one or of one that is not yet
-     * assigned.
-     */
+    /** Handles the heartbeat of any worker, whether its shard is owned here or elsewhere, or it has none yet. */
     fun onHeartbeat(status: WorkerStatus): WorkerAnswer {
         cluster.onWorkerContact()
         if (!cluster.mayAcknowledgeHeartbeats()) return WorkerAnswer.Unavailable
         val shard = cluster.shardOfMachine(status.machineName)
-        return if (shard == null) answerUnassigned(status) else answerMember(shard, status)
+        return if (shard == null) answerUnassigned(status) else answerAssigned(shard, status)
     }
 
-    /** The answer to a worker whose machine belongs to no shard: the leader considers it. */
+    /** The answer to a worker whose machine belongs to no shard: the leader decides about it. */
     private fun answerUnassigned(status: WorkerStatus): WorkerAnswer {
         if (!cluster.leading) return WorkerAnswer.Redirect(cluster.leader)
         autoscaler.onUnassignedWorker(status)
@@ -109,14 +108,14 @@
     }
 
     /** The answer to a worker whose machine belongs to [shard]. */
-    private fun answerMember(shard: ShardId, status: WorkerStatus): WorkerAnswer {
+    private fun answerAssigned(shard: ShardId, status: WorkerStatus): WorkerAnswer {
         val owner = cluster.owners[shard]
         return when {
             owner == null || owner.dropped -> {
                 WorkerAnswer.Redirect(cluster.redirectTarget(shard, status.machineName, status.addr))
             }
 
-            // While the shard is still being read, the answer shows the worker our token and renews its lease.
+            // While the shard is still being read, the answer tells the worker our token and renews its lease.
             !owner.active -> WorkerAnswer.Commands(cluster.shardRecords[shard.value]?.record?.token ?: 0L, emptyList())
 
             else -> answerOf(owner, status)
@@ -125,34 +124,35 @@
 
     private fun answerOf(owner: ShardOwner, status: WorkerStatus): WorkerAnswer {
         val commands = owner.onHeartbeat(status)
-        // The worker would drop our answer and stay here until its lease is over: it must look for the shard's new
-        // owner.
+        // A token above our range is that of a new owner of the shard. The worker would ignore our answer and keep
+        // reporting here until its lease expires, so it is told to look for the new owner.
         if (status.token > FencingToken.lastOfRange(owner.token)) return WorkerAnswer.Redirect(null)
         return WorkerAnswer.Commands(owner.tokenFor(status.machineName), commands)
     }
 
-    /** Accepts or refuses a job; [answer] may be called before this returns, or later on the event loop. */
+    /** Accepts or rejects a job; [answer] may be called before this returns, or later on the event loop. */
     fun submit(spec: JobSpec, answer: (UserAnswer) -> Unit) = jobs.submit(spec, answer)
 
-    /** Answers how far a job is, as [submit] does. */
+    /** Answers with the state of a job; [answer] is called as by [submit]. */
     fun poll(jobId: String, answer: (UserAnswer) -> Unit) = jobs.poll(jobId, answer)
 
-    /** Cancels a job; it answers as [submit] does, and says that the job is cancelled only once that is stored. */
+    /** Cancels a job; [answer] is called as by [submit], and reports the cancellation only once it is stored. */
     fun cancel(jobId: String, answer: (UserAnswer) -> Unit) = jobs.cancel(jobId, answer)
 
-    /** Takes up a message of another controller. */
+    /** Handles a message from another controller. */
     fun onPeerMessage(message: PeerMessage) = cluster.onPeerMessage(message)
 
     /**
-     * Whether users should come here. During an outage for all controllers none is better than another, and one that
-     * the load balancer has removed gets its users back only a while after the outage.
+     * Whether the load balancer should send users here. True also while the store is unreachable for all controllers:
+     * no other one would serve users better, and a controller that the load balancer has removed gets its users back
+     * only some time after the outage.
      */
     fun healthy(): Boolean =
         cluster.ready && machineTypes.isNotEmpty() && (cluster.isCurrent() || cluster.isStoreUnreachableForAll())
 
     private companion object {
         const val RUN_INTERVAL_MS = 250L
-        const val MACHINE_TYPES_EVERY_MS = 60_000L
+        const val MACHINE_TYPES_INTERVAL_MS = 60_000L
         const val MACHINE_TYPES_RETRY_MS = 2_000L
     }
 }
--- a/src/main/kotlin/io/reedmast/app/ControllerHandle.kt
+++ b/src/main/kotlin/io/reedmast/app/ControllerHandle.kt
@@ -6,7 +6,7 @@
 import io.reedmast.wire.WorkerStatus
 import org.slf4j.LoggerFactory
 
-/** What the threads of the HTTP server, the peers and the watches may ask of the deciding thread. */
+/** Access to the [Controller] on the event loop for the threads of the HTTP server, the peers and the watches. */
 class ControllerHandle(
     private val eventLoop: EventLoop,
     private val controller: Controller,
@@ -15,63 +15,66 @@
     private val log = LoggerFactory.getLogger("main")
 
     @Volatile
-    private var healthyNow = false
+    private var isHealthy = false
 
-    /** Whether the load balancer should send users here, as of the last periodic run; callable on any thread. */
-    fun healthy(): Boolean = healthyNow
+    /** [Controller.healthy] as of the last periodic run; callable on any thread. */
+    fun healthy(): Boolean = isHealthy
 
-    /** Takes what the watches on the store deliver. */
-    val watchSink = WatchSink(eventLoop, controller.cluster.watchResults, ::updateQuestionsWaiting)
+    /** Receives the results of the watches on the store. */
+    val watchSink = WatchSink(eventLoop, controller.cluster.watchResults, ::updateLookupsWaiting)
 
     @Volatile
-    private var waiting = false
+    private var lookupsWaiting = false
 
-    /** Whether somebody waits to be told what the watch on jobs does not know yet. */
-    fun hasWaitingLookups(): Boolean = waiting
+    /** Whether any job lookup waits for a newer answer of the watch on jobs; callable on any thread. */
+    fun hasWaitingLookups(): Boolean = lookupsWaiting
 
-    private fun updateQuestionsWaiting() {
-        waiting = controller.cluster.staleness.hasWaiters
+    private fun updateLookupsWaiting() {
+        lookupsWaiting = controller.cluster.staleness.hasWaiters
     }
 
-    /** The periodic run, on the event loop: all duties, then what other threads may read of them. */
+    /** The periodic run, on the event loop; then updates what other threads may read. */
     fun runOnce() {
         controller.runOnce()
         timings.runOnce()
         val healthy = controller.healthy()
-        if (healthy != healthyNow) {
+        if (healthy != isHealthy) {
             log.info(if (healthy) "healthy" else "not healthy: {}", controller.cluster.staleness.describe())
         }
-        healthyNow = healthy
-        updateQuestionsWaiting()
+        isHealthy = healthy
+        updateLookupsWaiting()
     }
 
-    /** Has a heartbeat handled; false if there is too much to do, and [answer] is then never called. */
+    /** Handles a heartbeat on the event loop; false if its queue is full, and [answer] is then never called. */
     fun onHeartbeat(status: WorkerStatus, answer: (WorkerAnswer) -> Unit): Boolean =
         eventLoop.offer(EventPriority.HEARTBEAT) {
             answer(controller.onHeartbeat(status))
         }
 
-    /** Has a submission handled; false if there is too much to do, and [answer] is then never called. */
+    /** Handles a submission on the event loop; false if its queue is full, and [answer] is then never called. */
     fun submit(spec: JobSpec, answer: (UserAnswer) -> Unit): Boolean = eventLoop.offer(EventPriority.USER_REQUEST) {
         controller.submit(spec, answer)
-        updateQuestionsWaiting()
+        updateLookupsWaiting()
     }
 
-    /** Has a poll answered; false if there is too much to do, and [answer] is then never called. */
+    /** Answers a poll on the event loop; false if its queue is full, and [answer] is then never called. */
     fun poll(jobId: String, answer: (UserAnswer) -> Unit): Boolean = eventLoop.offer(EventPriority.USER_REQUEST) {
         controller.poll(jobId, answer)
-        updateQuestionsWaiting()
+        updateLookupsWaiting()
     }
 
-    /** Has a job cancelled; false if there is too much to do, and [answer] is then never called. */
+    /** Cancels a job on the event loop; false if its queue is full, and [answer] is then never called. */
     fun cancel(jobId: String, answer: (UserAnswer) -> Unit): Boolean = eventLoop.offer(EventPriority.USER_REQUEST) {
         controller.cancel(jobId, answer)
-        updateQuestionsWaiting()
+        updateLookupsWaiting()
     }
 
     /**
-     * No rule depends on the arrival of a peer's message. News for display wait behind the questions of users; what
-     * controllers confirm to each other must not, or many questions would end all work in an outage.
+     * Handles a message from another controller on the event loop, or drops it if its queue is full: correctness does
+     * not depend on the arrival of any message.
+     *
+     * Status updates, for display and as hints, wait among user requests. What controllers confirm to each other must
+     * not wait behind these: during an outage of the store, many user requests would otherwise end all running tasks.
      */
     fun onPeerMessage(message: PeerMessage) {
         val priority =
--- a/src/main/kotlin/io/reedmast/app/DirectStore.kt
+++ b/src/main/kotlin/io/reedmast/app/DirectStore.kt
@@ -16,33 +16,35 @@
 import java.util.concurrent.TimeUnit
 import java.util.concurrent.TimeoutException
 
-/** The store for a command that runs beside the controllers: each call answers before it returns. */
+/** The store for a command that runs beside the controllers: each call blocks until its result is delivered. */
 class DirectStore(settings: Settings, incarnation: String) : RolloutStore {
     private val log = LoggerFactory.getLogger("store")
     private val limits = EffectiveLimits(settings.storeLimits, settings.nextStoreLimits)
 
-    /** It takes a controller's part of the limits for the moment that it runs. */
+    /** While the command runs, it uses as large a share of the store's limits as one controller. */
     private val client =
         StoreClient(settings.storeAddress, limits, settings.members.size, HttpCaller(CONNECT_MS, READ_MS))
     private val committer =
-        Committer(client, limits, MAX_QUEUED, TransactionIds(incarnation)) { change, outcome -> change.done(outcome) }
+        Committer(client, limits, MAX_QUEUED_TRANSACTIONS, TransactionIds(incarnation)) { change, outcome ->
+            change.done(outcome)
+        }
 
     init {
         startThread("commit", committer::run)
     }
 
     override fun commit(change: CasTransaction) {
-        val answered = CompletableFuture<CommitOutcome>()
+        val outcomeFuture = CompletableFuture<CommitOutcome>()
         committer.offer(
             CasTransaction(change.preconditions, change.writes, change.writePriority) {
-                answered.complete(it)
+                outcomeFuture.complete(it)
             },
             refusable = false,
         )
         val outcome = try {
-            answered.get(TIMEOUT_S, TimeUnit.SECONDS)
+            outcomeFuture.get(TIMEOUT_S, TimeUnit.SECONDS)
         } catch (e: TimeoutException) {
-            log.debug("no answer to a transaction", e)
+            log.debug("no outcome of a transaction within $TIMEOUT_S s", e)
             CommitOutcome.Refused(
                 "the store has not answered within $TIMEOUT_S s; the change may yet be made, see the status",
             )
@@ -59,7 +61,7 @@
     private companion object {
         const val CONNECT_MS = 800
         const val READ_MS = 2_500
-        const val MAX_QUEUED = 4
+        const val MAX_QUEUED_TRANSACTIONS = 4
         const val TIMEOUT_S = 30L
     }
 }
--- a/src/main/kotlin/io/reedmast/app/EventLoop.kt
+++ b/src/main/kotlin/io/reedmast/app/EventLoop.kt
@@ -4,154 +4,152 @@
 import org.slf4j.LoggerFactory
 import java.util.ArrayDeque
 
-/** What is done first when there is more to do than can be done. */
+/** Which events are handled first when there are more than can be handled, in descending order. */
 enum class EventPriority {
     /** Heartbeats of workers, whose leases depend on the answers. */
     HEARTBEAT,
 
-    /** Results of the controller's own calls, watches and confirmations between controllers. */
+    /** Results of the controller's own calls, results of its watches, and confirmations between controllers. */
     INTERNAL,
 
-    /** Requests of users, and what is for display only. */
+    /** Requests of users, and messages that are only for display. */
     USER_REQUEST,
 }
 
 /**
- * Where all deciding is done, one piece of work at a time, and its queues: one for each [EventPriority], the most urgent
- * first.
+ * Handles all events of a controller one at a time, from one queue for each [EventPriority], highest priority first.
  *
- * All state of the service is touched here alone. A thread that comes while nothing is being decided does its work
- * itself; otherwise the work is queued, and the deciding thread, which also runs the periodic duties, does it. Handed
- * over each time, a heartbeat cost a dozen calls of the system for waking threads, which was most of its processor
- * time.
+ * All state of the service is accessed only here. A thread that brings an event while the loop is idle handles it
+ * itself. Otherwise the event is queued and handled by the event-loop thread, which also does the periodic run. Passing
+ * every heartbeat to that thread cost a dozen system calls to wake threads, most of the processor time of a heartbeat.
  *
- * Queues for what comes from outside are bounded; results of the controller's own calls are not refused, since the
+ * The queues for events from outside are bounded. Results of the controller's own calls are never refused, since the
  * calls themselves are bounded.
  */
 class EventLoop(private val clock: Clock, private val maxQueued: Int) {
     private val log = LoggerFactory.getLogger("event-loop")
     private val lock = Object()
     private val queues = EventPriority.entries.map { ArrayDeque<() -> Unit>() }
-    private var deciding = false
+    private var isBusy = false
     private var queued = 0
 
-    /** Messages since the last periodic run. */
-    private var messages = 0
+    /** Events since the last periodic run, including refused ones. */
+    private var eventsSinceRun = 0
     private var nextRunAt = clock.now()
 
-    /** How often work was taken from the queues. */
-    private var polls = 0
+    /** How often an event was taken from the queues. */
+    private var dequeues = 0
 
     /**
-     * Does [work], or queues it if other work is being done or waits. False if there is too much to do already: [work]
-     * is then never done.
+     * Runs [handler], or queues it if the loop is busy, other events wait or the periodic run is due. False if the
+     * queue is full: [handler] is then never run.
      */
-    fun offer(priority: EventPriority, work: () -> Unit): Boolean = enqueue(priority, work, maxQueued)
+    fun offer(priority: EventPriority, handler: () -> Unit): Boolean = enqueue(priority, handler, maxQueued)
 
-    /** Does or queues [work], a result that the controller has waited for; it is never refused. */
-    fun post(work: () -> Unit) {
-        enqueue(EventPriority.INTERNAL, work, Int.MAX_VALUE)
+    /** Runs or queues [handler], which handles the result of one of the controller's own calls; it is never refused. */
+    fun post(handler: () -> Unit) {
+        enqueue(EventPriority.INTERNAL, handler, Int.MAX_VALUE)
     }
 
-    /** What becomes of work that a thread brings. */
-    private enum class Admission { DO_NOW, QUEUED, REFUSED }
+    /** What is done with an event that a thread brings. */
+    private enum class Admission { RUN_NOW, QUEUED, REFUSED }
 
-    private fun enqueue(priority: EventPriority, work: () -> Unit, maxQueued: Int): Boolean {
-        val admission = synchronized(lock) { admit(queues[priority.ordinal], work, maxQueued) }
-        if (admission == Admission.DO_NOW) decide(work)
+    private fun enqueue(priority: EventPriority, handler: () -> Unit, maxQueued: Int): Boolean {
+        val admission = synchronized(lock) { admit(queues[priority.ordinal], handler, maxQueued) }
+        if (admission == Admission.RUN_NOW) runHandler(handler)
         return admission != Admission.REFUSED
     }
 
-    private fun admit(queue: ArrayDeque<() -> Unit>, work: () -> Unit, maxQueued: Int): Admission {
-        messages++
-        val isIdle = !deciding && queued == 0 && clock.now() < nextRunAt
+    private fun admit(queue: ArrayDeque<() -> Unit>, handler: () -> Unit, maxQueued: Int): Admission {
+        eventsSinceRun++
+        val isIdle = !isBusy && queued == 0 && clock.now() < nextRunAt
         return when {
             isIdle -> {
-                deciding = true
-                Admission.DO_NOW
+                isBusy = true
+                Admission.RUN_NOW
             }
 
             queue.size >= maxQueued -> Admission.REFUSED
 
             else -> {
-                queue.add(work)
+                queue.add(handler)
                 queued++
-                if (!deciding) lock.notify()
+                if (!isBusy) lock.notify()
                 Admission.QUEUED
             }
         }
     }
 
-    private fun decide(work: () -> Unit) {
+    private fun runHandler(handler: () -> Unit) {
         try {
-            work()
+            handler()
         } catch (e: RuntimeException) {
-            // One message that cannot be handled must not stop the controller: say so, and go on with the next.
-            log.error("event loop: a task failed", e)
+            // An event that cannot be handled must not stop the controller: log it and go on with the next one.
+            log.error("event loop: exception while handling an event", e)
         } finally {
             synchronized(lock) {
-                deciding = false
+                isBusy = false
                 if (queued > 0 || clock.now() >= nextRunAt) lock.notify()
             }
         }
     }
 
     /**
-     * The body of the deciding thread: runs [runOnce] every [intervalMs], or every [idleIntervalMs] while no messages
-     * come.
+     * The body of the event-loop thread: handles queued events, and does the periodic run [runOnce] every [intervalMs],
+     * or every [idleIntervalMs] while no events come. Returns when the thread is interrupted.
      *
-     * A run costs little; forty of them a second through a quiet hour, in three processes, cost more than the work
-     * did. Both intervals are in milliseconds; the thread ends when it is interrupted.
+     * One periodic run costs little, but forty a second through a quiet hour, in three processes, cost more than the
+     * handling of the events.
      */
     fun run(intervalMs: Long, idleIntervalMs: Long, runOnce: () -> Unit) {
         while (!Thread.currentThread().isInterrupted) {
-            decide(next(intervalMs, idleIntervalMs) ?: runOnce)
+            runHandler(awaitNext(intervalMs, idleIntervalMs) ?: runOnce)
         }
     }
 
     /**
-     * Waits for the most urgent work, or returns null when the periodic run is due. No other thread decides until the
-     * caller has run it.
+     * Waits for an event and returns the handler of the one with the highest priority, or null when the periodic run is
+     * due. No other thread handles events until the caller has run the handler or the periodic run.
      */
-    private fun next(intervalMs: Long, idleIntervalMs: Long): (() -> Unit)? {
+    private fun awaitNext(intervalMs: Long, idleIntervalMs: Long): (() -> Unit)? {
         synchronized(lock) {
             while (true) {
                 val wait = nextRunAt - clock.now()
-                if (!deciding) {
-                    val work = pollQueues(wait <= 0)
-                    if (work != null || wait <= 0) {
-                        deciding = true
-                        if (work == null) {
-                            nextRunAt = clock.now() + if (messages > 0) intervalMs else idleIntervalMs
-                            messages = 0
+                if (!isBusy) {
+                    val handler = dequeue(wait <= 0)
+                    if (handler != null || wait <= 0) {
+                        isBusy = true
+                        if (handler == null) {
+                            nextRunAt = clock.now() + if (eventsSinceRun > 0) intervalMs else idleIntervalMs
+                            eventsSinceRun = 0
                         }
-                        return work
+                        return handler
                     }
                 }
-                // With the periodic run due, the end of what another thread decides wakes this one.
+                // If the periodic run is due while another thread is busy, that thread wakes this one when it is done.
                 lock.wait(maxOf(wait, 0L))
             }
         }
     }
 
-    private fun pollQueues(runDue: Boolean): (() -> Unit)? {
+    private fun dequeue(isRunDue: Boolean): (() -> Unit)? {
         if (queued == 0) return null
         val candidates = when {
-            // Now and then the last come first: under lasting overload no question of a user would be answered at all.
-            ++polls % POLLS_PER_REVERSAL == 0 -> queues.asReversed()
+            // Under lasting overload no user request would be answered unless the lowest priority sometimes went first.
+            ++dequeues % DEQUEUES_PER_REVERSAL == 0 -> queues.asReversed()
 
-            // The periodic run is a decision, and comes before those that wait.
-            runDue -> listOf(queues[EventPriority.HEARTBEAT.ordinal])
+            // The periodic run has the priority INTERNAL, and goes before the queued events of that priority.
+            isRunDue -> listOf(queues[EventPriority.HEARTBEAT.ordinal])
 
             else -> queues
         }
-        val work = candidates.firstNotNullOfOrNull { it.poll() } ?: return null
+        val handler = candidates.firstNotNullOfOrNull { it.poll() } ?: return null
         queued--
-        return work
+        return handler
     }
 
     private companion object {
-        /** Every so many polls the queues are looked through from the least urgent one. */
-        const val POLLS_PER_REVERSAL = 8
+        /** Once in this many dequeues, the queues are searched from the lowest priority up. */
+        const val DEQUEUES_PER_REVERSAL = 8
     }
 }
--- a/src/main/kotlin/io/reedmast/app/HttpApi.kt
+++ b/src/main/kotlin/io/reedmast/app/HttpApi.kt
@@ -24,56 +24,61 @@
 import java.util.concurrent.TimeoutException
 
 /**
- * The HTTP side of the `front` address: reads messages, hands them to the deciding thread and waits for its answer.
+ * The HTTP API on the `front` address: reads requests, passes them to the event loop and waits for the answers.
  *
- * Submissions and polls may hold only part of the threads, so that reports of workers always find one.
+ * Submissions, polls and cancellations may occupy only some of the threads, so that heartbeats always find a free one.
  */
 class HttpApi(private val settings: Settings, private val handle: ControllerHandle, private val timings: Timings) {
     private val log = LoggerFactory.getLogger("http")
-    private val submissions = Semaphore(SUBMISSIONS_AT_ONCE)
-    private val questions = Semaphore(QUESTIONS_AT_ONCE)
+    private val submissionPermits = Semaphore(MAX_CONCURRENT_SUBMISSIONS)
+    private val pollAndCancelPermits = Semaphore(MAX_CONCURRENT_POLLS_AND_CANCELS)
 
     /**
-     * The few paths are told apart by hand: http4k's router compiles a pattern for each of its routes with every
-     * request, which took a fifth of the processor time of a report.
+     * The few paths are matched by hand, because http4k's router compiles a pattern for each of its routes with every
+     * request, which took a fifth of the processor time of a heartbeat.
      */
     private val handler: HttpHandler = { request ->
         val path = request.uri.path
-        val job = path.removePrefix(JOB_PREFIX).takeIf { path.startsWith(JOB_PREFIX) }
+        val jobPath = path.removePrefix(JOB_PREFIX).takeIf { path.startsWith(JOB_PREFIX) }
         val method = request.method
         when {
-            path == "/checkin" -> only(Method.POST, method) { timings.time("checkin") { onHeartbeat(request) } }
-            path == "/submissions" -> only(Method.POST, method) { timings.time("submission") { submit(request) } }
-            path == "/healthz" -> only(Method.GET, method) {
+            path == "/checkin" -> ifMethodIs(Method.POST, method) { timings.time("checkin") { onHeartbeat(request) } }
+            path == "/submissions" -> ifMethodIs(Method.POST, method) { timings.time("submission") { submit(request) } }
+            path == "/healthz" -> ifMethodIs(Method.GET, method) {
                 Response(if (handle.healthy()) Status.OK else Status.SERVICE_UNAVAILABLE)
             }
-            job == null -> Response(Status.NOT_FOUND)
-            job.endsWith(ABORT) -> only(Method.POST, method) { ask(job.removeSuffix(ABORT), handle::cancel) }
-            else -> only(Method.GET, method) { ask(job, handle::poll) }
+            jobPath == null -> Response(Status.NOT_FOUND)
+            jobPath.endsWith(ABORT_SUFFIX) -> ifMethodIs(Method.POST, method) {
+                pollOrCancel(jobPath.removeSuffix(ABORT_SUFFIX), handle::cancel)
+            }
+            else -> ifMethodIs(Method.GET, method) { pollOrCancel(jobPath, handle::poll) }
         }
     }
 
-    private inline fun only(allowed: Method, method: Method, handle: () -> Response): Response =
+    private inline fun ifMethodIs(allowed: Method, method: Method, handle: () -> Response): Response =
         if (method == allowed) handle() else Response(Status.METHOD_NOT_ALLOWED).header("Allow", allowed.name)
 
-    /** Opens the port and serves it until the process ends; throws [java.io.IOException] if it is not free. */
+    /** Opens the port and serves it until the process ends; throws [java.io.IOException] if the port is taken. */
     fun start() {
-        // Read once by the JDK's server when its classes load.
+        // The JDK's server reads its properties only once, when its classes are loaded.
         System.setProperty("sun.net.httpserver.nodelay", "true")
-        // The last controller left has the workers of the whole fleet: nearly all sockets are theirs, and few are for
-        // our own calls.
+        // If only one controller is left, the workers of the whole fleet connect to it: nearly all sockets are for them
+        // and few for this controller's own calls.
         System.setProperty(
             "sun.net.httpserver.maxIdleConnections",
-            (settings.maxConnections * IDLE_PART).toInt().toString(),
+            (settings.maxConnections * IDLE_CONNECTIONS_RATIO).toInt().toString(),
+        )
+        System.setProperty(
+            "jdk.httpserver.maxConnections",
+            (settings.maxConnections * SERVED_CONNECTIONS_RATIO).toInt().toString(),
         )
-        System.setProperty("jdk.httpserver.maxConnections", (settings.maxConnections * SERVED_PART).toInt().toString())
         val server = HttpServer.create(settings.apiAddress, BACKLOG)
         server.createContext("/", HttpExchangeHandler(handler))
-        server.executor = WorkPool("front", THREADS, QUEUED)
+        server.executor = WorkPool("front", THREADS, MAX_QUEUED_REQUESTS)
         server.start()
     }
 
-    private fun onHeartbeat(request: Request): Response = reading(request) { fields ->
+    private fun onHeartbeat(request: Request): Response = withBody(request) { fields ->
         val status = WorkerStatus.parse(fields)
         when (val awaited = await<WorkerAnswer>(WORKER_TIMEOUT_MS) { handle.onHeartbeat(status, it) }) {
             Awaited.Refused, Awaited.TimedOut -> Response(Status.SERVICE_UNAVAILABLE)
@@ -88,25 +93,25 @@
     }
 
     private fun submit(request: Request): Response {
-        if (!submissions.tryAcquire()) return busy()
+        if (!submissionPermits.tryAcquire()) return busy()
         try {
-            return reading(request) { fields ->
+            return withBody(request) { fields ->
                 val spec = JobSpec.parse(fields)
                 userResponse(await(SUBMISSION_TIMEOUT_MS) { handle.submit(spec, it) })
             }
         } finally {
-            submissions.release()
+            submissionPermits.release()
         }
     }
 
-    private fun ask(encoded: String, question: (String, (UserAnswer) -> Unit) -> Boolean): Response {
-        // Ids need no escaping; what is none, whatever it stands for, is nobody's job.
-        val id = if ('%' in encoded) "" else encoded
-        if (!questions.tryAcquire()) return busy()
+    private fun pollOrCancel(encodedId: String, request: (String, (UserAnswer) -> Unit) -> Boolean): Response {
+        // A job id needs no escaping, so text with an escape is no job id and is treated as an unknown job.
+        val id = if ('%' in encodedId) "" else encodedId
+        if (!pollAndCancelPermits.tryAcquire()) return busy()
         try {
-            return timings.time("question") { userResponse(await(QUESTION_TIMEOUT_MS) { question(id, it) }) }
+            return timings.time("question") { userResponse(await(POLL_AND_CANCEL_TIMEOUT_MS) { request(id, it) }) }
         } finally {
-            questions.release()
+            pollAndCancelPermits.release()
         }
     }
 
@@ -120,29 +125,29 @@
 
     private fun busy() = Response(Status.TOO_MANY_REQUESTS).header("Retry-After", "1")
 
-    /** What came of a question to the deciding thread. */
+    /** The result of waiting for the event loop to answer a request. */
     private sealed interface Awaited<out T> {
         data class Answer<T>(val value: T) : Awaited<T>
 
-        /** The deciding thread has too much to do already. */
+        /** The event loop's queue for such requests is full. */
         data object Refused : Awaited<Nothing>
 
         data object TimedOut : Awaited<Nothing>
     }
 
-    /** Has [ask] put a question to the deciding thread, and waits up to [timeoutMs] milliseconds for its answer. */
-    private fun <T : Any> await(timeoutMs: Long, ask: ((T) -> Unit) -> Boolean): Awaited<T> {
+    /** Has [offer] pass a request to the event loop, and waits up to [timeoutMs] milliseconds for the answer. */
+    private fun <T : Any> await(timeoutMs: Long, offer: ((T) -> Unit) -> Boolean): Awaited<T> {
         val future = CompletableFuture<T>()
-        if (!ask { future.complete(it) }) return Awaited.Refused
+        if (!offer { future.complete(it) }) return Awaited.Refused
         return try {
             Awaited.Answer(future.get(timeoutMs, TimeUnit.MILLISECONDS))
         } catch (e: TimeoutException) {
-            log.debug("no answer within {} ms", timeoutMs, e)
+            log.debug("no answer from the event loop within {} ms", timeoutMs, e)
             Awaited.TimedOut
         }
     }
 
-    private inline fun reading(request: Request, use: (Fields) -> Response): Response {
+    private inline fun withBody(request: Request, use: (Fields) -> Response): Response {
         val bytes = bodyOf(request) ?: return tooLarge()
         return try {
             use(BodyCodec.readCbor(bytes))
@@ -166,23 +171,23 @@
 
     private companion object {
         const val JOB_PREFIX = "/submissions/"
-        const val ABORT = "/abort"
+        const val ABORT_SUFFIX = "/abort"
         val MISDIRECTED = Status(421, "Misdirected Request")
         const val MAX_BODY_BYTES = 64 * 1024
-        const val IDLE_PART = 0.85
-        const val SERVED_PART = 0.9
+        const val IDLE_CONNECTIONS_RATIO = 0.85
+        const val SERVED_CONNECTIONS_RATIO = 0.9
         const val BACKLOG = 512
         const val THREADS = 96
-        const val QUEUED = 400
-        const val SUBMISSIONS_AT_ONCE = 16
+        const val MAX_QUEUED_REQUESTS = 400
+        const val MAX_CONCURRENT_SUBMISSIONS = 16
 
         /**
-         * A question holds a thread until the next answer of the watch: at 14, users of a rough day were refused
-         * thousands of times.
+         * A poll or cancellation occupies a thread until the next answer of the watch on jobs. With 14, users were
+         * refused thousands of times on a day with many failures.
          */
-        const val QUESTIONS_AT_ONCE = 56
+        const val MAX_CONCURRENT_POLLS_AND_CANCELS = 56
         const val WORKER_TIMEOUT_MS = 3_000L
         const val SUBMISSION_TIMEOUT_MS = 4_500L
-        const val QUESTION_TIMEOUT_MS = 1_900L
+        const val POLL_AND_CANCEL_TIMEOUT_MS = 1_900L
     }
 }
--- a/src/main/kotlin/io/reedmast/app/Main.kt
+++ b/src/main/kotlin/io/reedmast/app/Main.kt
@@ -11,18 +11,18 @@
 import kotlin.system.exitProcess
 
 private fun configureLogging() {
-    val asked = System.getenv("LOG_LEVEL")
-    val level = asked?.lowercase()?.takeIf { it in setOf("error", "warn", "info", "debug") }
+    val requested = System.getenv("LOG_LEVEL")
+    val level = requested?.lowercase()?.takeIf { it in setOf("error", "warn", "info", "debug") }
     System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", level ?: "info")
     System.setProperty("org.slf4j.simpleLogger.showThreadName", "false")
     System.setProperty("org.slf4j.simpleLogger.showDateTime", "true")
     System.setProperty("org.slf4j.simpleLogger.dateTimeFormat", "HH:mm:ss.SSS")
-    if (asked != null && level == null) {
-        LoggerFactory.getLogger("main").warn("LOG_LEVEL {} is unknown; info is used", asked)
+    if (requested != null && level == null) {
+        LoggerFactory.getLogger("main").warn("unknown LOG_LEVEL {}; using info", requested)
     }
 }
 
-/** The program: joins the command line to the process and the store that its commands need. */
+/** The entry point: connects the command line to the controller process and the store that its commands need. */
 fun main(args: Array<String>) {
     configureLogging()
     val command = Reedmast { ControllerProcess(it).run() }.subcommands(RolloutCommand(::DirectStore))
@@ -37,7 +37,7 @@
     }
 }
 
-/** The core of Clikt neither exits nor tells its two streams apart by itself. */
+/** Needed because the core of Clikt neither exits by itself nor chooses between standard output and error. */
 private fun print(text: String?, isError: Boolean) {
     if (text != null) (if (isError) System.err else System.out).println(text)
 }
--- a/src/main/kotlin/io/reedmast/app/NetworkGateway.kt
+++ b/src/main/kotlin/io/reedmast/app/NetworkGateway.kt
@@ -12,19 +12,19 @@
 /**
  * What a process needs to reach the store.
  *
- * @property incarnation names this process in the ids of its transactions; never used by another one
+ * @property incarnation identifies this process in the ids of its transactions; never reused by another one.
  */
 class StoreAccess(val client: StoreClient, val limits: EffectiveLimits, val incarnation: String)
 
 /**
- * All ports over the network, joined from one adapter a port.
+ * Implements all ports over the network, with one adapter for each.
  *
- * Each adapter owns its pools of daemon threads, which start with the first call and end when idle; results come back
- * to the event loop. Nothing is closed before the process ends.
+ * Each adapter owns its pools of daemon threads, which start with the first call and end when idle. Results are
+ * delivered on the event loop. Nothing is closed before the process ends.
  */
 class NetworkGateway private constructor(
     private val client: StoreClient,
-    private val onEnd: (reason: String) -> Unit,
+    private val onTerminate: (reason: String) -> Unit,
     private val store: StoreGateway,
     private val cloud: CloudGateway,
     private val workers: WorkerGateway,
@@ -45,23 +45,23 @@
 
     override fun expectMachines(count: Int) = workers.expectMachines(count)
 
-    override fun terminate(reason: String) = onEnd(reason)
+    override fun terminate(reason: String) = onTerminate(reason)
 
     companion object {
         /**
-         * Builds the adapters for the controller that [settings] describe; results go to [eventLoop], and [onEnd] ends
-         * the process.
+         * Creates the adapters for the controller that [settings] describe. Results are delivered on [eventLoop];
+         * [onTerminate] must terminate the process.
          */
         fun create(
             settings: Settings,
             eventLoop: EventLoop,
             storeAccess: StoreAccess,
-            onEnd: (reason: String) -> Unit,
+            onTerminate: (reason: String) -> Unit,
         ): NetworkGateway {
             val calls = AsyncCalls(eventLoop)
             return NetworkGateway(
                 storeAccess.client,
-                onEnd,
+                onTerminate,
                 StoreGateway(storeAccess, calls, eventLoop, settings.members.size),
                 CloudGateway(settings, calls),
                 WorkerGateway(settings.maxConnections, calls),
--- a/src/main/kotlin/io/reedmast/app/PeerGateway.kt
+++ b/src/main/kotlin/io/reedmast/app/PeerGateway.kt
@@ -7,14 +7,14 @@
 import io.reedmast.settings.Member
 import io.reedmast.settings.Settings
 
-/** Messages to the other controllers over the network; a message that cannot be sent now is dropped. */
+/** Sends messages to the other controllers over the network; a message that cannot be sent now is dropped. */
 internal class PeerGateway(settings: Settings, private val calls: AsyncCalls) : PeerTransport {
     private val peers = settings.members.indices.map { ControllerId(it) }
         .filter { it != settings.self }
         .associateWith { Peer(settings.members[it.value]) }
 
     /**
-     * The connection to one other controller, with a thread of its own: one that hangs holds up no messages to others.
+     * The client of one other controller, with its own thread, so that a hung controller delays no messages to others.
      */
     private class Peer(member: Member) {
         val client = PeerClient(member.address)
--- a/src/main/kotlin/io/reedmast/app/StoreGateway.kt
+++ b/src/main/kotlin/io/reedmast/app/StoreGateway.kt
@@ -12,8 +12,8 @@
 import io.reedmast.ports.LeaseState
 
 /**
- * The store over the network. Transactions go through the committer's own threads, which [start] starts; reads and
- * leases have a pool each, so that slow reads never hold up the renewal of the controller's lease.
+ * The store over the network. Transactions are sent by the committing threads, which [start] starts. Reads and leases
+ * have a thread pool each, so that slow reads never delay the renewal of the controller's lease.
  */
 internal class StoreGateway(
     access: StoreAccess,
@@ -33,7 +33,7 @@
 
     override val isAvailable: Boolean get() = committer.isStoreAvailable
 
-    /** Starts the threads that commit; they run until the process ends. */
+    /** Starts the committing threads, which run until the process ends. */
     fun start() {
         repeat(COMMIT_THREADS) { startThread("commit-$it", committer::run) }
     }
@@ -73,7 +73,10 @@
         const val MAX_QUEUED_SUBMISSIONS = 64
         const val MAX_SUBMISSION_WAIT_S = 4.0
 
-        /** Submissions that wait longer would be asked for again before they are stored. */
+        /**
+         * Limits the queue to the submissions that can be stored within [MAX_SUBMISSION_WAIT_S]: users would repeat
+         * those that wait longer before they are stored.
+         */
         fun maxQueued(limits: EffectiveLimits, controllers: Int): Int =
             (limits.target.writesPerS / controllers * MAX_SUBMISSION_WAIT_S).toInt()
                 .coerceIn(MIN_QUEUED_SUBMISSIONS, MAX_QUEUED_SUBMISSIONS)
--- a/src/main/kotlin/io/reedmast/app/Threads.kt
+++ b/src/main/kotlin/io/reedmast/app/Threads.kt
@@ -7,8 +7,8 @@
 /**
  * Starts a daemon thread for [body] and returns it.
  *
- * A body that fails with an exception is begun again after a pause, since a controller without that thread would be up
- * and do nothing. Nothing stops such a thread but the end of the process.
+ * If [body] fails with an exception, it is run again after a pause, since without the thread the controller would be
+ * up but do nothing. Nothing stops the thread before the process ends.
  */
 internal fun startThread(name: String, body: () -> Unit): Thread {
     val thread = Thread({ runRestarting(name, body) }, name)
@@ -23,7 +23,7 @@
             body()
             return
         } catch (e: RuntimeException) {
-            LoggerFactory.getLogger("main").error("thread {}: failed and restarts", name, e)
+            LoggerFactory.getLogger("main").error("thread {}: failed with an exception; restarting", name, e)
             Thread.sleep(RESTART_PAUSE_MS)
         }
     }
--- a/src/main/kotlin/io/reedmast/app/Timings.kt
+++ b/src/main/kotlin/io/reedmast/app/Timings.kt
@@ -5,15 +5,15 @@
 import org.HdrHistogram.Histogram
 import org.slf4j.LoggerFactory
 
-/** How long requests of each kind took, logged once a minute. */
+/** Measures how long requests of each kind take, and logs that once a minute. */
 class Timings(private val clock: Clock) {
     private val log = LoggerFactory.getLogger("timings")
     private val histograms = listOf("checkin", "submission", "question").associateWith {
         ConcurrentHistogram(MAX_MS, SIGNIFICANT_DIGITS)
     }
-    private var due = clock.now() + LOG_INTERVAL_MS
+    private var nextLogAt = clock.now() + LOG_INTERVAL_MS
 
-    /** Runs [work] and records its time under [kind]. */
+    /** Runs [work] and records its duration under [kind]. */
     inline fun <T> time(kind: String, work: () -> T): T {
         val startedAt = now()
         try {
@@ -31,16 +31,16 @@
         histograms[kind]?.recordValue(ms.coerceIn(0, MAX_MS))
     }
 
-    /** Logs and resets what was recorded, if a minute has passed since the last time. */
+    /** Logs and resets the recorded durations if a minute has passed since the last time. */
     fun runOnce() {
-        if (clock.now() < due) return
-        due = clock.now() + LOG_INTERVAL_MS
+        if (clock.now() < nextLogAt) return
+        nextLogAt = clock.now() + LOG_INTERVAL_MS
         for ((kind, histogram) in histograms) {
             val lastMinute: Histogram = histogram.copy()
             histogram.reset()
             if (lastMinute.totalCount == 0L) continue
             log.info(
-                "{}: {} in a minute, ms p50 {} p99 {} max {}",
+                "{}: {} requests within a minute, p50 {} ms, p99 {} ms, max {} ms",
                 kind,
                 lastMinute.totalCount,
                 lastMinute.getValueAtPercentile(MEDIAN),
@@ -53,7 +53,7 @@
     private companion object {
         const val MAX_MS = 60_000L
 
-        /** Significant digits that are kept of a time. */
+        /** How many significant digits of a duration are kept. */
         const val SIGNIFICANT_DIGITS = 2
         const val MEDIAN = 50.0
         const val TAIL = 99.0
--- a/src/main/kotlin/io/reedmast/app/Watches.kt
+++ b/src/main/kotlin/io/reedmast/app/Watches.kt
@@ -10,16 +10,16 @@
 import java.util.concurrent.ThreadLocalRandom
 
 /**
- * The two watches on the store: on the cluster's few keys, and on the records under job ids. Each has a thread of its
- * own, which runs until the process ends.
+ * The two watches on the store: on the cluster's few keys, and on the records of jobs. Each has its own thread, which
+ * runs until the process ends.
  */
 class Watches(private val client: StoreClient, private val clock: Clock, private val handle: ControllerHandle) {
     /**
-     * One watch.
+     * Which keys to watch, how often, and where to deliver the results.
      *
-     * @property listedPrefix the keys that are read when the watch begins, and again after a gap
-     * @property watchedPrefix the keys whose changes are then asked for
-     * @property minIntervalMs the least time between two requests for changes
+     * @property listedPrefix prefix of the keys that are read when the watch begins, and again after a gap
+     * @property watchedPrefix prefix of the keys whose changes are then requested
+     * @property minIntervalMs minimum time between two requests for changes
      * @property holdMs how long the store may hold a request for changes open while there are none
      */
     private class Watch(
@@ -41,9 +41,10 @@
     )
 
     /**
-     * Every question of a user waits for the next answer of the watch on jobs, and all that came before it share one
-     * request to the store: while somebody waits, the watch asks again and again. Otherwise it waits for a change, but
-     * never so long that the next question would wait for it in vain.
+     * A job lookup waits until the watch has answered a request that was sent after the lookup began, so all lookups
+     * that wait by then share one request to the store. While any lookup waits, the watch sends request after request,
+     * each to be answered at once. Otherwise the store may hold a request until there is a change, but never so long
+     * that the next lookup would give up waiting.
      */
     private val jobsWatch = Watch(
         Keys.LIVE_JOBS,
@@ -73,7 +74,10 @@
         }
     }
 
-    /** Hands on the changes after [revision]; returns when the store no longer keeps those that are asked for. */
+    /**
+     * Delivers the changes after [revision]. Returns when the keys must be read again, because the store no longer
+     * keeps the requested changes or they are too large to be read.
+     */
     private fun followUntilCompacted(watch: Watch, revision: Long, listedAt: Long) {
         var after = revision
         var askedAt = listedAt
@@ -92,7 +96,7 @@
         }
     }
 
-    /** Of random length, so that controllers that lost the store together do not come back to it together. */
+    /** Sleeps for a random time, so that controllers that lost the store together do not all retry at once. */
     private fun pause() = Thread.sleep(PAUSE_MS + ThreadLocalRandom.current().nextLong(PAUSE_MS))
 
     private companion object {
--- a/src/main/kotlin/io/reedmast/app/WorkPool.kt
+++ b/src/main/kotlin/io/reedmast/app/WorkPool.kt
@@ -8,12 +8,12 @@
 import java.util.concurrent.TimeUnit
 
 /**
- * At most [maxThreads] daemon threads and [maxQueued] tasks that wait for one; a task beyond both is refused with a
- * [RejectedExecutionException]. The thread that became idle last works next. A thread ends after a time without work,
- * so that a pool needs no closing.
+ * A pool of at most [maxThreads] daemon threads and a queue of at most [maxQueued] tasks; a task beyond both is refused
+ * with a [RejectedExecutionException]. A new task goes to the thread that became idle last. Threads end after
+ * [IDLE_S] seconds without work, so a pool needs no closing.
  *
- * With a common queue each task goes to the thread that has been idle longest: dozens of threads then take turns at
- * what one could do, each with its own cold stack and its own piece of the heap.
+ * One shared queue would give each task to the thread that has been idle longest: dozens of threads would take turns at
+ * work that one could do, each with its own cold stack and its own part of the heap.
  */
 class WorkPool(name: String, maxThreads: Int, maxQueued: Int) :
     ThreadPoolExecutor(
@@ -28,13 +28,13 @@
 
     init {
         setRejectedExecutionHandler { task, _ ->
-            if (!overflow.offer(task)) throw RejectedExecutionException("$name: too much to do")
+            if (!overflow.offer(task)) throw RejectedExecutionException("$name: the queue is full")
         }
     }
 
     override fun afterExecute(task: Runnable, failure: Throwable?) {
         if (failure != null) return
-        // All threads were busy when these came; this one is not any more.
+        // Runs the tasks that were queued while all threads were busy, since this thread is now free.
         while (true) (overflow.poll() ?: return).run()
     }
 
--- a/src/main/kotlin/io/reedmast/app/WorkerGateway.kt
+++ b/src/main/kotlin/io/reedmast/app/WorkerGateway.kt
@@ -6,24 +6,24 @@
 import io.reedmast.wire.WorkerCommand
 import io.reedmast.wire.WorkerReplies
 
-/** Direct calls to workers over the network, on a pool of threads of their own. */
+/** Direct calls to workers over the network, on their own thread pool. */
 internal class WorkerGateway(private val maxConnections: Int, private val calls: AsyncCalls) : WorkerTransport {
     private val pool = WorkPool("direct", THREADS, MAX_QUEUED_CALLS)
 
-    /** With many machines, hundreds of connections to them would lie idle that the workers' own connections need. */
+    /** With many machines, hundreds of idle connections to them would use up sockets that workers need to connect. */
     @Volatile
     private var socketsAreScarce = false
     private val caller = HttpCaller(CONNECT_MS, READ_MS) { !socketsAreScarce }
 
-    /** Keeps connections to workers open only while [machines] leave enough sockets for it. */
+    /** Keeps connections to workers open between calls only while [machines] workers leave enough sockets for that. */
     fun expectMachines(machines: Int) {
-        socketsAreScarce = machines > maxConnections * SCARCE_PART
+        socketsAreScarce = machines > maxConnections * SCARCE_SOCKETS_RATIO
     }
 
     override fun call(addr: String, token: Long, epoch: Long, commands: List<WorkerCommand>, done: (Reply) -> Unit) {
         val body = WorkerReplies.directCall(token, epoch, commands)
-        val notSent = Reply.NotSent("too many calls")
-        calls.call(pool, { caller.call("POST", addr, "/do", body) }, notSent, done, STALE_CALL_MS)
+        val notSent = Reply.NotSent("call queue full, or more than $MAX_CALL_WAIT_MS ms in it")
+        calls.call(pool, { caller.call("POST", addr, "/do", body) }, notSent, done, MAX_CALL_WAIT_MS)
     }
 
     private companion object {
@@ -31,7 +31,7 @@
         const val MAX_QUEUED_CALLS = 400
         const val CONNECT_MS = 800
         const val READ_MS = 2000
-        const val SCARCE_PART = 0.6
-        const val STALE_CALL_MS = 5_000L
+        const val SCARCE_SOCKETS_RATIO = 0.6
+        const val MAX_CALL_WAIT_MS = 5_000L
     }
 }
--- a/src/test/kotlin/io/reedmast/app/EventLoopTest.kt
+++ b/src/test/kotlin/io/reedmast/app/EventLoopTest.kt
@@ -14,7 +14,7 @@
 import java.util.concurrent.atomic.AtomicInteger
 import kotlin.concurrent.thread
 
-/** Who does the deciding, in which order, and on how many threads. */
+/** Which thread handles an event, in which order events are handled, and how many threads a pool uses. */
 @Timeout(20)
 class EventLoopTest {
     private object SteadyClock : Clock {
@@ -23,24 +23,24 @@
         override fun wallTime(): Long = System.currentTimeMillis()
     }
 
-    private fun eventLoop(tickMs: Long, runOnce: () -> Unit) = EventLoop(SteadyClock, 2).also { eventLoop ->
-        thread(isDaemon = true) { eventLoop.run(tickMs, tickMs, runOnce) }
+    private fun eventLoop(intervalMs: Long, runOnce: () -> Unit) = EventLoop(SteadyClock, 2).also { eventLoop ->
+        thread(isDaemon = true) { eventLoop.run(intervalMs, intervalMs, runOnce) }
     }
 
-    /** Waits until a first tick is over, so that the next one is not due. */
-    private fun settled(tickMs: Long): EventLoop {
-        val ticked = CountDownLatch(1)
-        return eventLoop(tickMs) { ticked.countDown() }.also {
-            ticked.await()
+    /** Returns an event loop whose first periodic run is over, so that the next one is not due. */
+    private fun afterFirstRun(intervalMs: Long): EventLoop {
+        val firstRun = CountDownLatch(1)
+        return eventLoop(intervalMs) { firstRun.countDown() }.also {
+            firstRun.await()
             Thread.sleep(50)
         }
     }
 
     @Test
-    fun `a thread that finds the desk free decides itself, and the others wait by rank`() {
-        val eventLoop = settled(60_000)
+    fun `a thread that finds the loop idle handles its event itself, and other events wait by priority`() {
+        val eventLoop = afterFirstRun(60_000)
         var by: Thread? = null
-        // On a busy machine the first tick may take its time to be over.
+        // On a busy machine the first periodic run may take a while to end.
         for (attempt in 1..100) {
             assertTrue(eventLoop.offer(EventPriority.USER_REQUEST) { by = Thread.currentThread() })
             if (by === Thread.currentThread()) break
@@ -50,35 +50,35 @@
 
         val order = Collections.synchronizedList(ArrayList<String>())
         val done = CountDownLatch(4)
-        val hold = CountDownLatch(1)
-        val held = CountDownLatch(1)
+        val release = CountDownLatch(1)
+        val started = CountDownLatch(1)
         val holder = thread {
             eventLoop.post {
-                held.countDown()
-                hold.await()
+                started.countDown()
+                release.await()
             }
         }
-        held.await()
-        fun note(name: String): () -> Unit = {
+        started.await()
+        fun recording(name: String): () -> Unit = {
             order.add(name)
             done.countDown()
         }
-        eventLoop.offer(EventPriority.USER_REQUEST, note("submission"))
-        eventLoop.post(note("decision"))
-        eventLoop.offer(EventPriority.HEARTBEAT, note("report"))
-        eventLoop.offer(EventPriority.HEARTBEAT, note("report"))
-        assertFalse(eventLoop.offer(EventPriority.HEARTBEAT, note("one too many")), "the queue is bounded")
-        hold.countDown()
+        eventLoop.offer(EventPriority.USER_REQUEST, recording("submission"))
+        eventLoop.post(recording("decision"))
+        eventLoop.offer(EventPriority.HEARTBEAT, recording("report"))
+        eventLoop.offer(EventPriority.HEARTBEAT, recording("report"))
+        assertFalse(eventLoop.offer(EventPriority.HEARTBEAT, recording("one too many")), "the queue is bounded")
+        release.countDown()
         done.await()
         holder.join()
         assertEquals(listOf("report", "report", "decision", "submission"), order)
     }
 
     @Test
-    fun `ticks go on after another thread has decided, and between messages that never cease`() {
-        val ticks = AtomicInteger()
-        val eventLoop = eventLoop(20) { ticks.incrementAndGet() }
-        // One at a time: with more reports than can be served, they come before ticks.
+    fun `periodic runs go on after another thread has handled an event, and amid a steady stream of events`() {
+        val runs = AtomicInteger()
+        val eventLoop = eventLoop(20) { runs.incrementAndGet() }
+        // One at a time: if there are more heartbeats than can be handled, they go before periodic runs.
         repeat(50) {
             val done = CountDownLatch(1)
             eventLoop.offer(EventPriority.HEARTBEAT) {
@@ -87,38 +87,38 @@
             }
             done.await()
         }
-        assertTrue(ticks.get() >= 2, "${ticks.get()} ticks between messages")
-        // It came into a tick's waiting time and was over before the tick was due: nothing else wakes the deciding
-        // thread.
-        val before = ticks.get()
+        assertTrue(runs.get() >= 2, "${runs.get()} periodic runs between heartbeats")
+        // The last heartbeat was handled while the event-loop thread waited for the next periodic run, and before that
+        // was due: nothing but its own timeout wakes that thread.
+        val before = runs.get()
         Thread.sleep(500)
-        assertTrue(ticks.get() >= before + 5, "${ticks.get() - before} ticks in a quiet half second")
+        assertTrue(runs.get() >= before + 5, "${runs.get() - before} periodic runs in half a second without events")
     }
 
     @Test
-    fun `work that follows itself stays on one thread, and what finds none waits or is refused`() {
-        val several = WorkPool("test", 16, 1)
+    fun `sequential tasks reuse a thread, and a task that finds none free waits or is refused`() {
+        val manyThreads = WorkPool("test", 16, 1)
         val threads = Collections.synchronizedSet(HashSet<Thread>())
         repeat(20) {
             val ran = CountDownLatch(1)
-            several.execute {
+            manyThreads.execute {
                 threads.add(Thread.currentThread())
                 ran.countDown()
             }
             ran.await()
             Thread.sleep(5)
         }
-        several.shutdown()
-        // On a busy machine a thread may be late to be idle again, but not each time.
-        assertTrue(threads.size < 8, "${threads.size} threads for one task after another")
+        manyThreads.shutdown()
+        // On a busy machine a thread may not be idle again in time for the next task, but not each time.
+        assertTrue(threads.size < 8, "${threads.size} threads for sequential tasks")
         val pool = WorkPool("test", 2, 1)
-        val hold = CountDownLatch(1)
-        val late = CountDownLatch(1)
-        repeat(2) { pool.execute { hold.await() } }
-        pool.execute { late.countDown() }
+        val release = CountDownLatch(1)
+        val queuedTaskRan = CountDownLatch(1)
+        repeat(2) { pool.execute { release.await() } }
+        pool.execute { queuedTaskRan.countDown() }
         assertThrows(RejectedExecutionException::class.java) { pool.execute { } }
-        hold.countDown()
-        assertTrue(late.await(5, TimeUnit.SECONDS), "what waited for a thread is run")
+        release.countDown()
+        assertTrue(queuedTaskRan.await(5, TimeUnit.SECONDS), "a task that waited for a thread is run")
         pool.shutdown()
     }
 }
--- a/src/test/kotlin/io/reedmast/app/SocketTest.kt
+++ b/src/test/kotlin/io/reedmast/app/SocketTest.kt
@@ -32,7 +32,7 @@
 import java.util.concurrent.LinkedBlockingQueue
 import java.util.concurrent.TimeUnit
 
-/** The real server and the real clients on loopback, against a small stand-in for store and cloud. */
+/** The real server and the real clients on loopback, against a small fake of the store and the cloud. */
 @TestInstance(TestInstance.Lifecycle.PER_CLASS)
 class SocketTest {
     private object SystemClock : Clock {
@@ -45,13 +45,13 @@
     private val log = ArrayList<Map<*, *>>()
     private var revision = 1L
 
-    /** The next transaction that names this key is applied, and its answer lost. */
+    /** The next transaction that contains this key is applied, and its answer is lost. */
     @Volatile
     private var loseAnswerOf: String? = null
 
-    /** The watch on jobs is told, once, that the changes it asks for are no longer kept. */
+    /** The next request of the watch on jobs is told that the requested changes are no longer kept. */
     @Volatile
-    private var tooOld = false
+    private var compactOnce = false
     private var front = 0
     private val backend = HttpServer.create(InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 50)
     private val backendThreads = Executors.newCachedThreadPool()
@@ -88,16 +88,16 @@
         val eventLoop = EventLoop(SystemClock, 100)
         val limits = EffectiveLimits(settings.storeLimits, settings.nextStoreLimits)
         val client = StoreClient(settings.storeAddress, limits, 1, HttpCaller(500, 1000))
-        val out = NetworkGateway.create(settings, eventLoop, StoreAccess(client, limits, "test")) {}
+        val gateway = NetworkGateway.create(settings, eventLoop, StoreAccess(client, limits, "test")) {}
         val timings = Timings(SystemClock)
-        val node =
-            ControllerHandle(eventLoop, Controller(settings, Tuning(), SystemClock, out, limits, "test"), timings)
-        HttpApi(settings, node, timings).start()
-        out.start()
-        Watches(client, SystemClock, node).start()
-        startThread("test-desk") { eventLoop.run(50, 50, node::runOnce) }
-        val patience = System.nanoTime() + 10_000_000_000L
-        while (call("GET", "/healthz", null).first != 200 && System.nanoTime() < patience) Thread.sleep(50)
+        val handle =
+            ControllerHandle(eventLoop, Controller(settings, Tuning(), SystemClock, gateway, limits, "test"), timings)
+        HttpApi(settings, handle, timings).start()
+        gateway.start()
+        Watches(client, SystemClock, handle).start()
+        startThread("test-desk") { eventLoop.run(50, 50, handle::runOnce) }
+        val deadline = System.nanoTime() + 10_000_000_000L
+        while (call("GET", "/healthz", null).first != 200 && System.nanoTime() < deadline) Thread.sleep(50)
     }
 
     @AfterAll
@@ -143,8 +143,8 @@
                     (it["stamp"] as Long) > after &&
                         ((it["put"] ?: it["delete"]) as String).startsWith(prefix)
                 }
-                val gap = tooOld && prefix.startsWith("j")
-                if (gap) tooOld = false
+                val gap = compactOnce && prefix.startsWith("j")
+                if (gap) compactOnce = false
                 if (gap) 410 to emptyMap() else 200 to mapOf("epoch" to revision, "log" to news)
             }
         }
@@ -224,18 +224,18 @@
     }
 
     @Test
-    fun `after a gap in the watch, jobs are read anew`() {
+    fun `after a gap in the watch, jobs are read again`() {
         synchronized(this) {
-            // Accepted by another node, and no longer among the changes that are kept.
+            // Accepted by another controller, and no longer among the changes that are kept.
             revision++
             stored["j/live/0/wk-000009"] =
                 mapOf("spec" to job + ("ref" to "wk-000009"), "chunk" to 10, "at" to 1) to revision
         }
         assertEquals(404, call("GET", "/submissions/wk-000009", null).first)
-        tooOld = true
-        val patience = System.nanoTime() + 10_000_000_000L
+        compactOnce = true
+        val deadline = System.nanoTime() + 10_000_000_000L
         while (call("GET", "/submissions/wk-000009", null).first != 200 &&
-            System.nanoTime() < patience
+            System.nanoTime() < deadline
         ) {
             Thread.sleep(50)
         }
@@ -243,7 +243,7 @@
     }
 
     @Test
-    fun `what cannot be taken gets the status that says so`() {
+    fun `a request that cannot be accepted gets the status for the reason`() {
         val cases = listOf(
             400 to { call("POST", "/submissions", "hello".toByteArray()).first },
             400 to { submit(job - "cpus").first },
@@ -275,10 +275,10 @@
     }
 
     @Test
-    fun `peers tell each other of progress in frames of bounded size, and nobody waits for one that is not there`() {
+    fun `controllers send each other progress in frames of bounded size, and sending to an absent one fails`() {
         val address = InetSocketAddress("127.0.0.1", freePort())
-        val heard = LinkedBlockingQueue<PeerMessage>()
-        val server = PeerServer(address, backendThreads) { heard.add(it) }
+        val received = LinkedBlockingQueue<PeerMessage>()
+        val server = PeerServer(address, backendThreads) { received.add(it) }
         val listening = server.open()
         backendThreads.execute { server.run(listening) }
         val jobs = (0 until 5_000).map { JobProgress("wk-%06d".format(it), it, 7) }
@@ -293,17 +293,17 @@
             )
         }
         assertTrue(PeerClient(address).send(PeerMessage.ShardStatusUpdate(jobs, machineNames)))
-        val gotJobs = ArrayList<JobProgress>()
+        val receivedJobs = ArrayList<JobProgress>()
         val receivedHints = ArrayList<MachineHint>()
         while (receivedHints.size < machineNames.size) {
             val news =
-                checkNotNull(heard.poll(5, TimeUnit.SECONDS) as? PeerMessage.ShardStatusUpdate) {
-                    "${gotJobs.size} jobs and ${receivedHints.size} machines heard"
+                checkNotNull(received.poll(5, TimeUnit.SECONDS) as? PeerMessage.ShardStatusUpdate) {
+                    "only ${receivedJobs.size} jobs and ${receivedHints.size} machines received"
                 }
-            gotJobs.addAll(news.jobs)
+            receivedJobs.addAll(news.jobs)
             receivedHints.addAll(news.machines)
         }
-        assertEquals(jobs, gotJobs)
+        assertEquals(jobs, receivedJobs)
         assertEquals(machineNames, receivedHints)
         assertEquals(
             false,
