--- a/src/test/kotlin/io/reedmast/ArchitectureTest.kt
+++ b/src/test/kotlin/io/reedmast/ArchitectureTest.kt
@@ -9,12 +9,15 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 
-/** Which package may use which, as docs/architecture.md draws it: decisions are pure, and nothing runs in circles. */
+/**
+ * Checks the dependencies between packages that docs/architecture.md shows: packages that make decisions do no I/O, and
+ * there are no dependency cycles.
+ */
 class ArchitectureTest {
-    private val production: JavaClasses =
+    private val productionClasses: JavaClasses =
         ClassFileImporter().withImportOption(ImportOption.DoNotIncludeTests()).importPackages(ROOT)
 
-    private val duties = listOf(
+    private val subsystems = listOf(
         "scheduling",
         "gangs",
         "heartbeats",
@@ -26,13 +29,16 @@
         "fairshare",
     )
 
-    /** Packages may use those of their own layer, as long as that makes no cycle, and of the layers below. */
+    /**
+     * From top to bottom. A package may use packages of its own layer, as long as that creates no cycle, and of the
+     * layers below.
+     */
     private val layers: List<List<String>> = listOf(
         listOf("app", "cli"),
         listOf("requests"),
         listOf("cluster"),
         listOf("shard"),
-        duties,
+        subsystems,
         listOf("jobs"),
         listOf("model"),
         listOf("ports", "peers"),
@@ -41,70 +47,70 @@
         listOf("wire", "settings"),
     )
 
-    private val decisions = duties + listOf("requests", "cluster", "shard", "jobs", "model", "rollout")
+    private val decisionPackages = subsystems + listOf("requests", "cluster", "shard", "jobs", "model", "rollout")
 
-    private fun packages(names: Collection<String>) = names.map { "$ROOT.$it.." }.toTypedArray()
+    private fun packagePatterns(names: Collection<String>) = names.map { "$ROOT.$it.." }.toTypedArray()
 
     @Test
-    fun `every package stands in a layer`() {
-        val named = production.map { it.packageName.removePrefix("$ROOT.").substringBefore('.') }.toSet()
-        assertEquals(emptySet<String>(), named - layers.flatten().toSet())
+    fun `every package is in a layer`() {
+        val found = productionClasses.map { it.packageName.removePrefix("$ROOT.").substringBefore('.') }.toSet()
+        assertEquals(emptySet<String>(), found - layers.flatten().toSet())
     }
 
     @Test
-    fun `packages use only those of the layers below them`() {
+    fun `packages do not use packages of higher layers`() {
         for (depth in 1 until layers.size) {
-            noClasses().that().resideInAnyPackage(*packages(layers[depth]))
-                .should().dependOnClassesThat().resideInAnyPackage(*packages(layers.take(depth).flatten()))
+            noClasses().that().resideInAnyPackage(*packagePatterns(layers[depth]))
+                .should().dependOnClassesThat().resideInAnyPackage(*packagePatterns(layers.take(depth).flatten()))
                 .allowEmptyShould(true)
-                .check(production)
+                .check(productionClasses)
         }
     }
 
     @Test
-    fun `packages do not use each other in a circle`() {
-        slices().matching("$ROOT.(*)..").should().beFreeOfCycles().check(production)
+    fun `packages have no dependency cycles`() {
+        slices().matching("$ROOT.(*)..").should().beFreeOfCycles().check(productionClasses)
     }
 
     @Test
-    fun `decisions do no I-O`() {
-        noClasses().that().resideInAnyPackage(*packages(decisions))
+    fun `packages that make decisions do no I-O`() {
+        noClasses().that().resideInAnyPackage(*packagePatterns(decisionPackages))
             .should().dependOnClassesThat()
             .resideInAnyPackage("java.net..", "java.nio..", "java.io..", "com.sun.net..", "okio..", "org.http4k..")
-            .check(production)
+            .check(productionClasses)
     }
 
     @Test
-    fun `nothing but the process itself depends on it`() {
-        noClasses().that().resideOutsideOfPackages(*packages(layers.first()))
-            .should().dependOnClassesThat().resideInAnyPackage(*packages(layers.first()))
-            .check(production)
+    fun `no other package depends on the top layer`() {
+        noClasses().that().resideOutsideOfPackages(*packagePatterns(layers.first()))
+            .should().dependOnClassesThat().resideInAnyPackage(*packagePatterns(layers.first()))
+            .check(productionClasses)
     }
 
-    /** Programs embed it with a store of their own. */
+    /** Other programs embed the rollout package with a store of their own. */
     @Test
-    fun `the rollout depends on no process, no connection and no scheduler`() {
+    fun `the rollout package depends on no process, network connection or scheduler`() {
         val embeddable = setOf("rollout", "kvstore", "wire", "settings")
         noClasses().that().resideInAPackage("$ROOT.rollout..")
-            .should().dependOnClassesThat().resideInAnyPackage(*packages(layers.flatten() - embeddable))
+            .should().dependOnClassesThat().resideInAnyPackage(*packagePatterns(layers.flatten() - embeddable))
             .orShould().dependOnClassesThat().haveFullyQualifiedName("$ROOT.kvstore.StoreClient")
             .orShould().dependOnClassesThat().haveSimpleNameContaining("Caller")
-            .check(production)
+            .check(productionClasses)
     }
 
     @Test
-    fun `bodies are read and written by the wire package alone`() {
+    fun `only the wire package encodes and decodes bodies`() {
         noClasses().that().resideOutsideOfPackage("$ROOT.wire..")
             .should().dependOnClassesThat().resideInAPackage("com.fasterxml.jackson..")
-            .check(production)
+            .check(productionClasses)
     }
 
     @Test
-    fun `settings depend on nothing but the wire's trees`() {
+    fun `the settings package depends only on the wire package`() {
         classes().that().resideInAPackage("$ROOT.settings..")
             .should().onlyDependOnClassesThat()
             .resideInAnyPackage("$ROOT.settings..", "$ROOT.wire..", "java..", "kotlin..", "org.jetbrains..")
-            .check(production)
+            .check(productionClasses)
     }
 
     private companion object {
--- a/src/test/kotlin/io/reedmast/CountedWorkTest.kt
+++ b/src/test/kotlin/io/reedmast/CountedWorkTest.kt
@@ -18,7 +18,10 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** What a fleet of hundreds costs, in counted work and not in time: changes stored, messages, scheduling passes. */
+/**
+ * Checks what a cluster of hundreds of machines costs by counting work instead of measuring time: writes to the store,
+ * messages and scheduling passes.
+ */
 class CountedWorkTest {
     private val machineTypes = listOf(MachineType("m", 16.0, 0.0, 64.0, 50.0, 0.5, 1.0, 0.3, 30.0, listOf("x")))
 
@@ -40,7 +43,7 @@
         maxConnections = 1000,
     )
 
-    /** A cluster whose controllers have just started, with machines that are up. */
+    /** A cluster with booted machines whose controllers have just started. */
     private fun startedWorld(
         machines: Int,
         cpusPerTeam: Double = 800.0,
@@ -54,126 +57,128 @@
         return world
     }
 
-    /** Submits job [number] to one of the controllers in turn. */
-    private fun World.submit(number: Int, description: Map<String, String>, taskMs: Long) {
-        val jobId = "wk-%06d".format(number)
+    /** Submits job number [index]; successive jobs go to the controllers in turn. */
+    private fun World.submit(index: Int, description: Map<String, String>, taskMs: Long) {
+        val jobId = "wk-%06d".format(index)
         val spec = World.spec(jobId, description)
         jobs[jobId] = World.SimJob(spec, taskMs, false)
-        controllers[number % CONTROLLERS].sendRequest(jobId, { controller, answer -> controller.submit(spec, answer) })
+        controllers[index % CONTROLLERS].sendRequest(jobId, { controller, answer -> controller.submit(spec, answer) })
     }
 
-    private fun assertNoRuleBroken(world: World) = assertEquals(emptyList<String>(), world.rules.violations)
+    private fun assertNoViolations(world: World) = assertEquals(emptyList<String>(), world.rules.violations)
 
     private fun assertPassesAtMost(world: World, limit: Int, period: String) {
-        for (node in world.controllers) {
-            val passes = checkNotNull(node.process).cluster.activeOwners().sumOf { it.scheduler.passCount }
+        for (controller in world.controllers) {
+            val passes = checkNotNull(controller.process).cluster.activeOwners().sumOf { it.scheduler.passCount }
             assertTrue(passes <= limit, "$passes passes in $period")
         }
     }
 
     @Test
-    fun `a fleet of hundreds stays within the limits, and what is stored follows the work`() {
+    fun `hundreds of machines stay within the limits, and the number of writes follows the work`() {
         val machines = 300
         val world = startedWorld(machines)
         world.runUntil(20_000)
         val jobs = 240
-        val storedBefore = world.store.writeCount
+        val writesBefore = world.store.writeCount
 
-        for (number in 0 until jobs) {
-            world.runUntil(20_000 + number * 100L)
-            val isService = number % 4 != 0
+        for (index in 0 until jobs) {
+            world.runUntil(20_000 + index * 100L)
+            val isService = index % 4 != 0
             val description = mapOf(
-                "team" to "t${number % TEAMS}",
+                "team" to "t${index % TEAMS}",
                 "tasks" to if (isService) "2" else "60",
                 "kind" to if (isService) "service" else "array",
                 "run" to "8",
                 "spot" to "true",
             )
-            world.submit(number, description, taskMs = 8_000)
+            world.submit(index, description, taskMs = 8_000)
         }
         world.runUntil(70_000)
 
-        assertNoRuleBroken(world)
-        val arraysDone = world.jobs.values.count { it.completedTasks.size == it.spec.taskCount }
-        assertEquals(60, arraysDone, "arrays that are over")
+        assertNoViolations(world)
+        val completedArrays = world.jobs.values.count { it.completedTasks.size == it.spec.taskCount }
+        assertEquals(60, completedArrays, "completed arrays")
         val replicas = world.workers.values.sumOf { worker ->
             worker.startedTasks().count { world.jobs.getValue(it.jobId).spec.isService }
         }
         assertEquals(360, replicas)
-        // An acceptance for each job, two more for the end of each array; pages and totals at their own rate.
-        val stored = world.store.writeCount - storedBefore
-        val perSecond = (stored - jobs - 2 * 60) / 50.0
-        assertTrue(perSecond < 36, "$perSecond changes a second besides acceptances and ends")
+        // Each job is accepted with one write, and the end of each array takes two more; pages and usage totals are
+        // written at rates of their own.
+        val writes = world.store.writeCount - writesBefore
+        val writesPerS = (writes - jobs - 2 * 60) / 50.0
+        assertTrue(writesPerS < 36, "$writesPerS writes per second besides acceptances and ends of jobs")
         assertPassesAtMost(world, 10 * 70, "70 s")
-        // Heartbeats every three seconds and at changes, and a few direct commands for each task.
+        // Heartbeats are sent every three seconds and at changes of tasks; each task takes a few direct calls.
         assertTrue(world.messageCount < machines * 70 / 3 * 1.2 + 4_000 * 4, "${world.messageCount} messages")
     }
 
     /**
-     * Half as many machines again as the largest fleet that was planned for: what is stored follows jobs and pages, not
-     * tasks, and what is sent follows tasks, not machines times tasks.
+     * With 1.5 times the machines of the largest cluster that was planned for, the number of writes is proportional to
+     * jobs and pages, not to tasks, and the number of messages to tasks, not to machines times tasks.
      */
     @Test
-    fun `sixteen hundred machines take ten thousand tasks`() {
+    fun `sixteen hundred machines run ten thousand tasks`() {
         val machines = 1_600
         val world = startedWorld(machines, cpusPerTeam = 6_000.0)
         world.runUntil(30_000)
-        val storedBefore = world.store.writeCount
+        val writesBefore = world.store.writeCount
         val messagesBefore = world.messageCount
 
-        for (number in 0 until 100) {
+        for (index in 0 until 100) {
             val description = mapOf(
-                "team" to "t${number % TEAMS}",
+                "team" to "t${index % TEAMS}",
                 "tasks" to "100",
                 "cpus" to "2",
                 "run" to "5",
                 "spot" to "true",
             )
-            world.submit(number, description, taskMs = 5_000)
+            world.submit(index, description, taskMs = 5_000)
         }
         world.runUntil(60_000)
 
-        assertNoRuleBroken(world)
+        assertNoViolations(world)
         assertEquals(10_000, world.jobs.values.sumOf { it.completedTasks.size })
-        assertEquals(10_000, world.rules.startCounts.values.sum(), "each task once")
-        // An acceptance and two for the end of each job; a page holds a few dozen tasks, and is stored a few times.
-        val stored = world.store.writeCount - storedBefore
-        assertTrue(stored < 3 * 100 + 10_000 / 8, "$stored changes")
-        // Idle machines report every three seconds; a busy one at three changes of each of its six tasks, and once to
-        // forget.
-        val sent = world.messageCount - messagesBefore
-        assertTrue(sent < machines * 30 / 3 * 1.2 + 10_000 * 4, "$sent messages")
+        assertEquals(10_000, world.rules.startCounts.values.sum(), "starts, one for each task")
+        // Each job takes one write for its acceptance and two for its end; a page holds a few dozen tasks and is
+        // written a few times.
+        val writes = world.store.writeCount - writesBefore
+        assertTrue(writes < 3 * 100 + 10_000 / 8, "$writes writes")
+        // Idle machines send a heartbeat every three seconds; busy ones, with six tasks each, send one at each of the
+        // three state changes of a task, and one when it is forgotten.
+        val messages = world.messageCount - messagesBefore
+        assertTrue(messages < machines * 30 / 3 * 1.2 + 10_000 * 4, "$messages messages")
         assertPassesAtMost(world, 10 * 60, "60 s")
     }
 
     @Test
-    fun `many jobs placed at one moment are stored in transactions that the store takes`() {
+    fun `many jobs placed at once are stored in transactions that the store accepts`() {
         val world = startedWorld(machines = 20, valueBytes = 32 * 1024, isSpot = { false })
         world.runUntil(8_000)
 
-        // To all controllers: one alone takes 64 submissions at a time, and tells other users to come back.
+        // To all controllers: a single one accepts 64 submissions at a time and tells other users to retry later.
         repeat(100) { world.submit(it, mapOf("team" to "t0", "tasks" to "1", "kind" to "service"), taskMs = 0) }
         world.runUntil(60_000)
 
-        assertNoRuleBroken(world)
+        assertNoViolations(world)
         assertEquals(100, world.workers.values.sumOf { it.startedTasks().size })
     }
 
     @Test
-    fun `a shard's machines are spread over records below the limit`() {
+    fun `a shard's machine list is divided into records below the size limit`() {
         val records = (0 until 200).map { MachineRecord("host-%06d".format(it), "m", "x", it % 2 == 0) }
 
-        val first = MachineListPart.EMPTY.withMachinesThatFit(records, 1024)
+        val part = MachineListPart.EMPTY.withMachinesThatFit(records, 1024)
 
-        val isBelowLimit = BodyCodec.jsonSize(first.toFields()) <= 1024
-        assertTrue(isBelowLimit && first.records.size in 20..199, "${first.records.size} machines")
-        assertEquals(first, first.withMachinesThatFit(records.take(10), 1024))
-        val read = MachineListPart.parse(BodyCodec.readCbor(BodyCodec.writeCbor(first.toFields())))
-        assertEquals(first, read.copy(records = first.records))
+        val isBelowLimit = BodyCodec.jsonSize(part.toFields()) <= 1024
+        assertTrue(isBelowLimit && part.records.size in 20..199, "${part.records.size} machines")
+        assertEquals(part, part.withMachinesThatFit(records.take(10), 1024))
+        val parsed = MachineListPart.parse(BodyCodec.readCbor(BodyCodec.writeCbor(part.toFields())))
+        assertEquals(part, parsed.copy(records = part.records))
     }
 
     @Test
-    fun `deferred writes leave part of the rate to urgent ones, and these to users`() {
+    fun `deferred writes leave part of the rate to urgent writes, and urgent writes to users' writes`() {
         var now = 0L
         val limiter = WriteRateLimiter(10.0) { now }
         assertEquals(0L, limiter.tryAcquire(5, WritePriority.DEFERRED))
@@ -187,7 +192,8 @@
         assertEquals(300L, limiter.tryAcquire(1, WritePriority.URGENT))
         assertEquals(0L, limiter.tryAcquire(1, WritePriority.USER))
 
-        // A transaction larger than a second's worth goes out once the bucket is full, and is paid for afterwards.
+        // A transaction of more writes than the bucket holds (one second's permits) is sent once the bucket is full;
+        // the permits that it lacked are repaid afterwards.
         now += 1_000
         assertEquals(0L, limiter.tryAcquire(16, WritePriority.URGENT))
         assertTrue(limiter.tryAcquire(1, WritePriority.USER) >= 700)
--- a/src/test/kotlin/io/reedmast/LargeFaultTest.kt
+++ b/src/test/kotlin/io/reedmast/LargeFaultTest.kt
@@ -6,67 +6,77 @@
 import org.junit.jupiter.api.TestFactory
 
 /**
- * Days by chance at production size: hundreds of machines and jobs, the store's true limits, records that fill many
- * values and many pages of a listing, and troubles over each other.
+ * Random scenarios at production size: hundreds of machines and jobs, the real limits of the store, records that fill
+ * many values and many pages of a listing, and overlapping faults.
  *
- * At size the changes of a moment share transactions, watches fall so far behind that everything is read anew, and
- * listings are read page by page while their keys change. No day of a few machines meets any of that.
+ * At this size, simultaneous changes share transactions, watches fall so far behind that everything is read again, and
+ * listings are read page by page while their keys change. None of that occurs in scenarios with a few machines.
  */
 class LargeFaultTest {
     @TestFactory
-    fun days(): List<DynamicTest> = seeds().map { seed -> play("day $seed", LargeDay(seed)) }
+    fun scenarios(): List<DynamicTest> = seeds().map { seed -> scenarioTest("day $seed", LargeDay(seed)) }
 
-    /** Controllers are upgraded among the other troubles, gangs come after that, and the store lowers its limits. */
+    /**
+     * Controllers are upgraded while other faults occur; after the upgrade gangs are submitted and the store lowers its
+     * limits.
+     */
     @TestFactory
-    fun `days of an upgrade`(): List<DynamicTest> = seeds(UPGRADE_DAYS).map { seed ->
-        play("upgrade day $seed", LargeDay(seed, upgrade = true))
+    fun `scenarios with an upgrade`(): List<DynamicTest> = seeds(UPGRADE_SCENARIOS).map { seed ->
+        scenarioTest("upgrade day $seed", LargeDay(seed, upgrade = true))
     }
 
     /**
-     * After the upgrade features are rolled out and taken back under the other troubles; in the end they are enabled.
+     * After the upgrade, features are rolled out and reverted while other faults occur; at the end they are enabled.
      */
     @TestFactory
-    fun `days of a rollout`(): List<DynamicTest> = seeds(ROLLOUT_DAYS).map { seed ->
-        play("rollout day $seed", LargeDay(seed, upgrade = true, rollout = true))
+    fun `scenarios with a rollout`(): List<DynamicTest> = seeds(ROLLOUT_SCENARIOS).map { seed ->
+        scenarioTest("rollout day $seed", LargeDay(seed, upgrade = true, rollout = true))
     }
 
-    /** Most machines are rented during the day, and their workers report before the rentals are answered. */
+    /**
+     * Most machines are provisioned during the scenario, and their workers send heartbeats before the provisioning
+     * requests are answered.
+     */
     @TestFactory
-    fun `days of slow rentals`(): List<DynamicTest> = seeds(RENTAL_DAYS).map { seed ->
-        play("rental day $seed", LargeDay(seed, rentals = true))
+    fun `scenarios with slow provisioning`(): List<DynamicTest> = seeds(PROVISIONING_SCENARIOS).map { seed ->
+        scenarioTest("rental day $seed", LargeDay(seed, rentals = true))
     }
 
-    /** As many machines as any deployment has, three quarters of them rented during the day. */
+    /** As many machines as the largest deployment has; three quarters of them are provisioned during the scenario. */
     @TestFactory
-    fun `slow rentals of four thousand machines`(): List<DynamicTest> =
-        listOf(play("4,000 machines", LargeDay(seed = 4, rentals = true, machines = 4_000, jobs = 600)))
+    fun `slow provisioning of four thousand machines`(): List<DynamicTest> =
+        listOf(scenarioTest("4,000 machines", LargeDay(seed = 4, rentals = true, machines = 4_000, jobs = 600)))
 
-    /** As many machines as any deployment has: nothing may hold fewer. */
+    /** As many machines as the largest deployment has: nothing in the cluster may be limited to fewer. */
     @TestFactory
     fun `an upgrade of four thousand machines`(): List<DynamicTest> =
-        listOf(play("4,000 machines", LargeDay(seed = 4, upgrade = true, machines = 4_000, jobs = 600)))
+        listOf(scenarioTest("4,000 machines", LargeDay(seed = 4, upgrade = true, machines = 4_000, jobs = 600)))
 
-    private fun play(name: String, day: LargeDay): DynamicTest = DynamicTest.dynamicTest(name) {
+    private fun scenarioTest(name: String, scenario: LargeDay): DynamicTest = DynamicTest.dynamicTest(name) {
         try {
-            Scenario(day.lines()).run()
+            Scenario(scenario.lines()).run()
         } catch (e: AssertionError) {
-            throw AssertionError("$name: ${e.message?.take(MAX_SHOWN)}\n${day.troubles().joinToString("\n")}", e)
+            throw AssertionError(
+                "$name: ${e.message?.take(MAX_MESSAGE_LENGTH)}\n${scenario.troubles().joinToString("\n")}",
+                e,
+            )
         }
     }
 
     /**
-     * The days that are always played, or, to look for more, those that the variable LARGE_SEEDS names (as in 100-200).
+     * The seeds 1 to [count], which are always run, or those in the environment variable LARGE_SEEDS, such as 100-200,
+     * to search for further failures.
      */
-    private fun seeds(days: Long = DAYS): LongRange {
-        val (from, to) = (System.getenv("LARGE_SEEDS") ?: return 1L..days).split('-').map { it.toLong() }
+    private fun seeds(count: Long = SCENARIOS): LongRange {
+        val (from, to) = (System.getenv("LARGE_SEEDS") ?: return 1L..count).split('-').map { it.toLong() }
         return from..to
     }
 
     private companion object {
-        const val DAYS = 8L
-        const val UPGRADE_DAYS = 4L
-        const val ROLLOUT_DAYS = 3L
-        const val RENTAL_DAYS = 3L
-        const val MAX_SHOWN = 4_000
+        const val SCENARIOS = 8L
+        const val UPGRADE_SCENARIOS = 4L
+        const val ROLLOUT_SCENARIOS = 3L
+        const val PROVISIONING_SCENARIOS = 3L
+        const val MAX_MESSAGE_LENGTH = 4_000
     }
 }
--- a/src/test/kotlin/io/reedmast/ProductionFormatTest.kt
+++ b/src/test/kotlin/io/reedmast/ProductionFormatTest.kt
@@ -75,8 +75,8 @@
     }
 
     /**
-     * Production writes no field with the format. It ignores that field when it reads the key, and concludes from the
-     * existence of the key alone that a controller is there.
+     * The version in production does not write the field for the format and ignores it when it reads the key: the
+     * existence of the key alone tells it that the controller is present.
      */
     @Test
     fun `the key of a controller`() {
--- a/src/test/kotlin/io/reedmast/RandomizedFaultTest.kt
+++ b/src/test/kotlin/io/reedmast/RandomizedFaultTest.kt
@@ -6,41 +6,50 @@
 import org.junit.jupiter.api.TestFactory
 
 /**
- * Days on which troubles meet as chance has it, in the stand-in world. A day is a scenario like those of the files,
- * made from its seed, so that one which fails can be printed, cut down and kept as a file.
+ * Random combinations of faults in the simulated world. Each scenario is like those in the scenario files but generated
+ * from a seed, so that a failing one can be printed, reduced and kept as a file.
  *
- * All rules are checked throughout; once the troubles are over, every controller answers about every job, no job is
- * neglected, and all that was accepted has run.
+ * All rules are checked throughout; once the faults are over, every controller answers requests about every job, no job
+ * is neglected, and all accepted jobs have run.
  */
 class RandomizedFaultTest {
     @TestFactory
-    fun days(): List<DynamicTest> = play("day") { RandomDay(it) }
+    fun scenarios(): List<DynamicTest> = scenarioTests("day") { RandomDay(it) }
 
     @TestFactory
-    fun `days with gangs`(): List<DynamicTest> = play("gang day") { RandomDay(it, gangs = true) }
+    fun `scenarios with gangs`(): List<DynamicTest> = scenarioTests("gang day") { RandomDay(it, gangs = true) }
 
-    /** Controllers are upgraded one after the other, and at some moment after the last one the store takes less. */
+    /** Controllers are upgraded one after the other, and some time after the last one the store lowers its limits. */
     @TestFactory
-    fun `days of an upgrade`(): List<DynamicTest> = play("upgrade day") { RandomDay(it, gangs = true, upgrade = true) }
+    fun `scenarios with an upgrade`(): List<DynamicTest> = scenarioTests("upgrade day") {
+        RandomDay(it, gangs = true, upgrade = true)
+    }
 
     /**
-     * Features are rolled out and taken back by operators who oppose each other, while controllers are replaced by
-     * other versions.
+     * Operators with opposite intentions roll features out and revert them, while controllers are replaced by other
+     * versions.
      */
     @TestFactory
-    fun `days of a rollout`(): List<DynamicTest> = play("rollout day") { RandomDay(it, rollout = true) }
+    fun `scenarios with a rollout`(): List<DynamicTest> = scenarioTests("rollout day") { RandomDay(it, rollout = true) }
 
-    /** Machines boot at once, and answers to rentals are late or lost: workers report before anybody expects them. */
+    /**
+     * Machines boot almost immediately, and answers to provisioning requests are late or lost: workers send heartbeats
+     * before any controller expects them.
+     */
     @TestFactory
-    fun `days of slow rentals`(): List<DynamicTest> = play("rental day") { RandomDay(it, rentals = true) }
+    fun `scenarios with slow provisioning`(): List<DynamicTest> = scenarioTests("rental day") {
+        RandomDay(it, rentals = true)
+    }
 
-    /** An earlier version has put machines into the records of two shards, with work on them or without. */
+    /** An earlier version has recorded machines, with or without tasks on them, in the machine lists of two shards. */
     @TestFactory
-    fun `days of contested machines`(): List<DynamicTest> = play("contested day") { RandomDay(it, contested = true) }
+    fun `scenarios with contested machines`(): List<DynamicTest> = scenarioTests("contested day") {
+        RandomDay(it, contested = true)
+    }
 
-    private fun play(name: String, day: (Long) -> RandomDay): List<DynamicTest> = seeds().map { seed ->
+    private fun scenarioTests(name: String, scenario: (Long) -> RandomDay): List<DynamicTest> = seeds().map { seed ->
         DynamicTest.dynamicTest("$name $seed") {
-            val lines = day(seed).lines()
+            val lines = scenario(seed).lines()
             try {
                 Scenario(lines).run()
             } catch (e: AssertionError) {
@@ -50,15 +59,15 @@
     }
 
     /**
-     * The days that are always played, or, to look for more, those that the variable FAULT_SEEDS names (as in
-     * 100-2000).
+     * The seeds that are always run, or those in the environment variable FAULT_SEEDS, such as 100-2000, to search for
+     * further failures.
      */
     private fun seeds(): LongRange {
-        val (from, to) = (System.getenv("FAULT_SEEDS") ?: return 1L..DAYS).split('-').map { it.toLong() }
+        val (from, to) = (System.getenv("FAULT_SEEDS") ?: return 1L..SCENARIOS).split('-').map { it.toLong() }
         return from..to
     }
 
     private companion object {
-        const val DAYS = 60L
+        const val SCENARIOS = 60L
     }
 }
--- a/src/test/kotlin/io/reedmast/loopback/LoopbackCluster.kt
+++ b/src/test/kotlin/io/reedmast/loopback/LoopbackCluster.kt
@@ -27,28 +27,28 @@
 import java.util.concurrent.TimeUnit
 
 /**
- * Controllers as real processes on loopback, beside stand-ins for store, cloud and workers that live in this process.
+ * Controllers as real processes on the loopback interface, with a simulated store, cloud and workers in this process.
  *
- * The stand-in store is that of the simulated world, driven by real time.
+ * The store is that of the simulated world, whose clock follows real time.
  */
 class LoopbackCluster(controllers: Int, private val machines: Int, private val classPath: (controller: Int) -> String) :
     AutoCloseable {
     val labels = (0 until controllers).map { "n$it" }
-    private val frontPorts = labels.map { freePort() }
+    private val apiPorts = labels.map { freePort() }
     private val peerPorts = labels.map { freePort() }
-    val fronts = frontPorts.map { "127.0.0.1:$it" }
+    val apiAddresses = apiPorts.map { "127.0.0.1:$it" }
     val history = TaskHistory()
 
     /**
-     * A machine that is silent for three of these is replaced, which a busy machine that runs this test must not bring
-     * about.
+     * Long, because a machine whose heartbeats are missing for three intervals is replaced, and load on the machine
+     * that runs the test must not cause that.
      */
-    val reportMs = 2_000L
+    val heartbeatIntervalMs = 2_000L
     val leaseMs = 16_000L
-    val runMs = 3_000L
-    private val beganAt = System.nanoTime()
-    private val types = listOf(MachineType("m", 16.0, 0.0, 64.0, 50.0, 0.5, 1.0, 0.3, 1.0, listOf("x")))
-    private val world = World({ testSettings(controllers = labels) }, controllers, types)
+    val taskRunMs = 3_000L
+    private val startedAtNs = System.nanoTime()
+    private val machineTypes = listOf(MachineType("m", 16.0, 0.0, 64.0, 50.0, 0.5, 1.0, 0.3, 1.0, listOf("x")))
+    private val world = World({ testSettings(controllers = labels) }, controllers, machineTypes)
     private val store: SimStore = world.store
     private val server = HttpServer.create(InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 200)
     private val threads = Executors.newCachedThreadPool { Thread(it).apply { isDaemon = true } }
@@ -57,7 +57,7 @@
     private val services = HashSet<String>()
     private val caller = HttpCaller(CONNECT_MS, READ_MS)
     private val directory: Path = Files.createTempDirectory("loopback")
-    private var transactions = 0
+    private var deletionCount = 0
 
     init {
         server.executor = threads
@@ -67,28 +67,36 @@
 
     private fun freePort() = ServerSocket(0).use { it.localPort }
 
-    fun now(): Long = (System.nanoTime() - beganAt) / 1_000_000
+    fun now(): Long = (System.nanoTime() - startedAtNs) / 1_000_000
 
-    fun isService(piece: String): Boolean = synchronized(services) { piece.substringBefore('/') in services }
-
-    // ---- controllers
-    // --------------------------------------------------------------------------------------------------
+    fun isService(taskId: String): Boolean = synchronized(services) { taskId.substringBefore('/') in services }
 
     private fun settingsFile(controller: Int): Path {
-        val others = labels.indices.filter { it != controller }
+        val otherControllers = labels.indices.filter { it != controller }
         val fields = mapOf(
             "label" to labels[controller],
             "area" to "x",
-            "front" to fronts[controller],
+            "front" to apiAddresses[controller],
             "cluster_listen" to "127.0.0.1:${peerPorts[controller]}",
             "seeds" to
-                others.map { mapOf("label" to labels[it], "area" to "x", "endpoint" to "127.0.0.1:${peerPorts[it]}") },
-            "outside" to mapOf("cloud" to address(), "state" to address()),
+                otherControllers.map {
+                    mapOf(
+                        "label" to labels[it],
+                        "area" to "x",
+                        "endpoint" to "127.0.0.1:${peerPorts[it]}",
+                    )
+                },
+            "outside" to mapOf("cloud" to servicesAddress(), "state" to servicesAddress()),
             "facts" to mapOf(
                 "nodes" to labels.size,
                 "zones" to listOf("x"),
                 "teams" to listOf("a", "b", "c").map { mapOf("name" to it, "cpus" to 100.0, "cpus_max" to 200.0) },
-                "workers" to mapOf("report_s" to reportMs / 1000.0, "lease_s" to leaseMs / 1000.0, "cancel_s" to 41.0),
+                "workers" to
+                    mapOf(
+                        "report_s" to heartbeatIntervalMs / 1000.0,
+                        "lease_s" to leaseMs / 1000.0,
+                        "cancel_s" to 41.0,
+                    ),
                 "state" to mapOf("rps" to 1000.0, "write_rps" to 300.0, "value_kb" to 8.0, "txn_ops" to 16),
                 "cloud" to mapOf("rps" to 20.0, "list_lag_s" to 0.5),
             ),
@@ -96,9 +104,9 @@
         return directory.resolve("${labels[controller]}.json").also { Files.write(it, BodyCodec.writeJson(fields)) }
     }
 
-    private fun address() = "127.0.0.1:${server.address.port}"
+    private fun servicesAddress() = "127.0.0.1:${server.address.port}"
 
-    private fun command(controller: Int, programs: String, arguments: List<String>): List<String> {
+    private fun command(controller: Int, programClassPath: String, arguments: List<String>): List<String> {
         val java = Path.of(System.getProperty("java.home"), "bin", "java").toString()
         val settings = settingsFile(controller).toString()
         return listOf(
@@ -106,7 +114,7 @@
             "-Xmx112m",
             "-XX:+UseSerialGC",
             "-cp",
-            programs,
+            programClassPath,
             "io.reedmast.app.MainKt",
             "--config",
             settings,
@@ -115,10 +123,10 @@
     }
 
     fun start(controller: Int, vararg arguments: String) {
-        val log = directory.resolve("${labels[controller]}.log").toFile()
+        val logFile = directory.resolve("${labels[controller]}.log").toFile()
         processes[controller] = ProcessBuilder(command(controller, classPath(controller), arguments.toList()))
             .redirectError(
-                ProcessBuilder.Redirect.appendTo(log),
+                ProcessBuilder.Redirect.appendTo(logFile),
             ).redirectOutput(ProcessBuilder.Redirect.DISCARD).start()
     }
 
@@ -128,10 +136,10 @@
 
     fun log(controller: Int): String = Files.readString(directory.resolve("${labels[controller]}.log"))
 
-    /** The exit code of a controller that has ended by itself; null while it runs. */
+    /** The exit code of a controller that has exited by itself; null while it runs. */
     fun exitCode(controller: Int): Int? = processes[controller]?.let { if (it.isAlive) null else it.exitValue() }
 
-    /** What `reedmast rollout` of today's version says, and its exit code. */
+    /** Runs `reedmast rollout` of the current version; returns its exit code and its output. */
     fun rollout(vararg arguments: String): Pair<Int, String> {
         val process = ProcessBuilder(
             command(labels.size - 1, System.getProperty("java.class.path"), listOf("rollout") + arguments),
@@ -140,23 +148,20 @@
         return process.waitFor() to output
     }
 
-    // ---- users
-    // --------------------------------------------------------------------------------------------------------
-
-    /** Submits as users do: at the next controller, until one accepts. */
+    /** Submits like a user: to one controller after another, until one accepts. Returns whether one did. */
     fun submit(spec: JobSpec): Boolean {
         if (spec.isService) synchronized(services) { services.add(spec.jobId) }
-        repeat(SUBMISSIONS) { attempt ->
-            val reply = caller.call("POST", fronts[attempt % fronts.size], "/submissions", spec.toFields())
+        repeat(MAX_SUBMIT_ATTEMPTS) { attempt ->
+            val reply = caller.call("POST", apiAddresses[attempt % apiAddresses.size], "/submissions", spec.toFields())
             if (reply is Reply.Answer && (reply.status == 201 || reply.status == 200)) return true
             Thread.sleep(RETRY_MS)
         }
         return false
     }
 
-    /** The stage that some controller tells; null if none does. */
-    fun stageOf(jobId: String): String? = fronts.firstNotNullOfOrNull { front ->
-        (caller.call("GET", front, "/submissions/$jobId") as? Reply.Answer)?.takeIf {
+    /** The state of the job according to the first controller that knows it; null if none does. */
+    fun jobState(jobId: String): String? = apiAddresses.firstNotNullOfOrNull { address ->
+        (caller.call("GET", address, "/submissions/$jobId") as? Reply.Answer)?.takeIf {
             it.status == 200
         }?.body?.get("stage") as? String
     }
@@ -164,19 +169,17 @@
     fun await(what: String, seconds: Int, condition: () -> Boolean) {
         val until = now() + seconds * 1000L
         while (!condition()) {
-            check(now() < until) { "not within $seconds s: $what" }
+            check(now() < until) { "timed out after $seconds s waiting for: $what" }
             Thread.sleep(POLL_MS)
         }
     }
 
-    /** What the store holds. */
-    fun stored(prefix: String): List<StoredItem> = locked { store.all(prefix) }
+    /** All items in the store whose keys start with [prefix]. */
+    fun storedItems(prefix: String): List<StoredItem> = withWorld { store.all(prefix) }
 
-    // ---- the stand-in services
-    // ----------------------------------------------------------------------------------------
-
-    private fun <T> locked(work: () -> T): T = synchronized(world) {
-        world.runUntil(now() + WORLD_BEGINS_MS)
+    /** Advances the simulated world to the current time and runs [work], both under its lock. */
+    private fun <T> withWorld(work: () -> T): T = synchronized(world) {
+        world.runUntil(now() + WORLD_START_MS)
         work()
     }
 
@@ -192,31 +195,31 @@
             exchange.sendResponseHeaders(status, bytes.size.toLong())
             exchange.responseBody.use { it.write(bytes) }
         } catch (e: java.io.IOException) {
-            // Its controller has been killed.
+            // The controller that sent the request has been killed.
             exchange.close()
         }
     }
 
     private fun answer(method: String, path: String, query: Map<String, String>, body: Fields): Pair<Int, Fields> =
         when {
-            path == "/follow" -> follow(query)
-            path == "/kv" -> locked { store.page(query.getValue("prefix"), query["after"]) }.let { page ->
-                val pairs = page.items.map { item(it) }
-                200 to mapOf("pairs" to pairs, "more" to page.more, "epoch" to locked { store.revision })
+            path == "/follow" -> watch(query)
+            path == "/kv" -> withWorld { store.page(query.getValue("prefix"), query["after"]) }.let { page ->
+                val pairs = page.items.map { itemFields(it) }
+                200 to mapOf("pairs" to pairs, "more" to page.more, "epoch" to withWorld { store.revision })
             }
-            path.startsWith("/kv/") -> locked { store.get(path.removePrefix("/kv/")) }?.let { 200 to item(it) }
+            path.startsWith("/kv/") -> withWorld { store.get(path.removePrefix("/kv/")) }?.let { 200 to itemFields(it) }
                 ?: (404 to emptyMap())
-            path == "/commit" -> locked { commit(body) }
+            path == "/commit" -> withWorld { commit(body) }
             path == "/leases" ->
                 200 to
-                    mapOf("holding" to locked { store.grantLease((body["lifeMs"] as Number).toLong()) })
+                    mapOf("holding" to withWorld { store.grantLease((body["lifeMs"] as Number).toLong()) })
             path.startsWith("/leases/") -> {
-                val extended = locked { store.extendLease(path.split('/')[2].toLong(), EXTENDED_MS) }
+                val extended = withWorld { store.extendLease(path.split('/')[2].toLong(), LEASE_EXTENSION_MS) }
                 (if (extended) 200 else 404) to emptyMap()
             }
-            path == "/flavors" -> 200 to mapOf("builds" to types.map { typeFields(it) })
+            path == "/flavors" -> 200 to mapOf("builds" to machineTypes.map { typeFields(it) })
             path == "/machines/return" -> {
-                (body["hosts"] as List<*>).forEach { name -> remove(name as String) }
+                (body["hosts"] as List<*>).forEach { name -> stopWorker(name as String) }
                 200 to emptyMap()
             }
             path == "/machines" && method == "POST" -> provision((body["count"] as Number).toInt())
@@ -224,28 +227,31 @@
             else -> 404 to emptyMap()
         }
 
-    private fun item(of: StoredItem): Fields = mapOf("path" to of.path, "v" to of.value, "stamp" to of.version)
+    private fun itemFields(item: StoredItem): Fields =
+        mapOf("path" to item.path, "v" to item.value, "stamp" to item.version)
 
-    private fun follow(query: Map<String, String>): Pair<Int, Fields> {
+    private fun watch(query: Map<String, String>): Pair<Int, Fields> {
         val prefix = query.getValue("prefix")
         val until = now() + (query["holdMs"]?.toLong() ?: 0L)
         while (true) {
-            val (revision, news) = locked { store.revision to store.changesSince(query.getValue("after").toLong()) }
-            if (news == null) return 410 to emptyMap()
-            val log = news.filter { it.path.startsWith(prefix) }
-            if (log.isNotEmpty() ||
+            val (revision, changes) = withWorld {
+                store.revision to store.changesSince(query.getValue("after").toLong())
+            }
+            if (changes == null) return 410 to emptyMap()
+            val matching = changes.filter { it.path.startsWith(prefix) }
+            if (matching.isNotEmpty() ||
                 now() >= until
             ) {
-                return 200 to mapOf("epoch" to revision, "log" to log.map { event(it) })
+                return 200 to mapOf("epoch" to revision, "log" to matching.map { eventFields(it) })
             }
-            Thread.sleep(WATCH_MS)
+            Thread.sleep(WATCH_POLL_MS)
         }
     }
 
-    private fun event(of: WatchEvent): Fields = if (of.value == null) {
-        mapOf("delete" to of.path, "stamp" to of.version)
+    private fun eventFields(event: WatchEvent): Fields = if (event.value == null) {
+        mapOf("delete" to event.path, "stamp" to event.version)
     } else {
-        mapOf("put" to of.path, "v" to of.value, "stamp" to of.version)
+        mapOf("put" to event.path, "v" to event.value, "stamp" to event.version)
     }
 
     private fun commit(body: Fields): Pair<Int, Fields> {
@@ -256,10 +262,10 @@
             val put = write["put"] as? String ?: return@map Write.Delete(write["delete"] as String)
             Write.Put(put, asFields(write["v"]), (write["holding"] as? Number)?.toLong())
         }
-        // The values carry their transaction's id already.
+        // Each value already contains the ID of its transaction.
         val id =
             writes.filterIsInstance<Write.Put>().firstOrNull()?.value?.get("txn") as? String
-                ?: "delete-${++transactions}"
+                ?: "delete-${++deletionCount}"
         return when (val reply = store.commit(StoreTransaction(id, preconditions, writes))) {
             is CommitReply.Applied -> 200 to mapOf("epoch" to reply.revision)
             is CommitReply.PreconditionFailed ->
@@ -269,8 +275,9 @@
         }
     }
 
-    private fun typeFields(of: MachineType): Fields = mapOf(
-        "label" to of.label, "cpus" to of.cpus, "gpus" to 0.0, "memGb" to 64.0, "localGb" to 50.0, "pullGbPerS" to 1.0,
+    private fun typeFields(type: MachineType): Fields = mapOf(
+        "label" to type.label, "cpus" to type.cpus, "gpus" to 0.0, "memGb" to 64.0, "localGb" to 50.0,
+        "pullGbPerS" to 1.0,
         "hourly" to 1.0, "lowPrice" to 0.3, "startupS" to 1.0, "yards" to listOf("x"),
     )
 
@@ -280,7 +287,7 @@
         if (names.isEmpty()) 503 to mapOf("error" to "no capacity") else 200 to mapOf("hosts" to names)
     }
 
-    private fun remove(name: String) = synchronized(workers) { workers[name]?.stop() }
+    private fun stopWorker(name: String) = synchronized(workers) { workers[name]?.stop() }
 
     private fun machineNames(after: String?): List<Fields> = synchronized(workers) {
         workers.entries.filter { after == null || it.key > after }.map { (name, worker) ->
@@ -304,19 +311,19 @@
         threads.awaitTermination(1, TimeUnit.SECONDS)
     }
 
-    /** Broken rules: of the stand-in store's checks of stored forms and moves of gates, and of what ran. */
-    fun broken(): List<String> = locked { world.rules.violations.toList() } + history.broken
+    /** Violations found by the simulated store's checks of stored formats and gate transitions, and by [history]. */
+    fun violations(): List<String> = withWorld { world.rules.violations.toList() } + history.violations
 
     private companion object {
         const val CONNECT_MS = 500
         const val READ_MS = 5_000
         const val RETRY_MS = 300L
-        const val SUBMISSIONS = 60
+        const val MAX_SUBMIT_ATTEMPTS = 60
         const val POLL_MS = 100L
-        const val WATCH_MS = 10L
-        const val EXTENDED_MS = 4_000L
+        const val WATCH_POLL_MS = 10L
+        const val LEASE_EXTENSION_MS = 4_000L
 
-        /** The simulated world's time begins there. */
-        const val WORLD_BEGINS_MS = 1_000L
+        /** The time at which the simulated world's clock starts. */
+        const val WORLD_START_MS = 1_000L
     }
 }
--- a/src/test/kotlin/io/reedmast/loopback/LoopbackRolloutTest.kt
+++ b/src/test/kotlin/io/reedmast/loopback/LoopbackRolloutTest.kt
@@ -9,36 +9,36 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Three controllers as real processes are drained, killed, replaced and rolled back under load, directed by `reedmast
- * rollout` as an operator would. Services stay placed, no task runs in two places, and no stored form is one that a
- * controller that counts cannot read.
+ * Three controllers that run as real processes are drained, killed, replaced and rolled back under load, with `reedmast
+ * rollout` used as an operator would use it. Services stay placed, no task runs on two machines at once, and no stored
+ * record has a format that a participating controller cannot read.
  *
- * The variable OLD_CLASS_PATH names an earlier version that knows the rollout and not dense pages, as a program built
- * from our history. Without it, as in CI, the same version stands for it, and only what depends on the difference is
- * left out.
+ * The environment variable OLD_CLASS_PATH is the class path of an earlier version, built from this project's history,
+ * that supports the rollout but not dense pages. If it is not set, as in CI, the current version is used in its place,
+ * and only the checks that depend on the difference are skipped.
  */
 class LoopbackRolloutTest {
     private val log = LoggerFactory.getLogger("loopback")
-    private val today = System.getProperty("java.class.path")
-    private val earlier: String? = System.getenv("OLD_CLASS_PATH")
+    private val currentClassPath = System.getProperty("java.class.path")
+    private val earlierClassPath: String? = System.getenv("OLD_CLASS_PATH")
     private val upgraded = HashSet<Int>()
 
     private fun cluster() = LoopbackCluster(controllers = 3, machines = 8) {
         if (it in upgraded ||
-            earlier == null
+            earlierClassPath == null
         ) {
-            today
+            currentClassPath
         } else {
-            earlier
+            earlierClassPath
         }
     }
 
-    private fun LoopbackCluster.act(vararg arguments: String) {
+    private fun LoopbackCluster.assertAccepted(vararg arguments: String) {
         val (code, output) = rollout(*arguments)
         assertEquals(0, code, "${arguments.toList()}: $output")
     }
 
-    private fun LoopbackCluster.refused(reason: String, vararg arguments: String) {
+    private fun LoopbackCluster.assertRefused(reason: String, vararg arguments: String) {
         val (code, output) = rollout(*arguments)
         assertEquals(1, code, "${arguments.toList()}: $output")
         assertTrue(reason in output, output)
@@ -51,27 +51,30 @@
             status()
     }
 
-    private fun LoopbackCluster.pagesAre(dense: Boolean) = stored("page/").let { pages ->
+    private fun LoopbackCluster.allPagesAre(dense: Boolean) = storedItems("page/").let { pages ->
         pages.isNotEmpty() &&
             pages.all { DensePages.isDense(it.value) == dense }
     }
 
     private fun LoopbackCluster.replace(controller: Int) {
-        act("drain", labels[controller], "--why", "it is replaced")
+        assertAccepted("drain", labels[controller], "--why", "it is replaced")
         await("${labels[controller]} is drained", 30) { rollout("ready", labels[controller]).first == 0 }
         kill(controller)
         start(controller)
         await("${labels[controller]} is back", 30) { isBack(labels[controller]) }
     }
 
-    /** For some seconds the key of the process that was killed is still there, and says that it is being drained. */
+    /**
+     * Whether the status shows the restarted controller. For some seconds, the key of the killed process still exists
+     * and says that it is being drained.
+     */
     private fun LoopbackCluster.isBack(label: String) = status().lines().any {
         it.startsWith("controller $label: versions") &&
             "draining" !in it
     }
 
     @Test
-    fun `controllers are replaced one at a time, features rolled out and taken back`() = cluster().use { cluster ->
+    fun `controllers are replaced one at a time, features rolled out and reverted`() = cluster().use { cluster ->
         cluster.labels.indices.forEach { cluster.start(it) }
         val services = listOf("a", "b", "c").mapIndexed { i, team ->
             World.spec(
@@ -85,55 +88,57 @@
             )
         }
         services.forEach { assertTrue(cluster.submit(it), it.jobId) }
-        cluster.await("services run", 60) { services.all { cluster.history.running(it.jobId) == it.taskCount } }
+        cluster.await("services run", 60) { services.all { cluster.history.runningCount(it.jobId) == it.taskCount } }
         val placedAt = cluster.now()
-        cluster.act("enable", "fenced-tokens", "--by", "first", "--why", "a test")
-        cluster.act("enable", "dense-pages", "--by", "first", "--why", "a test")
-        cluster.refused("there is no feature", "enable", "denser-pages", "--by", "first", "--why", "a test")
-        cluster.refused("alive", "exclude", "n1", "--why", "a test")
-        cluster.refused("drain it first", "ready", "n0")
+        cluster.assertAccepted("enable", "fenced-tokens", "--by", "first", "--why", "a test")
+        cluster.assertAccepted("enable", "dense-pages", "--by", "first", "--why", "a test")
+        cluster.assertRefused("there is no feature", "enable", "denser-pages", "--by", "first", "--why", "a test")
+        cluster.assertRefused("alive", "exclude", "n1", "--why", "a test")
+        cluster.assertRefused("drain it first", "ready", "n0")
         cluster.awaitGate("fenced-tokens", "enabled")
         for (controller in cluster.labels.indices) {
-            if (earlier !=
+            if (earlierClassPath !=
                 null
             ) {
                 assertTrue(
-                    "feature dense-pages: dormant" in cluster.status() && cluster.pagesAre(dense = false),
+                    "feature dense-pages: dormant" in cluster.status() && cluster.allPagesAre(dense = false),
                     cluster.status(),
                 )
             }
             upgraded.add(controller)
-            val from = cluster.now()
+            val startedAt = cluster.now()
             cluster.replace(controller)
-            val lost = services.sumOf { cluster.history.lostMs(it.jobId, it.taskCount, from, cluster.now()) }
+            val lostMs = services.sumOf { cluster.history.lostMs(it.jobId, it.taskCount, startedAt, cluster.now()) }
             log.info(
                 "{} replaced in {} ms; replica time lost: {} ms",
                 cluster.labels[controller],
-                cluster.now() - from,
-                lost,
+                cluster.now() - startedAt,
+                lostMs,
             )
         }
         val lastUpgradeAt = cluster.now()
         cluster.awaitGate("dense-pages", "enabled")
-        log.info("enabled {} ms after the last upgrade", cluster.now() - lastUpgradeAt)
-        cluster.await("all pages are dense", 30) { cluster.pagesAre(dense = true) }
-        log.info("migrated {} ms after the last upgrade", cluster.now() - lastUpgradeAt)
+        log.info("dense-pages enabled {} ms after the last upgrade", cluster.now() - lastUpgradeAt)
+        cluster.await("all pages are dense", 30) { cluster.allPagesAre(dense = true) }
+        log.info("all pages migrated {} ms after the last upgrade", cluster.now() - lastUpgradeAt)
         val array = World.spec("wk-000010", mapOf("team" to "a", "tasks" to "20", "run" to "3"))
         assertTrue(cluster.submit(array))
         cluster.kill(1)
         cluster.start(1)
-        cluster.await("the array is done", 60) { cluster.stageOf("wk-000010") == "done" }
+        cluster.await("the array is done", 60) { cluster.jobState("wk-000010") == "done" }
         rollBack(cluster)
-        services.forEach { assertEquals(it.taskCount, cluster.history.starts(it.jobId), "starts of ${it.jobId}") }
-        val lost = services.sumOf { cluster.history.lostMs(it.jobId, it.taskCount, placedAt, cluster.now()) }
-        log.info("replica time lost in {} ms: {} ms", cluster.now() - placedAt, lost)
-        assertEquals(0L, lost)
-        assertEquals(emptyList<String>(), cluster.broken())
+        services.forEach { assertEquals(it.taskCount, cluster.history.startCount(it.jobId), "starts of ${it.jobId}") }
+        val lostMs = services.sumOf { cluster.history.lostMs(it.jobId, it.taskCount, placedAt, cluster.now()) }
+        log.info("replica time lost in {} ms: {} ms", cluster.now() - placedAt, lostMs)
+        assertEquals(0L, lostMs)
+        assertEquals(emptyList<String>(), cluster.violations())
     }
 
-    /** An earlier version is started too soon and ends by itself; after the features are taken back it serves again. */
+    /**
+     * The earlier version exits by itself when it is started too soon; after dense-pages is reverted, it serves again.
+     */
     private fun rollBack(cluster: LoopbackCluster) {
-        if (earlier != null) {
+        if (earlierClassPath != null) {
             upgraded.remove(2)
             cluster.kill(2)
             cluster.start(2)
@@ -141,11 +146,19 @@
             assertEquals(3, cluster.exitCode(2))
             assertTrue("the cluster requires version 3" in cluster.log(2))
         }
-        cluster.refused("must be taken back first", "revert", "fenced-tokens", "--by", "second", "--why", "a test")
-        cluster.act("revert", "dense-pages", "--by", "second", "--why", "a test")
+        cluster.assertRefused(
+            "must be taken back first",
+            "revert",
+            "fenced-tokens",
+            "--by",
+            "second",
+            "--why",
+            "a test",
+        )
+        cluster.assertAccepted("revert", "dense-pages", "--by", "second", "--why", "a test")
         cluster.awaitGate("dense-pages", "dormant")
-        assertTrue(cluster.pagesAre(dense = false))
-        if (earlier != null) cluster.start(2)
+        assertTrue(cluster.allPagesAre(dense = false))
+        if (earlierClassPath != null) cluster.start(2)
         cluster.await("n2 serves", 30) { cluster.isBack("n2") }
         assertNull(cluster.exitCode(2))
     }
--- a/src/test/kotlin/io/reedmast/loopback/LoopbackWorker.kt
+++ b/src/test/kotlin/io/reedmast/loopback/LoopbackWorker.kt
@@ -11,8 +11,8 @@
 import java.util.concurrent.Executors
 
 /**
- * A worker of the protocol on loopback: reports, leases, tokens and the effects of commands. Services run until they
- * are stopped, tasks of other jobs for [runMs].
+ * A simulated worker on the loopback interface that follows the protocol: heartbeats, leases, tokens and the effects of
+ * commands. Tasks of services run until they are stopped, those of other jobs for [LoopbackCluster.taskRunMs].
  */
 class LoopbackWorker(
     private val name: String,
@@ -21,10 +21,10 @@
     private val cluster: LoopbackCluster,
 ) {
     private class Task(
-        val piece: String,
+        val taskId: String,
         val attempt: Long,
-        val since: Long,
-        var stage: String,
+        val startedAt: Long,
+        var state: String,
         var cause: String? = null,
     )
 
@@ -36,121 +36,131 @@
     private var epoch = 1L
     private var sequence = 0L
     private var token = 0L
-    private var leaseFrom = cluster.now()
-    private var node = 0
+    private var leaseStartedAt = cluster.now()
+    private var controller = 0
 
     @Volatile
-    private var gone = false
+    private var stopped = false
 
     fun start() {
         server.executor = threads
-        server.createContext("/do", ::direct)
+        server.createContext("/do", ::handleDirectCall)
         server.start()
-        threads.execute(::reportForever)
+        threads.execute(::sendHeartbeats)
     }
 
     fun stop() {
-        gone = true
+        stopped = true
         synchronized(this) {
-            tasks.values.filter { it.stage == RUNNING }.forEach { cluster.history.ended(it.piece, cluster.now()) }
+            tasks.values.filter { it.state == RUNNING }.forEach { cluster.history.recordEnd(it.taskId, cluster.now()) }
         }
         server.stop(0)
         threads.shutdownNow()
     }
 
-    private fun reportForever() {
-        while (!gone) {
+    private fun sendHeartbeats() {
+        while (!stopped) {
             val sentAt = cluster.now()
             val body = synchronized(this) {
                 finishTasks(sentAt)
                 checkLease(sentAt)
-                report()
+                statusFields()
+            }
+            val sentInEpoch = body["tenure"] as Long
+            val reply = caller.call("POST", cluster.apiAddresses[controller], "/checkin", body)
+            val redirected = synchronized(this) { handleReply(reply, sentAt, sentInEpoch) }
+            if (!redirected) {
+                sleep(
+                    if (reply is Reply.Answer &&
+                        reply.status == 200
+                    ) {
+                        cluster.heartbeatIntervalMs
+                    } else {
+                        RETRY_MS
+                    },
+                )
             }
-            val sentIn = body["tenure"] as Long
-            val reply = caller.call("POST", cluster.fronts[node], "/checkin", body)
-            val redirected = synchronized(this) { taken(reply, sentAt, sentIn) }
-            if (!redirected) sleep(if (reply is Reply.Answer && reply.status == 200) cluster.reportMs else RETRY_MS)
         }
     }
 
     private fun sleep(ms: Long) = try {
         Thread.sleep(ms)
     } catch (e: InterruptedException) {
-        gone = true
+        stopped = true
     }
 
-    /** True if another controller is to be asked at once. */
-    private fun taken(reply: Reply, sentAt: Long, sentIn: Long): Boolean {
+    /** Returns whether the next heartbeat is to be sent at once, to the controller that the reply names. */
+    private fun handleReply(reply: Reply, sentAt: Long, sentInEpoch: Long): Boolean {
         val answer = reply as? Reply.Answer
         if (answer?.status == 421) {
-            val other = (answer.body["steward"] as? String)?.let { cluster.labels.indexOf(it) } ?: -1
-            val known = other >= 0 && other != node
-            node = if (known) other else (node + 1) % cluster.fronts.size
-            return known
+            val owner = (answer.body["steward"] as? String)?.let { cluster.labels.indexOf(it) } ?: -1
+            val isRedirect = owner >= 0 && owner != controller
+            controller = if (isRedirect) owner else (controller + 1) % cluster.apiAddresses.size
+            return isRedirect
         }
         if (answer?.status != 200) {
-            node = (node + 1) % cluster.fronts.size
+            controller = (controller + 1) % cluster.apiAddresses.size
             return false
         }
-        val given = (answer.body["baton"] as? Number)?.toLong() ?: return false
-        if (given < token || sentIn != epoch) return false
-        token = given
-        leaseFrom = sentAt
+        val replyToken = (answer.body["baton"] as? Number)?.toLong() ?: return false
+        if (replyToken < token || sentInEpoch != epoch) return false
+        token = replyToken
+        leaseStartedAt = sentAt
         execute(answer.body["orders"])
         return false
     }
 
     private fun checkLease(now: Long) {
-        if (now - leaseFrom <= cluster.leaseMs) return
-        if (tasks.values.any { it.stage == RUNNING }) cluster.history.leaseLost(name, now)
-        tasks.values.filter { it.stage == RUNNING }.forEach { cluster.history.ended(it.piece, now) }
+        if (now - leaseStartedAt <= cluster.leaseMs) return
+        if (tasks.values.any { it.state == RUNNING }) cluster.history.recordLeaseExpiry(name, now)
+        tasks.values.filter { it.state == RUNNING }.forEach { cluster.history.recordEnd(it.taskId, now) }
         tasks.clear()
         epoch++
-        leaseFrom = now
+        leaseStartedAt = now
     }
 
     private fun finishTasks(now: Long) {
         tasks.values.filter {
-            it.stage == RUNNING && !cluster.isService(it.piece) && now - it.since > cluster.runMs
-        }.forEach { end(it, "done", now) }
+            it.state == RUNNING && !cluster.isService(it.taskId) && now - it.startedAt > cluster.taskRunMs
+        }.forEach { endTask(it, "done", now) }
     }
 
-    private fun end(task: Task, cause: String, now: Long) {
-        if (task.stage != RUNNING) return
-        task.stage = "ended"
+    private fun endTask(task: Task, cause: String, now: Long) {
+        if (task.state != RUNNING) return
+        task.state = "ended"
         task.cause = cause
-        cluster.history.ended(task.piece, now)
+        cluster.history.recordEnd(task.taskId, now)
     }
 
-    private fun execute(orders: Any?) {
-        for (order in (orders as? List<*>).orEmpty().filterIsInstance<Map<*, *>>()) {
-            val piece = order["piece"] as String
-            val attempt = (order["try"] as Number).toLong()
-            val held = tasks[piece]
-            when (order["verb"]) {
-                "launch" -> launch(piece, attempt, held)
-                "stop" -> if (held?.attempt == attempt) end(held, "halted", cluster.now())
-                "forget" -> if (held?.attempt == attempt && held.stage != RUNNING) tasks.remove(piece)
+    private fun execute(commands: Any?) {
+        for (command in (commands as? List<*>).orEmpty().filterIsInstance<Map<*, *>>()) {
+            val taskId = command["piece"] as String
+            val attempt = (command["try"] as Number).toLong()
+            val existing = tasks[taskId]
+            when (command["verb"]) {
+                "launch" -> launch(taskId, attempt, existing)
+                "stop" -> if (existing?.attempt == attempt) endTask(existing, "halted", cluster.now())
+                "forget" -> if (existing?.attempt == attempt && existing.state != RUNNING) tasks.remove(taskId)
             }
         }
     }
 
-    private fun launch(piece: String, attempt: Long, held: Task?) {
-        if (held?.attempt == attempt || held?.stage == RUNNING) return
-        tasks[piece] = Task(piece, attempt, cluster.now(), RUNNING)
-        cluster.history.started(piece, name, cluster.now())
+    private fun launch(taskId: String, attempt: Long, existing: Task?) {
+        if (existing?.attempt == attempt || existing?.state == RUNNING) return
+        tasks[taskId] = Task(taskId, attempt, cluster.now(), RUNNING)
+        cluster.history.recordStart(taskId, name, cluster.now())
     }
 
-    private fun direct(exchange: HttpExchange) {
+    private fun handleDirectCall(exchange: HttpExchange) {
         val body = BodyCodec.readCbor(exchange.requestBody.readAllBytes())
         val (status, answer) = synchronized(this) {
-            val given = (body["baton"] as? Number)?.toLong() ?: -1L
-            if (given < token || (body["tenure"] as? Number)?.toLong() != epoch) {
-                409 to report()
+            val callToken = (body["baton"] as? Number)?.toLong() ?: -1L
+            if (callToken < token || (body["tenure"] as? Number)?.toLong() != epoch) {
+                409 to statusFields()
             } else {
-                token = given
+                token = callToken
                 execute(body["orders"])
-                200 to report()
+                200 to statusFields()
             }
         }
         val bytes = BodyCodec.writeCbor(answer)
@@ -158,12 +168,12 @@
         exchange.responseBody.use { it.write(bytes) }
     }
 
-    private fun report(): Fields = mapOf(
+    private fun statusFields(): Fields = mapOf(
         "host" to name, "addr" to addr, "build" to typeName, "yard" to zone, "driftwood" to false,
         "tenure" to epoch, "tally" to ++sequence, "baton" to token,
         "pieces" to
             tasks.values.map {
-                mapOf("piece" to it.piece, "try" to it.attempt, "stage" to it.stage, "cause" to it.cause)
+                mapOf("piece" to it.taskId, "try" to it.attempt, "stage" to it.state, "cause" to it.cause)
             },
     )
 
--- a/src/test/kotlin/io/reedmast/loopback/TaskHistory.kt
+++ b/src/test/kotlin/io/reedmast/loopback/TaskHistory.kt
@@ -1,55 +1,62 @@
 package io.reedmast.loopback
 
-/** What ran where and when, as the workers themselves saw it, and whether it broke a rule. */
+/** Records on which machines tasks ran and when, as seen by the workers, and which rules this violated. */
 class TaskHistory {
-    /** One run of a task; [until] is null while it goes on. */
-    private class Run(val machine: String, val from: Long, var until: Long? = null)
+    /** One run of a task; [untilMs] is null while it lasts. */
+    private class Run(val machine: String, val fromMs: Long, var untilMs: Long? = null)
 
     private val runs = HashMap<String, MutableList<Run>>()
 
-    /** Broken rules, in words. */
-    val broken = ArrayList<String>()
+    /** Descriptions of the violated rules. */
+    val violations = ArrayList<String>()
 
-    /** How often a lease ended with tasks on the machine. */
-    var leasesLost = 0
+    /** How often a lease expired while tasks ran on its machine. */
+    var leasesExpiredWithTasks = 0
         private set
 
     @Synchronized
-    fun started(piece: String, machine: String, at: Long) {
-        val of = runs.getOrPut(piece) { ArrayList() }
-        of.firstOrNull { it.until == null }?.let { broken.add("ran_twice $piece on ${it.machine} and $machine") }
-        of.add(Run(machine, at))
+    fun recordStart(taskId: String, machine: String, atMs: Long) {
+        val runsOfTask = runs.getOrPut(taskId) { ArrayList() }
+        runsOfTask.firstOrNull {
+            it.untilMs == null
+        }?.let { violations.add("ran_twice $taskId on ${it.machine} and $machine") }
+        runsOfTask.add(Run(machine, atMs))
     }
 
     @Synchronized
-    fun ended(piece: String, at: Long) {
-        runs[piece]?.lastOrNull { it.until == null }?.until = at
+    fun recordEnd(taskId: String, atMs: Long) {
+        runs[taskId]?.lastOrNull { it.untilMs == null }?.untilMs = atMs
     }
 
     @Synchronized
-    fun leaseLost(machine: String, at: Long) {
-        leasesLost++
-        broken.add("lease_lost $machine at $at")
+    fun recordLeaseExpiry(machine: String, atMs: Long) {
+        leasesExpiredWithTasks++
+        violations.add("lease_lost $machine at $atMs ms")
     }
 
-    /** How many tasks of the job run. */
+    /** The number of running tasks of the job. */
     @Synchronized
-    fun running(jobId: String): Int = runs.entries.count {
+    fun runningCount(jobId: String): Int = runs.entries.count {
         it.key.startsWith("$jobId/") &&
-            it.value.any { run -> run.until == null }
+            it.value.any { run -> run.untilMs == null }
     }
 
-    /** How often tasks of the job have started. */
+    /** How many times tasks of the job have been started. */
     @Synchronized
-    fun starts(jobId: String): Int = runs.entries.filter { it.key.startsWith("$jobId/") }.sumOf { it.value.size }
+    fun startCount(jobId: String): Int = runs.entries.filter { it.key.startsWith("$jobId/") }.sumOf { it.value.size }
 
     /**
-     * For how long, in milliseconds, tasks of the job did not run between [from] and [to], added up over its
+     * The time, in milliseconds, during which tasks of the job did not run between [fromMs] and [toMs], summed over its
      * [taskCount] tasks.
      */
     @Synchronized
-    fun lostMs(jobId: String, taskCount: Int, from: Long, to: Long): Long = (0 until taskCount).sumOf { task ->
-        val ran = runs["$jobId/$task"].orEmpty().sumOf { maxOf(0L, minOf(it.until ?: to, to) - maxOf(it.from, from)) }
-        maxOf(0L, to - from - ran)
+    fun lostMs(jobId: String, taskCount: Int, fromMs: Long, toMs: Long): Long = (0 until taskCount).sumOf { task ->
+        val ran = runs["$jobId/$task"].orEmpty().sumOf {
+            maxOf(
+                0L,
+                minOf(it.untilMs ?: toMs, toMs) - maxOf(it.fromMs, fromMs),
+            )
+        }
+        maxOf(0L, toMs - fromMs - ran)
     }
 }
