--- a/src/test/kotlin/io/reedmast/autoscaling/RentalRaceTest.kt
+++ b/src/test/kotlin/io/reedmast/autoscaling/RentalRaceTest.kt
@@ -22,14 +22,14 @@
     /** What else goes wrong while machines are being rented, with times in seconds. */
     private enum class Fault(val lines: List<String>) {
         NONE(emptyList()),
-        ANSWER_LOST(listOf("at 8.5 lose-rentals 1")),
-        ANSWERS_LOST(listOf("at 8.5 lose-rentals 2")),
-        WRITE_WITHOUT_ANSWER(listOf("at 8.5 lose-answer n0 c/hosts/0", "at 8.5 lose-answer n1 c/hosts/0")),
-        WRITE_LATE(listOf("at 8.5 late-commit n0 6 c/hosts/0")),
+        ANSWER_LOST(listOf("at 8.5 lose-rental-replies 1")),
+        ANSWERS_LOST(listOf("at 8.5 lose-rental-replies 2")),
+        WRITE_WITHOUT_ANSWER(listOf("at 8.5 lose-commit-reply n0 c/hosts/0", "at 8.5 lose-commit-reply n1 c/hosts/0")),
+        WRITE_LATE(listOf("at 8.5 delay-commit n0 6 c/hosts/0")),
         LEADER_CRASHES(listOf("at 9.6 crash n0", "at 10.5 start n0")),
         LEADER_CRASHES_LATER(listOf("at 9.9 crash n0", "at 10 start n0")),
-        LEADER_STALLED(listOf("at 9.6 stand-still n0 7")),
-        LEADER_DEPOSED(listOf("at 9.6 cut-state n0 on", "at 20 cut-state n0 off")),
+        LEADER_STALLED(listOf("at 9.6 pause n0 7")),
+        LEADER_DEPOSED(listOf("at 9.6 partition-from-store n0 on", "at 20 partition-from-store n0 off")),
     }
 
     @TestFactory
@@ -43,11 +43,11 @@
 
     private fun runScenario(fault: Fault, answerMs: Long, slowness: Int) {
         val events = listOf(
-            "at 1 slow-rentals ${answerMs / MS_PER_S}",
-            "at 8 slow-state $slowness",
-            "at 9 submit wk-1 team=b tasks=2 kind=service priority=urgent insist=true",
-            "at 9 submit wk-2 team=c tasks=6 kind=service priority=urgent insist=true",
-            "at 30 slow-state 1",
+            "at 1 delay-rental-replies ${answerMs / MS_PER_S}",
+            "at 8 slow-store $slowness",
+            "at 9 submit wk-1 team=b tasks=2 kind=service priority=urgent retry=true",
+            "at 9 submit wk-2 team=c tasks=6 kind=service priority=urgent retry=true",
+            "at 30 slow-store 1",
             "at 80 expect running wk-1 2",
             "at 80 expect running wk-2 6",
             "at 80 expect starts wk-1 2",
--- a/src/test/kotlin/io/reedmast/rollout/RolloutMeasurement.kt
+++ b/src/test/kotlin/io/reedmast/rollout/RolloutMeasurement.kt
@@ -3,9 +3,9 @@
 import io.reedmast.sim.Scenario
 import io.reedmast.sim.SimOperator
 import io.reedmast.sim.World
-import org.HdrHistogram.Histogram
 import java.lang.management.ManagementFactory
 import kotlin.random.Random
+import org.HdrHistogram.Histogram
 
 /**
  * Measures the costs and gains of rolling out dense pages in the simulated world, compared with the same days without
@@ -20,11 +20,11 @@
     private var submissions = 0
 
     private fun scenarioHead(): List<String> = listOf(
-        "nodes 3",
+        "controllers 3",
         "seed 1",
         "value-kb 8",
-        "next-limits 2 5",
-        "limits 35 500 10000",
+        "next-store-limits 2 5",
+        "store-limits 35 500 10000",
         "machine-type m 8 5",
         "machines $machines m x",
         "capacity $machines",
@@ -108,7 +108,7 @@
 
     fun run() {
         val scenario = Scenario(
-            scenarioHead() + "at 5 submit wk-900000 kind=service team=t0 tasks=1 priority=urgent insist=true",
+            scenarioHead() + "at 5 submit wk-900000 kind=service team=t0 tasks=1 priority=urgent retry=true",
         ).also {
             it.run()
         }
--- a/src/test/kotlin/io/reedmast/rollout/RolloutProperties.kt
+++ b/src/test/kotlin/io/reedmast/rollout/RolloutProperties.kt
@@ -34,7 +34,7 @@
 
     data class SetTarget(val feature: String, val target: Target) : Action {
         override fun lines(at: Double) =
-            listOf("at $at operator ${if (target == Target.ENABLED) "enable" else "revert"} $feature perhaps")
+            listOf("at $at operator ${if (target == Target.ENABLED) "enable" else "revert"} $feature any-result")
     }
 
     data class Fault(val line: String) : Action {
@@ -56,16 +56,16 @@
             Arbitraries.of(Target.ENABLED, Target.ENABLED, Target.DORMANT),
         ).`as`(::SetTarget)
         val keys = Arbitraries.of("c/rollout", "c/token", "c/migration", "page/", "c/slice", "c/node")
-        val lost = Combinators.combine(nodes, keys).`as` { node, key -> Fault("lose-answer n$node $key") }
+        val lost = Combinators.combine(nodes, keys).`as` { node, key -> Fault("lose-commit-reply n$node $key") }
         val late = Combinators.combine(nodes, Arbitraries.integers().between(1, 20), keys).`as` { node, s, key ->
-            Fault("late-commit n$node $s $key")
+            Fault("delay-commit n$node $s $key")
         }
         val frozen = Combinators.combine(nodes, Arbitraries.integers().between(1, 20)).`as` { node, s ->
-            Fault("stand-still n$node $s")
+            Fault("pause n$node $s")
         }
-        val outages = Arbitraries.integers().between(1, 8).map { Fault("outage $it") }
-        val excluded = nodes.map { Fault("operator exclude n$it perhaps") }
-        val drained = nodes.map { Fault("operator drain n$it perhaps") }
+        val outages = Arbitraries.integers().between(1, 8).map { Fault("store-outage $it") }
+        val excluded = nodes.map { Fault("operator exclude n$it any-result") }
+        val drained = nodes.map { Fault("operator drain n$it any-result") }
         val actions = Arbitraries.oneOf(replacements, targets, targets, lost, late, frozen, outages, excluded, drained)
         return Combinators.combine(Arbitraries.longs().between(0, 6_000), actions).`as` { ms, action ->
             Step(ms, action as Action)
@@ -82,7 +82,7 @@
         fun settle(final: Target): Map<String, String> {
             targets["fenced-tokens"] = final
             targets["dense-pages"] = final
-            return targets.mapValues { if (it.value == Target.ENABLED) "enabled" else "taken-back" }
+            return targets.mapValues { if (it.value == Target.ENABLED) "enabled" else "reverted" }
         }
     }
 
@@ -108,7 +108,7 @@
         }
         events.add("at ${end + 90} expect form token ${if (final == Target.ENABLED) "fenced" else "open"}")
         events.add("at ${end + 91} expect running wk-1 $TASKS")
-        events.add("at ${end + 91} expect answered")
+        events.add("at ${end + 91} expect all-jobs-answered")
         return head + events.sortedBy { it.split(' ')[1].toDouble() }
     }
 
@@ -139,7 +139,7 @@
         /** By this time late transactions have been carried out and freezes have ended. */
         const val MAX_FAULT_DURATION_S = 30.0
         val head = listOf(
-            "nodes 3",
+            "controllers 3",
             "value-kb 2",
             "versions n0=2 n1=2 n2=2",
             "team a 40 60",
@@ -147,9 +147,9 @@
             "team c 40 60",
             "machine-type m 8 5",
             "machines 10 m x",
-            "at 1 submit wk-1 kind=service team=a tasks=$TASKS priority=urgent insist=true",
-            "at 1 submit wk-2 kind=service team=b tasks=8 priority=urgent insist=true",
-            "at 1 submit wk-3 team=c tasks=30 run=20 insist=true",
+            "at 1 submit wk-1 kind=service team=a tasks=$TASKS priority=urgent retry=true",
+            "at 1 submit wk-2 kind=service team=b tasks=8 priority=urgent retry=true",
+            "at 1 submit wk-3 team=c tasks=30 run=20 retry=true",
         )
     }
 }
--- a/src/test/kotlin/io/reedmast/sim/LargeDay.kt
+++ b/src/test/kotlin/io/reedmast/sim/LargeDay.kt
@@ -38,11 +38,11 @@
         if (rollout) addRollout(Random(seed xor ROLLOUT_SEED))
         val ends = listOf(
             2.0 to "poll-all 5",
-            LAST to "calm",
-            LAST + 60 to "expect answered",
-            LAST + 60 to "expect leader",
+            LAST to "faults-over",
+            LAST + 60 to "expect all-jobs-answered",
+            LAST + 60 to "expect one-leader",
             LAST + 200 to "expect settled",
-            LAST + 201 to "expect answered",
+            LAST + 201 to "expect all-jobs-answered",
         )
         if (rentals) addSlowRentals(Random(seed xor RENTAL_SEED))
         val atStart = if (rentals) machines / RENTED_PART else machines
@@ -51,12 +51,12 @@
             "seed $seed",
             "capacity ${machines + machines / 4}",
             "value-kb 8",
-            "limits 60 40 400",
+            "store-limits 60 40 400",
             if (rentals) "machine-type m 8 0.2" else "machine-type m 8 5",
             "machines $zone m x",
             "machines ${atStart - zone - zone / 2} m y",
             "machines ${zone / 2} m y spot",
-        ) + (if (upgrade) listOf("next-limits 2 5", "old n0 n1 n2") else emptyList()) +
+        ) + (if (upgrade) listOf("next-store-limits 2 5", "predates-rollouts n0 n1 n2") else emptyList()) +
             (0 until TEAMS).map { "team t$it ${machines / 2} ${machines * 2}" }
         return head + (events + troubles + ends).sortedBy { it.first }.map { "at ${it.first} ${it.second}" }
     }
@@ -83,11 +83,11 @@
         // Half of all jobs come in bursts, as users do once a trouble is over.
         val from = if (random.nextBoolean()) time(3.0, LAST - 15.0) else random.nextInt(1, 6) * 15.0 + time(0.0, 0.3)
         val team = "t${random.nextInt(TEAMS)}"
-        events.add(from to "submit wk-$index team=$team tasks=$taskCount $shape$zones insist=true")
+        events.add(from to "submit wk-$index team=$team tasks=$taskCount $shape$zones retry=true")
         when (random.nextInt(6)) {
             0 -> events.add(time(from + 0.5, LAST) to "abort-everywhere wk-$index")
             1 -> events.add(time(from + 0.05, from + 4.0) to "abort-everywhere wk-$index")
-            2 -> if (!service && taskCount < 20) events.add(from to "meet-end wk-$index")
+            2 -> if (!service && taskCount < 20) events.add(from to "race-completion wk-$index")
         }
     }
 
@@ -98,7 +98,7 @@
             at(turn + chance.nextDouble(0.5, 5.0), "start n$controller")
             turn += chance.nextDouble(1.0, 12.0)
         }
-        at(turn + chance.nextDouble(0.0, 20.0), "lower-limits")
+        at(turn + chance.nextDouble(0.0, 20.0), "lower-store-limits")
         for (i in 1..jobs / GANGS_PART) {
             val from = Math.round(chance.nextDouble(turn, LAST - 15.0) * 100) / 100.0
             val zones = if (chance.nextBoolean()) " oneZone=true" else ""
@@ -108,7 +108,7 @@
                     "submit wk-${1_000_000 + i} kind=gang team=$team tasks=${chance.nextInt(
                         2,
                         40,
-                    )} run=${chance.nextInt(2, 25)}$zones insist=true",
+                    )} run=${chance.nextInt(2, 25)}$zones retry=true",
             )
         }
     }
@@ -118,10 +118,10 @@
         for (feature in features) {
             at(
                 Math.round(chance.nextDouble(20.0, 45.0) * 10) / 10.0,
-                "operator enable $feature perhaps",
+                "operator enable $feature any-result",
             )
         }
-        at(Math.round(chance.nextDouble(50.0, LAST) * 10) / 10.0, "operator revert dense-pages perhaps")
+        at(Math.round(chance.nextDouble(50.0, LAST) * 10) / 10.0, "operator revert dense-pages any-result")
         for (feature in features) {
             at(LAST + 5, "operator enable $feature")
             at(LAST + 199, "expect gate $feature enabled")
@@ -130,13 +130,13 @@
 
     private fun addSlowRentals(chance: Random) {
         fun moment() = Math.round(chance.nextDouble(2.0, LAST) * 10) / 10.0
-        at(1.0, "slow-rentals 0.4")
+        at(1.0, "delay-rental-replies 0.4")
         repeat(8) {
-            at(moment(), "slow-rentals ${chance.nextInt(1, 60) * 0.02}")
-            at(moment(), "lose-rentals ${chance.nextInt(1, 4)}")
-            at(moment(), "slow-state ${chance.nextInt(1, 20)}")
+            at(moment(), "delay-rental-replies ${chance.nextInt(1, 60) * 0.02}")
+            at(moment(), "lose-rental-replies ${chance.nextInt(1, 4)}")
+            at(moment(), "slow-store ${chance.nextInt(1, 20)}")
         }
-        at(LAST - 1, "slow-state 1")
+        at(LAST - 1, "slow-store 1")
     }
 
     private fun at(seconds: Double, what: String) = troubles.add(seconds to what)
@@ -152,22 +152,22 @@
         val controller = controller()
         when (random.nextInt(17)) {
             0, 1 -> {
-                at(from, "late-writes ${listOf(0.1, 0.2, 0.3).random(random)}")
-                at(long, "late-writes 0")
+                at(from, "delayed-commit-rate ${listOf(0.1, 0.2, 0.3).random(random)}")
+                at(long, "delayed-commit-rate 0")
             }
 
             2, 3 -> {
-                at(from, "lost-answers ${listOf(0.1, 0.2, 0.3).random(random)}")
-                at(long, "lost-answers 0")
+                at(from, "lost-reply-rate ${listOf(0.1, 0.2, 0.3).random(random)}")
+                at(long, "lost-reply-rate 0")
             }
 
             4, 5 -> {
-                at(from, "slow-state ${random.nextInt(5, 40)}")
-                at(long, "slow-state 1")
+                at(from, "slow-store ${random.nextInt(5, 40)}")
+                at(long, "slow-store 1")
             }
 
-            6 -> at(from, "outage ${short - from}")
-            7 -> at(from, "outage ${time(20.0, 60.0)}")
+            6 -> at(from, "store-outage ${short - from}")
+            7 -> at(from, "store-outage ${time(20.0, 60.0)}")
             8, 9 -> {
                 at(from, "crash $controller")
                 at(time(from + 0.1, from + 1.0), "start $controller")
@@ -178,19 +178,19 @@
                 for (i in 0 until MEMBERS) at(time(from + 0.2, short), "start n$i")
             }
 
-            11 -> switch("cut-state $controller", from, long)
-            12 -> switch("cut-workers $controller", from, long)
-            13 -> at(from, "stand-still $controller ${short - from}")
+            11 -> switch("partition-from-store $controller", from, long)
+            12 -> switch("partition-from-workers $controller", from, long)
+            13 -> at(from, "pause $controller ${short - from}")
             14 -> repeat(random.nextInt(3, 30)) { at(from, "hang ${machine()} ${short - from}") }
             15 -> repeat(random.nextInt(3, 30)) {
                 val machine = machine()
-                at(from, "copies $machine ${random.nextInt(2, 40)}")
-                at(long, "copies $machine 0")
+                at(from, "repeat-reports $machine ${random.nextInt(2, 40)}")
+                at(long, "repeat-reports $machine 0")
             }
 
             16 -> {
-                at(from, "repeat-direct ${random.nextInt(2, 30)}")
-                at(long, "repeat-direct 0")
+                at(from, "repeat-direct-calls ${random.nextInt(2, 30)}")
+                at(long, "repeat-direct-calls 0")
                 repeat(random.nextInt(1, 10)) { at(from, "kill-machine ${machine()}") }
             }
         }
--- a/src/test/kotlin/io/reedmast/sim/RandomDay.kt
+++ b/src/test/kotlin/io/reedmast/sim/RandomDay.kt
@@ -39,10 +39,10 @@
         if (rollout) addRollout(Random(seed xor ROLLOUT_SEED))
         if (rentals) addSlowRentals(Random(seed xor RENTAL_SEED))
         if (contested) addContestedMachines(Random(seed xor CONTESTED_SEED))
-        at(LAST, "calm")
-        at(LAST + 60, "expect answered")
+        at(LAST, "faults-over")
+        at(LAST + 60, "expect all-jobs-answered")
         at(LAST + 220, "expect settled")
-        at(LAST + 221, "expect answered")
+        at(LAST + 221, "expect all-jobs-answered")
         val head =
             listOf(
                 "seed $seed",
@@ -55,7 +55,18 @@
                 (0 until if (rentals) seed.toInt() % 3 else MACHINES).map {
                     "machine m ${if (it % 2 == 0) "x" else "y"}${if (it % 4 == 3) " spot" else ""}"
                 }
-        return head + (if (upgrade) listOf("value-kb 8", "next-limits 1 5", "old n0 n1 n2") else emptyList()) +
+        return head +
+            (
+                if (upgrade) {
+                    listOf(
+                        "value-kb 8",
+                        "next-store-limits 1 5",
+                        "predates-rollouts n0 n1 n2",
+                    )
+                } else {
+                    emptyList()
+                }
+                ) +
             (if (rollout) listOf("versions n0=${seed % 4} n1=${seed / 4 % 4} n2=${seed / 16 % 4}") else emptyList()) +
             events.sortedBy { it.first }.map { "at ${it.first} ${it.second}" }
     }
@@ -63,21 +74,27 @@
     /** Workers report before the leader knows that it has rented their machines, more often the slower the store is. */
     private fun addSlowRentals(chance: Random) {
         fun moment(from: Double, to: Double) = Math.round(chance.nextDouble(from, to) * 10) / 10.0
-        at(1.0, "slow-rentals ${chance.nextInt(1, 60) * 0.02}")
+        at(1.0, "delay-rental-replies ${chance.nextInt(1, 60) * 0.02}")
         repeat(6) {
-            at(moment(2.0, LAST), "slow-rentals ${chance.nextInt(1, 60) * listOf(0.005, 0.02, 0.1).random(chance)}")
-            at(moment(2.0, LAST), "lose-rentals ${chance.nextInt(1, 4)}")
+            at(
+                moment(2.0, LAST),
+                "delay-rental-replies ${chance.nextInt(1, 60) * listOf(0.005, 0.02, 0.1).random(chance)}",
+            )
+            at(moment(2.0, LAST), "lose-rental-replies ${chance.nextInt(1, 4)}")
         }
         repeat(2) {
             val from = moment(2.0, LAST - 10.0)
-            at(from, "slow-state ${chance.nextInt(5, 60)}")
-            at(moment(from, LAST), "slow-state 1")
+            at(from, "slow-store ${chance.nextInt(5, 60)}")
+            at(moment(from, LAST), "slow-store 1")
         }
     }
 
     private fun addContestedMachines(chance: Random) = repeat(chance.nextInt(2, 8)) {
         val machine = "host-%06d".format(chance.nextInt(MACHINES + 4))
-        at(Math.round(chance.nextDouble(4.0, LAST) * 10) / 10.0, "plant-record $machine ${chance.nextInt(MEMBERS)}")
+        at(
+            Math.round(chance.nextDouble(4.0, LAST) * 10) / 10.0,
+            "duplicate-machine-record $machine ${chance.nextInt(MEMBERS)}",
+        )
     }
 
     private fun jobs() {
@@ -95,13 +112,13 @@
                     "a",
                     "b",
                     "c",
-                ).random(random)} tasks=$taskCount $shape priority=$priority$zones$spot insist=true",
+                ).random(random)} tasks=$taskCount $shape priority=$priority$zones$spot retry=true",
             )
             when (random.nextInt(6)) {
-                0 -> at(time(from + 1.0, LAST), "abort wk-$i insist=true")
-                1 -> if (!service) at(from, "meet-end wk-$i")
+                0 -> at(time(from + 1.0, LAST), "abort wk-$i retry=true")
+                1 -> if (!service) at(from, "race-completion wk-$i")
             }
-            repeat(3) { at(time(from, LAST), "ask wk-$i via=${controller()}") }
+            repeat(3) { at(time(from, LAST), "poll wk-$i via=${controller()}") }
         }
     }
 
@@ -116,9 +133,9 @@
                 "submit $jobId team=$team tasks=${chance.nextInt(
                     15,
                     40,
-                )} run=${chance.nextInt(1, 5)} spot=${chance.nextBoolean()} insist=true",
+                )} run=${chance.nextInt(1, 5)} spot=${chance.nextBoolean()} retry=true",
             )
-            if (chance.nextInt(5) == 0) at(from + chance.nextInt(1, 30), "abort $jobId insist=true")
+            if (chance.nextInt(5) == 0) at(from + chance.nextInt(1, 30), "abort $jobId retry=true")
         }
         var turn = chance.nextDouble(8.0, 30.0)
         for (controller in (0 until MEMBERS).shuffled(chance)) {
@@ -126,7 +143,7 @@
             at(turn + chance.nextDouble(0.2, 6.0), "start n$controller")
             turn += chance.nextDouble(0.1, 15.0)
         }
-        at(turn + chance.nextDouble(0.0, if (chance.nextBoolean()) 3.0 else 25.0), "lower-limits")
+        at(turn + chance.nextDouble(0.0, if (chance.nextBoolean()) 3.0 else 25.0), "lower-store-limits")
         return turn
     }
 
@@ -139,7 +156,7 @@
         val features = listOf("fenced-tokens", "dense-pages")
         repeat(chance.nextInt(2, 7)) {
             val wish = listOf("enable", "enable", "revert").random(chance)
-            at(moment(5.0, LAST), "operator $wish ${features.random(chance)} by=${it % 2} perhaps")
+            at(moment(5.0, LAST), "operator $wish ${features.random(chance)} by=${it % 2} any-result")
         }
         repeat(chance.nextInt(1, 6)) {
             val controller = "n${chance.nextInt(MEMBERS)}"
@@ -147,8 +164,8 @@
             at(from, "version $controller ${chance.nextInt(0, 4)}")
             at(moment(from + 0.1, from + if (chance.nextBoolean()) 0.6 else 20.0), "start $controller")
         }
-        if (chance.nextBoolean()) at(moment(20.0, LAST), "operator exclude n${chance.nextInt(MEMBERS)} perhaps")
-        if (chance.nextBoolean()) at(moment(10.0, LAST), "operator drain n${chance.nextInt(MEMBERS)} perhaps")
+        if (chance.nextBoolean()) at(moment(20.0, LAST), "operator exclude n${chance.nextInt(MEMBERS)} any-result")
+        if (chance.nextBoolean()) at(moment(10.0, LAST), "operator drain n${chance.nextInt(MEMBERS)} any-result")
         for (i in 0 until MEMBERS) {
             at(LAST - 0.2, "version n$i 3")
             at(LAST - 0.1 + i * 0.1, "start n$i")
@@ -157,8 +174,8 @@
         for (feature in if (enabled) features else features.reversed()) {
             // A dependency is taken back only after what depends on it.
             val wishes = if (enabled || feature == "dense-pages") listOf(LAST + 3.0) else listOf(LAST + 60.0)
-            wishes.forEach { at(it, "operator ${if (enabled) "enable" else "revert"} $feature perhaps") }
-            at(LAST + 215, "expect gate $feature ${if (enabled) "enabled" else "taken-back"}")
+            wishes.forEach { at(it, "operator ${if (enabled) "enable" else "revert"} $feature any-result") }
+            at(LAST + 215, "expect gate $feature ${if (enabled) "enabled" else "reverted"}")
         }
         at(LAST + 216, "expect form token ${if (enabled) "fenced" else "open"}")
     }
@@ -179,11 +196,11 @@
                 "submit $jobId kind=gang team=$team tasks=$taskCount run=${chance.nextInt(
                     2,
                     40,
-                )} priority=$priority$zones$saves$image insist=true",
+                )} priority=$priority$zones$saves$image retry=true",
             )
             when (chance.nextInt(6)) {
-                0 -> at(from + chance.nextInt(1, 30), "abort $jobId insist=true")
-                1 -> at(from, "meet-end $jobId")
+                0 -> at(from + chance.nextInt(1, 30), "abort $jobId retry=true")
+                1 -> at(from, "race-completion $jobId")
             }
         }
     }
@@ -194,12 +211,12 @@
         if (kind > 2) return
         val from = time(15.0, 50.0)
         val controller = controller()
-        at(from, "outage ${time(10.0, 60.0)}")
+        at(from, "store-outage ${time(10.0, 60.0)}")
         val then = time(from - 3.0, from + 8.0)
         when (kind) {
             0 -> {
-                at(then, "cut-peers $controller on")
-                at(time(then + 1.0, LAST), "cut-peers $controller off")
+                at(then, "partition-from-peers $controller on")
+                at(time(then + 1.0, LAST), "partition-from-peers $controller off")
             }
 
             1 -> {
@@ -208,8 +225,8 @@
             }
 
             else -> {
-                at(time(from - 8.0, from), "cut-state $controller on")
-                at(time(from + 1.0, LAST), "cut-state $controller off")
+                at(time(from - 8.0, from), "partition-from-store $controller on")
+                at(time(from + 1.0, LAST), "partition-from-store $controller off")
             }
         }
     }
@@ -224,14 +241,14 @@
         val controller = controller()
         val machine = machine()
         when (random.nextInt(24)) {
-            0 -> at(from, "outage ${short - from}")
-            1 -> at(from, "outage ${long - from}")
-            2 -> switch("cut-state $controller", long)
+            0 -> at(from, "store-outage ${short - from}")
+            1 -> at(from, "store-outage ${long - from}")
+            2 -> switch("partition-from-store $controller", long)
             3 -> {
-                switch("cut-state $controller", long)
-                switch("cut-peers $controller", long)
+                switch("partition-from-store $controller", long)
+                switch("partition-from-peers $controller", long)
             }
-            4 -> switch("cut-workers $controller", long)
+            4 -> switch("partition-from-workers $controller", long)
             5 -> {
                 at(from, "crash $controller")
                 at(time(from + 0.1, from + 1.0), "start $controller")
@@ -244,44 +261,44 @@
                 at(from, "crash n0 n1 n2")
                 for (i in 0 until MEMBERS) at(time(from + 0.2, short), "start n$i")
             }
-            8 -> at(from, "stand-still $controller ${short - from}")
+            8 -> at(from, "pause $controller ${short - from}")
             9 -> at(from, "hang $machine ${short - from}")
-            10 -> switch("cut-machine $machine", long)
-            11 -> switch("deafen $machine", long)
-            12 -> switch("mute $machine", long)
+            10 -> switch("partition-machine $machine", long)
+            11 -> switch("set-unreachable $machine", long)
+            12 -> switch("block-reports $machine", long)
             13 -> {
-                at(from, "late-writes 0.2")
-                at(long, "late-writes 0")
+                at(from, "delayed-commit-rate 0.2")
+                at(long, "delayed-commit-rate 0")
             }
             14 -> {
-                at(from, "copies $machine ${random.nextInt(2, 40)}")
-                at(long, "copies $machine 0")
+                at(from, "repeat-reports $machine ${random.nextInt(2, 40)}")
+                at(long, "repeat-reports $machine 0")
             }
             15 -> {
-                at(from, "repeat-direct ${random.nextInt(2, 30)}")
-                at(long, "repeat-direct 0")
+                at(from, "repeat-direct-calls ${random.nextInt(2, 30)}")
+                at(long, "repeat-direct-calls 0")
             }
-            17 -> at(from, "late-direct ${random.nextInt(2, 40)}")
+            17 -> at(from, "delay-direct-calls ${random.nextInt(2, 40)}")
 
             18 -> {
-                at(from, "lag-jobs $controller ${random.nextInt(2, 60)}")
-                at(long, "lag-jobs $controller 0")
+                at(from, "delay-job-watch $controller ${random.nextInt(2, 60)}")
+                at(long, "delay-job-watch $controller 0")
             }
 
             19 -> {
-                at(from, "slow-state ${random.nextInt(5, 40)}")
-                at(long, "slow-state 1")
+                at(from, "slow-store ${random.nextInt(5, 40)}")
+                at(long, "slow-store 1")
             }
 
             20 -> at(from, "kill-machine $machine")
 
-            21 -> switch("sicken $machine", long)
+            21 -> switch("set-unhealthy $machine", long)
 
-            22 -> switch("cloud-out", long)
+            22 -> switch("cloud-outage", long)
 
-            23 -> switch("lose-answers $machine", long)
+            23 -> switch("lose-report-replies $machine", long)
 
-            16 -> switch("darken ${if (random.nextBoolean()) "x" else "y"}", long)
+            16 -> switch("partition-zone ${if (random.nextBoolean()) "x" else "y"}", long)
         }
     }
 
--- a/src/test/kotlin/io/reedmast/sim/Scenario.kt
+++ b/src/test/kotlin/io/reedmast/sim/Scenario.kt
@@ -17,25 +17,27 @@
 import io.reedmast.wire.MachineType
 import io.reedmast.wire.TaskId
 import io.reedmast.wire.UserAnswer
+import kotlin.random.Random
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
-import kotlin.random.Random
 
 /**
- * Plays a day in the stand-in world. A line is `at SECONDS VERB ARGUMENTS`, in order of time; before them `controllers N`,
- * `value-kb N`, `next-limits VALUE_KB TXN_OPS`, `old NODES`, `versions NODE=VERSION`, `team NAME CPUS MAX`,
- * `machine-type NAME CPUS BOOT_S`, `machine TYPE ZONE [spot]`, `machines N TYPE ZONE [spot]`, `capacity N`, `seed N`,
- * `limits WRITES_PER_S PAGE_ITEMS KEPT_CHANGES`. The rules of the protocol, with those that its users added, are
- * checked throughout; `expect` lines say what else must hold.
+ * Runs a scenario against simulated machines, store and cloud.
+ *
+ * The events are lines `at SECONDS VERB ARGUMENTS`, in order of time. Before them stand the settings: `controllers N`,
+ * `value-kb N`, `next-store-limits VALUE_KB TXN_OPS`, `predates-rollouts CONTROLLERS`, `versions CONTROLLER=VERSION`,
+ * `team NAME CPUS MAX`, `machine-type NAME CPUS BOOT_S`, `machine TYPE ZONE [spot]`, `machines N TYPE ZONE [spot]`,
+ * `capacity N`, `seed N`, `store-limits WRITES_PER_S PAGE_ITEMS KEPT_CHANGES`. The rules of the protocol, and the rules
+ * that its users added, are checked throughout; `expect` lines say what else must hold.
  */
 class Scenario(lines: List<String>) {
     private val lines = lines.map {
         it.substringBefore('#').trim()
     }.filter { it.isNotEmpty() }.map { it.split(Regex("\\s+")) }
     private val teams = given("team").map { TeamShare(it[1], it[2].toDouble(), it[3].toDouble(), 0.0, 0.0) }
-    private val controllers = given("nodes").firstOrNull()?.get(1)?.toInt() ?: 3
+    private val controllers = given("controllers").firstOrNull()?.get(1)?.toInt() ?: 3
     private val valueBytes = ((given("value-kb").firstOrNull()?.get(1)?.toDouble() ?: 8.0) * 1024).toInt()
-    private val nextLimits = given("next-limits").firstOrNull()?.let {
+    private val nextLimits = given("next-store-limits").firstOrNull()?.let {
         StoreLimits(100.0, 50.0, (it[1].toDouble() * 1024).toInt(), it[2].toInt())
     }
     private val machineTypes = given("machine-type").map {
@@ -44,10 +46,10 @@
     val world = World(::settings, controllers, machineTypes)
 
     private val rolloutOperator = SimOperator(world)
-    private var notedWrites = 0
+    private var snapshotWriteCount = 0
 
     /** Where tasks of a job were, and under which attempts, when a line asked for it. */
-    private val noted = HashMap<String, Map<TaskId, Pair<String, Long>>>()
+    private val attemptSnapshots = HashMap<String, Map<TaskId, Pair<String, Long>>>()
 
     private fun given(word: String) = lines.filter { it[0] == word }
 
@@ -82,8 +84,8 @@
                 )
             }
         }
-        given("limits").forEach { limit(it[1].toDouble(), it[2].toInt(), it[3].toInt()) }
-        given("old").flatMap {
+        given("store-limits").forEach { setStoreLimits(it[1].toDouble(), it[2].toInt(), it[3].toInt()) }
+        given("predates-rollouts").flatMap {
             it.drop(1)
         }.forEach { label -> world.controllers.first { it.label == label }.predatesRollouts = true }
         given("versions").flatMap {
@@ -94,7 +96,7 @@
         checkRules()
         for (line in given("at")) {
             world.runUntil((line[1].toDouble() * 1000).toLong() + 1_000)
-            act(line.drop(2))
+            execute(line.drop(2))
         }
         assertEquals(emptyList<String>(), world.rules.violations)
     }
@@ -102,7 +104,7 @@
     /**
      * The store as it is at size: so many changes a second, so many items in a page of a listing, so many changes kept.
      */
-    private fun limit(writesPerS: Double, pageItems: Int, keptChanges: Int) {
+    private fun setStoreLimits(writesPerS: Double, pageItems: Int, keptChanges: Int) {
         world.writesPerS = writesPerS
         world.store.pageSize = pageItems
         world.store.retainedChanges = keptChanges
@@ -131,16 +133,23 @@
         world.after(everyMs) { pollAll(everyMs) }
     }
 
-    private fun plantLostJob(jobId: String) {
+    private fun dropJobFromOwner(jobId: String) {
         val lost = world.controllers.mapNotNull { it.process }.flatMap { it.cluster.activeOwners() }.any {
             it.shardState.jobs.remove(jobId) !=
                 null
         }
-        if (!lost) world.after(1) { plantLostJob(jobId) }
+        if (!lost) world.after(1) { dropJobFromOwner(jobId) }
     }
 
-    /** As users do: the request is repeated, each time at another controller, until it is answered or a minute is over. */
-    private fun insist(jobId: String, question: (Controller, (UserAnswer) -> Unit) -> Unit, since: Long = world.now()) {
+    /**
+     * Repeats the request every 1.5 s, each time at a randomly chosen running controller, until it is answered with a
+     * status below 429 or 60 s have passed, as users do.
+     */
+    private fun retryUntilAnswered(
+        jobId: String,
+        question: (Controller, (UserAnswer) -> Unit) -> Unit,
+        since: Long = world.now(),
+    ) {
         if (world.now() - since > 60_000) return
         var answered = false
         world.controllers.filter { it.up }.randomOrNull(world.random)?.sendRequest(jobId, question) {
@@ -150,10 +159,10 @@
                 answered = true
             }
         }
-        world.after(1_500) { if (!answered) insist(jobId, question, since) }
+        world.after(1_500) { if (!answered) retryUntilAnswered(jobId, question, since) }
     }
 
-    private fun act(words: List<String>) {
+    private fun execute(words: List<String>) {
         val args = words.filter { '=' in it }.associate { it.substringBefore('=') to it.substringAfter('=') }
         val controller = world.controllers.filter { it.up }.let { up ->
             up.firstOrNull { it.label == args["via"] }
@@ -169,8 +178,8 @@
                         args["fails"] == "true",
                     )
                 }
-                if (args["insist"] == "true") {
-                    insist(words[1], { c, answer -> c.submit(spec, answer) })
+                if (args["retry"] == "true") {
+                    retryUntilAnswered(words[1], { c, answer -> c.submit(spec, answer) })
                     return
                 }
                 controller?.sendRequest(words[1], { c, answer -> c.submit(spec, answer) }) { answer ->
@@ -182,12 +191,12 @@
             "submit-stream" -> repeat(words[2].toInt()) { index ->
                 val jobId = "wk-${words[1].substringAfter('-').toInt() + index}"
                 world.after((index * words[3].toDouble() * 1000).toLong()) {
-                    act(listOf("submit", jobId) + words.drop(4))
+                    execute(listOf("submit", jobId) + words.drop(4))
                 }
             }
 
-            "abort" -> if (args["insist"] == "true") {
-                insist(words[1], { c, answer -> c.cancel(words[1], answer) })
+            "abort" -> if (args["retry"] == "true") {
+                retryUntilAnswered(words[1], { c, answer -> c.cancel(words[1], answer) })
             } else {
                 controller?.sendRequest(words[1], { c, answer -> c.cancel(words[1], answer) })
             }
@@ -199,26 +208,26 @@
                         it.up
                     }.forEach { asked -> asked.sendRequest(words[1], { c, answer -> c.cancel(words[1], answer) }) }
                 }
-                insist(words[1], { c, answer -> c.cancel(words[1], answer) })
+                retryUntilAnswered(words[1], { c, answer -> c.cancel(words[1], answer) })
             }
 
             // Users ask about every job that was accepted, each at some controller, from now on.
             "poll-all" -> pollAll((words[1].toDouble() * 1000).toLong())
 
-            "ask" -> controller?.sendRequest(words[1], { c, answer -> c.poll(words[1], answer) })
+            "poll" -> controller?.sendRequest(words[1], { c, answer -> c.poll(words[1], answer) })
             // The job is called off, asked about and submitted again at the moment when its last task ends.
-            "meet-end" -> world.onCompletion(words[1]) {
+            "race-completion" -> world.onCompletion(words[1]) {
                 val spec = world.jobs.getValue(words[1]).spec
-                insist(words[1], { c, answer -> c.cancel(words[1], answer) })
-                insist(words[1], { c, answer -> c.poll(words[1], answer) })
-                insist(words[1], { c, answer -> c.submit(spec, answer) })
+                retryUntilAnswered(words[1], { c, answer -> c.cancel(words[1], answer) })
+                retryUntilAnswered(words[1], { c, answer -> c.poll(words[1], answer) })
+                retryUntilAnswered(words[1], { c, answer -> c.submit(spec, answer) })
             }
             "crash" -> words.drop(1).forEach { label -> world.controllers.first { it.label == label }.crash() }
             "start" -> words.drop(1).forEach { label -> world.controllers.first { it.label == label }.start() }
             // The machine stands in the records of this shard too, as an earlier version left it at times.
-            "plant-record" -> world.store.duplicateMachineRecord(words[1], words[2].toInt())
+            "duplicate-machine-record" -> world.store.duplicateMachineRecord(words[1], words[2].toInt())
             // What runs of the job runs on this machine, and is stored so. Only while no controller is up.
-            "plant-work" -> {
+            "move-tasks" -> {
                 world.workers.values.toList().forEach { it.moveTasks(words[1], world.workers.getValue(words[2])) }
                 world.store.movePlacements(words[1], words[2])
             }
@@ -235,63 +244,69 @@
                 setVersion(words[1], words[2].toInt())
             }
             // What the controller's deploy file wishes, from its next start on.
-            "desire" -> world.controllers.first { it.label == words[1] }.desired =
+            "set-desired-targets" -> world.controllers.first { it.label == words[1] }.desired =
                 args.entries.associate { FeatureName(it.key) to Target.of(it.value) }
             "clock-error" -> world.controllers.first { it.label == words[1] }.clockErrorMs = words[2].toLong()
-            "note-writes" -> notedWrites = world.store.writeCount
+            "snapshot-write-count" -> snapshotWriteCount = world.store.writeCount
             "operator" -> rolloutOperator.act(words.drop(1))
             // The store takes less from now on, without a word.
-            "lower-limits" -> world.store.reducedLimits = nextLimits ?: error("no next-limits are given")
-            "outage" -> world.store.outage((words[1].toDouble() * 1000).toLong())
-            "cut-state" -> world.controllers.first { it.label == words[1] }.partitionedFromStore = words[2] == "on"
-            "cut-workers" -> world.controllers.first { it.label == words[1] }.partitionedFromWorkers = words[2] == "on"
-            "cut-peers" -> world.controllers.first { it.label == words[1] }.partitionedFromPeers = words[2] == "on"
-            "cut-machine" -> world.workers[words[1]]?.partitioned = words[2] == "on"
+            "lower-store-limits" -> world.store.reducedLimits = nextLimits ?: error("no next-store-limits are given")
+            "store-outage" -> world.store.outage((words[1].toDouble() * 1000).toLong())
+            "partition-from-store" -> world.controllers.first { it.label == words[1] }.partitionedFromStore =
+                words[2] == "on"
+            "partition-from-workers" -> world.controllers.first { it.label == words[1] }.partitionedFromWorkers =
+                words[2] == "on"
+            "partition-from-peers" -> world.controllers.first { it.label == words[1] }.partitionedFromPeers =
+                words[2] == "on"
+            "partition-machine" -> world.workers[words[1]]?.partitioned = words[2] == "on"
             // Nothing passes between a zone's machines, the coming ones included, and any controller.
-            "darken" -> world.setZonePartitioned(words[1], words[2] == "on")
-            "sicken" -> world.workers[words[1]]?.unhealthy = words[2] == "on"
-            "deafen" -> world.workers[words[1]]?.unreachable = words[2] == "on"
-            "copies" -> world.workers[words[1]]?.heartbeatCopyDelayMs = (words[2].toDouble() * 1000).toLong()
-            "lag-jobs" -> world.controllers.first { it.label == words[1] }.jobWatchIntervalMs =
+            "partition-zone" -> world.setZonePartitioned(words[1], words[2] == "on")
+            "set-unhealthy" -> world.workers[words[1]]?.unhealthy = words[2] == "on"
+            "set-unreachable" -> world.workers[words[1]]?.unreachable = words[2] == "on"
+            "repeat-reports" -> world.workers[words[1]]?.heartbeatCopyDelayMs = (words[2].toDouble() * 1000).toLong()
+            "delay-job-watch" -> world.controllers.first { it.label == words[1] }.jobWatchIntervalMs =
                 (words[2].toDouble() * 1000).toLong()
-            "slow-state" -> world.storeSlowdown = words[1].toLong()
-            "spoil" -> world.store.corrupt(words[1])
+            "slow-store" -> world.storeSlowdown = words[1].toLong()
+            "corrupt-record" -> world.store.corrupt(words[1])
             // Its power is gone: nobody is told.
             "kill-machine" -> world.workers[words[1]]?.powerOff()
             // It reaches no controller, while direct commands reach it.
-            "mute" -> world.workers[words[1]]?.heartbeatsLost = words[2] == "on"
+            "block-reports" -> world.workers[words[1]]?.heartbeatsLost = words[2] == "on"
             // That share of transactions gets no answer and is carried out 2 to 12 s later, after newer ones.
-            "late-writes" -> world.delayedCommitRate = words[1].toDouble()
+            "delayed-commit-rate" -> world.delayedCommitRate = words[1].toDouble()
             // A planted fault: the owner's books lose the job as soon as it is in them.
-            "plant-lost-job" -> plantLostJob(words[1])
-            "lose-answer" -> world.controllers.first { it.label == words[1] }.loseCommitReplyFor = words[2]
+            "drop-job-from-owner" -> dropJobFromOwner(words[1])
+            "lose-commit-reply" -> world.controllers.first { it.label == words[1] }.loseCommitReplyFor = words[2]
             // The first part of a page cannot be read any more.
-            "spoil-chunk" -> world.store.corruptChunk(words[1])
+            "corrupt-chunk" -> world.store.corruptChunk(words[1])
             // From now on the cloud says that machines of this type have only so many CPUs.
-            "shrink-type" ->
+            "set-type-cpus" ->
                 world.machineTypes =
                     world.machineTypes.map { if (it.label == words[1]) it.copy(cpus = words[2].toDouble()) else it }
             // That share of transactions is carried out at once, and only the answer is lost.
-            "lost-answers" -> world.lostReplyRate = words[1].toDouble()
-            "note-attempts" -> noted[words[1]] = world.attempts(words[1])
+            "lost-reply-rate" -> world.lostReplyRate = words[1].toDouble()
+            "snapshot-attempts" -> attemptSnapshots[words[1]] = world.attempts(words[1])
             // From now on nothing goes wrong any more.
-            "calm" -> world.faultFreeSince = world.now()
-            "lose-answers" -> world.workers[words[1]]?.heartbeatAnswersLost = words[2] == "on"
+            "faults-over" -> world.faultFreeSince = world.now()
+            "lose-report-replies" -> world.workers[words[1]]?.heartbeatAnswersLost = words[2] == "on"
             "hang" -> world.workers[words[1]]?.hang((words[2].toDouble() * 1000).toLong())
-            "stand-still" -> world.controllers.first {
+            "pause" -> world.controllers.first {
                 it.label == words[1]
             }.pause((words[2].toDouble() * 1000).toLong())
-            "repeat-direct" -> world.directCallRepeatDelayMs = (words[1].toDouble() * 1000).toLong()
-            "late-direct" -> world.controllers.forEach { it.directCallDelayMs = (words[1].toDouble() * 1000).toLong() }
-            "late-commit" -> world.controllers.first { it.label == words[1] }.run {
+            "repeat-direct-calls" -> world.directCallRepeatDelayMs = (words[1].toDouble() * 1000).toLong()
+            "delay-direct-calls" -> world.controllers.forEach {
+                it.directCallDelayMs =
+                    (words[1].toDouble() * 1000).toLong()
+            }
+            "delay-commit" -> world.controllers.first { it.label == words[1] }.run {
                 commitDelayMs = (words[2].toDouble() * 1000).toLong()
                 delayedCommitKey = words[3]
             }
             // Machines are rented at once, and the answers to rentals come so much later.
-            "slow-rentals" -> world.provisioningReplyDelayMs = (words[1].toDouble() * 1000).toLong()
+            "delay-rental-replies" -> world.provisioningReplyDelayMs = (words[1].toDouble() * 1000).toLong()
             // So many answers to rentals are lost; the machines are rented all the same.
-            "lose-rentals" -> world.provisioningRepliesToLose = words[1].toInt()
-            "cloud-out" -> world.cloudUnavailable = words[1] == "on"
+            "lose-rental-replies" -> world.provisioningRepliesToLose = words[1].toInt()
+            "cloud-outage" -> world.cloudUnavailable = words[1] == "on"
             "expect" -> expect(words.drop(1), args)
             else -> error("unknown verb ${words[0]}")
         }
@@ -325,7 +340,7 @@
                 assertEquals(words[2].toInt(), running, at)
             }
 
-            "running-in" -> {
+            "running-in-zone" -> {
                 val running = world.workers.values.filter { it.zone == words[1] }.sumOf { w ->
                     w.startedTasks().count {
                         it.jobId ==
@@ -342,33 +357,33 @@
 
             "machines" -> assertEquals(words[1].toInt(), world.workers.size, at)
 
-            "returned-none" -> assertEquals(emptyList<String>(), world.returnedMachines, at)
+            "none-returned" -> assertEquals(emptyList<String>(), world.returnedMachines, at)
 
             "returned" -> assertTrue(words[1] in world.returnedMachines, "$at: returned are ${world.returnedMachines}")
 
             "starts" -> assertEquals(words[2].toInt(), world.rules.startCounts[words[1]] ?: 0, at)
 
             // At least one of its tasks has begun to run.
-            "begun" -> assertTrue((world.rules.startCounts[words[1]] ?: 0) > 0, "$at: nothing of it has started")
+            "started" -> assertTrue((world.rules.startCounts[words[1]] ?: 0) > 0, "$at: nothing of it has started")
 
             "done-at-least" -> {
                 val done = world.jobs.getValue(words[1]).completedTasks.size
                 assertTrue(done >= words[2].toInt(), "$at: $done done")
             }
 
-            "kept" -> assertTrue(words[1] in world.workers, "$at: returned are ${world.returnedMachines}")
+            "not-returned" -> assertTrue(words[1] in world.workers, "$at: returned are ${world.returnedMachines}")
 
             // Nobody has overwritten the record that cannot be read.
-            "spoilt" -> assertEquals(mapOf<String, Any?>("form" to 0L), world.store.get(words[1])?.value, at)
+            "still-corrupt" -> assertEquals(mapOf<String, Any?>("form" to 0L), world.store.get(words[1])?.value, at)
 
             // So many shards' records name the machine.
-            "recorded-in" -> assertEquals(words[2].toInt(), world.store.shardsListing(words[1]).size, at)
+            "shard-record-count" -> assertEquals(words[2].toInt(), world.store.shardsListing(words[1]).size, at)
 
             // The records of this shard, and of no other, name the machine.
-            "recorded-by" -> assertEquals(listOf(words[2].toInt()), world.store.shardsListing(words[1]), at)
+            "recorded-only-in" -> assertEquals(listOf(words[2].toInt()), world.store.shardsListing(words[1]), at)
 
             // No controller counts the machine to any shard.
-            "unknown" -> assertTrue(
+            "in-no-shard" -> assertTrue(
                 world.controllers.none {
                     it.process?.cluster?.shardOfMachine(words[1]) != null
                 },
@@ -384,7 +399,7 @@
             )
 
             // Every controller answers about every job that was accepted.
-            "answered" -> {
+            "all-jobs-answered" -> {
                 val open = HashSet<String>()
                 for (jobId in world.rules.answeredStates.keys) {
                     for (asked in world.controllers.filter { it.up }) {
@@ -406,19 +421,19 @@
             "settled" -> assertEquals(emptyList<String>(), world.rules.unsettled(), at)
 
             // Its tasks are where they were, under the same attempts: none was placed anew.
-            "same-attempts" -> assertEquals(noted[words[1]], world.attempts(words[1]), at)
+            "same-attempts" -> assertEquals(attemptSnapshots[words[1]], world.attempts(words[1]), at)
 
             // How often a shard was taken, since the first start.
-            "takings" -> assertEquals(
+            "shard-acquisitions" -> assertEquals(
                 words[1].toLong(),
                 FencingToken.acquisitionCount(TokenCounter.tokenOf(world.store.get("c/token")?.value.orEmpty())),
                 at,
             )
 
-            // `taken-back`: dormant, or ready to be enabled again.
+            // `reverted`: dormant, or ready to be enabled again.
             "gate" -> {
                 val state = rolloutOperator.gateState(words[1])
-                val expected = if (words[2] == "taken-back") setOf("dormant", "ready") else setOf(words[2])
+                val expected = if (words[2] == "reverted") setOf("dormant", "ready") else setOf(words[2])
                 assertTrue(state in expected, "$at: it is $state, ${rolloutOperator.waitReasons()}")
             }
 
@@ -426,7 +441,12 @@
             "form" -> assertEquals(words[2], rolloutOperator.formsOf(words[1]).sorted().joinToString("+"), at)
 
             // Its process has ended by itself, since it does not fit what is rolled out.
-            "unfit" -> assertTrue(world.controllers.first { it.label == words[1] }.terminationReason != null, at)
+            "self-terminated" -> assertTrue(
+                world.controllers.first {
+                    it.label == words[1]
+                }.terminationReason != null,
+                at,
+            )
 
             "owns" -> assertEquals(
                 words[2].toInt(),
@@ -434,14 +454,14 @@
                 at,
             )
 
-            // Nothing has been stored since it was noted.
-            "no-writes" -> assertEquals(notedWrites, world.store.writeCount, at)
+            // Nothing has been stored since the write count was recorded by `snapshot-write-count`.
+            "no-writes" -> assertEquals(snapshotWriteCount, world.store.writeCount, at)
 
             // No task has ended on a machine by the worker's own lease.
-            "no-lease-lost" -> assertEquals(0, world.leasesExpiredWithTasks, at)
+            "no-lease-expired" -> assertEquals(0, world.leasesExpiredWithTasks, at)
 
             // One controller leads, and all agree which.
-            "leader" -> {
+            "one-leader" -> {
                 assertEquals(1, world.controllers.count { it.process?.cluster?.leading == true }, at)
                 assertEquals(
                     1,
--- a/src/test/kotlin/io/reedmast/sim/SimOperator.kt
+++ b/src/test/kotlin/io/reedmast/sim/SimOperator.kt
@@ -94,7 +94,7 @@
             else -> error("unknown operator action: ${words[0]}")
         }
         // In a randomly generated day the action may be impossible at that time.
-        if ("perhaps" in words) return
+        if ("any-result" in words) return
         val at = "at ${world.now() / 1000.0} s: operator ${words.joinToString(" ")}: $result"
         if (expectedRefusal ==
             null
