--- a/src/test/kotlin/io/reedmast/LargeFaultTest.kt
+++ b/src/test/kotlin/io/reedmast/LargeFaultTest.kt
@@ -50,7 +50,7 @@
         try {
             Scenario(day.lines()).run()
         } catch (e: AssertionError) {
-            throw AssertionError("$name: ${e.message?.take(MAX_SHOWN)}\n${day.troubles().joinToString("\n")}", e)
+            throw AssertionError("$name: ${e.message?.take(MAX_SHOWN)}\n${day.faults().joinToString("\n")}", e)
         }
     }
 
--- a/src/test/kotlin/io/reedmast/rollout/RolloutMeasurement.kt
+++ b/src/test/kotlin/io/reedmast/rollout/RolloutMeasurement.kt
@@ -3,9 +3,9 @@
 import io.reedmast.sim.Scenario
 import io.reedmast.sim.SimOperator
 import io.reedmast.sim.World
+import org.HdrHistogram.Histogram
 import java.lang.management.ManagementFactory
 import kotlin.random.Random
-import org.HdrHistogram.Histogram
 
 /**
  * Measures the costs and gains of rolling out dense pages in the simulated world, compared with the same days without
--- a/src/test/kotlin/io/reedmast/sim/LargeDay.kt
+++ b/src/test/kotlin/io/reedmast/sim/LargeDay.kt
@@ -3,11 +3,12 @@
 import kotlin.random.Random
 
 /**
- * A day by chance at production size, made from its seed.
+ * Generates from its seed the scenario of a day at production size, with random jobs and random faults.
  *
  * @property upgrade whether controllers are upgraded one after the other
- * @property rollout whether features are rolled out and taken back
- * @property rentals whether most machines are rented during the day, boot at once and report before the rental is answered
+ * @property rollout whether features are rolled out and reverted
+ * @property rentals whether most machines are rented during the day, boot at once (in 0.2 s) and report before the
+ *   reply to the rental arrives
  */
 class LargeDay(
     private val seed: Long,
@@ -18,50 +19,51 @@
     jobs: Int? = null,
 ) {
     private val random = Random(seed)
-    private val machines = machines ?: if (seed % LARGEST_EACH == 0L) LARGEST else random.nextInt(150, 500)
-    private val jobs = jobs ?: if (seed % LARGEST_EACH == 0L) 900 else random.nextInt(200, 400)
+    private val machines =
+        machines ?: if (seed % LARGEST_DAY_INTERVAL == 0L) LARGEST_MACHINE_COUNT else random.nextInt(150, 500)
+    private val jobs = jobs ?: if (seed % LARGEST_DAY_INTERVAL == 0L) 900 else random.nextInt(200, 400)
     private val events = ArrayList<Pair<Double, String>>()
-    private val troubles = ArrayList<Pair<Double, String>>()
+    private val faults = ArrayList<Pair<Double, String>>()
 
-    private fun time(from: Double, to: Double) = Math.round(random.nextDouble(from, to) * 100) / 100.0
+    private fun randomTime(from: Double, to: Double) = Math.round(random.nextDouble(from, to) * 100) / 100.0
 
-    private fun controller() = "n${random.nextInt(MEMBERS)}"
+    private fun randomController() = "n${random.nextInt(CONTROLLERS)}"
 
-    private fun machine() = "host-%06d".format(random.nextInt(machines))
+    private fun randomMachine() = "host-%06d".format(random.nextInt(machines))
 
-    fun troubles(): List<String> = troubles.sortedBy { it.first }.map { "at ${it.first} ${it.second}" }
+    fun faults(): List<String> = faults.sortedBy { it.first }.map { "at ${it.first} ${it.second}" }
 
     fun lines(): List<String> {
-        repeat(jobs) { job(it) }
-        repeat(random.nextInt(5, 12)) { trouble(time(12.0, LAST - 25.0)) }
+        repeat(jobs) { addJob(it) }
+        repeat(random.nextInt(5, 12)) { addFault(randomTime(12.0, FAULTS_END_S - 25.0)) }
         if (upgrade) addUpgrade(Random(-seed))
         if (rollout) addRollout(Random(seed xor ROLLOUT_SEED))
-        val ends = listOf(
+        val finalEvents = listOf(
             2.0 to "poll-all 5",
-            LAST to "faults-over",
-            LAST + 60 to "expect all-jobs-answered",
-            LAST + 60 to "expect one-leader",
-            LAST + 200 to "expect settled",
-            LAST + 201 to "expect all-jobs-answered",
+            FAULTS_END_S to "faults-over",
+            FAULTS_END_S + 60 to "expect all-jobs-answered",
+            FAULTS_END_S + 60 to "expect one-leader",
+            FAULTS_END_S + 200 to "expect settled",
+            FAULTS_END_S + 201 to "expect all-jobs-answered",
         )
         if (rentals) addSlowRentals(Random(seed xor RENTAL_SEED))
-        val atStart = if (rentals) machines / RENTED_PART else machines
-        val zone = atStart / 2
+        val initialMachines = if (rentals) machines / INITIAL_MACHINES_DIVISOR else machines
+        val machinesInX = initialMachines / 2
         val head = listOf(
             "seed $seed",
             "capacity ${machines + machines / 4}",
             "value-kb 8",
             "store-limits 60 40 400",
             if (rentals) "machine-type m 8 0.2" else "machine-type m 8 5",
-            "machines $zone m x",
-            "machines ${atStart - zone - zone / 2} m y",
-            "machines ${zone / 2} m y spot",
+            "machines $machinesInX m x",
+            "machines ${initialMachines - machinesInX - machinesInX / 2} m y",
+            "machines ${machinesInX / 2} m y spot",
         ) + (if (upgrade) listOf("next-store-limits 2 5", "predates-rollouts n0 n1 n2") else emptyList()) +
             (0 until TEAMS).map { "team t$it ${machines / 2} ${machines * 2}" }
-        return head + (events + troubles + ends).sortedBy { it.first }.map { "at ${it.first} ${it.second}" }
+        return head + (events + faults + finalEvents).sortedBy { it.first }.map { "at ${it.first} ${it.second}" }
     }
 
-    private fun job(index: Int) {
+    private fun addJob(index: Int) {
         val service = random.nextInt(3) == 0
         val taskCount = if (service) {
             random.nextInt(
@@ -80,118 +82,123 @@
             )} spot=${random.nextBoolean()}"
         }
         val zones = listOf("", "", "", "", " zone=x", " oneZone=true").random(random)
-        // Half of all jobs come in bursts, as users do once a trouble is over.
-        val from = if (random.nextBoolean()) time(3.0, LAST - 15.0) else random.nextInt(1, 6) * 15.0 + time(0.0, 0.3)
+        // Half of all jobs arrive in bursts, as when users come back after a fault.
+        val from = if (random.nextBoolean()) {
+            randomTime(3.0, FAULTS_END_S - 15.0)
+        } else {
+            random.nextInt(1, 6) * 15.0 +
+                randomTime(0.0, 0.3)
+        }
         val team = "t${random.nextInt(TEAMS)}"
         events.add(from to "submit wk-$index team=$team tasks=$taskCount $shape$zones retry=true")
         when (random.nextInt(6)) {
-            0 -> events.add(time(from + 0.5, LAST) to "abort-everywhere wk-$index")
-            1 -> events.add(time(from + 0.05, from + 4.0) to "abort-everywhere wk-$index")
+            0 -> events.add(randomTime(from + 0.5, FAULTS_END_S) to "abort-everywhere wk-$index")
+            1 -> events.add(randomTime(from + 0.05, from + 4.0) to "abort-everywhere wk-$index")
             2 -> if (!service && taskCount < 20) events.add(from to "race-completion wk-$index")
         }
     }
 
-    private fun addUpgrade(chance: Random) {
-        var turn = chance.nextDouble(10.0, 25.0)
-        for (controller in (0 until MEMBERS).shuffled(chance)) {
-            at(turn, "upgrade n$controller")
-            at(turn + chance.nextDouble(0.5, 5.0), "start n$controller")
-            turn += chance.nextDouble(1.0, 12.0)
+    private fun addUpgrade(ownRandom: Random) {
+        var upgradeAt = ownRandom.nextDouble(10.0, 25.0)
+        for (controller in (0 until CONTROLLERS).shuffled(ownRandom)) {
+            at(upgradeAt, "upgrade n$controller")
+            at(upgradeAt + ownRandom.nextDouble(0.5, 5.0), "start n$controller")
+            upgradeAt += ownRandom.nextDouble(1.0, 12.0)
         }
-        at(turn + chance.nextDouble(0.0, 20.0), "lower-store-limits")
-        for (i in 1..jobs / GANGS_PART) {
-            val from = Math.round(chance.nextDouble(turn, LAST - 15.0) * 100) / 100.0
-            val zones = if (chance.nextBoolean()) " oneZone=true" else ""
-            val team = "t${chance.nextInt(TEAMS)}"
+        at(upgradeAt + ownRandom.nextDouble(0.0, 20.0), "lower-store-limits")
+        for (i in 1..jobs / JOBS_PER_GANG) {
+            val from = Math.round(ownRandom.nextDouble(upgradeAt, FAULTS_END_S - 15.0) * 100) / 100.0
+            val zones = if (ownRandom.nextBoolean()) " oneZone=true" else ""
+            val team = "t${ownRandom.nextInt(TEAMS)}"
             events.add(
                 from to
-                    "submit wk-${1_000_000 + i} kind=gang team=$team tasks=${chance.nextInt(
+                    "submit wk-${1_000_000 + i} kind=gang team=$team tasks=${ownRandom.nextInt(
                         2,
                         40,
-                    )} run=${chance.nextInt(2, 25)}$zones retry=true",
+                    )} run=${ownRandom.nextInt(2, 25)}$zones retry=true",
             )
         }
     }
 
-    private fun addRollout(chance: Random) {
+    private fun addRollout(ownRandom: Random) {
         val features = listOf("fenced-tokens", "dense-pages")
         for (feature in features) {
             at(
-                Math.round(chance.nextDouble(20.0, 45.0) * 10) / 10.0,
+                Math.round(ownRandom.nextDouble(20.0, 45.0) * 10) / 10.0,
                 "operator enable $feature any-result",
             )
         }
-        at(Math.round(chance.nextDouble(50.0, LAST) * 10) / 10.0, "operator revert dense-pages any-result")
+        at(Math.round(ownRandom.nextDouble(50.0, FAULTS_END_S) * 10) / 10.0, "operator revert dense-pages any-result")
         for (feature in features) {
-            at(LAST + 5, "operator enable $feature")
-            at(LAST + 199, "expect gate $feature enabled")
+            at(FAULTS_END_S + 5, "operator enable $feature")
+            at(FAULTS_END_S + 199, "expect gate $feature enabled")
         }
     }
 
-    private fun addSlowRentals(chance: Random) {
-        fun moment() = Math.round(chance.nextDouble(2.0, LAST) * 10) / 10.0
+    private fun addSlowRentals(ownRandom: Random) {
+        fun ownRandomTime() = Math.round(ownRandom.nextDouble(2.0, FAULTS_END_S) * 10) / 10.0
         at(1.0, "delay-rental-replies 0.4")
         repeat(8) {
-            at(moment(), "delay-rental-replies ${chance.nextInt(1, 60) * 0.02}")
-            at(moment(), "lose-rental-replies ${chance.nextInt(1, 4)}")
-            at(moment(), "slow-store ${chance.nextInt(1, 20)}")
+            at(ownRandomTime(), "delay-rental-replies ${ownRandom.nextInt(1, 60) * 0.02}")
+            at(ownRandomTime(), "lose-rental-replies ${ownRandom.nextInt(1, 4)}")
+            at(ownRandomTime(), "slow-store ${ownRandom.nextInt(1, 20)}")
         }
-        at(LAST - 1, "slow-store 1")
+        at(FAULTS_END_S - 1, "slow-store 1")
     }
 
-    private fun at(seconds: Double, what: String) = troubles.add(seconds to what)
+    private fun at(seconds: Double, event: String) = faults.add(seconds to event)
 
-    private fun switch(what: String, from: Double, until: Double, off: String = "off") {
-        at(from, "$what on")
-        at(until, "$what $off")
+    private fun addSwitchedFault(fault: String, from: Double, until: Double, off: String = "off") {
+        at(from, "$fault on")
+        at(until, "$fault $off")
     }
 
-    private fun trouble(from: Double) {
-        val long = time(from + 5.0, LAST)
-        val short = time(from + 1.0, minOf(from + 20.0, LAST))
-        val controller = controller()
+    private fun addFault(from: Double) {
+        val longEnd = randomTime(from + 5.0, FAULTS_END_S)
+        val shortEnd = randomTime(from + 1.0, minOf(from + 20.0, FAULTS_END_S))
+        val controller = randomController()
         when (random.nextInt(17)) {
             0, 1 -> {
                 at(from, "delayed-commit-rate ${listOf(0.1, 0.2, 0.3).random(random)}")
-                at(long, "delayed-commit-rate 0")
+                at(longEnd, "delayed-commit-rate 0")
             }
 
             2, 3 -> {
                 at(from, "lost-reply-rate ${listOf(0.1, 0.2, 0.3).random(random)}")
-                at(long, "lost-reply-rate 0")
+                at(longEnd, "lost-reply-rate 0")
             }
 
             4, 5 -> {
                 at(from, "slow-store ${random.nextInt(5, 40)}")
-                at(long, "slow-store 1")
+                at(longEnd, "slow-store 1")
             }
 
-            6 -> at(from, "store-outage ${short - from}")
-            7 -> at(from, "store-outage ${time(20.0, 60.0)}")
+            6 -> at(from, "store-outage ${shortEnd - from}")
+            7 -> at(from, "store-outage ${randomTime(20.0, 60.0)}")
             8, 9 -> {
                 at(from, "crash $controller")
-                at(time(from + 0.1, from + 1.0), "start $controller")
+                at(randomTime(from + 0.1, from + 1.0), "start $controller")
             }
 
             10 -> {
                 at(from, "crash n0 n1 n2")
-                for (i in 0 until MEMBERS) at(time(from + 0.2, short), "start n$i")
+                for (i in 0 until CONTROLLERS) at(randomTime(from + 0.2, shortEnd), "start n$i")
             }
 
-            11 -> switch("partition-from-store $controller", from, long)
-            12 -> switch("partition-from-workers $controller", from, long)
-            13 -> at(from, "pause $controller ${short - from}")
-            14 -> repeat(random.nextInt(3, 30)) { at(from, "hang ${machine()} ${short - from}") }
+            11 -> addSwitchedFault("partition-from-store $controller", from, longEnd)
+            12 -> addSwitchedFault("partition-from-workers $controller", from, longEnd)
+            13 -> at(from, "pause $controller ${shortEnd - from}")
+            14 -> repeat(random.nextInt(3, 30)) { at(from, "hang ${randomMachine()} ${shortEnd - from}") }
             15 -> repeat(random.nextInt(3, 30)) {
-                val machine = machine()
+                val machine = randomMachine()
                 at(from, "repeat-reports $machine ${random.nextInt(2, 40)}")
-                at(long, "repeat-reports $machine 0")
+                at(longEnd, "repeat-reports $machine 0")
             }
 
             16 -> {
                 at(from, "repeat-direct-calls ${random.nextInt(2, 30)}")
-                at(long, "repeat-direct-calls 0")
-                repeat(random.nextInt(1, 10)) { at(from, "kill-machine ${machine()}") }
+                at(longEnd, "repeat-direct-calls 0")
+                repeat(random.nextInt(1, 10)) { at(from, "kill-machine ${randomMachine()}") }
             }
         }
     }
@@ -200,13 +207,13 @@
         const val ROLLOUT_SEED = 0x6a7eL
         const val RENTAL_SEED = 0x2e47L
 
-        /** One machine of so many is there at the start, if the others are rented during the day. */
-        const val RENTED_PART = 4
-        const val GANGS_PART = 10
-        const val MEMBERS = 3
+        /** One in this many machines is there at the start, if the others are rented during the day. */
+        const val INITIAL_MACHINES_DIVISOR = 4
+        const val JOBS_PER_GANG = 10
+        const val CONTROLLERS = 3
         const val TEAMS = 6
-        const val LAST = 110.0
-        const val LARGEST = 1_500
-        const val LARGEST_EACH = 8L
+        const val FAULTS_END_S = 110.0
+        const val LARGEST_MACHINE_COUNT = 1_500
+        const val LARGEST_DAY_INTERVAL = 8L
     }
 }
--- a/src/test/kotlin/io/reedmast/sim/RandomDay.kt
+++ b/src/test/kotlin/io/reedmast/sim/RandomDay.kt
@@ -3,13 +3,13 @@
 import kotlin.random.Random
 
 /**
- * A day of a few machines on which troubles meet as chance has it, made from its seed.
+ * Generates from its seed the scenario of a day with a few machines, random jobs and random faults that overlap.
  *
- * @property gangs whether gangs come beside the other jobs
+ * @property gangs whether gangs are submitted in addition to the other jobs
  * @property upgrade whether controllers are upgraded one after the other
- * @property rollout whether features are rolled out and taken back
- * @property contested whether machines come to stand in the records of two shards, as earlier versions left them
- * @property rentals whether machines boot at once while answers to rentals are late or lost
+ * @property rollout whether features are rolled out and reverted
+ * @property contested whether machines get into the records of two shards, as earlier versions left them
+ * @property rentals whether machines boot at once (within 0.3 s) while replies to rentals are late or lost
  */
 class RandomDay(
     private val seed: Long,
@@ -22,31 +22,31 @@
     private val random = Random(seed)
     private val events = ArrayList<Pair<Double, String>>()
 
-    private fun at(seconds: Double, what: String) = events.add(seconds to what)
+    private fun at(seconds: Double, event: String) = events.add(seconds to event)
 
-    private fun time(from: Double, to: Double) = Math.round(random.nextDouble(from, to) * 10) / 10.0
+    private fun randomTime(from: Double, to: Double) = Math.round(random.nextDouble(from, to) * 10) / 10.0
 
-    private fun controller() = "n${random.nextInt(MEMBERS)}"
+    private fun randomController() = "n${random.nextInt(CONTROLLERS)}"
 
-    private fun machine() = "host-%06d".format(random.nextInt(MACHINES + 4))
+    private fun randomMachine() = "host-%06d".format(random.nextInt(MACHINES + 4))
 
     fun lines(): List<String> {
-        jobs()
-        repeat(random.nextInt(3, 9)) { trouble(time(12.0, LAST - 30.0)) }
-        outageBesideTroubleOfPeers()
-        val allNewAt = if (upgrade) addUpgrade(Random(seed xor UPGRADE_SEED)) else 0.0
-        if (gangs) addGangs(Random(-seed), allNewAt)
+        addJobs()
+        repeat(random.nextInt(3, 9)) { addFault(randomTime(12.0, FAULTS_END_S - 30.0)) }
+        addOutageWithControllerFault()
+        val upgradedAt = if (upgrade) addUpgrade(Random(seed xor UPGRADE_SEED)) else 0.0
+        if (gangs) addGangs(Random(-seed), upgradedAt)
         if (rollout) addRollout(Random(seed xor ROLLOUT_SEED))
         if (rentals) addSlowRentals(Random(seed xor RENTAL_SEED))
         if (contested) addContestedMachines(Random(seed xor CONTESTED_SEED))
-        at(LAST, "faults-over")
-        at(LAST + 60, "expect all-jobs-answered")
-        at(LAST + 220, "expect settled")
-        at(LAST + 221, "expect all-jobs-answered")
+        at(FAULTS_END_S, "faults-over")
+        at(FAULTS_END_S + 60, "expect all-jobs-answered")
+        at(FAULTS_END_S + 220, "expect settled")
+        at(FAULTS_END_S + 221, "expect all-jobs-answered")
         val head =
             listOf(
                 "seed $seed",
-                "capacity ${MACHINES + random.nextInt(1, 6) + if (gangs) ROOM_FOR_GANGS else 0}",
+                "capacity ${MACHINES + random.nextInt(1, 6) + if (gangs) EXTRA_MACHINES_FOR_GANGS else 0}",
                 "team a 8 12",
                 "team b 8 12",
                 "team c 0 0",
@@ -71,33 +71,33 @@
             events.sortedBy { it.first }.map { "at ${it.first} ${it.second}" }
     }
 
-    /** Workers report before the leader knows that it has rented their machines, more often the slower the store is. */
-    private fun addSlowRentals(chance: Random) {
-        fun moment(from: Double, to: Double) = Math.round(chance.nextDouble(from, to) * 10) / 10.0
-        at(1.0, "delay-rental-replies ${chance.nextInt(1, 60) * 0.02}")
+    /** Workers report before the leader knows that it has rented their machines, more often with a slower store. */
+    private fun addSlowRentals(ownRandom: Random) {
+        fun ownRandomTime(from: Double, to: Double) = Math.round(ownRandom.nextDouble(from, to) * 10) / 10.0
+        at(1.0, "delay-rental-replies ${ownRandom.nextInt(1, 60) * 0.02}")
         repeat(6) {
             at(
-                moment(2.0, LAST),
-                "delay-rental-replies ${chance.nextInt(1, 60) * listOf(0.005, 0.02, 0.1).random(chance)}",
+                ownRandomTime(2.0, FAULTS_END_S),
+                "delay-rental-replies ${ownRandom.nextInt(1, 60) * listOf(0.005, 0.02, 0.1).random(ownRandom)}",
             )
-            at(moment(2.0, LAST), "lose-rental-replies ${chance.nextInt(1, 4)}")
+            at(ownRandomTime(2.0, FAULTS_END_S), "lose-rental-replies ${ownRandom.nextInt(1, 4)}")
         }
         repeat(2) {
-            val from = moment(2.0, LAST - 10.0)
-            at(from, "slow-store ${chance.nextInt(5, 60)}")
-            at(moment(from, LAST), "slow-store 1")
+            val from = ownRandomTime(2.0, FAULTS_END_S - 10.0)
+            at(from, "slow-store ${ownRandom.nextInt(5, 60)}")
+            at(ownRandomTime(from, FAULTS_END_S), "slow-store 1")
         }
     }
 
-    private fun addContestedMachines(chance: Random) = repeat(chance.nextInt(2, 8)) {
-        val machine = "host-%06d".format(chance.nextInt(MACHINES + 4))
+    private fun addContestedMachines(ownRandom: Random) = repeat(ownRandom.nextInt(2, 8)) {
+        val machine = "host-%06d".format(ownRandom.nextInt(MACHINES + 4))
         at(
-            Math.round(chance.nextDouble(4.0, LAST) * 10) / 10.0,
-            "duplicate-machine-record $machine ${chance.nextInt(MEMBERS)}",
+            Math.round(ownRandom.nextDouble(4.0, FAULTS_END_S) * 10) / 10.0,
+            "duplicate-machine-record $machine ${ownRandom.nextInt(CONTROLLERS)}",
         )
     }
 
-    private fun jobs() {
+    private fun addJobs() {
         for (i in 1..JOBS) {
             val service = random.nextInt(3) == 0
             val taskCount = random.nextInt(1, 5)
@@ -105,7 +105,7 @@
             val priority = if (service) "urgent" else listOf("standard", "best_effort", "urgent").random(random)
             val shape = if (service) "kind=service" else "run=${random.nextInt(2, 40)}"
             val spot = if (!service && random.nextBoolean()) " spot=true" else ""
-            val from = time(2.0, LAST - 20.0)
+            val from = randomTime(2.0, FAULTS_END_S - 20.0)
             at(
                 from,
                 "submit wk-$i team=${listOf(
@@ -115,195 +115,221 @@
                 ).random(random)} tasks=$taskCount $shape priority=$priority$zones$spot retry=true",
             )
             when (random.nextInt(6)) {
-                0 -> at(time(from + 1.0, LAST), "abort wk-$i retry=true")
+                0 -> at(randomTime(from + 1.0, FAULTS_END_S), "abort wk-$i retry=true")
                 1 -> if (!service) at(from, "race-completion wk-$i")
             }
-            repeat(3) { at(time(from, LAST), "poll wk-$i via=${controller()}") }
+            repeat(3) { at(randomTime(from, FAULTS_END_S), "poll wk-$i via=${randomController()}") }
         }
     }
 
-    /** Returns when all controllers are new. Arrays whose progress is stored in large parts are there before. */
-    private fun addUpgrade(chance: Random): Double {
+    /**
+     * Adds the upgrade, and arrays whose progress the old version stores in large parts. Returns the time from which
+     * all controllers have the new version.
+     */
+    private fun addUpgrade(ownRandom: Random): Double {
         for (i in 1..ARRAYS) {
-            val from = Math.round(chance.nextDouble(2.0, LAST - 40.0) * 10) / 10.0
+            val from = Math.round(ownRandom.nextDouble(2.0, FAULTS_END_S - 40.0) * 10) / 10.0
             val jobId = "wk-${200 + i}"
-            val team = listOf("a", "b", "c").random(chance)
+            val team = listOf("a", "b", "c").random(ownRandom)
             at(
                 from,
-                "submit $jobId team=$team tasks=${chance.nextInt(
+                "submit $jobId team=$team tasks=${ownRandom.nextInt(
                     15,
                     40,
-                )} run=${chance.nextInt(1, 5)} spot=${chance.nextBoolean()} retry=true",
+                )} run=${ownRandom.nextInt(1, 5)} spot=${ownRandom.nextBoolean()} retry=true",
             )
-            if (chance.nextInt(5) == 0) at(from + chance.nextInt(1, 30), "abort $jobId retry=true")
+            if (ownRandom.nextInt(5) == 0) at(from + ownRandom.nextInt(1, 30), "abort $jobId retry=true")
         }
-        var turn = chance.nextDouble(8.0, 30.0)
-        for (controller in (0 until MEMBERS).shuffled(chance)) {
-            at(turn, "upgrade n$controller")
-            at(turn + chance.nextDouble(0.2, 6.0), "start n$controller")
-            turn += chance.nextDouble(0.1, 15.0)
+        var upgradeAt = ownRandom.nextDouble(8.0, 30.0)
+        for (controller in (0 until CONTROLLERS).shuffled(ownRandom)) {
+            at(upgradeAt, "upgrade n$controller")
+            at(upgradeAt + ownRandom.nextDouble(0.2, 6.0), "start n$controller")
+            upgradeAt += ownRandom.nextDouble(0.1, 15.0)
         }
-        at(turn + chance.nextDouble(0.0, if (chance.nextBoolean()) 3.0 else 25.0), "lower-store-limits")
-        return turn
+        at(upgradeAt + ownRandom.nextDouble(0.0, if (ownRandom.nextBoolean()) 3.0 else 25.0), "lower-store-limits")
+        return upgradeAt
     }
 
     /**
-     * Controllers change their versions in any order, also back at the wrong moment; a process that does not fit ends
-     * by itself. In the end all are new, and the gates come to what was wished last.
+     * Controllers change their versions in any order, also back to old ones at the wrong moment; a process whose
+     * version does not support what is rolled out ends by itself. In the end all are new, and the gates reach the last
+     * target.
      */
-    private fun addRollout(chance: Random) {
-        fun moment(from: Double, to: Double) = Math.round(chance.nextDouble(from, to) * 10) / 10.0
+    private fun addRollout(ownRandom: Random) {
+        fun ownRandomTime(from: Double, to: Double) = Math.round(ownRandom.nextDouble(from, to) * 10) / 10.0
         val features = listOf("fenced-tokens", "dense-pages")
-        repeat(chance.nextInt(2, 7)) {
-            val wish = listOf("enable", "enable", "revert").random(chance)
-            at(moment(5.0, LAST), "operator $wish ${features.random(chance)} by=${it % 2} any-result")
+        repeat(ownRandom.nextInt(2, 7)) {
+            val action = listOf("enable", "enable", "revert").random(ownRandom)
+            at(
+                ownRandomTime(5.0, FAULTS_END_S),
+                "operator $action ${features.random(ownRandom)} by=${it % 2} any-result",
+            )
         }
-        repeat(chance.nextInt(1, 6)) {
-            val controller = "n${chance.nextInt(MEMBERS)}"
-            val from = moment(8.0, LAST - 10.0)
-            at(from, "version $controller ${chance.nextInt(0, 4)}")
-            at(moment(from + 0.1, from + if (chance.nextBoolean()) 0.6 else 20.0), "start $controller")
+        repeat(ownRandom.nextInt(1, 6)) {
+            val controller = "n${ownRandom.nextInt(CONTROLLERS)}"
+            val from = ownRandomTime(8.0, FAULTS_END_S - 10.0)
+            at(from, "version $controller ${ownRandom.nextInt(0, 4)}")
+            at(ownRandomTime(from + 0.1, from + if (ownRandom.nextBoolean()) 0.6 else 20.0), "start $controller")
         }
-        if (chance.nextBoolean()) at(moment(20.0, LAST), "operator exclude n${chance.nextInt(MEMBERS)} any-result")
-        if (chance.nextBoolean()) at(moment(10.0, LAST), "operator drain n${chance.nextInt(MEMBERS)} any-result")
-        for (i in 0 until MEMBERS) {
-            at(LAST - 0.2, "version n$i 3")
-            at(LAST - 0.1 + i * 0.1, "start n$i")
+        if (ownRandom.nextBoolean()) {
+            at(
+                ownRandomTime(20.0, FAULTS_END_S),
+                "operator exclude n${ownRandom.nextInt(CONTROLLERS)} any-result",
+            )
         }
-        val enabled = chance.nextBoolean()
+        if (ownRandom.nextBoolean()) {
+            at(
+                ownRandomTime(10.0, FAULTS_END_S),
+                "operator drain n${ownRandom.nextInt(CONTROLLERS)} any-result",
+            )
+        }
+        for (i in 0 until CONTROLLERS) {
+            at(FAULTS_END_S - 0.2, "version n$i 3")
+            at(FAULTS_END_S - 0.1 + i * 0.1, "start n$i")
+        }
+        val enabled = ownRandom.nextBoolean()
         for (feature in if (enabled) features else features.reversed()) {
-            // A dependency is taken back only after what depends on it.
-            val wishes = if (enabled || feature == "dense-pages") listOf(LAST + 3.0) else listOf(LAST + 60.0)
-            wishes.forEach { at(it, "operator ${if (enabled) "enable" else "revert"} $feature any-result") }
-            at(LAST + 215, "expect gate $feature ${if (enabled) "enabled" else "reverted"}")
+            // A feature is reverted only after the features that depend on it.
+            val times = if (enabled ||
+                feature == "dense-pages"
+            ) {
+                listOf(FAULTS_END_S + 3.0)
+            } else {
+                listOf(FAULTS_END_S + 60.0)
+            }
+            times.forEach { at(it, "operator ${if (enabled) "enable" else "revert"} $feature any-result") }
+            at(FAULTS_END_S + 215, "expect gate $feature ${if (enabled) "enabled" else "reverted"}")
         }
-        at(LAST + 216, "expect form token ${if (enabled) "fenced" else "open"}")
+        at(FAULTS_END_S + 216, "expect form token ${if (enabled) "fenced" else "open"}")
     }
 
-    /** Gangs among the other jobs of the day, which are the same without them. */
-    private fun addGangs(chance: Random, notBefore: Double) {
+    /** Adds gangs. They are drawn from a random sequence of their own: the other jobs are the same without them. */
+    private fun addGangs(ownRandom: Random, notBefore: Double) {
         for (i in 1..GANGS) {
             val jobId = "wk-${100 + i}"
-            val taskCount = chance.nextInt(2, 9)
-            val zones = listOf("", " oneZone=true", " oneZone=true", " spread=true", " zone=y").random(chance)
-            val priority = listOf("standard", "best_effort", "urgent").random(chance)
-            val saves = if (chance.nextBoolean()) " checkpoint=${chance.nextInt(2, 20)}" else ""
-            val from = Math.round(chance.nextDouble(maxOf(2.0, notBefore), LAST - 20.0) * 10) / 10.0
-            val team = listOf("a", "b", "c").random(chance)
-            val image = if (chance.nextBoolean()) " imageGb=${chance.nextInt(1, 6)}" else ""
+            val taskCount = ownRandom.nextInt(2, 9)
+            val zones = listOf("", " oneZone=true", " oneZone=true", " spread=true", " zone=y").random(ownRandom)
+            val priority = listOf("standard", "best_effort", "urgent").random(ownRandom)
+            val checkpoint = if (ownRandom.nextBoolean()) " checkpoint=${ownRandom.nextInt(2, 20)}" else ""
+            val from = Math.round(ownRandom.nextDouble(maxOf(2.0, notBefore), FAULTS_END_S - 20.0) * 10) / 10.0
+            val team = listOf("a", "b", "c").random(ownRandom)
+            val image = if (ownRandom.nextBoolean()) " imageGb=${ownRandom.nextInt(1, 6)}" else ""
             at(
                 from,
-                "submit $jobId kind=gang team=$team tasks=$taskCount run=${chance.nextInt(
+                "submit $jobId kind=gang team=$team tasks=$taskCount run=${ownRandom.nextInt(
                     2,
                     40,
-                )} priority=$priority$zones$saves$image retry=true",
+                )} priority=$priority$zones$checkpoint$image retry=true",
             )
-            when (chance.nextInt(6)) {
-                0 -> at(from + chance.nextInt(1, 30), "abort $jobId retry=true")
+            when (ownRandom.nextInt(6)) {
+                0 -> at(from + ownRandom.nextInt(1, 30), "abort $jobId retry=true")
                 1 -> at(from, "race-completion $jobId")
             }
         }
     }
 
-    /** On some days an outage meets controllers that do not reach each other, or one that ends within it. */
-    private fun outageBesideTroubleOfPeers() {
+    /**
+     * On some days a store outage overlaps with the fault of a controller, which is partitioned from the others,
+     * crashes and restarts, or loses the store alone first.
+     */
+    private fun addOutageWithControllerFault() {
         val kind = random.nextInt(6)
         if (kind > 2) return
-        val from = time(15.0, 50.0)
-        val controller = controller()
-        at(from, "store-outage ${time(10.0, 60.0)}")
-        val then = time(from - 3.0, from + 8.0)
+        val from = randomTime(15.0, 50.0)
+        val controller = randomController()
+        at(from, "store-outage ${randomTime(10.0, 60.0)}")
+        val faultAt = randomTime(from - 3.0, from + 8.0)
         when (kind) {
             0 -> {
-                at(then, "partition-from-peers $controller on")
-                at(time(then + 1.0, LAST), "partition-from-peers $controller off")
+                at(faultAt, "partition-from-peers $controller on")
+                at(randomTime(faultAt + 1.0, FAULTS_END_S), "partition-from-peers $controller off")
             }
 
             1 -> {
-                at(then, "crash $controller")
-                at(time(then + 0.1, then + 1.0), "start $controller")
+                at(faultAt, "crash $controller")
+                at(randomTime(faultAt + 0.1, faultAt + 1.0), "start $controller")
             }
 
             else -> {
-                at(time(from - 8.0, from), "partition-from-store $controller on")
-                at(time(from + 1.0, LAST), "partition-from-store $controller off")
+                at(randomTime(from - 8.0, from), "partition-from-store $controller on")
+                at(randomTime(from + 1.0, FAULTS_END_S), "partition-from-store $controller off")
             }
         }
     }
 
-    private fun trouble(from: Double) {
-        val long = time(from + 1.0, LAST)
-        val short = time(from + 1.0, minOf(from + 20.0, LAST))
-        fun switch(what: String, until: Double) {
-            at(from, "$what on")
-            at(until, "$what off")
+    private fun addFault(from: Double) {
+        val longEnd = randomTime(from + 1.0, FAULTS_END_S)
+        val shortEnd = randomTime(from + 1.0, minOf(from + 20.0, FAULTS_END_S))
+        fun addSwitchedFault(fault: String, until: Double) {
+            at(from, "$fault on")
+            at(until, "$fault off")
         }
-        val controller = controller()
-        val machine = machine()
+        val controller = randomController()
+        val machine = randomMachine()
         when (random.nextInt(24)) {
-            0 -> at(from, "store-outage ${short - from}")
-            1 -> at(from, "store-outage ${long - from}")
-            2 -> switch("partition-from-store $controller", long)
+            0 -> at(from, "store-outage ${shortEnd - from}")
+            1 -> at(from, "store-outage ${longEnd - from}")
+            2 -> addSwitchedFault("partition-from-store $controller", longEnd)
             3 -> {
-                switch("partition-from-store $controller", long)
-                switch("partition-from-peers $controller", long)
+                addSwitchedFault("partition-from-store $controller", longEnd)
+                addSwitchedFault("partition-from-peers $controller", longEnd)
             }
-            4 -> switch("partition-from-workers $controller", long)
+            4 -> addSwitchedFault("partition-from-workers $controller", longEnd)
             5 -> {
                 at(from, "crash $controller")
-                at(time(from + 0.1, from + 1.0), "start $controller")
+                at(randomTime(from + 0.1, from + 1.0), "start $controller")
             }
             6 -> {
                 at(from, "crash $controller")
-                at(long, "start $controller")
+                at(longEnd, "start $controller")
             }
             7 -> {
                 at(from, "crash n0 n1 n2")
-                for (i in 0 until MEMBERS) at(time(from + 0.2, short), "start n$i")
+                for (i in 0 until CONTROLLERS) at(randomTime(from + 0.2, shortEnd), "start n$i")
             }
-            8 -> at(from, "pause $controller ${short - from}")
-            9 -> at(from, "hang $machine ${short - from}")
-            10 -> switch("partition-machine $machine", long)
-            11 -> switch("set-unreachable $machine", long)
-            12 -> switch("block-reports $machine", long)
+            8 -> at(from, "pause $controller ${shortEnd - from}")
+            9 -> at(from, "hang $machine ${shortEnd - from}")
+            10 -> addSwitchedFault("partition-machine $machine", longEnd)
+            11 -> addSwitchedFault("set-unreachable $machine", longEnd)
+            12 -> addSwitchedFault("block-reports $machine", longEnd)
             13 -> {
                 at(from, "delayed-commit-rate 0.2")
-                at(long, "delayed-commit-rate 0")
+                at(longEnd, "delayed-commit-rate 0")
             }
             14 -> {
                 at(from, "repeat-reports $machine ${random.nextInt(2, 40)}")
-                at(long, "repeat-reports $machine 0")
+                at(longEnd, "repeat-reports $machine 0")
             }
             15 -> {
                 at(from, "repeat-direct-calls ${random.nextInt(2, 30)}")
-                at(long, "repeat-direct-calls 0")
+                at(longEnd, "repeat-direct-calls 0")
             }
             17 -> at(from, "delay-direct-calls ${random.nextInt(2, 40)}")
 
             18 -> {
                 at(from, "delay-job-watch $controller ${random.nextInt(2, 60)}")
-                at(long, "delay-job-watch $controller 0")
+                at(longEnd, "delay-job-watch $controller 0")
             }
 
             19 -> {
                 at(from, "slow-store ${random.nextInt(5, 40)}")
-                at(long, "slow-store 1")
+                at(longEnd, "slow-store 1")
             }
 
             20 -> at(from, "kill-machine $machine")
 
-            21 -> switch("set-unhealthy $machine", long)
+            21 -> addSwitchedFault("set-unhealthy $machine", longEnd)
 
-            22 -> switch("cloud-outage", long)
+            22 -> addSwitchedFault("cloud-outage", longEnd)
 
-            23 -> switch("lose-report-replies $machine", long)
+            23 -> addSwitchedFault("lose-report-replies $machine", longEnd)
 
-            16 -> switch("partition-zone ${if (random.nextBoolean()) "x" else "y"}", long)
+            16 -> addSwitchedFault("partition-zone ${if (random.nextBoolean()) "x" else "y"}", longEnd)
         }
     }
 
     private companion object {
-        const val MEMBERS = 3
+        const val CONTROLLERS = 3
         const val MACHINES = 6
         const val JOBS = 12
         const val GANGS = 6
@@ -313,8 +339,8 @@
         const val CONTESTED_SEED = 0x3c0dL
         const val RENTAL_SEED = 0x2e47L
 
-        /** Gangs start whole or not at all: enough machines that the largest ones fit beside all services. */
-        const val ROOM_FOR_GANGS = 6
-        const val LAST = 110.0
+        /** Gangs start as a whole or not at all: enough extra machines for the largest gangs beside all services. */
+        const val EXTRA_MACHINES_FOR_GANGS = 6
+        const val FAULTS_END_S = 110.0
     }
 }
--- a/src/test/kotlin/io/reedmast/sim/Scenario.kt
+++ b/src/test/kotlin/io/reedmast/sim/Scenario.kt
@@ -17,9 +17,9 @@
 import io.reedmast.wire.MachineType
 import io.reedmast.wire.TaskId
 import io.reedmast.wire.UserAnswer
-import kotlin.random.Random
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
+import kotlin.random.Random
 
 /**
  * Runs a scenario against simulated machines, store and cloud.
@@ -48,7 +48,7 @@
     private val rolloutOperator = SimOperator(world)
     private var snapshotWriteCount = 0
 
-    /** Where tasks of a job were, and under which attempts, when a line asked for it. */
+    /** Where tasks of a job were, and under which attempts, at the last `snapshot-attempts` for the job. */
     private val attemptSnapshots = HashMap<String, Map<TaskId, Pair<String, Long>>>()
 
     private fun given(word: String) = lines.filter { it[0] == word }
@@ -102,7 +102,8 @@
     }
 
     /**
-     * The store as it is at size: so many changes a second, so many items in a page of a listing, so many changes kept.
+     * Limits the store as at production size: changes per second, items in one page of a listing, and changes retained
+     * for watches.
      */
     private fun setStoreLimits(writesPerS: Double, pageItems: Int, keptChanges: Int) {
         world.writesPerS = writesPerS
@@ -110,7 +111,7 @@
         world.store.retainedChanges = keptChanges
     }
 
-    /** Version 0 is that of before formats and rollouts. */
+    /** Version 0 is the one before formats and rollouts. */
     private fun setVersion(label: String, version: Int) = world.controllers.first { it.label == label }.run {
         predatesRollouts = version == 0
         if (!predatesRollouts) newestVersion = FormatVersion(version)
@@ -134,11 +135,11 @@
     }
 
     private fun dropJobFromOwner(jobId: String) {
-        val lost = world.controllers.mapNotNull { it.process }.flatMap { it.cluster.activeOwners() }.any {
+        val dropped = world.controllers.mapNotNull { it.process }.flatMap { it.cluster.activeOwners() }.any {
             it.shardState.jobs.remove(jobId) !=
                 null
         }
-        if (!lost) world.after(1) { dropJobFromOwner(jobId) }
+        if (!dropped) world.after(1) { dropJobFromOwner(jobId) }
     }
 
     /**
@@ -147,19 +148,19 @@
      */
     private fun retryUntilAnswered(
         jobId: String,
-        question: (Controller, (UserAnswer) -> Unit) -> Unit,
+        userRequest: (Controller, (UserAnswer) -> Unit) -> Unit,
         since: Long = world.now(),
     ) {
         if (world.now() - since > 60_000) return
         var answered = false
-        world.controllers.filter { it.up }.randomOrNull(world.random)?.sendRequest(jobId, question) {
+        world.controllers.filter { it.up }.randomOrNull(world.random)?.sendRequest(jobId, userRequest) {
             if (it.status <
                 429
             ) {
                 answered = true
             }
         }
-        world.after(1_500) { if (!answered) retryUntilAnswered(jobId, question, since) }
+        world.after(1_500) { if (!answered) retryUntilAnswered(jobId, userRequest, since) }
     }
 
     private fun execute(words: List<String>) {
@@ -187,7 +188,7 @@
                 }
             }
 
-            // That many jobs, numbered from the first, one after the other.
+            // FIRST_JOB COUNT INTERVAL_S: submits COUNT jobs, numbered from FIRST_JOB, one after the other.
             "submit-stream" -> repeat(words[2].toInt()) { index ->
                 val jobId = "wk-${words[1].substringAfter('-').toInt() + index}"
                 world.after((index * words[3].toDouble() * 1000).toLong()) {
@@ -201,7 +202,7 @@
                 controller?.sendRequest(words[1], { c, answer -> c.cancel(words[1], answer) })
             }
 
-            // At all controllers, and once more at each, within milliseconds.
+            // Sends the request twice to every controller, within milliseconds.
             "abort-everywhere" -> if (words[1] in world.rules.answeredStates) {
                 repeat(2) {
                     world.controllers.filter {
@@ -211,11 +212,11 @@
                 retryUntilAnswered(words[1], { c, answer -> c.cancel(words[1], answer) })
             }
 
-            // Users ask about every job that was accepted, each at some controller, from now on.
+            // From now on users poll every accepted job once per interval, given in s, at a random controller.
             "poll-all" -> pollAll((words[1].toDouble() * 1000).toLong())
 
             "poll" -> controller?.sendRequest(words[1], { c, answer -> c.poll(words[1], answer) })
-            // The job is called off, asked about and submitted again at the moment when its last task ends.
+            // The job is cancelled, polled and submitted again at the moment when its last task ends.
             "race-completion" -> world.onCompletion(words[1]) {
                 val spec = world.jobs.getValue(words[1]).spec
                 retryUntilAnswered(words[1], { c, answer -> c.cancel(words[1], answer) })
@@ -224,32 +225,34 @@
             }
             "crash" -> words.drop(1).forEach { label -> world.controllers.first { it.label == label }.crash() }
             "start" -> words.drop(1).forEach { label -> world.controllers.first { it.label == label }.start() }
-            // The machine stands in the records of this shard too, as an earlier version left it at times.
+            // Adds the machine to the records of this shard as well, as an earlier version did at times.
             "duplicate-machine-record" -> world.store.duplicateMachineRecord(words[1], words[2].toInt())
-            // What runs of the job runs on this machine, and is stored so. Only while no controller is up.
+            // Moves the running tasks of the job, and their stored placements, to this machine. Only while no
+            // controller is up.
             "move-tasks" -> {
                 world.workers.values.toList().forEach { it.moveTasks(words[1], world.workers.getValue(words[2])) }
                 world.store.movePlacements(words[1], words[2])
             }
-            // The controller's process ends; what is started next has the new version.
+            // Ends the controller's process; the process started next has the new version.
             "upgrade" -> words.drop(1).forEach { label ->
                 world.controllers.first { it.label == label }.run {
                     crash()
                     predatesRollouts = false
                 }
             }
-            // The controller's process ends; what is started next reads and writes stored forms up to this version.
+            // Ends the controller's process; the process started next reads and writes stored formats up to this
+            // version.
             "version" -> {
                 world.controllers.first { it.label == words[1] }.crash()
                 setVersion(words[1], words[2].toInt())
             }
-            // What the controller's deploy file wishes, from its next start on.
+            // The feature targets in the controller's deploy file, from its next start on.
             "set-desired-targets" -> world.controllers.first { it.label == words[1] }.desired =
                 args.entries.associate { FeatureName(it.key) to Target.of(it.value) }
             "clock-error" -> world.controllers.first { it.label == words[1] }.clockErrorMs = words[2].toLong()
             "snapshot-write-count" -> snapshotWriteCount = world.store.writeCount
             "operator" -> rolloutOperator.act(words.drop(1))
-            // The store takes less from now on, without a word.
+            // The store enforces the lower limits from now on, without notice.
             "lower-store-limits" -> world.store.reducedLimits = nextLimits ?: error("no next-store-limits are given")
             "store-outage" -> world.store.outage((words[1].toDouble() * 1000).toLong())
             "partition-from-store" -> world.controllers.first { it.label == words[1] }.partitionedFromStore =
@@ -259,7 +262,7 @@
             "partition-from-peers" -> world.controllers.first { it.label == words[1] }.partitionedFromPeers =
                 words[2] == "on"
             "partition-machine" -> world.workers[words[1]]?.partitioned = words[2] == "on"
-            // Nothing passes between a zone's machines, the coming ones included, and any controller.
+            // No message passes between the zone's machines, including those that start later, and any controller.
             "partition-zone" -> world.setZonePartitioned(words[1], words[2] == "on")
             "set-unhealthy" -> world.workers[words[1]]?.unhealthy = words[2] == "on"
             "set-unreachable" -> world.workers[words[1]]?.unreachable = words[2] == "on"
@@ -268,25 +271,25 @@
                 (words[2].toDouble() * 1000).toLong()
             "slow-store" -> world.storeSlowdown = words[1].toLong()
             "corrupt-record" -> world.store.corrupt(words[1])
-            // Its power is gone: nobody is told.
+            // Powers the machine off without telling anyone.
             "kill-machine" -> world.workers[words[1]]?.powerOff()
-            // It reaches no controller, while direct commands reach it.
+            // The machine reaches no controller, while direct commands reach the machine.
             "block-reports" -> world.workers[words[1]]?.heartbeatsLost = words[2] == "on"
-            // That share of transactions gets no answer and is carried out 2 to 12 s later, after newer ones.
+            // This share of transactions gets no reply and is applied 2 to 12 s later, after newer ones.
             "delayed-commit-rate" -> world.delayedCommitRate = words[1].toDouble()
-            // A planted fault: the owner's books lose the job as soon as it is in them.
+            // An injected fault: the owner's shard state loses the job as soon as the job is in it.
             "drop-job-from-owner" -> dropJobFromOwner(words[1])
             "lose-commit-reply" -> world.controllers.first { it.label == words[1] }.loseCommitReplyFor = words[2]
-            // The first part of a page cannot be read any more.
+            // The first part of a page becomes unreadable.
             "corrupt-chunk" -> world.store.corruptChunk(words[1])
-            // From now on the cloud says that machines of this type have only so many CPUs.
+            // From now on the cloud reports this number of CPUs for machines of the type.
             "set-type-cpus" ->
                 world.machineTypes =
                     world.machineTypes.map { if (it.label == words[1]) it.copy(cpus = words[2].toDouble()) else it }
-            // That share of transactions is carried out at once, and only the answer is lost.
+            // This share of transactions is applied at once, and only the reply is lost.
             "lost-reply-rate" -> world.lostReplyRate = words[1].toDouble()
             "snapshot-attempts" -> attemptSnapshots[words[1]] = world.attempts(words[1])
-            // From now on nothing goes wrong any more.
+            // No fault is injected from here on: from now on jobs are checked for being `neglected`.
             "faults-over" -> world.faultFreeSince = world.now()
             "lose-report-replies" -> world.workers[words[1]]?.heartbeatAnswersLost = words[2] == "on"
             "hang" -> world.workers[words[1]]?.hang((words[2].toDouble() * 1000).toLong())
@@ -302,9 +305,9 @@
                 commitDelayMs = (words[2].toDouble() * 1000).toLong()
                 delayedCommitKey = words[3]
             }
-            // Machines are rented at once, and the answers to rentals come so much later.
+            // Machines are rented at once, and the replies to rentals arrive this many seconds later.
             "delay-rental-replies" -> world.provisioningReplyDelayMs = (words[1].toDouble() * 1000).toLong()
-            // So many answers to rentals are lost; the machines are rented all the same.
+            // The next replies to rentals, this many, are lost; the machines are rented all the same.
             "lose-rental-replies" -> world.provisioningRepliesToLose = words[1].toInt()
             "cloud-outage" -> world.cloudUnavailable = words[1] == "on"
             "expect" -> expect(words.drop(1), args)
@@ -315,13 +318,13 @@
     private fun expect(words: List<String>, args: Map<String, String>) {
         val at = "at ${world.now() / 1000.0} s: ${words.joinToString(" ")}"
         when (words[0]) {
-            // What every controller says of a job, or the one named.
+            // The state of a job as answered by every controller, or by the one named by `via`.
             "stage" -> {
                 val asked = world.controllers.filter { it.up && (args["via"] == null || it.label == args["via"]) }
-                val said = ArrayList<String>()
+                val polledStates = ArrayList<String>()
                 asked.forEach { controller ->
                     controller.sendRequest(words[1], { c, answer -> c.poll(words[1], answer) }) {
-                        said.add(
+                        polledStates.add(
                             (
                                 it.job?.state?.wireName
                                     ?: it.status
@@ -329,10 +332,10 @@
                         )
                     }
                 }
-                // Users wait two seconds for an answer.
-                val patience = world.now() + 2_000
-                while (said.size < asked.size && world.now() < patience) world.runUntil(world.now() + 50)
-                assertEquals(asked.map { words[2] }, said, at)
+                // Users wait 2 s for an answer.
+                val deadline = world.now() + 2_000
+                while (polledStates.size < asked.size && world.now() < deadline) world.runUntil(world.now() + 50)
+                assertEquals(asked.map { words[2] }, polledStates, at)
             }
 
             "running" -> {
@@ -352,37 +355,46 @@
 
             "running-at-least" -> {
                 val running = world.workers.values.sumOf { w -> w.startedTasks().count { it.jobId == words[1] } }
-                assertTrue(running >= words[2].toInt(), "$at: $running run")
+                assertTrue(running >= words[2].toInt(), "$at: $running tasks are running")
             }
 
             "machines" -> assertEquals(words[1].toInt(), world.workers.size, at)
 
             "none-returned" -> assertEquals(emptyList<String>(), world.returnedMachines, at)
 
-            "returned" -> assertTrue(words[1] in world.returnedMachines, "$at: returned are ${world.returnedMachines}")
+            "returned" -> assertTrue(
+                words[1] in world.returnedMachines,
+                "$at: the returned machines are ${world.returnedMachines}",
+            )
 
             "starts" -> assertEquals(words[2].toInt(), world.rules.startCounts[words[1]] ?: 0, at)
 
             // At least one of its tasks has begun to run.
-            "started" -> assertTrue((world.rules.startCounts[words[1]] ?: 0) > 0, "$at: nothing of it has started")
+            "started" -> assertTrue(
+                (world.rules.startCounts[words[1]] ?: 0) > 0,
+                "$at: no task of ${words[1]} has started",
+            )
 
             "done-at-least" -> {
                 val done = world.jobs.getValue(words[1]).completedTasks.size
-                assertTrue(done >= words[2].toInt(), "$at: $done done")
+                assertTrue(done >= words[2].toInt(), "$at: $done tasks are done")
             }
 
-            "not-returned" -> assertTrue(words[1] in world.workers, "$at: returned are ${world.returnedMachines}")
+            "not-returned" -> assertTrue(
+                words[1] in world.workers,
+                "$at: the returned machines are ${world.returnedMachines}",
+            )
 
-            // Nobody has overwritten the record that cannot be read.
+            // No controller has overwritten the unreadable record.
             "still-corrupt" -> assertEquals(mapOf<String, Any?>("form" to 0L), world.store.get(words[1])?.value, at)
 
-            // So many shards' records name the machine.
+            // The number of shards whose records name the machine.
             "shard-record-count" -> assertEquals(words[2].toInt(), world.store.shardsListing(words[1]).size, at)
 
             // The records of this shard, and of no other, name the machine.
             "recorded-only-in" -> assertEquals(listOf(words[2].toInt()), world.store.shardsListing(words[1]), at)
 
-            // No controller counts the machine to any shard.
+            // No controller assigns the machine to any shard.
             "in-no-shard" -> assertTrue(
                 world.controllers.none {
                     it.process?.cluster?.shardOfMachine(words[1]) != null
@@ -400,47 +412,48 @@
 
             // Every controller answers about every job that was accepted.
             "all-jobs-answered" -> {
-                val open = HashSet<String>()
+                val unanswered = HashSet<String>()
                 for (jobId in world.rules.answeredStates.keys) {
                     for (asked in world.controllers.filter { it.up }) {
-                        open.add("$jobId by ${asked.label}")
+                        unanswered.add("$jobId by ${asked.label}")
                         asked.sendRequest(jobId, { c, answer -> c.poll(jobId, answer) }) {
                             if (it.status ==
                                 200
                             ) {
-                                open.remove("$jobId by ${asked.label}")
+                                unanswered.remove("$jobId by ${asked.label}")
                             }
                         }
                     }
                 }
                 world.runUntil(world.now() + 2_000)
-                assertEquals(emptySet<String>(), open, at)
+                assertEquals(emptySet<String>(), unanswered, at)
             }
 
-            // What was accepted has run: arrays to their end, services with all replicas, cancelled jobs not any more.
+            // Accepted arrays have run to their end, services run with all replicas, no cancelled job runs any more.
             "settled" -> assertEquals(emptyList<String>(), world.rules.unsettled(), at)
 
-            // Its tasks are where they were, under the same attempts: none was placed anew.
+            // The tasks of the job are on the same machines under the same attempts as in the snapshot: none was
+            // placed again.
             "same-attempts" -> assertEquals(attemptSnapshots[words[1]], world.attempts(words[1]), at)
 
-            // How often a shard was taken, since the first start.
+            // How many shard acquisitions there have been since the first start.
             "shard-acquisitions" -> assertEquals(
                 words[1].toLong(),
                 FencingToken.acquisitionCount(TokenCounter.tokenOf(world.store.get("c/token")?.value.orEmpty())),
                 at,
             )
 
-            // `reverted`: dormant, or ready to be enabled again.
+            // `reverted` means dormant, or ready to be enabled again.
             "gate" -> {
                 val state = rolloutOperator.gateState(words[1])
                 val expected = if (words[2] == "reverted") setOf("dormant", "ready") else setOf(words[2])
-                assertTrue(state in expected, "$at: it is $state, ${rolloutOperator.waitReasons()}")
+                assertTrue(state in expected, "$at: the gate is $state, wait reasons: ${rolloutOperator.waitReasons()}")
             }
 
-            // The stored forms of pages, or of the token counter.
+            // The stored formats of pages, or of the token counter.
             "form" -> assertEquals(words[2], rolloutOperator.formsOf(words[1]).sorted().joinToString("+"), at)
 
-            // Its process has ended by itself, since it does not fit what is rolled out.
+            // The controller's process has ended by itself, since its version does not support what is rolled out.
             "self-terminated" -> assertTrue(
                 world.controllers.first {
                     it.label == words[1]
@@ -454,13 +467,13 @@
                 at,
             )
 
-            // Nothing has been stored since the write count was recorded by `snapshot-write-count`.
+            // Nothing has been stored since `snapshot-write-count`.
             "no-writes" -> assertEquals(snapshotWriteCount, world.store.writeCount, at)
 
-            // No task has ended on a machine by the worker's own lease.
+            // No worker's lease has expired with tasks on the worker.
             "no-lease-expired" -> assertEquals(0, world.leasesExpiredWithTasks, at)
 
-            // One controller leads, and all agree which.
+            // Exactly one controller leads, and all running controllers agree which.
             "one-leader" -> {
                 assertEquals(1, world.controllers.count { it.process?.cluster?.leading == true }, at)
                 assertEquals(
