--- a/src/test/kotlin/io/reedmast/LargeFaultTest.kt
+++ b/src/test/kotlin/io/reedmast/LargeFaultTest.kt
@@ -57,7 +57,7 @@
             Scenario(scenario.lines()).run()
         } catch (e: AssertionError) {
             throw AssertionError(
-                "$name: ${e.message?.take(MAX_MESSAGE_LENGTH)}\n${scenario.troubles().joinToString("\n")}",
+                "$name: ${e.message?.take(MAX_MESSAGE_LENGTH)}\n${scenario.faults().joinToString("\n")}",
                 e,
             )
         }
