--- a/src/main/kotlin/io/reedmast/app/Controller.kt
+++ b/src/main/kotlin/io/reedmast/app/Controller.kt
@@ -133,10 +133,13 @@
     /** Accepts or rejects a job; [answer] may be called before this returns, or later on the event loop. */
     fun submit(spec: JobSpec, answer: (UserAnswer) -> Unit) = jobs.submit(spec, answer)
 
-    /** Answers with the state of a job; [answer] is called as by [submit]. */
+    /** Answers with the state of a job; [answer] may be called before this returns, or later on the event loop. */
     fun poll(jobId: String, answer: (UserAnswer) -> Unit) = jobs.poll(jobId, answer)
 
-    /** Cancels a job; [answer] is called as by [submit], and reports the cancellation only once it is stored. */
+    /**
+     * Cancels a job; [answer] may be called before this returns, or later on the event loop, and reports the
+     * cancellation only once it is stored.
+     */
     fun cancel(jobId: String, answer: (UserAnswer) -> Unit) = jobs.cancel(jobId, answer)
 
     /** Handles a message from another controller. */
--- a/src/main/kotlin/io/reedmast/app/ControllerHandle.kt
+++ b/src/main/kotlin/io/reedmast/app/ControllerHandle.kt
@@ -39,7 +39,10 @@
         timings.runOnce()
         val healthy = controller.healthy()
         if (healthy != isHealthy) {
-            log.info(if (healthy) "healthy" else "not healthy: {}", controller.cluster.staleness.describe())
+            log.info(
+                if (healthy) "controller: healthy" else "controller: not healthy: {}",
+                controller.cluster.staleness.describe(),
+            )
         }
         isHealthy = healthy
         updateLookupsWaiting()
--- a/src/main/kotlin/io/reedmast/autoscaling/MachineProvisioner.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/MachineProvisioner.kt
@@ -115,7 +115,11 @@
             intake.offer(record, shard, IntakeSource.RENTAL, seenToken = 0L)
         }.filterValues { it != IntakeDecision.Accepted }
         if (notAccepted.isEmpty()) return
-        log.info("machines {}: not accepted for shard {}", notAccepted, shard.value)
+        log.info(
+            "machines {}: not assigned to shard {}, for the reason given with each machine",
+            notAccepted,
+            shard.value,
+        )
         if (notAccepted.values.any { it is IntakeDecision.MetElsewhere }) {
             transferAwaitedUntil[shard] = clock.now() + transferWaitMs
         }
--- a/src/main/kotlin/io/reedmast/cluster/LeaderElection.kt
+++ b/src/main/kotlin/io/reedmast/cluster/LeaderElection.kt
@@ -73,7 +73,10 @@
         onLeaderChange()
     }
 
-    /** Claims leadership if there is no leader and this controller [mayLead]; resigns if it leads and may not. */
+    /**
+     * Claims leadership if there is no leader and [mayLead] is true; resigns if this controller leads and [mayLead] is
+     * false.
+     */
     fun runOnce(mayLead: Boolean) {
         if (leader == null && mayLead) claim()
         if (isLeading && !mayLead) resign()
--- a/src/main/kotlin/io/reedmast/cluster/MachineListPart.kt
+++ b/src/main/kotlin/io/reedmast/cluster/MachineListPart.kt
@@ -38,16 +38,16 @@
         "leaving" to transfers,
     )
 
-    /** Whether this part fits into a value of [valueBytes] and leaves room for transfer marks. */
+    /** Whether this part fits into a stored value of [valueBytes] and leaves room for more entries in [transfers]. */
     fun fits(valueBytes: Int): Boolean = BodyCodec.jsonSize(toFields()) <= valueBytes * MAX_FILL_BEFORE_TRANSFERS
 
     /**
-     * Whether the store accepts this part, with its transfer marks, as a value of at most [valueBytes]; a part that an
+     * Whether the store accepts this part, with its [transfers], as a value of at most [valueBytes]; a part that an
      * earlier version stored may be too large until it has been divided.
      */
     fun isStorable(valueBytes: Int): Boolean = BodyCodec.jsonSize(toFields()) <= valueBytes * MAX_FILL
 
-    /** A copy without the machines called [names] and their transfer marks. */
+    /** A copy without the machines called [names] and their entries in [transfers]. */
     fun without(names: Set<String>) = MachineListPart(records.filter { it.name !in names }, transfers - names)
 
     /** A copy in which the machines called [names] are marked for transfer to the shard [to]. */
@@ -71,10 +71,13 @@
     fun contains(name: String): Boolean = records.any { it.name == name }
 
     companion object {
-        /** The fraction of a value that may be filled when machines are added: transfer marks need room too. */
+        /**
+         * The fraction of a stored value's maximum size that may be filled when machines are added: their entries in
+         * [transfers] need room too.
+         */
         private const val MAX_FILL_BEFORE_TRANSFERS = 0.8
 
-        /** The fraction of a value that may be filled including transfer marks. */
+        /** The fraction of a stored value's maximum size that may be filled, entries in [transfers] included. */
         private const val MAX_FILL = 0.95
 
         /** No machines. */
--- a/src/main/kotlin/io/reedmast/cluster/Membership.kt
+++ b/src/main/kotlin/io/reedmast/cluster/Membership.kt
@@ -10,11 +10,11 @@
 import io.reedmast.wire.text
 
 /**
- * Which controllers are alive and which of them leads, according to keys that are attached to their leases; and this
- * controller's own lease.
+ * Records which controllers are alive and which of them leads, according to keys that are attached to their leases, and
+ * maintains this controller's own lease.
  *
- * No safety property depends on this information: it only serves to choose good moments for acquiring shards, and the
- * controller that rents machines.
+ * No safety property depends on this information: it only serves to choose good moments for acquiring shards, and to
+ * choose the controller that rents machines.
  */
 internal class Membership(
     private val settings: Settings,
@@ -101,8 +101,8 @@
     fun keepLease() = lease.renewIfDue()
 
     /**
-     * Stores this controller's membership key under its lease, and the leader key too if there is no leader and this
-     * controller [mayLead]; resigns if it leads and may not.
+     * Stores this controller's membership key under its lease. Stores the leader key too if there is no leader and
+     * [mayLead] is true; resigns if this controller leads and [mayLead] is false.
      */
     fun claimKeys(mayLead: Boolean) {
         ownKey.publish()
--- a/src/main/kotlin/io/reedmast/cluster/WatchResultHandler.kt
+++ b/src/main/kotlin/io/reedmast/cluster/WatchResultHandler.kt
@@ -40,7 +40,7 @@
         membership.recordAbsent(items.mapTo(HashSet()) { it.path })
         if (!staleness.clusterLoaded) {
             val ownedShards = shards.records.count { it != null }
-            log.info("cluster read from the store: {} shards, {} controllers", ownedShards, membership.presentCount)
+            log.info("cluster: read from the store, {} shards, {} controllers", ownedShards, membership.presentCount)
         }
         staleness.onClusterObserved(askedAt)
         membership.shareLimits()
@@ -60,7 +60,7 @@
      */
     fun onJobsSnapshot(items: List<StoredItem>, revision: Long, askedAt: Long) {
         jobs.applyListing(items, revision)
-        if (!staleness.jobsLoaded) log.info("jobs read from the store: {} unfinished", items.size)
+        if (!staleness.jobsLoaded) log.info("jobs: read from the store, {} unfinished", items.size)
         staleness.onJobsObserved(askedAt)
     }
 
--- a/src/main/kotlin/io/reedmast/heartbeats/MissingTaskHandler.kt
+++ b/src/main/kotlin/io/reedmast/heartbeats/MissingTaskHandler.kt
@@ -17,7 +17,10 @@
 ) {
     private val log = LoggerFactory.getLogger("shard")
 
-    /** Takes the next step for [placement] that [status] allows, and returns the commands for the answer. */
+    /**
+     * Handles [placement], whose task is absent from [status], as [MissingTask] classifies it. Returns the commands for
+     * the answer to the heartbeat with [status].
+     */
     fun onMissing(placement: Placement, status: WorkerStatus, source: StatusSource): List<WorkerCommand> =
         when (MissingTask.of(placement, status, source, FencingToken.lastOfRange(shardState.token))) {
             MissingTask.LOST -> {
--- a/src/main/kotlin/io/reedmast/heartbeats/ReportedTaskHandler.kt
+++ b/src/main/kotlin/io/reedmast/heartbeats/ReportedTaskHandler.kt
@@ -10,7 +10,10 @@
 
 /** Handles the tasks in a worker's status that have a stored placement. */
 internal class ReportedTaskHandler(private val dispatcher: CommandDispatcher, private val taskEnds: TaskEndHandler) {
-    /** Records what [reported] shows about [placement], and returns the commands for the answer. */
+    /**
+     * Records what [reported] shows about [placement], and returns the commands for the answer to the heartbeat that
+     * contained it.
+     */
     fun onReported(placement: Placement, reported: TaskStatus, now: Long): List<WorkerCommand> {
         recordReported(placement)
         when (reported.state) {
@@ -26,8 +29,8 @@
             }
         }
         val isSaving = reported.state == TaskState.SAVING
-        // If this owner did not ask for it, an earlier owner has begun to stop the gang: its other tasks must be
-        // stopped in time, or nothing is saved.
+        // A gang's task that is saving without a stop by this owner was stopped by an earlier owner, which had begun to
+        // stop the gang. The other tasks must be stopped soon enough to save at the same time, or nothing is saved.
         if (placement.job.spec.isGang && isSaving) dispatcher.stop(placement, StopReason.DRAINED)
         return if (isStopDue(placement, isSaving)) listOf(dispatcher.stopCommand(placement)) else emptyList()
     }
--- a/src/main/kotlin/io/reedmast/heartbeats/StatusEvaluator.kt
+++ b/src/main/kotlin/io/reedmast/heartbeats/StatusEvaluator.kt
@@ -8,8 +8,8 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Decides what a worker's status proves, and records what it shows about the machine itself: its epoch, address,
- * reclaim notice and token. The tasks in the status are not handled here.
+ * Classifies a worker's status as [StatusEvidence], and records the state of the machine itself that it reports: epoch,
+ * address, reclaim notice and token. The tasks in the status are not handled here.
  *
  * Only a status made under this owner's token counts: until the worker has seen that token, an earlier owner's commands
  * may still reach it (PROTOCOL, Tokens).
@@ -22,7 +22,9 @@
     private val log = LoggerFactory.getLogger("shard")
     private val leaseMs = shardState.settings.workers.leaseS * MS_PER_S
 
-    /** Records what [status] shows about [machine], and returns what it proves. */
+    /**
+     * Classifies [status] and, unless it is [StatusEvidence.OUTDATED], records the state of [machine] that it reports.
+     */
     fun evaluate(machine: Machine, status: WorkerStatus, source: StatusSource, now: Long): StatusEvidence {
         val evidence = evidenceOf(machine, status)
         if (evidence == StatusEvidence.OUTDATED) return evidence
--- a/src/main/kotlin/io/reedmast/model/MachineDirectory.kt
+++ b/src/main/kotlin/io/reedmast/model/MachineDirectory.kt
@@ -11,7 +11,10 @@
 class MachineDirectory {
     private val factsByMachine = HashMap<String, MachineFacts>()
 
-    /** The facts known about the machine; its owner updates the same object from the worker's heartbeats. */
+    /**
+     * The facts known about the machine. If this controller owns the machine's shard, the shard's [Machine] holds this
+     * same object and updates it from the worker's heartbeats.
+     */
     fun factsOf(machineName: String): MachineFacts = factsByMachine.getOrPut(machineName) { MachineFacts(machineName) }
 
     /** Removes a machine that is gone. */
--- a/src/main/kotlin/io/reedmast/model/MachineFacts.kt
+++ b/src/main/kotlin/io/reedmast/model/MachineFacts.kt
@@ -30,7 +30,10 @@
         }
     }
 
-    /** Replaces the facts by those that the machine's owner has sent, which this controller does not forward. */
+    /**
+     * Replaces the facts by those that the owner of the machine's shard has sent, which this controller does not
+     * forward.
+     */
     fun replace(addr: String, images: List<Pair<String, Double>>) {
         this.addr = addr
         this.images.clear()
--- a/src/main/kotlin/io/reedmast/model/TeamQuota.kt
+++ b/src/main/kotlin/io/reedmast/model/TeamQuota.kt
@@ -7,8 +7,8 @@
 /**
  * Resources that the placements of each team use, compared with the team's guaranteed quota and its limit.
  *
- * Every placement counts from the decision until there is evidence that its attempt is over: a task that may still run
- * must count, or the next one could exceed the limit (PROTOCOL, Rules, `quota`).
+ * Every placement counts from the moment when it is decided until there is evidence that its attempt is over: a task
+ * that may still run must count, or the next placement could exceed the team's limit (PROTOCOL, Rules, `quota`).
  */
 class TeamQuota(private val settings: Settings) {
     private val usedCpus = DoubleArray(settings.teams.size)
--- a/src/main/kotlin/io/reedmast/persistence/PageWriter.kt
+++ b/src/main/kotlin/io/reedmast/persistence/PageWriter.kt
@@ -82,7 +82,10 @@
         }
     }
 
-    /** Schedules a retry of the page soon, withdraws its new placements and delays the jobs of these. */
+    /**
+     * Schedules another write of the page, after [REWRITE_DELAY_MS] at the earliest. Withdraws the new placements that
+     * the refused write contained, and places nothing more of their jobs for [REFUSED_JOB_DELAY_MS].
+     */
     private fun onRefused(outcome: CommitOutcome.Refused, page: ProgressPage, written: List<Placement>) {
         log.error(
             "record {}: store refused the write, withdrawing its new placements: {}",
--- a/src/main/kotlin/io/reedmast/placement/FreeResources.kt
+++ b/src/main/kotlin/io/reedmast/placement/FreeResources.kt
@@ -5,10 +5,10 @@
 
 /** The resources that are free on a machine, or would be once some of its tasks have ended. */
 internal data class FreeResources(val cpus: Double, val gpus: Double, val memoryGb: Double) {
-    /** The resources that are free once a task of this shape has ended as well. */
+    /** The resources that are free once, in addition, a task of the job [ended] has ended. */
     operator fun plus(ended: JobSpec) = FreeResources(cpus + ended.cpus, gpus + ended.gpus, memoryGb + ended.memoryGb)
 
-    /** How many tasks of this shape fit. */
+    /** How many tasks of the job [spec] fit into these resources. */
     fun tasksThatFit(spec: JobSpec): Int {
         val byCpus = tasksThatFit(cpus, spec.cpus)
         val byGpus = tasksThatFit(gpus, spec.gpus)
@@ -25,5 +25,5 @@
     }
 }
 
-/** How many tasks of this shape fit on the machine now. */
+/** How many tasks of the job [spec] fit on [machine] now. */
 internal fun tasksThatFit(spec: JobSpec, machine: Machine): Int = FreeResources.of(machine).tasksThatFit(spec)
--- a/src/main/kotlin/io/reedmast/rollout/ClusterSnapshot.kt
+++ b/src/main/kotlin/io/reedmast/rollout/ClusterSnapshot.kt
@@ -33,7 +33,10 @@
         }
     }
 
-    /** How many records of [feature] could not be migrated, by the stored progress of its current generation. */
+    /**
+     * How many records of [feature] could not be migrated, according to the stored progress of all units. Progress made
+     * under an earlier generation of the feature's gate does not count.
+     */
     fun blockedRecords(feature: Feature, record: RolloutRecord): Long = unitsOf(feature).sumOf { unit ->
         val unitProgress =
             progress[feature.name to unit]?.takeIf { it.generation == record.gates[feature.name]?.generation }
--- a/src/main/kotlin/io/reedmast/scheduling/Scheduler.kt
+++ b/src/main/kotlin/io/reedmast/scheduling/Scheduler.kt
@@ -132,7 +132,7 @@
     }
 
     private fun logPlacements(pass: SchedulingPass) {
-        for ((job, count) in pass.placementCounts) log.info("job {}: {} tasks or gangs placed", job.spec.jobId, count)
+        for ((job, count) in pass.placementCounts) log.info("job {}: {} placements (1 per gang)", job.spec.jobId, count)
     }
 
     private companion object {
--- a/src/main/kotlin/io/reedmast/shard/ShardOwner.kt
+++ b/src/main/kotlin/io/reedmast/shard/ShardOwner.kt
@@ -112,8 +112,8 @@
     val isReadyForHandover: Boolean get() = active && progressStore.areDecisionsStored && !migration.isWriteInFlight
 
     /**
-     * Restores the shard from its stored records and begins to act as its owner. The [pages] were listed after this
-     * owner's token was stored, and [live] is at least as new.
+     * Restores the shard from its stored records and begins to act as its owner. The caller must have listed [pages]
+     * after this owner's token was stored, and [live] must be at least as new as that listing.
      */
     fun restore(live: List<LiveJob>, pages: List<StoredItem>, usageSummary: StoredItem?) {
         restoration.restore(live, pages, usageSummary)
--- a/src/main/kotlin/io/reedmast/shard/ShardRecords.kt
+++ b/src/main/kotlin/io/reedmast/shard/ShardRecords.kt
@@ -12,7 +12,7 @@
  * A request returns at once. Its outcome appears in the records, and the owner is notified then.
  */
 interface ShardRecords {
-    /** All unfinished jobs. */
+    /** The unfinished jobs of all shards. */
     val jobs: JobIndex
 
     /** What is known about the machines of all shards. */
