--- a/src/main/kotlin/io/reedmast/app/ControllerProcess.kt
+++ b/src/main/kotlin/io/reedmast/app/ControllerProcess.kt
@@ -32,16 +32,16 @@
     private val controller =
         Controller(settings, options.tuning, SystemClock, gateway, limits, incarnation, options.rollout)
     private val timings = Timings(SystemClock)
-    private val handle = ControllerHandle(eventLoop, controller, timings)
+    private val controllerHandle = ControllerHandle(eventLoop, controller, timings)
 
     /** Runs until the process is killed or `exitAfterS` have passed; throws [StartupException] if a port is taken. */
     fun run() {
         listen()
         gateway.start()
-        Watches(storeClient, SystemClock, handle).start()
+        Watches(storeClient, SystemClock, controllerHandle).start()
         log.info("controller {}: listening on {}", settings.label, settings.apiAddress)
         val eventLoopThread = startThread("event-loop") {
-            eventLoop.run(RUN_INTERVAL_MS, IDLE_RUN_INTERVAL_MS, handle::runOnce)
+            eventLoop.run(RUN_INTERVAL_MS, IDLE_RUN_INTERVAL_MS, controllerHandle::runOnce)
         }
         if (options.exitAfterS == null) {
             eventLoopThread.join()
@@ -54,9 +54,9 @@
 
     private fun listen() {
         try {
-            HttpApi(settings, handle, timings).start()
+            HttpApi(settings, controllerHandle, timings).start()
             val connections = WorkPool("peer-in", settings.members.size * 2, settings.members.size)
-            val peers = PeerServer(settings.clusterAddress, connections, handle::onPeerMessage)
+            val peers = PeerServer(settings.clusterAddress, connections, controllerHandle::onPeerMessage)
             val listening = peers.open()
             startThread("peers") { peers.run(listening) }
         } catch (e: IOException) {
--- a/src/main/kotlin/io/reedmast/app/EventLoop.kt
+++ b/src/main/kotlin/io/reedmast/app/EventLoop.kt
@@ -136,7 +136,7 @@
         if (queued == 0) return null
         val candidates = when {
             // Under lasting overload no user request would be answered unless the lowest priority sometimes went first.
-            ++dequeues % DEQUEUES_PER_REVERSAL == 0 -> queues.asReversed()
+            ++dequeues % LOWEST_PRIORITY_FIRST_EVERY == 0 -> queues.asReversed()
 
             // The periodic run has the priority INTERNAL, and goes before the queued events of that priority.
             isRunDue -> listOf(queues[EventPriority.HEARTBEAT.ordinal])
@@ -150,6 +150,6 @@
 
     private companion object {
         /** Once in this many dequeues, the queues are searched from the lowest priority up. */
-        const val DEQUEUES_PER_REVERSAL = 8
+        const val LOWEST_PRIORITY_FIRST_EVERY = 8
     }
 }
--- a/src/main/kotlin/io/reedmast/app/HttpApi.kt
+++ b/src/main/kotlin/io/reedmast/app/HttpApi.kt
@@ -28,7 +28,11 @@
  *
  * Submissions, polls and cancellations may occupy only some of the threads, so that heartbeats always find a free one.
  */
-class HttpApi(private val settings: Settings, private val handle: ControllerHandle, private val timings: Timings) {
+class HttpApi(
+    private val settings: Settings,
+    private val controllerHandle: ControllerHandle,
+    private val timings: Timings,
+) {
     private val log = LoggerFactory.getLogger("http")
     private val submissionPermits = Semaphore(MAX_CONCURRENT_SUBMISSIONS)
     private val pollAndCancelPermits = Semaphore(MAX_CONCURRENT_POLLS_AND_CANCELS)
@@ -45,13 +49,13 @@
             path == "/checkin" -> ifMethodIs(Method.POST, method) { timings.time("checkin") { onHeartbeat(request) } }
             path == "/submissions" -> ifMethodIs(Method.POST, method) { timings.time("submission") { submit(request) } }
             path == "/healthz" -> ifMethodIs(Method.GET, method) {
-                Response(if (handle.healthy()) Status.OK else Status.SERVICE_UNAVAILABLE)
+                Response(if (controllerHandle.healthy()) Status.OK else Status.SERVICE_UNAVAILABLE)
             }
             jobPath == null -> Response(Status.NOT_FOUND)
             jobPath.endsWith(ABORT_SUFFIX) -> ifMethodIs(Method.POST, method) {
-                pollOrCancel(jobPath.removeSuffix(ABORT_SUFFIX), handle::cancel)
+                pollOrCancel(jobPath.removeSuffix(ABORT_SUFFIX), controllerHandle::cancel)
             }
-            else -> ifMethodIs(Method.GET, method) { pollOrCancel(jobPath, handle::poll) }
+            else -> ifMethodIs(Method.GET, method) { pollOrCancel(jobPath, controllerHandle::poll) }
         }
     }
 
@@ -80,7 +84,7 @@
 
     private fun onHeartbeat(request: Request): Response = withBody(request) { fields ->
         val status = WorkerStatus.parse(fields)
-        when (val awaited = await<WorkerAnswer>(WORKER_TIMEOUT_MS) { handle.onHeartbeat(status, it) }) {
+        when (val awaited = await<WorkerAnswer>(WORKER_TIMEOUT_MS) { controllerHandle.onHeartbeat(status, it) }) {
             Awaited.Refused, Awaited.TimedOut -> Response(Status.SERVICE_UNAVAILABLE)
             is Awaited.Answer -> workerResponse(awaited.value)
         }
@@ -97,7 +101,7 @@
         try {
             return withBody(request) { fields ->
                 val spec = JobSpec.parse(fields)
-                userResponse(await(SUBMISSION_TIMEOUT_MS) { handle.submit(spec, it) })
+                userResponse(await(SUBMISSION_TIMEOUT_MS) { controllerHandle.submit(spec, it) })
             }
         } finally {
             submissionPermits.release()
--- a/src/main/kotlin/io/reedmast/app/PeerGateway.kt
+++ b/src/main/kotlin/io/reedmast/app/PeerGateway.kt
@@ -10,7 +10,7 @@
 /** Sends messages to the other controllers over the network; a message that cannot be sent now is dropped. */
 internal class PeerGateway(settings: Settings, private val calls: AsyncCalls) : PeerTransport {
     private val peers = settings.members.indices.map { ControllerId(it) }
-        .filter { it != settings.self }
+        .filter { it != settings.controllerId }
         .associateWith { Peer(settings.members[it.value]) }
 
     /**
--- a/src/main/kotlin/io/reedmast/app/Watches.kt
+++ b/src/main/kotlin/io/reedmast/app/Watches.kt
@@ -13,7 +13,11 @@
  * The two watches on the store: on the cluster's few keys, and on the records of jobs. Each has its own thread, which
  * runs until the process ends.
  */
-class Watches(private val client: StoreClient, private val clock: Clock, private val handle: ControllerHandle) {
+class Watches(
+    private val client: StoreClient,
+    private val clock: Clock,
+    private val controllerHandle: ControllerHandle,
+) {
     /**
      * Which keys to watch, how often, and where to deliver the results.
      *
@@ -36,8 +40,8 @@
         Keys.CLUSTER,
         minIntervalMs = 0L,
         holdMs = { CLUSTER_HOLD_MS },
-        handle.watchSink::clusterSnapshot,
-        handle.watchSink::clusterEvents,
+        controllerHandle.watchSink::clusterSnapshot,
+        controllerHandle.watchSink::clusterEvents,
     )
 
     /**
@@ -50,9 +54,9 @@
         Keys.LIVE_JOBS,
         Keys.JOBS,
         minIntervalMs = JOBS_INTERVAL_MS,
-        holdMs = { if (handle.hasWaitingLookups()) 0 else JOBS_HOLD_MS },
-        handle.watchSink::jobsSnapshot,
-        handle.watchSink::jobEvents,
+        holdMs = { if (controllerHandle.hasWaitingLookups()) 0 else JOBS_HOLD_MS },
+        controllerHandle.watchSink::jobsSnapshot,
+        controllerHandle.watchSink::jobEvents,
     )
 
     /** Starts the threads of both watches. */
--- a/src/main/kotlin/io/reedmast/autoscaling/Autoscaler.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/Autoscaler.kt
@@ -55,7 +55,7 @@
         val now = clock.now()
         if (!wasLeading) startLeading(now)
         listMachines(now)
-        intake.assign()
+        intake.assignWaitingMachines()
         readSummaries(now)
     }
 
--- a/src/main/kotlin/io/reedmast/autoscaling/Demand.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/Demand.kt
@@ -16,9 +16,9 @@
  * They are added up, since one entry per job would exceed the size limit of a stored record and the number of calls
  * that the cloud accepts.
  *
- * @property cpus Mean CPUs per task.
- * @property gpus Mean GPUs per task.
- * @property memoryGb Mean memory per task in GB.
+ * @property meanCpus Mean CPUs per task.
+ * @property meanGpus Mean GPUs per task.
+ * @property meanMemoryGb Mean memory per task in GB.
  * @property maxCpus CPUs of the largest task.
  * @property maxGpus GPUs of the largest task.
  * @property maxMemoryGb Memory in GB of the largest task.
@@ -29,9 +29,9 @@
  * @property taskCount The number of tasks.
  */
 data class Demand(
-    val cpus: Double,
-    val gpus: Double,
-    val memoryGb: Double,
+    val meanCpus: Double,
+    val meanGpus: Double,
+    val meanMemoryGb: Double,
     val maxCpus: Double,
     val maxGpus: Double,
     val maxMemoryGb: Double,
@@ -46,9 +46,9 @@
 
     /** The form in which the demand is stored. */
     fun toFields(): Fields = mapOf(
-        "cpus" to cpus,
-        "gpus" to gpus,
-        "memoryGb" to memoryGb,
+        "cpus" to meanCpus,
+        "gpus" to meanGpus,
+        "memoryGb" to meanMemoryGb,
         "maxCpus" to maxCpus,
         "maxGpus" to maxGpus,
         "maxMemoryGb" to maxMemoryGb,
@@ -62,7 +62,7 @@
     /** How many of the tasks an empty machine of this type holds; 0 if it cannot hold the largest of them. */
     fun tasksPerMachine(machineType: MachineType): Int {
         if (machineType.capacityFor(maxCpus, maxGpus, maxMemoryGb) < 1) return 0
-        return maxOf(1, machineType.capacityFor(cpus, gpus, memoryGb))
+        return maxOf(1, machineType.capacityFor(meanCpus, meanGpus, meanMemoryGb))
     }
 
     /** Whether the tasks may run on machines of this type. */
@@ -80,9 +80,9 @@
         val totalCount = taskCount + other.taskCount
         fun mean(own: Double, others: Double) = (own * taskCount + others * other.taskCount) / totalCount
         return copy(
-            cpus = mean(cpus, other.cpus),
-            gpus = mean(gpus, other.gpus),
-            memoryGb = mean(memoryGb, other.memoryGb),
+            meanCpus = mean(meanCpus, other.meanCpus),
+            meanGpus = mean(meanGpus, other.meanGpus),
+            meanMemoryGb = mean(meanMemoryGb, other.meanMemoryGb),
             maxCpus = maxOf(maxCpus, other.maxCpus),
             maxGpus = maxOf(maxGpus, other.maxGpus),
             maxMemoryGb = maxOf(maxMemoryGb, other.maxMemoryGb),
@@ -96,9 +96,9 @@
          * of the job's own setting or of where its other tasks are.
          */
         fun of(spec: JobSpec, pastDeadline: Boolean, taskCount: Int, zone: String? = spec.zone) = Demand(
-            cpus = spec.cpus,
-            gpus = spec.gpus,
-            memoryGb = spec.memoryGb,
+            meanCpus = spec.cpus,
+            meanGpus = spec.gpus,
+            meanMemoryGb = spec.memoryGb,
             maxCpus = spec.cpus,
             maxGpus = spec.gpus,
             maxMemoryGb = spec.memoryGb,
@@ -115,9 +115,9 @@
          * @throws io.reedmast.wire.MalformedException if a field is missing or of another type.
          */
         fun parse(fields: Fields) = Demand(
-            cpus = fields.amount("cpus"),
-            gpus = fields.amount("gpus"),
-            memoryGb = fields.amount("memoryGb"),
+            meanCpus = fields.amount("cpus"),
+            meanGpus = fields.amount("gpus"),
+            meanMemoryGb = fields.amount("memoryGb"),
             maxCpus = fields.amount("maxCpus"),
             maxGpus = fields.amount("maxGpus"),
             maxMemoryGb = fields.amount("maxMemoryGb"),
--- a/src/main/kotlin/io/reedmast/autoscaling/MachineIntake.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/MachineIntake.kt
@@ -84,7 +84,7 @@
     }
 
     /** Assigns the waiting machines to their shards. Those whose assignment could not be stored keep waiting. */
-    fun assign() {
+    fun assignWaitingMachines() {
         val currentTerm = fleet.leaderTerm ?: return
         if (currentTerm != term) beginTerm(currentTerm)
         incoming.values.toList().forEach { update(it) }
--- a/src/main/kotlin/io/reedmast/autoscaling/MachineProvisioner.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/MachineProvisioner.kt
@@ -97,7 +97,7 @@
         if (machineNames.size < request.count) recordUnavailable(planned.offering)
         planned.shardsOfMachines().zip(machineNames.distinct()).groupBy({ it.first }, { it.second })
             .forEach { (shard, names) -> offer(request, shard, names) }
-        intake.assign()
+        intake.assignWaitingMachines()
     }
 
     /**
--- a/src/main/kotlin/io/reedmast/autoscaling/OfferingSelector.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/OfferingSelector.kt
@@ -39,20 +39,20 @@
             return OfferingCandidate(offering, machineCount, hourlyPrice * machineCount)
         }
         return listOfNotNull(
-            candidate(spot = true, spotPrice(machineType, demand)),
+            candidate(spot = true, riskAdjustedSpotPrice(machineType, demand)),
             candidate(spot = false, onDemandPrice(machineType, demand)),
         )
     }
 
     /** The hourly spot price plus a risk surcharge; null if there is none, or the demand does not allow spot. */
-    private fun spotPrice(machineType: MachineType, demand: Demand): Double? =
+    private fun riskAdjustedSpotPrice(machineType: MachineType, demand: Demand): Double? =
         if (demand.spot) machineType.spotPrice?.times(SPOT_RISK_FACTOR) else null
 
     /** The hourly price of an on-demand machine; null if that is too expensive for the demand. */
     private fun onDemandPrice(machineType: MachineType, demand: Demand): Double? {
         val mayWaitForSpot = demand.spot && !demand.pastDeadline
         val isExcluded = mayWaitForSpot &&
-            isTooExpensive(machineType, machineTypes, demand.cpus, demand.gpus, demand.memoryGb)
+            isTooExpensive(machineType, machineTypes, demand.meanCpus, demand.meanGpus, demand.meanMemoryGb)
         return if (isExcluded) null else machineType.hourlyPrice
     }
 
--- a/src/main/kotlin/io/reedmast/autoscaling/UnassignedWorkers.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/UnassignedWorkers.kt
@@ -60,7 +60,7 @@
             status.machineName,
             shard.value,
         )
-        intake.assign()
+        intake.assignWaitingMachines()
     }
 
     private companion object {
--- a/src/main/kotlin/io/reedmast/autoscaling/UsageSummaryWriter.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/UsageSummaryWriter.kt
@@ -32,7 +32,7 @@
     private val zoneAvailability = ZoneAvailability(shardState)
     private var storedVersion = 0L
     private var writing = false
-    private var dueAt = 0L
+    private var writeDueAt = 0L
     private var lastDemand: List<Demand> = emptyList()
     private var lastWrittenAt = 0L
     private var logDueAt = 0L
@@ -49,16 +49,16 @@
 
     /** Called periodically: stores the summary if it is due at [now], in milliseconds. */
     fun runOnce(now: Long) {
-        if (writing || now - lastWrittenAt < MIN_INTERVAL_MS) return
+        if (writing || now - lastWrittenAt < MIN_WRITE_INTERVAL_MS) return
         scaleInPolicy.updateMeanImageSize()
         val demand = demandEstimator.demand()
         val starvingJobs = demandEstimator.starvingJobs(now)
         val isUrgent = demand.isNotEmpty() || lastDemand.isNotEmpty() || starvingJobs.isNotEmpty()
-        if (now < dueAt && !(isUrgent && demand != lastDemand)) return
+        if (now < writeDueAt && !(isUrgent && demand != lastDemand)) return
         lastDemand = demand
         lastWrittenAt = now
         logState(now, demand)
-        dueAt = now + (shardState.tuning.usageSummaryIntervalS * MS_PER_S).toLong()
+        writeDueAt = now + (shardState.tuning.usageSummaryIntervalS * MS_PER_S).toLong()
         store(summary(demand, starvingJobs, now), if (isUrgent) WritePriority.URGENT else WritePriority.DEFERRED)
     }
 
@@ -119,13 +119,13 @@
             usable.sumOf { it.machineType?.cpus ?: 0.0 }.toInt(),
             shardState.jobs.size,
             shardState.jobs.values.sumOf { it.pendingCount },
-            demand.map { "${it.taskCount} of ${"%.1f".format(it.cpus)} CPUs" },
+            demand.map { "${it.taskCount} of ${"%.1f".format(it.meanCpus)} CPUs" },
         )
     }
 
     private companion object {
         const val LOG_INTERVAL_MS = 15_000L
-        const val MIN_INTERVAL_MS = 1_000L
+        const val MIN_WRITE_INTERVAL_MS = 1_000L
 
         /** The maximum number of kinds of demand in a summary. */
         const val MAX_DEMAND_KINDS = 12
--- a/src/main/kotlin/io/reedmast/cluster/AcquisitionAttempts.kt
+++ b/src/main/kotlin/io/reedmast/cluster/AcquisitionAttempts.kt
@@ -33,7 +33,7 @@
      */
     fun retrySoon(shard: ShardId) {
         end(shard)
-        notBefore[shard.value] = clock.now() + RETRY_INTERVAL_MS * (settings.self.value + 1)
+        notBefore[shard.value] = clock.now() + RETRY_INTERVAL_MS * (settings.controllerId.value + 1)
     }
 
     /** Pauses attempts for [shard]: its workers cannot be reached from here, but other controllers may reach them. */
--- a/src/main/kotlin/io/reedmast/cluster/AcquisitionPolicy.kt
+++ b/src/main/kotlin/io/reedmast/cluster/AcquisitionPolicy.kt
@@ -57,7 +57,7 @@
         shards.countOf(owner) > 1
 
     /** The preferred owner of a shard is the controller with the same index, unless it cannot serve the shard. */
-    private fun isPreferredOwner(shard: ShardId) = shard.value == settings.self.value
+    private fun isPreferredOwner(shard: ShardId) = shard.value == settings.controllerId.value
 
     private fun uptimeMs(now: Long) = now - startedAt
 
--- a/src/main/kotlin/io/reedmast/cluster/Cluster.kt
+++ b/src/main/kotlin/io/reedmast/cluster/Cluster.kt
@@ -84,7 +84,7 @@
         { membership.leaderTerm },
         watchResults::reread,
     )
-    private val peerStatuses = PeerStatuses(settings.self, settings.members.size, incarnation)
+    private val peerStatuses = PeerStatuses(settings.controllerId, settings.members.size, incarnation)
     private val peerMessages = PeerMessageHandler(settings, clock, gateway, tables, failover, peerStatuses)
 
     private val contestedMachineLog = ContestedMachineLog(machines)
@@ -241,8 +241,8 @@
     override fun releaseContested(shard: ShardId, machineNames: Collection<String>) =
         assignment.releaseContested(shard, machineNames)
 
-    override fun transferMachines(shard: ShardId, machineNames: Collection<String>) =
-        assignment.transferMachines(shard, machineNames)
+    override fun transferMachines(from: ShardId, machineNames: Collection<String>) =
+        assignment.transferMachines(from, machineNames)
 
     override fun addMachines(
         shard: ShardId,
--- a/src/main/kotlin/io/reedmast/cluster/ClusterRollout.kt
+++ b/src/main/kotlin/io/reedmast/cluster/ClusterRollout.kt
@@ -52,7 +52,7 @@
         limits.target.maxPreconditions,
         ::refreshGates,
     )
-    private val clusterMigration = reconciler(MigrationUnit.Cluster, UncontendedRecords)
+    private val clusterMigrationReconciler = reconciler(MigrationUnit.Cluster, UncontendedRecords)
 
     override val gates: GateSnapshot get() = view.gates
 
@@ -131,7 +131,7 @@
         formatGate.runOnce()
         if (leaderVersion == null) return
         coordinator.runOnce(leaderVersion, snapshot())
-        clusterMigration.runOnce(gates, Precondition(Keys.LEADER, leaderVersion), view)
+        clusterMigrationReconciler.runOnce(gates, Precondition(Keys.LEADER, leaderVersion), view)
     }
 
     private fun snapshot(): ClusterSnapshot = view.snapshot(
--- a/src/main/kotlin/io/reedmast/cluster/MachineAssignment.kt
+++ b/src/main/kotlin/io/reedmast/cluster/MachineAssignment.kt
@@ -50,7 +50,7 @@
     }
 
     /** As the shard's owner, moves empty machines to the shards that they are marked for, some per call. */
-    fun transferMachines(shard: ShardId, machineNames: Collection<String>) = transfer.transfer(shard, machineNames)
+    fun transferMachines(from: ShardId, machineNames: Collection<String>) = transfer.transfer(from, machineNames)
 
     /**
      * As the leader, adds machines to a shard; [highestTokenSeen] is the highest token that any of them has seen.
--- a/src/main/kotlin/io/reedmast/cluster/MachineTransfer.kt
+++ b/src/main/kotlin/io/reedmast/cluster/MachineTransfer.kt
@@ -67,10 +67,10 @@
      * Moves those of [machineNames] that are in the same record and have the same destination, as many as fit there;
      * later calls move the others.
      */
-    fun transfer(shard: ShardId, machineNames: Collection<String>) {
-        val source = sourceOf(shard, machineNames) ?: return
+    fun transfer(from: ShardId, machineNames: Collection<String>) {
+        val source = sourceOf(from, machineNames) ?: return
         val targetShard = machineNames.firstNotNullOfOrNull { source.stored.part.transfers[it] }?.let { ShardId(it) }
-        if (targetShard == null || targetShard == shard) return
+        if (targetShard == null || targetShard == from) return
         val targetOwner = shards.records.getOrNull(targetShard.value) ?: return
         val moving = movable(source, targetShard, machineNames)
         val destination = Destination(targetShard, targetOwner, machines.partWithRoomFor(moving, targetShard))
--- a/src/main/kotlin/io/reedmast/cluster/MisdirectedHeartbeats.kt
+++ b/src/main/kotlin/io/reedmast/cluster/MisdirectedHeartbeats.kt
@@ -18,7 +18,7 @@
     /** A redirect of a worker at [addr] to the owner; [isRepeated] if the worker had been redirected shortly before. */
     private class Redirect(val at: Long, val addr: String, val isRepeated: Boolean)
 
-    private val redirects = Array(shards) { HashMap<String, Redirect>() }
+    private val redirectsByShard = Array(shards) { HashMap<String, Redirect>() }
     private val ownerChangedAt = LongArray(shards)
 
     /**
@@ -31,16 +31,16 @@
         ).toLong()
 
     /** Whether no redirect of a worker of [shard] is recorded. */
-    fun isEmpty(shard: ShardId): Boolean = redirects[shard.value].isEmpty()
+    fun isEmpty(shard: ShardId): Boolean = redirectsByShard[shard.value].isEmpty()
 
     /**
      * Records that a worker of [shard] is redirected to the owner. Returns whether it had already been redirected there
      * within the last [RETURN_WINDOW_MS].
      */
     fun recordRedirect(shard: ShardId, machineName: String, addr: String, now: Long): Boolean {
-        val previous = redirects[shard.value][machineName]
+        val previous = redirectsByShard[shard.value][machineName]
         val isRepeated = previous != null && now - previous.at <= RETURN_WINDOW_MS
-        redirects[shard.value][machineName] = Redirect(now, addr, isRepeated)
+        redirectsByShard[shard.value][machineName] = Redirect(now, addr, isRepeated)
         return isRepeated
     }
 
@@ -50,7 +50,7 @@
      * their own, so with fewer than [SUFFICIENT_WORKERS] at least one must have been redirected before.
      */
     fun sampleIfMajority(shard: ShardId, knownWorkers: Int, now: Long): Map<String, String> {
-        val recent = redirects[shard.value]
+        val recent = redirectsByShard[shard.value]
         recent.values.removeIf { now - it.at > RETURN_WINDOW_MS }
         val isMajority = recent.size * 2 > knownWorkers
         val isSettled = now - ownerChangedAt[shard.value] >= settlingMs
@@ -62,7 +62,7 @@
 
     /** Discards the redirects of [shard], which has a new owner that its workers have yet to find. */
     fun onNewOwner(shard: ShardId, now: Long) {
-        redirects[shard.value].clear()
+        redirectsByShard[shard.value].clear()
         ownerChangedAt[shard.value] = now
     }
 
@@ -72,7 +72,7 @@
      * controller acquired every shard from healthy owners.
      */
     fun onStoreUnreachable(now: Long) {
-        for (shard in redirects.indices) onNewOwner(ShardId(shard), now)
+        for (shard in redirectsByShard.indices) onNewOwner(ShardId(shard), now)
     }
 
     private companion object {
--- a/src/main/kotlin/io/reedmast/cluster/PeerMessageHandler.kt
+++ b/src/main/kotlin/io/reedmast/cluster/PeerMessageHandler.kt
@@ -39,7 +39,7 @@
     }
 
     private fun reportFor(query: PeerMessage.ControllerStatusQuery) = PeerMessage.ControllerStatusReport(
-        from = settings.self,
+        from = settings.controllerId,
         incarnation = query.incarnation,
         sequence = query.sequence,
         uptimeMs = clock.now() - startedAt,
--- a/src/main/kotlin/io/reedmast/persistence/PageReader.kt
+++ b/src/main/kotlin/io/reedmast/persistence/PageReader.kt
@@ -12,7 +12,7 @@
  * Restores a shard's progress from its stored pages.
  *
  * A page that would be split differently today is read, and its content is stored in other pages: see
- * [SupersededPages]. Until the old page has been cleared, two pages cover the same tasks, and the newer one is
+ * [SupersededPageCleaner]. Until the old page has been cleared, two pages cover the same tasks, and the newer one is
  * authoritative for their placements.
  *
  * @param chunkSizes the chunk sizes from the jobs' records, by job ID
@@ -21,7 +21,7 @@
 internal class PageReader(
     private val shardState: ShardState,
     private val pages: ProgressPages,
-    private val supersededPages: SupersededPages,
+    private val supersededPageCleaner: SupersededPageCleaner,
     private val chunkSizes: Map<String, Int>,
     private val place: (Job, StoredPlacement) -> Unit,
 ) {
@@ -93,7 +93,7 @@
         val tasks = tasksOf(stored)
         if (mustBeReplaced) {
             val chunks = tasks.mapTo(LinkedHashSet()) { job.chunkOf(it) }
-            chunks.forEach { supersededPages.supersede(page, it) }
+            chunks.forEach { supersededPageCleaner.supersede(page, it) }
         } else {
             page.add(job.chunkOf(stored.first))
         }
--- a/src/main/kotlin/io/reedmast/persistence/ProgressPage.kt
+++ b/src/main/kotlin/io/reedmast/persistence/ProgressPage.kt
@@ -43,7 +43,7 @@
      * Chunks of which the stored value holds an older copy, because the value is to be split differently: it is
      * cleared once all of them are stored in other pages.
      */
-    val supersededChunks = LinkedHashSet<Chunk>()
+    val supersedingChunks = LinkedHashSet<Chunk>()
 
     /**
      * The page is not written again before this time: the store refused it, or the rollout's gates have to be read
@@ -80,7 +80,7 @@
 
     /** Whether [chunk] may be added while the page is to stay within [capacityBytes] in [format]. */
     fun hasRoom(chunk: Chunk, capacityBytes: Int, format: PageFormat) =
-        supersededChunks.isEmpty() && reservedIn(format) + format.maxBytesFor(chunk) <= capacityBytes
+        supersedingChunks.isEmpty() && reservedIn(format) + format.maxBytesFor(chunk) <= capacityBytes
 
     /** Assigns [chunk] to this page and reserves space for all its tasks. */
     fun add(chunk: Chunk) {
--- a/src/main/kotlin/io/reedmast/persistence/ProgressStore.kt
+++ b/src/main/kotlin/io/reedmast/persistence/ProgressStore.kt
@@ -14,7 +14,7 @@
 class ProgressStore(private val shardState: ShardState, private val store: KeyValueStore, listener: ProgressListener) {
     private val pages = ProgressPages(shardState)
     private val committer = PageCommitter(shardState, store, pages)
-    private val supersededPages = SupersededPages(shardState, store, pages, committer)
+    private val supersededPageCleaner = SupersededPageCleaner(shardState, store, pages, committer)
     private val conflicts = ConflictHandler(shardState, store, pages, listener)
     private val pageWriter = PageWriter(shardState, committer, pages, conflicts, listener)
     private val finalRecords = FinalRecordWriter(shardState, store, conflicts, listener)
@@ -40,7 +40,7 @@
      * @param place restores one placement
      */
     fun load(items: List<StoredItem>, chunkSizes: Map<String, Int>, place: (Job, StoredPlacement) -> Unit) =
-        PageReader(shardState, pages, supersededPages, chunkSizes, place).load(items)
+        PageReader(shardState, pages, supersededPageCleaner, chunkSizes, place).load(items)
 
     /**
      * Stores changes that are not stored yet, as far as the write permits allow; [now] is the time of the shard's
@@ -50,7 +50,7 @@
         requestWritesOfChangedJobs(now)
         if (!shardState.isCurrent()) return
         finalRecords.writeDue()
-        supersededPages.clearReplaced()
+        supersededPageCleaner.clearObsolete()
         writeDuePages(now)
     }
 
--- a/src/main/kotlin/io/reedmast/persistence/SupersededPages.kt
+++ b/src/main/kotlin/io/reedmast/persistence/SupersededPageCleaner.kt
@@ -13,7 +13,7 @@
  * small value. Therefore each of its parts is first stored in another page. Until all parts are, the old page is left
  * unchanged, and a reader of both uses the newer copy of each task. The procedure may be interrupted after any step.
  */
-internal class SupersededPages(
+internal class SupersededPageCleaner(
     private val shardState: ShardState,
     private val store: KeyValueStore,
     private val pages: ProgressPages,
@@ -21,21 +21,21 @@
 ) {
     /** Records that the stored value of [page] holds an older copy of tasks that [chunk] covers. */
     fun supersede(page: ProgressPage, chunk: Chunk) {
-        if (!page.supersededChunks.add(chunk)) return
+        if (!page.supersedingChunks.add(chunk)) return
         chunk.supersededCopies++
         if (chunk.page == null) chunk.dirty = true
         shardState.changedJobs.add(chunk.job)
     }
 
     /** Clears the pages whose entire content is stored in other pages. */
-    fun clearReplaced() {
+    fun clearObsolete() {
         for (page in pages.all) {
-            if (page.supersededChunks.isEmpty() || page.isWriteInFlight) continue
-            if (page.supersededChunks.all { isReplaced(it) }) clear(page)
+            if (page.supersedingChunks.isEmpty() || page.isWriteInFlight) continue
+            if (page.supersedingChunks.all { isOldCopyObsolete(it) }) clear(page)
         }
     }
 
-    private fun isReplaced(chunk: Chunk): Boolean {
+    private fun isOldCopyObsolete(chunk: Chunk): Boolean {
         val isJobOver = shardState.jobs[chunk.job.spec.jobId] !== chunk.job
         return isJobOver || (chunk.page != null && chunk.isStoredInItsPage)
     }
@@ -58,7 +58,7 @@
     }
 
     private fun onCleared(page: ProgressPage) {
-        page.supersededChunks.forEach { it.supersededCopies-- }
-        page.supersededChunks.clear()
+        page.supersedingChunks.forEach { it.supersededCopies-- }
+        page.supersedingChunks.clear()
     }
 }
--- a/src/main/kotlin/io/reedmast/rollout/Admission.kt
+++ b/src/main/kotlin/io/reedmast/rollout/Admission.kt
@@ -25,7 +25,7 @@
         fun of(self: String, range: VersionRange, record: RolloutRecord): Admission {
             val required = record.requiredVersion
             val finalized = record.finalizedVersion
-            val excluded = record.excluded[self]
+            val excluded = record.exclusions[self]
             return when {
                 required > range.newest -> Incompatible(
                     "the cluster requires version $required, this process has $range",
--- a/src/main/kotlin/io/reedmast/rollout/ClusterSnapshot.kt
+++ b/src/main/kotlin/io/reedmast/rollout/ClusterSnapshot.kt
@@ -44,7 +44,7 @@
     }
 
     /** The participating controllers: all configured ones except those that an operator has excluded. */
-    fun participants(record: RolloutRecord): Set<String> = configured - record.excluded.keys
+    fun participants(record: RolloutRecord): Set<String> = configured - record.exclusions.keys
 
     /**
      * Preconditions that every participating controller still runs as the process in this snapshot, and every shard
--- a/src/main/kotlin/io/reedmast/rollout/MigrationReconciler.kt
+++ b/src/main/kotlin/io/reedmast/rollout/MigrationReconciler.kt
@@ -83,12 +83,13 @@
             val stored = view.progressOf(feature.name, unit)
             val resumable = stored?.progress?.takeIf { it.generation == gate.generation && it.direction == direction }
             if (resumable?.complete == true) return@firstNotNullOfOrNull null
-            val startingProgress = resumable?.let { resumed(it) } ?: MigrationProgress(direction, gate.generation)
+            val startingProgress =
+                resumable?.let { startingProgressFrom(it) } ?: MigrationProgress(direction, gate.generation)
             Pass(feature, migration, gates, fence, startingProgress).apply { progressVersion = stored?.version ?: 0L }
         }
 
     /** A pass that starts from the first record counts unreadable and oversized records anew. */
-    private fun resumed(progress: MigrationProgress) =
+    private fun startingProgressFrom(progress: MigrationProgress) =
         if (progress.lastKey.isEmpty()) progress.copy(unreadable = 0, oversized = 0) else progress
 
     private fun appliesToUnit(migration: RecordMigration) = when (unit) {
--- a/src/main/kotlin/io/reedmast/rollout/RolloutAdministration.kt
+++ b/src/main/kotlin/io/reedmast/rollout/RolloutAdministration.kt
@@ -68,7 +68,7 @@
                 label !in configured -> {
                     refused("there is no controller $label; known are ${configured.sorted().joinToString()}")
                 }
-                label in record.excluded -> refused("$label is excluded already")
+                label in record.exclusions -> refused("$label is excluded already")
                 status.snapshot.participants(record).size == 1 -> refused("$label is the last controller that counts")
                 label in status.snapshot.present -> refused("$label is alive; stop it first")
                 owned >= 0 -> refused("$label still owns shard $owned; another controller takes it within seconds")
@@ -84,7 +84,7 @@
     fun include(label: String, attribution: Attribution, done: (AdministrationResult) -> Unit) =
         perform(done) { status ->
             val record = status.view.gates.record
-            if (label !in record.excluded) {
+            if (label !in record.exclusions) {
                 refused("$label is not excluded")
             } else {
                 PlannedAction.Put(record.withIncluded(label, provenanceOf(attribution)), emptyList())
@@ -170,7 +170,7 @@
     /** The parts of the rollout record that operators change, as opposed to the leader's gate transitions. */
     private data class OperatorDecisions(
         val targetOverrides: Map<FeatureName, TargetOverride>,
-        val excluded: Map<String, Provenance>,
+        val exclusions: Map<String, Provenance>,
     )
 
     private fun attempt(action: PendingAction, attemptsLeft: Int) = status { result ->
@@ -182,7 +182,7 @@
 
     private fun attempt(action: PendingAction, status: RolloutStatus, attemptsLeft: Int) {
         val record = status.view.gates.record
-        val decisions = OperatorDecisions(record.targetOverrides, record.excluded)
+        val decisions = OperatorDecisions(record.targetOverrides, record.exclusions)
         val seen = action.decisionsSeen ?: decisions.also { action.decisionsSeen = it }
         when (val admission = status.view.admission) {
             is Admission.RecordUnreadable -> action.done(AdministrationResult.Refused(admission.reason))
--- a/src/main/kotlin/io/reedmast/rollout/RolloutCoordinator.kt
+++ b/src/main/kotlin/io/reedmast/rollout/RolloutCoordinator.kt
@@ -104,7 +104,7 @@
         if (isStoring) return
         isStoring = true
         val gates = view.gates
-        val exclusion = gates.record.excluded[self]
+        val exclusion = gates.record.exclusions[self]
         log.info("controller: excluded by {} ({}); requesting inclusion", exclusion?.by, exclusion?.reason)
         val updatedRecord = gates.record.withIncluded(
             self,
--- a/src/main/kotlin/io/reedmast/rollout/RolloutRecord.kt
+++ b/src/main/kotlin/io/reedmast/rollout/RolloutRecord.kt
@@ -112,12 +112,12 @@
 /**
  * The stored state of the rollout, under one key, so that one precondition covers every gate.
  *
- * @property excluded the controllers that do not participate, by label, with who excluded them
+ * @property exclusions the controllers that do not participate, by label, with who excluded them
  */
 data class RolloutRecord(
     val gates: Map<FeatureName, Gate> = emptyMap(),
     val targetOverrides: Map<FeatureName, TargetOverride> = emptyMap(),
-    val excluded: Map<String, Provenance> = emptyMap(),
+    val exclusions: Map<String, Provenance> = emptyMap(),
     val history: List<HistoryEntry> = emptyList(),
 ) {
     /** The state of the gate of [feature]; a feature without a gate is dormant. */
@@ -147,11 +147,11 @@
 
     /** A copy in which the controller [label] is excluded. */
     fun withExcluded(label: String, provenance: Provenance): RolloutRecord =
-        copy(excluded = excluded + (label to provenance)).withHistoryEntry("$label excluded", provenance)
+        copy(exclusions = exclusions + (label to provenance)).withHistoryEntry("$label excluded", provenance)
 
     /** A copy in which the controller [label] is no longer excluded. */
     fun withIncluded(label: String, provenance: Provenance): RolloutRecord =
-        copy(excluded = excluded - label).withHistoryEntry("$label included", provenance)
+        copy(exclusions = exclusions - label).withHistoryEntry("$label included", provenance)
 
     private fun withHistoryEntry(change: String, provenance: Provenance) =
         copy(history = (history + HistoryEntry(change, provenance)).takeLast(MAX_HISTORY_ENTRIES))
@@ -167,7 +167,7 @@
         "layout" to LAYOUT,
         "gates" to gates.entries.associate { it.key.value to it.value.toFields() },
         "wishes" to targetOverrides.entries.associate { it.key.value to it.value.toFields() },
-        "excluded" to excluded.mapValues { it.value.toFields() },
+        "excluded" to exclusions.mapValues { it.value.toFields() },
         "history" to kept.map { it.toFields() },
     )
 
--- a/src/main/kotlin/io/reedmast/settings/Settings.kt
+++ b/src/main/kotlin/io/reedmast/settings/Settings.kt
@@ -15,7 +15,7 @@
  * @property apiAddress the address at which users and workers are served (`front`).
  * @property clusterAddress the address at which the other controllers are served (`cluster_listen`).
  * @property members all controllers, sorted by label so that every controller assigns the same indices.
- * @property self the index of this controller in [members].
+ * @property controllerId the index of this controller in [members].
  * @property maxConnections the maximum number of connections that this process may have open.
  */
 data class Settings(
@@ -23,7 +23,7 @@
     val apiAddress: InetSocketAddress,
     val clusterAddress: InetSocketAddress,
     val members: List<Member>,
-    val self: ControllerId,
+    val controllerId: ControllerId,
     val cloudAddress: String,
     val storeAddress: String,
     val zones: List<String>,
--- a/src/main/kotlin/io/reedmast/settings/SettingsParser.kt
+++ b/src/main/kotlin/io/reedmast/settings/SettingsParser.kt
@@ -21,27 +21,27 @@
         val apiAddress = at("") { address("front", root.text("front")) }
         val clusterAddress = at("") { address("cluster_listen", root.text("cluster_listen")) }
         val members = members(Member(label, clusterAddress))
-        val outside = at("") { root.map("outside") }
-        val facts = at("") { root.map("facts") }
-        requireControllerCount(facts, members.size)
-        val workers = workerRules(facts)
-        val store = storeSection(facts)
+        val outsideSection = at("") { root.map("outside") }
+        val factsSection = at("") { root.map("facts") }
+        requireControllerCount(factsSection, members.size)
+        val workers = workerRules(factsSection)
+        val store = storeSection(factsSection)
         return Settings(
             label = label,
             apiAddress = apiAddress,
             clusterAddress = clusterAddress,
             members = members,
-            self = ControllerId(members.indexOfFirst { it.label == label }),
+            controllerId = ControllerId(members.indexOfFirst { it.label == label }),
             workers = workers,
             storeLimits = store.limits,
             nextStoreLimits = store.nextLimits,
-            cloudLimits = cloudLimits(facts),
-            maxConnections = maxConnections(facts),
-            cloudAddress = outsideAddress(outside, "cloud"),
-            storeAddress = outsideAddress(outside, "state"),
-            zones = zones(facts),
-            teams = teams(facts),
-            objectives = objectives(facts),
+            cloudLimits = cloudLimits(factsSection),
+            maxConnections = maxConnections(factsSection),
+            cloudAddress = outsideAddress(outsideSection, "cloud"),
+            storeAddress = outsideAddress(outsideSection, "state"),
+            zones = zones(factsSection),
+            teams = teams(factsSection),
+            objectives = objectives(factsSection),
         )
     }
 
@@ -62,15 +62,15 @@
 
     private fun member(seed: Fields) = Member(seed.text("label"), address("endpoint", seed.text("endpoint")))
 
-    private fun requireControllerCount(facts: Fields, memberCount: Int) {
-        val nodes = at("facts.") { facts.count("nodes") }
+    private fun requireControllerCount(factsSection: Fields, memberCount: Int) {
+        val nodes = at("facts.") { factsSection.count("nodes") }
         if (nodes != memberCount.toLong()) {
             throw SettingsException("facts.nodes is $nodes, but label and seeds list $memberCount nodes")
         }
     }
 
-    private fun workerRules(facts: Fields): WorkerRules {
-        val workers = at("facts.") { facts.map("workers") }
+    private fun workerRules(factsSection: Fields): WorkerRules {
+        val workers = at("facts.") { factsSection.map("workers") }
         val rules = at("facts.workers.") {
             WorkerRules(
                 heartbeatIntervalS = positive(workers, "report_s"),
@@ -88,8 +88,8 @@
 
     private class StoreSection(val limits: StoreLimits, val nextLimits: StoreLimits?)
 
-    private fun storeSection(facts: Fields): StoreSection {
-        val store = at("facts.") { facts.map("state") }
+    private fun storeSection(factsSection: Fields): StoreSection {
+        val store = at("facts.") { factsSection.map("state") }
         val limits = storeLimits(store)
         val nextLimits = nextStoreLimits(store, limits)
         if (limits.writesPerTransaction < MIN_WRITES_PER_TRANSACTION) {
@@ -123,14 +123,14 @@
 
     private fun bytes(kibibytes: Double): Int = (kibibytes * BYTES_PER_KIBIBYTE).toInt()
 
-    private fun cloudLimits(facts: Fields): CloudLimits {
-        val cloud = at("facts.") { facts.map("cloud") }
+    private fun cloudLimits(factsSection: Fields): CloudLimits {
+        val cloud = at("facts.") { factsSection.map("cloud") }
         return at("facts.cloud.") { CloudLimits(positive(cloud, "rps"), cloud.amount("list_lag_s")) }
     }
 
-    private fun maxConnections(facts: Fields): Int {
-        if (facts["resources"] == null) return DEFAULT_MAX_CONNECTIONS
-        val resources = at("facts.") { facts.map("resources") }
+    private fun maxConnections(factsSection: Fields): Int {
+        if (factsSection["resources"] == null) return DEFAULT_MAX_CONNECTIONS
+        val resources = at("facts.") { factsSection.map("resources") }
         return at("facts.resources.") { resources.optionalAmount("max_connections") }?.toInt()
             ?: DEFAULT_MAX_CONNECTIONS
     }
@@ -139,13 +139,13 @@
         outside.text(name).also { address(name, it) }
     }
 
-    private fun zones(facts: Fields): List<String> = at("facts.") {
-        val zones = facts["zones"] as? List<*> ?: throw MalformedException("zones is missing or not a list")
+    private fun zones(factsSection: Fields): List<String> = at("facts.") {
+        val zones = factsSection["zones"] as? List<*> ?: throw MalformedException("zones is missing or not a list")
         zones.map { it as? String ?: throw MalformedException("zones contains a value that is not text") }
     }
 
-    private fun teams(facts: Fields): List<TeamShare> {
-        val sections = at("facts.") { facts.maps("teams") }
+    private fun teams(factsSection: Fields): List<TeamShare> {
+        val sections = at("facts.") { factsSection.maps("teams") }
         if (sections.isEmpty()) throw SettingsException("facts.teams is empty")
         val teams = sections.mapIndexed { i, section -> at("facts.teams[$i].") { team(section) } }
         requireDistinct(teams.map { it.name }, "facts.teams contains the same name twice")
@@ -160,9 +160,9 @@
         maxGpus = section.optionalAmount("gpus_max") ?: 0.0,
     )
 
-    private fun objectives(facts: Fields): List<Objective> {
-        if (facts["objectives"] == null) return emptyList()
-        val sections = at("facts.") { facts.maps("objectives") }
+    private fun objectives(factsSection: Fields): List<Objective> {
+        if (factsSection["objectives"] == null) return emptyList()
+        val sections = at("facts.") { factsSection.maps("objectives") }
         return sections.mapIndexed { i, section -> at("facts.objectives[$i].") { objective(section) } }
     }
 
--- a/src/main/kotlin/io/reedmast/shard/ShardOwner.kt
+++ b/src/main/kotlin/io/reedmast/shard/ShardOwner.kt
@@ -74,7 +74,10 @@
         ProgressStore(shardState, gateway, StoredProgressListener(shardState, dispatcher, jobs, records))
     private val lifecycle =
         MachineLifecycle(shardState, gateway, dispatcher, scaleInPolicy, LifecycleRequests())
-    private val migration = records.rollout.reconciler(MigrationUnit.Shard(shard), progressStore.migrationAccess)
+    private val migrationReconciler = records.rollout.reconciler(
+        MigrationUnit.Shard(shard),
+        progressStore.migrationAccess,
+    )
     private val machines = ShardMachines(shardState, lifecycle, records)
     private val restoration =
         ShardRestoration(shardState, jobs, machines, progressStore, usageSummaryWriter, gangs)
@@ -109,7 +112,8 @@
      * Whether all decisions are stored and no write of a migration is in flight, so that another controller can acquire
      * the shard without losing anything.
      */
-    val isReadyForHandover: Boolean get() = active && progressStore.areDecisionsStored && !migration.isWriteInFlight
+    val isReadyForHandover: Boolean
+        get() = active && progressStore.areDecisionsStored && !migrationReconciler.isWriteInFlight
 
     /**
      * Restores the shard from its stored records and begins to act as its owner. The caller must have listed [pages]
@@ -194,7 +198,7 @@
 
     private fun migrateRecords() {
         if (!shardState.isCurrent()) return
-        migration.runOnce(records.rollout.gates, shardState.termPrecondition, records.rollout.view)
+        migrationReconciler.runOnce(records.rollout.gates, shardState.termPrecondition, records.rollout.view)
     }
 
     /**
--- a/src/main/kotlin/io/reedmast/shard/ShardRecords.kt
+++ b/src/main/kotlin/io/reedmast/shard/ShardRecords.kt
@@ -48,5 +48,5 @@
     fun removeMachines(shard: ShardId, machineNames: Set<String>)
 
     /** Moves empty machines to the shards that they are marked for. */
-    fun transferMachines(shard: ShardId, machineNames: Collection<String>)
+    fun transferMachines(from: ShardId, machineNames: Collection<String>)
 }
--- a/src/test/kotlin/io/reedmast/CountedWorkTest.kt
+++ b/src/test/kotlin/io/reedmast/CountedWorkTest.kt
@@ -30,7 +30,7 @@
         apiAddress = World.address(controller, 8080),
         clusterAddress = World.address(controller, 8081),
         members = (0 until CONTROLLERS).map { Member("n$it", World.address(it, 8081)) },
-        self = ControllerId(controller),
+        controllerId = ControllerId(controller),
         cloudAddress = "10.2.0.2:1",
         storeAddress = "10.2.0.1:1",
         zones = listOf("x"),
--- a/src/test/kotlin/io/reedmast/app/SocketTest.kt
+++ b/src/test/kotlin/io/reedmast/app/SocketTest.kt
@@ -90,12 +90,12 @@
         val client = StoreClient(settings.storeAddress, limits, 1, HttpCaller(500, 1000))
         val gateway = NetworkGateway.create(settings, eventLoop, StoreAccess(client, limits, "test")) {}
         val timings = Timings(SystemClock)
-        val handle =
+        val controllerHandle =
             ControllerHandle(eventLoop, Controller(settings, Tuning(), SystemClock, gateway, limits, "test"), timings)
-        HttpApi(settings, handle, timings).start()
+        HttpApi(settings, controllerHandle, timings).start()
         gateway.start()
-        Watches(client, SystemClock, handle).start()
-        startThread("test-desk") { eventLoop.run(50, 50, handle::runOnce) }
+        Watches(client, SystemClock, controllerHandle).start()
+        startThread("test-desk") { eventLoop.run(50, 50, controllerHandle::runOnce) }
         val deadline = System.nanoTime() + 10_000_000_000L
         while (call("GET", "/healthz", null).first != 200 && System.nanoTime() < deadline) Thread.sleep(50)
     }
--- a/src/test/kotlin/io/reedmast/autoscaling/AutoscalingFixtures.kt
+++ b/src/test/kotlin/io/reedmast/autoscaling/AutoscalingFixtures.kt
@@ -24,9 +24,9 @@
     allowedTypes: List<String>? = null,
     pastDeadline: Boolean = false,
 ) = Demand(
-    cpus = 1.0,
-    gpus = 0.0,
-    memoryGb = 1.0,
+    meanCpus = 1.0,
+    meanGpus = 0.0,
+    meanMemoryGb = 1.0,
     maxCpus = 1.0,
     maxGpus = 0.0,
     maxMemoryGb = 1.0,
--- a/src/test/kotlin/io/reedmast/autoscaling/MachineIntakeTest.kt
+++ b/src/test/kotlin/io/reedmast/autoscaling/MachineIntakeTest.kt
@@ -26,7 +26,7 @@
         offer(fromHeartbeat, 0, IntakeSource.HEARTBEAT)
 
         assertEquals(IntakeDecision.Accepted, offer(fromRental, 1, IntakeSource.RENTAL))
-        intake.assign()
+        intake.assignWaitingMachines()
 
         assertEquals(listOf(fromHeartbeat.name to 1), fleet.additions)
         assertEquals(listOf(fromRental), fleet.addedRecords)
@@ -42,10 +42,10 @@
     @Test
     fun `the destination stays while a write is in flight`() {
         offer(fromHeartbeat, 0, IntakeSource.HEARTBEAT)
-        intake.assign()
+        intake.assignWaitingMachines()
 
         assertEquals(IntakeDecision.MetElsewhere(ShardId(0)), offer(fromRental, 1, IntakeSource.RENTAL))
-        intake.assign()
+        intake.assignWaitingMachines()
 
         assertEquals(listOf(fromHeartbeat.name to 0), fleet.additions)
     }
@@ -53,27 +53,27 @@
     @Test
     fun `the destination stays until the watch has caught up with a write that failed`() {
         offer(fromHeartbeat, 0, IntakeSource.HEARTBEAT)
-        intake.assign()
+        intake.assignWaitingMachines()
         fleet.observedThrough = clock.now() - 1
         answer(AddMachinesResult.Unconfirmed)
 
         assertEquals(IntakeDecision.MetElsewhere(ShardId(0)), offer(fromRental, 1, IntakeSource.RENTAL))
-        intake.assign()
+        intake.assignWaitingMachines()
         assertEquals(1, fleet.additions.size)
 
         fleet.observedThrough = clock.now() + 1
-        intake.assign()
+        intake.assignWaitingMachines()
         assertEquals(listOf(fromHeartbeat.name to 0, fromHeartbeat.name to 0), fleet.additions)
     }
 
     @Test
     fun `a write that was stored after all is not repeated`() {
         offer(fromHeartbeat, 0, IntakeSource.HEARTBEAT)
-        intake.assign()
+        intake.assignWaitingMachines()
         answer(AddMachinesResult.Unconfirmed)
         fleet.recorded[fromHeartbeat.name] = 0
 
-        intake.assign()
+        intake.assignWaitingMachines()
 
         assertEquals(1, fleet.additions.size)
         assertEquals(emptySet<String>(), intake.unassignedNames)
@@ -84,18 +84,18 @@
         fleet.leaderTerm = null
         offer(fromHeartbeat, 0, IntakeSource.HEARTBEAT)
 
-        intake.assign()
+        intake.assignWaitingMachines()
 
         assertEquals(emptyList<Pair<String, Int>>(), fleet.additions)
     }
 
     @Test
     fun `machines collected before another controller led are discarded`() {
-        intake.assign()
+        intake.assignWaitingMachines()
         offer(fromHeartbeat, 0, IntakeSource.HEARTBEAT)
         fleet.leaderTerm = 9L
 
-        intake.assign()
+        intake.assignWaitingMachines()
 
         assertEquals(emptyList<Pair<String, Int>>(), fleet.additions)
     }
--- a/src/test/kotlin/io/reedmast/sim/RolloutRules.kt
+++ b/src/test/kotlin/io/reedmast/sim/RolloutRules.kt
@@ -96,7 +96,7 @@
     /** Every running controller that owns a shard and is not excluded must read what may be written from now on. */
     private fun checkAllCanRead(version: Int, next: RolloutRecord, event: String) {
         for (controller in world.controllers) {
-            if (controller.label in next.excluded || !controller.up || controller.terminationReason != null) continue
+            if (controller.label in next.exclusions || !controller.up || controller.terminationReason != null) continue
             val owns = controller.process?.cluster?.activeOwners().orEmpty().isNotEmpty()
             if (owns &&
                 controller.newestReadableVersion < version
--- a/src/test/kotlin/io/reedmast/sim/TestSettings.kt
+++ b/src/test/kotlin/io/reedmast/sim/TestSettings.kt
@@ -19,7 +19,7 @@
     apiAddress = World.address(0, 8080),
     clusterAddress = World.address(0, 8081),
     members = controllers.mapIndexed { i, label -> Member(label, World.address(i, 8081)) },
-    self = ControllerId(0),
+    controllerId = ControllerId(0),
     cloudAddress = "10.2.0.2:1",
     storeAddress = "10.2.0.1:1",
     zones = listOf("x"),
