--- a/src/main/kotlin/io/reedmast/shard/ShardRecords.kt
+++ b/src/main/kotlin/io/reedmast/shard/ShardRecords.kt
@@ -12,7 +12,7 @@
  * A request returns at once. Its outcome appears in the records, and the owner is notified then.
  */
 interface ShardRecords {
-    /** All unfinished jobs. */
+    /** The unfinished jobs of all shards. */
     val jobs: JobIndex
 
     /** What is known about the machines of all shards. */
@@ -48,5 +48,5 @@
     fun removeMachines(shard: ShardId, machineNames: Set<String>)
 
     /** Moves empty machines to the shards that they are marked for. */
-    fun transferMachines(shard: ShardId, machineNames: Collection<String>)
+    fun transferMachines(from: ShardId, machineNames: Collection<String>)
 }
