--- a/src/main/kotlin/io/reedmast/model/ShardState.kt
+++ b/src/main/kotlin/io/reedmast/model/ShardState.kt
@@ -13,7 +13,7 @@
 
 /**
  * The state of a shard, as known to its owner. Heartbeat handling, commands, scheduling, persistence, machine lifecycle
- * and autoscaling read and change it, all on the deciding thread.
+ * and autoscaling read and change it, all on the event loop.
  *
  * Nothing in it is assumed: a placement counts from the decision until there is evidence that its attempt is over.
  */
--- a/src/main/kotlin/io/reedmast/persistence/ProgressListener.kt
+++ b/src/main/kotlin/io/reedmast/persistence/ProgressListener.kt
@@ -5,7 +5,7 @@
 import io.reedmast.model.Job
 import io.reedmast.model.Placement
 
-/** Receives events of [ProgressStore] for the shard's owner, on the deciding thread. */
+/** Receives events of [ProgressStore] for the shard's owner, on the event loop. */
 interface ProgressListener {
     /** The placement is stored, so it may be launched. */
     fun onPlacementStored(placement: Placement)
--- a/src/main/kotlin/io/reedmast/persistence/ProgressStore.kt
+++ b/src/main/kotlin/io/reedmast/persistence/ProgressStore.kt
@@ -9,7 +9,7 @@
 
 /**
  * Stores the progress of one shard: results and placements of its tasks in pages (see [ProgressPage]), and final
- * records of its jobs. Runs on the deciding thread.
+ * records of its jobs. Used only on the event loop.
  */
 class ProgressStore(private val shardState: ShardState, private val store: KeyValueStore, listener: ProgressListener) {
     private val pages = ProgressPages(shardState)
--- a/src/main/kotlin/io/reedmast/ports/Cloud.kt
+++ b/src/main/kotlin/io/reedmast/ports/Cloud.kt
@@ -3,7 +3,7 @@
 import io.reedmast.wire.ListedMachine
 import io.reedmast.wire.MachineType
 
-/** The cloud from which machines are rented; each call delivers its result later, on the deciding thread. */
+/** The cloud from which machines are rented; each call delivers its result later, on the event loop. */
 interface Cloud {
     /**
      * Rents the machines that [request] describes. Repeating a call with the same request name rents nothing twice;
--- a/src/main/kotlin/io/reedmast/ports/KeyValueStore.kt
+++ b/src/main/kotlin/io/reedmast/ports/KeyValueStore.kt
@@ -4,7 +4,9 @@
 import io.reedmast.kvstore.ListResult
 import io.reedmast.kvstore.ReadResult
 
-/** The key-value store as the deciding code uses it; each call delivers its result later, on the deciding thread. */
+/**
+ * The key-value store as the code on the event loop uses it; each call delivers its result later, on the event loop.
+ */
 interface KeyValueStore {
     /** False while the store is known not to accept transactions. */
     val isAvailable: Boolean
--- a/src/main/kotlin/io/reedmast/ports/ProcessControl.kt
+++ b/src/main/kotlin/io/reedmast/ports/ProcessControl.kt
@@ -1,6 +1,6 @@
 package io.reedmast.ports
 
-/** What the deciding code requires from the process that it runs in. */
+/** What the code on the event loop requires from the process that it runs in. */
 interface ProcessControl {
     /**
      * Sets this controller's share of the rate limits of the store and the cloud, which are shared by
--- a/src/main/kotlin/io/reedmast/ports/WorkerTransport.kt
+++ b/src/main/kotlin/io/reedmast/ports/WorkerTransport.kt
@@ -3,7 +3,7 @@
 import io.reedmast.wire.Reply
 import io.reedmast.wire.WorkerCommand
 
-/** Direct calls to workers; each delivers its result later, on the deciding thread. */
+/** Direct calls to workers; each delivers its result later, on the event loop. */
 interface WorkerTransport {
     /**
      * Sends [commands] to the worker at [addr], which refuses them if it knows a higher fencing [token] or is in
--- a/src/main/kotlin/io/reedmast/shard/ShardOwner.kt
+++ b/src/main/kotlin/io/reedmast/shard/ShardOwner.kt
@@ -32,7 +32,7 @@
  * The owner of one shard: connects the components that serve the shard (heartbeats and commands, scheduling,
  * persistence, machine lifecycle, autoscaling) and runs them in order.
  *
- * All of it runs on the deciding thread. Handling a message only marks what has changed; decisions, writes and commands
+ * All of it runs on the event loop. Handling a message only marks what has changed; decisions, writes and commands
  * follow in [reconcile], at a bounded rate, so that the work per heartbeat does not grow with the shard.
  */
 class ShardOwner(
