--- a/src/main/kotlin/io/reedmast/cluster/Cluster.kt
+++ b/src/main/kotlin/io/reedmast/cluster/Cluster.kt
@@ -180,7 +180,7 @@
             rollout.runOnce(membership.leaderVersion.takeIf { membership.leading })
             failover.runOnce(now)
             releaseShards(now)
-            divideForReducedLimits()
+            splitForReducedLimits()
         } else {
             failover.onStoreUnreachable(now)
         }
@@ -209,13 +209,13 @@
      * Once no earlier version reads the records any more, stores those that are too large for the reduced limits again
      * in smaller parts.
      */
-    private fun divideForReducedLimits() {
+    private fun splitForReducedLimits() {
         if (!limits.isReduced) return
         if (!reducedLimitsShared) membership.shareLimits()
         reducedLimitsShared = true
         for (owner in activeOwners()) {
             if (owner.needsReload) failover.reload(owner.index)
-            assignment.divideOversized(owner.index)
+            assignment.splitOversized(owner.index)
         }
     }
 
--- a/src/main/kotlin/io/reedmast/cluster/ClusterFeatures.kt
+++ b/src/main/kotlin/io/reedmast/cluster/ClusterFeatures.kt
@@ -10,7 +10,7 @@
 /** The features of this software version, and the versions of the record formats that it reads and writes. */
 object ClusterFeatures {
     /**
-     * Records are divided to fit the reduced store limits. The feature's gate is stored under `c/format`, since it is
+     * Records are split to fit the reduced store limits. The feature's gate is stored under `c/format`, since it is
      * older than the rollout record.
      */
     val DIVIDED_RECORDS = FeatureName("divided-records")
--- a/src/main/kotlin/io/reedmast/cluster/MachineAssignment.kt
+++ b/src/main/kotlin/io/reedmast/cluster/MachineAssignment.kt
@@ -114,9 +114,9 @@
         }
     }
 
-    /** As the shard's owner, divides machine-list records that are larger than the reduced store limits allow. */
-    fun divideOversized(shard: ShardId) {
-        ownership(shard)?.let { oversized.divide(shard, it) }
+    /** As the shard's owner, splits machine-list records that are larger than the reduced store limits allow. */
+    fun splitOversized(shard: ShardId) {
+        ownership(shard)?.let { oversized.split(shard, it) }
     }
 
     /** The precondition that this controller still owns [shard]; null if it does not. */
--- a/src/main/kotlin/io/reedmast/cluster/MachineListPart.kt
+++ b/src/main/kotlin/io/reedmast/cluster/MachineListPart.kt
@@ -43,7 +43,7 @@
 
     /**
      * Whether the store accepts this part, with its transfer marks, as a value of at most [valueBytes]; a part that an
-     * earlier version stored may be too large until it has been divided.
+     * earlier version stored may be too large until it has been split.
      */
     fun isStorable(valueBytes: Int): Boolean = BodyCodec.jsonSize(toFields()) <= valueBytes * MAX_FILL
 
--- a/src/main/kotlin/io/reedmast/cluster/MachineTransfer.kt
+++ b/src/main/kotlin/io/reedmast/cluster/MachineTransfer.kt
@@ -95,7 +95,7 @@
         }
     }
 
-    /** The names of machines that are in two records of the shard, one of which is being divided. */
+    /** The names of machines that are in two records of the shard, one of which is being split. */
     private fun duplicateNames(shard: ShardId): Set<String> {
         val names = HashSet<String>()
         return machines.machinesOf(shard).map { it.name }.filterTo(HashSet()) { !names.add(it) }
--- a/src/main/kotlin/io/reedmast/cluster/OversizedMachineLists.kt
+++ b/src/main/kotlin/io/reedmast/cluster/OversizedMachineLists.kt
@@ -6,11 +6,11 @@
 import io.reedmast.settings.ShardId
 
 /**
- * Divides machine-list records that are larger than the reduced store limits allow, one step per call.
+ * Splits machine-list records that are larger than the reduced store limits allow, one step per call.
  *
  * A record that is too large can only be replaced by a small one, so its machines are first copied to new records, one
  * transaction each, with the old record's version as a precondition. The machines are then in two records of the same
- * shard, which is harmless wherever the division stops, and are not transferred until the old record has been reduced
+ * shard, which is harmless wherever the split stops, and are not transferred until the old record has been reduced
  * to the machines that no other record of the shard contains.
  */
 internal class OversizedMachineLists(
@@ -19,7 +19,7 @@
     private val writer: MachineListWriter,
 ) {
     /** Takes the next step for [shard], if one is needed; [entitlement] is the precondition on its owner's term. */
-    fun divide(shard: ShardId, entitlement: Precondition) {
+    fun split(shard: ShardId, entitlement: Precondition) {
         val parts = machines.partsOf(shard)
         val valueBytes = limits.target.valueBytes
         val (index, oversized) = parts.entries.firstOrNull { !it.value.part.isStorable(valueBytes) } ?: return
--- a/src/main/kotlin/io/reedmast/model/Chunk.kt
+++ b/src/main/kotlin/io/reedmast/model/Chunk.kt
@@ -21,7 +21,7 @@
     /** Whether the chunk has changed since the last write of its page was started. */
     var dirty = false
 
-    /** How many stored pages with a different division into chunks hold an older copy and are still to be cleared. */
+    /** How many stored pages that are split differently into chunks hold an older copy and are still to be cleared. */
     var supersededCopies = 0
 
     /** Whether the store holds the chunk's current state; another page may hold an older copy too. */
--- a/src/main/kotlin/io/reedmast/rollout/MigrationProgress.kt
+++ b/src/main/kotlin/io/reedmast/rollout/MigrationProgress.kt
@@ -31,7 +31,7 @@
  * @property migrated how many records were converted
  * @property unreadable how many records could not be read and were left unchanged; the migration does not complete
  *   while there are any
- * @property oversized how many records are too large for a value in the target format, until their owner has divided
+ * @property oversized how many records are too large for a value in the target format, until their owner has split
  *   them
  */
 data class MigrationProgress(
--- a/src/test/kotlin/io/reedmast/CountedWorkTest.kt
+++ b/src/test/kotlin/io/reedmast/CountedWorkTest.kt
@@ -165,7 +165,7 @@
     }
 
     @Test
-    fun `a shard's machine list is divided into records below the size limit`() {
+    fun `a shard's machine list is split into records below the size limit`() {
         val records = (0 until 200).map { MachineRecord("host-%06d".format(it), "m", "x", it % 2 == 0) }
 
         val part = MachineListPart.EMPTY.withMachinesThatFit(records, 1024)
