--- a/src/main/kotlin/io/reedmast/app/HttpApi.kt
+++ b/src/main/kotlin/io/reedmast/app/HttpApi.kt
@@ -165,9 +165,9 @@
 
     private fun tooLarge() = Response(Status.REQUEST_ENTITY_TOO_LARGE).header("Connection", "close")
 
-    private fun cbor(status: Status, fields: Fields): Response = Response(
-        status,
-    ).header("Content-Type", "application/cbor").body(Body(ByteBuffer.wrap(BodyCodec.writeCbor(fields))))
+    private fun cbor(status: Status, fields: Fields): Response = Response(status)
+        .header("Content-Type", "application/cbor")
+        .body(Body(ByteBuffer.wrap(BodyCodec.writeCbor(fields))))
 
     private companion object {
         const val JOB_PREFIX = "/submissions/"
--- a/src/main/kotlin/io/reedmast/autoscaling/ShardUsageSummary.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/ShardUsageSummary.kt
@@ -84,9 +84,7 @@
             demand = fields.maps("demand").map { Demand.parse(it) },
             idle = fields.list("idle").filterIsInstance<String>(),
             drainable = fields.optionalTexts("lendable").orEmpty(),
-            starvingJobs = if (fields["starving"] ==
-                null
-            ) {
+            starvingJobs = if (fields["starving"] == null) {
                 emptyList()
             } else {
                 fields.maps("starving").map { StarvingJob.parse(it) }
--- a/src/main/kotlin/io/reedmast/cli/RolloutCommand.kt
+++ b/src/main/kotlin/io/reedmast/cli/RolloutCommand.kt
@@ -154,9 +154,9 @@
     private fun controllers(status: RolloutStatus): List<String> = status.snapshot.configured.sorted().map { label ->
         val versions = status.snapshot.present[label]?.versions
         val shards = status.snapshot.shards.withIndex().filter { it.value?.owner == label }.map { it.index }
-        val excluded = status.view.gates.record.excluded[label]?.let {
-            ", excluded by ${it.by}: ${it.reason}"
-        }.orEmpty()
+        val excluded = status.view.gates.record.excluded[label]
+            ?.let { ", excluded by ${it.by}: ${it.reason}" }
+            .orEmpty()
         val drain = if (status.isDraining(label)) ", draining" else ""
         val presence = versions?.let { "versions ${it.range}" } ?: "silent"
         "controller $label: $presence, shards $shards$drain$excluded"
--- a/src/main/kotlin/io/reedmast/cluster/DepartedMachines.kt
+++ b/src/main/kotlin/io/reedmast/cluster/DepartedMachines.kt
@@ -11,10 +11,8 @@
      * Late copies of a machine's heartbeats arrive for longer than its lease, and the cloud's lists show the machine
      * for twice their lag.
      */
-    private val retentionMs = (
-        (settings.cloudLimits.listLagS + settings.workers.leaseS) * RETENTION_MS_PER_S +
-            BASE_RETENTION_MS
-        ).toLong()
+    private val retentionMs =
+        ((settings.cloudLimits.listLagS + settings.workers.leaseS) * RETENTION_MS_PER_S + BASE_RETENTION_MS).toLong()
 
     operator fun contains(machineName: String): Boolean = departedAt.containsKey(machineName)
 
--- a/src/main/kotlin/io/reedmast/cluster/MisdirectedHeartbeats.kt
+++ b/src/main/kotlin/io/reedmast/cluster/MisdirectedHeartbeats.kt
@@ -25,10 +25,8 @@
      * How long after a change of owner redirects are not evidence of a fault: before a worker reaches the new owner,
      * its heartbeat may come a quarter of the interval late, wait for an answer in vain, and be redirected.
      */
-    private val settlingMs = (
-        (heartbeatIntervalS * HEARTBEAT_JITTER + UNANSWERED_ATTEMPT_S) * SETTLING_MARGIN *
-            MS_PER_S
-        ).toLong()
+    private val settlingMs =
+        ((heartbeatIntervalS * HEARTBEAT_JITTER + UNANSWERED_ATTEMPT_S) * SETTLING_MARGIN * MS_PER_S).toLong()
 
     /** Whether no redirect of a worker of [shard] is recorded. */
     fun isEmpty(shard: ShardId): Boolean = redirects[shard.value].isEmpty()
--- a/src/main/kotlin/io/reedmast/cluster/WatchStaleness.kt
+++ b/src/main/kotlin/io/reedmast/cluster/WatchStaleness.kt
@@ -32,8 +32,7 @@
         maxOf(
             (rules.cancelDeadlineS - rules.leaseS) * (1 - MAX_CLOCK_DRIFT_RATIO) - SELF_FENCE_SLACK_S,
             MIN_SELF_FENCE_S,
-        ) *
-            MS_PER_S
+        ) * MS_PER_S
         ).toLong()
 
     /** Whether the cluster's keys have been read since this process started. */
--- a/src/main/kotlin/io/reedmast/commands/ContestedMachinePoller.kt
+++ b/src/main/kotlin/io/reedmast/commands/ContestedMachinePoller.kt
@@ -24,8 +24,7 @@
     /** Calls the workers that are due. Called periodically. */
     fun runOnce(now: Long) {
         val answeredElsewhere = shardState.machines.values.filter {
-            it.recordConflict ==
-                RecordConflict.ANSWERED_ELSEWHERE
+            it.recordConflict == RecordConflict.ANSWERED_ELSEWHERE
         }
         lastPolledAt.keys.retainAll(answeredElsewhere.mapTo(HashSet()) { it.name })
         answeredElsewhere.filter { it.placements.isNotEmpty() && now - (lastPolledAt[it.name] ?: 0L) >= intervalMs }
--- a/src/main/kotlin/io/reedmast/peers/PeerCodec.kt
+++ b/src/main/kotlin/io/reedmast/peers/PeerCodec.kt
@@ -66,9 +66,7 @@
             frame.write(entry, entry.size)
         }
         for (job in update.jobs) {
-            add(
-                Buffer().writeByte(JOB_ENTRY).writeText(job.jobId).writeInt(job.done).writeInt(job.running),
-            )
+            add(Buffer().writeByte(JOB_ENTRY).writeText(job.jobId).writeInt(job.done).writeInt(job.running))
         }
         for (hint in update.machines) add(machineEntry(hint))
         writeFrame(sink, frame)
--- a/src/main/kotlin/io/reedmast/persistence/ProgressPage.kt
+++ b/src/main/kotlin/io/reedmast/persistence/ProgressPage.kt
@@ -109,8 +109,8 @@
         chunk.first,
         chunk.size.takeIf { format != PageFormat.PLAIN_UNSIZED },
         chunk.done,
-        chunk.placements.values.filter {
-            it !in excluded
-        }.map { StoredPlacement(it.task, it.attempt, it.machine.name) },
+        chunk.placements.values
+            .filter { it !in excluded }
+            .map { StoredPlacement(it.task, it.attempt, it.machine.name) },
     )
 }
--- a/src/main/kotlin/io/reedmast/rollout/Admission.kt
+++ b/src/main/kotlin/io/reedmast/rollout/Admission.kt
@@ -30,9 +30,9 @@
                 required > range.newest -> Incompatible(
                     "the cluster requires version $required, this process has $range",
                 )
-                finalized < range.oldest && isInUse(
-                    record,
-                ) -> Incompatible("records of version $finalized may be stored, this process has $range")
+                finalized < range.oldest && isInUse(record) -> Incompatible(
+                    "records of version $finalized may be stored, this process has $range",
+                )
                 excluded != null -> Excluded
                 else -> Admitted
             }
--- a/src/main/kotlin/io/reedmast/rollout/RolloutPlanner.kt
+++ b/src/main/kotlin/io/reedmast/rollout/RolloutPlanner.kt
@@ -113,9 +113,9 @@
         /** A process that does not participate may still write under the term of a shard that it owns. */
         private fun shardOwnerWaitReason(): String? =
             snapshot.shards.withIndex().firstNotNullOfOrNull { (index, shard) ->
-                shard?.takeIf {
-                    it.owner !in participants
-                }?.let { "shard $index is owned by ${it.owner}, which does not count" }
+                shard
+                    ?.takeIf { it.owner !in participants }
+                    ?.let { "shard $index is owned by ${it.owner}, which does not count" }
             }
 
         private fun fromEnabled(target: EffectiveTarget): Verdict = when (target.requested) {
--- a/src/main/kotlin/io/reedmast/scheduling/Scheduler.kt
+++ b/src/main/kotlin/io/reedmast/scheduling/Scheduler.kt
@@ -41,9 +41,9 @@
 
     private fun isPassDue(nowMs: Long): Boolean {
         val mayPlace =
-            shardState.schedulingPassRequested && timer.allowsPass(
-                nowMs,
-            ) && nowMs >= shardState.schedulingPassNotBefore &&
+            shardState.schedulingPassRequested &&
+                timer.allowsPass(nowMs) &&
+                nowMs >= shardState.schedulingPassNotBefore &&
                 shardState.isCurrent()
         return mayPlace && (timer.allowsArrayPass(nowMs) || isLatencySensitiveWorkPending())
     }
@@ -57,8 +57,7 @@
      */
     private fun runPass(nowMs: Long) {
         val readyJobs = shardState.jobs.values.filter {
-            it.pendingCount > 0 && !it.isFinalRecordInFlight &&
-                nowMs >= it.placementNotBefore
+            it.pendingCount > 0 && !it.isFinalRecordInFlight && nowMs >= it.placementNotBefore
         }
         if (readyJobs.isEmpty()) return
         val (fundedJobs, bestEffortJobs) = readyJobs.partition { it.spec.priority.isFunded }
@@ -84,9 +83,7 @@
      */
     private fun reserveForExpectedGangs(machines: List<Machine>, nowMs: Long) {
         val arrivals = shardState.jobArrivals.gangs
-        while (arrivals.isNotEmpty() &&
-            nowMs - arrivals.first().arrivedAt > GANG_ARRIVALS_WINDOW_MS
-        ) {
+        while (arrivals.isNotEmpty() && nowMs - arrivals.first().arrivedAt > GANG_ARRIVALS_WINDOW_MS) {
             arrivals.removeFirst()
         }
         val expectedGangs = arrivals.size.toDouble() * GANG_CAPACITY_DELAY_MS / GANG_ARRIVALS_WINDOW_MS
--- a/src/main/kotlin/io/reedmast/shard/ShardOwner.kt
+++ b/src/main/kotlin/io/reedmast/shard/ShardOwner.kt
@@ -63,9 +63,14 @@
     private val demandEstimator = DemandEstimator(shardState, arrivals)
     private val scaleInPolicy = ScaleInPolicy(shardState, arrivals)
     private val usageSummaryWriter =
-        UsageSummaryWriter(shardState, gateway, demandEstimator, scaleInPolicy, {
-            records.machinesVersion(index)
-        }, { records.refreshShardRecord(index) })
+        UsageSummaryWriter(
+            shardState,
+            gateway,
+            demandEstimator,
+            scaleInPolicy,
+            { records.machinesVersion(index) },
+            { records.refreshShardRecord(index) },
+        )
 
     /** Decides which tasks are placed on which machines. */
     val scheduler = Scheduler(shardState, dispatcher, demandEstimator, scaleInPolicy)
