--- a/src/main/kotlin/io/reedmast/scheduling/PreemptionProtection.kt
+++ b/src/main/kotlin/io/reedmast/scheduling/PreemptionProtection.kt
@@ -16,8 +16,8 @@
 
     /**
      * Protects a new placement of an underserved job, for the estimated run time plus a minute, from preemption for
-     * other work of its own team. If the job is overdue, the placement is protected from preemption for any work;
-     * this holds for at most [MAX_PROTECTED_FROM_ALL] placements of a team at a time.
+     * other work of its own team. If the job is severely underserved, the placement is protected from preemption for
+     * any work; this holds for at most [MAX_PROTECTED_FROM_ALL] placements of a team at a time.
      */
     fun protect(placement: Placement, nowMs: Long) {
         val protectedUntil = nowMs + PROTECTION_MS + (placement.job.spec.estimateS * MS_PER_SECOND).toLong()
--- a/src/test/kotlin/io/reedmast/scheduling/PreemptionProtectionTest.kt
+++ b/src/test/kotlin/io/reedmast/scheduling/PreemptionProtectionTest.kt
@@ -33,7 +33,7 @@
     }
 
     @Test
-    fun `tasks of overdue jobs are protected from all work, at most four of a team at a time`() {
+    fun `tasks of severely underserved jobs are protected from all work, at most four of a team at a time`() {
         val placements = (1..5).map {
             protectedPlacement(job("wk-$it", "run" to "10", "priority" to "best_effort"), atMs = 130_000L)
         }
