--- a/src/main/kotlin/io/reedmast/cluster/PeerStatuses.kt
+++ b/src/main/kotlin/io/reedmast/cluster/PeerStatuses.kt
@@ -25,7 +25,7 @@
         var askedAt: Long? = null
 
         /** How long before its newest report both of its watches had last been answered; null if they never were. */
-        var storeAgeMs: Long? = null
+        var storeViewAgeMs: Long? = null
 
         /** Every cancellation that this peer told a user of before this time is known here; null if unknown. */
         var knownUntil: Long? = null
@@ -57,7 +57,7 @@
         val askedAt = askedAtBySequence[report.sequence] ?: return
         if (askedAt < (peer.askedAt ?: askedAt)) return
         peer.askedAt = askedAt
-        peer.storeAgeMs = report.storeViewAgeMs
+        peer.storeViewAgeMs = report.storeViewAgeMs
         if (report.cancellations != null && wasRunningAt(observedThrough, report, now)) peer.knownUntil = askedAt
     }
 
@@ -83,7 +83,7 @@
     }
 
     private fun isCutOff(peer: Peer, now: Long): Boolean {
-        val age = peer.storeAgeMs ?: return true
+        val age = peer.storeViewAgeMs ?: return true
         return age + now - (peer.askedAt ?: now) > CUT_OFF_AFTER_MS
     }
 
--- a/src/main/kotlin/io/reedmast/peers/PeerCodec.kt
+++ b/src/main/kotlin/io/reedmast/peers/PeerCodec.kt
@@ -145,11 +145,11 @@
         val incarnation = frame.readText()
         val sequence = frame.readLong()
         val uptimeMs = frame.readLong()
-        val storeAgeMs = frame.readLong().takeIf { it >= 0 }
+        val storeViewAgeMs = frame.readLong().takeIf { it >= 0 }
         val count = frame.readInt()
         if (count > PeerMessage.MAX_CANCELLATIONS) throw IOException("too many cancellations: $count")
         val cancellations = if (count < 0) null else List(count) { Cancellation(frame.readText(), frame.readLong()) }
-        return PeerMessage.ControllerStatusReport(from, incarnation, sequence, uptimeMs, storeAgeMs, cancellations)
+        return PeerMessage.ControllerStatusReport(from, incarnation, sequence, uptimeMs, storeViewAgeMs, cancellations)
     }
 
     private fun Buffer.readText(): String = readUtf8(readUnsignedByte().toLong())
--- a/src/test/kotlin/io/reedmast/cluster/PeerStatusesTest.kt
+++ b/src/test/kotlin/io/reedmast/cluster/PeerStatusesTest.kt
@@ -18,14 +18,14 @@
         query: PeerMessage.ControllerStatusQuery,
         uptimeMs: Long = 1_000_000,
         incarnation: String = query.incarnation,
-        storeAgeMs: Long? = 10_000,
+        storeViewAgeMs: Long? = 10_000,
         cancellations: List<Cancellation>? = emptyList(),
     ) = PeerMessage.ControllerStatusReport(
         ControllerId(from),
         incarnation,
         query.sequence,
         uptimeMs,
-        storeAgeMs,
+        storeViewAgeMs,
         cancellations,
     )
 
@@ -87,7 +87,7 @@
         val query = statuses.query(10_000)
         statuses.applyReport(report(1, query), 10_100, OBSERVED_THROUGH)
         assertTrue(statuses.isStoreUnreachableForPeers(10_100))
-        statuses.applyReport(report(2, query, storeAgeMs = 1_500), 10_100, OBSERVED_THROUGH)
+        statuses.applyReport(report(2, query, storeViewAgeMs = 1_500), 10_100, OBSERVED_THROUGH)
         assertFalse(statuses.isStoreUnreachableForPeers(10_100))
         // Reports that are too old say nothing about the present.
         assertFalse(statuses.isStoreUnreachableForPeers(20_000))
