--- a/src/main/kotlin/io/reedmast/placement/MachineFilters.kt
+++ b/src/main/kotlin/io/reedmast/placement/MachineFilters.kt
@@ -28,7 +28,7 @@
 internal fun isAffordable(request: TaskRequest, machine: Machine): Boolean =
     request.urgency.ignoresCostAndHeadroom || !request.isOverpriced(machine)
 
-/** Jobs other than services leave headroom on non-spot machines with services, unless they are late or starving. */
+/** Jobs other than services leave headroom on the on-demand machines with services, unless late or starving. */
 internal fun leavesServiceHeadroom(request: TaskRequest, machine: Machine): Boolean =
     request.job.spec.isService || request.urgency.ignoresCostAndHeadroom || !machine.isPreferredForServices ||
         request.serviceHeadroom.canAllocate(request.job.spec.cpus)
--- a/src/test/kotlin/io/reedmast/sim/RuleCheckerTest.kt
+++ b/src/test/kotlin/io/reedmast/sim/RuleCheckerTest.kt
@@ -16,7 +16,7 @@
 class RuleCheckerTest {
     private val world = Scenario(listOf("team a 8 2", "machine-type m 4 5")).world
     private val rules = world.rules
-    private val ordinary = world.addWorker("m", "x", spot = false, bootMs = 1_000_000)
+    private val onDemand = world.addWorker("m", "x", spot = false, bootMs = 1_000_000)
     private val other = world.addWorker("m", "y", spot = false, bootMs = 1_000_000)
     private val spot = world.addWorker("m", "x", spot = true, bootMs = 1_000_000)
     private val task = TaskId("wk-1", 0)
@@ -77,7 +77,7 @@
     @Test
     fun `a task that runs on two machines`() {
         addJob()
-        rules.taskStarted(ordinary, task, attempt = 1)
+        rules.taskStarted(onDemand, task, attempt = 1)
         rules.taskStarted(other, task, attempt = 1)
         assertViolation("ran_twice wk-1/0")
     }
@@ -85,8 +85,8 @@
     @Test
     fun `a task that has ended may start elsewhere`() {
         addJob()
-        rules.taskStarted(ordinary, task, attempt = 1)
-        rules.taskEnded(ordinary, task, wasStarted = true)
+        rules.taskStarted(onDemand, task, attempt = 1)
+        rules.taskEnded(onDemand, task, wasStarted = true)
         rules.taskStarted(other, task, attempt = 1)
         assertEquals(emptyList<String>(), rules.violations)
     }
@@ -94,24 +94,24 @@
     @Test
     fun quota() {
         addJob()
-        (0..2).forEach { rules.taskStarted(ordinary, TaskId("wk-1", it), attempt = 1) }
+        (0..2).forEach { rules.taskStarted(onDemand, TaskId("wk-1", it), attempt = 1) }
         assertViolation("quota of a")
     }
 
     @Test
     fun `two attempts of a gang at once`() {
         addJob("kind" to "gang")
-        rules.taskStarted(ordinary, task, attempt = 1)
-        rules.taskStarted(ordinary, TaskId("wk-1", 1), attempt = 2)
+        rules.taskStarted(onDemand, task, attempt = 1)
+        rules.taskStarted(onDemand, TaskId("wk-1", 1), attempt = 2)
         assertViolation("two_attempts wk-1/1")
     }
 
     @Test
     fun `a gang's next attempt may start once the previous one has ended`() {
         addJob("kind" to "gang")
-        rules.taskStarted(ordinary, task, attempt = 1)
-        rules.taskEnded(ordinary, task, wasStarted = true)
-        rules.taskStarted(ordinary, task, attempt = 2)
+        rules.taskStarted(onDemand, task, attempt = 1)
+        rules.taskEnded(onDemand, task, wasStarted = true)
+        rules.taskStarted(onDemand, task, attempt = 2)
         assertEquals(emptyList<String>(), rules.violations)
     }
 
@@ -125,7 +125,7 @@
     @Test
     fun `in two zones of a job that needs one`() {
         addJob("oneZone" to "true")
-        rules.taskStarted(ordinary, task, attempt = 1)
+        rules.taskStarted(onDemand, task, attempt = 1)
         rules.taskStarted(other, TaskId("wk-1", 1), attempt = 1)
         assertViolation("wrong_place wk-1/1")
     }
@@ -134,7 +134,7 @@
     fun `a job that still runs after its cancellation`() {
         addJob()
         storeJob()
-        rules.taskStarted(ordinary, task, attempt = 1)
+        rules.taskStarted(onDemand, task, attempt = 1)
         rules.answered("wk-1", answer(JobState.CANCELLED), wasAccepted = true)
         world.runUntil(world.now() + 40_000)
         rules.checkCancelled()
@@ -147,7 +147,7 @@
     @Test
     fun `launched on a machine where no stored page places it`() {
         addJob()
-        rules.taskLaunched(ordinary, task, attempt = 7)
+        rules.taskLaunched(onDemand, task, attempt = 7)
         assertViolation("launched_unstored wk-1/0")
     }
 
