--- a/src/main/kotlin/io/reedmast/app/Controller.kt
+++ b/src/main/kotlin/io/reedmast/app/Controller.kt
@@ -115,7 +115,7 @@
                 WorkerAnswer.Redirect(cluster.redirectTarget(shard, status.machineName, status.addr))
             }
 
-            // While the shard is still being read, the answer tells the worker our token and renews its lease.
+            // While the shard is still being read, the answer gives the worker our token and renews its lease.
             !owner.active -> WorkerAnswer.Commands(cluster.shardRecords[shard.value]?.record?.token ?: 0L, emptyList())
 
             else -> answerOf(owner, status)
@@ -125,7 +125,7 @@
     private fun answerOf(owner: ShardOwner, status: WorkerStatus): WorkerAnswer {
         val commands = owner.onHeartbeat(status)
         // A token above our range is that of a new owner of the shard. The worker would ignore our answer and keep
-        // reporting here until its lease expires, so it is told to look for the new owner.
+        // reporting here until its lease expires, so it is redirected to find the new owner.
         if (status.token > FencingToken.lastOfRange(owner.token)) return WorkerAnswer.Redirect(null)
         return WorkerAnswer.Commands(owner.tokenFor(status.machineName), commands)
     }
--- a/src/main/kotlin/io/reedmast/app/Watches.kt
+++ b/src/main/kotlin/io/reedmast/app/Watches.kt
@@ -44,7 +44,7 @@
      * A job lookup waits until the watch has answered a request that was sent after the lookup began, so all lookups
      * that wait by then share one request to the store. While any lookup waits, the watch sends request after request,
      * each to be answered at once. Otherwise the store may hold a request until there is a change, but never so long
-     * that the next lookup would give up waiting.
+     * that the next lookup would time out.
      */
     private val jobsWatch = Watch(
         Keys.LIVE_JOBS,
--- a/src/main/kotlin/io/reedmast/cluster/AcquisitionReason.kt
+++ b/src/main/kotlin/io/reedmast/cluster/AcquisitionReason.kt
@@ -6,8 +6,8 @@
     data object Unowned : AcquisitionReason
 
     /**
-     * The record names this controller, but this process does not serve the shard: an earlier process of this
-     * controller acquired it, or its state could not be restored.
+     * This controller is the owner in the shard's record, but this process does not serve the shard: an earlier process
+     * of this controller acquired it, or its state could not be restored.
      */
     data object OwnShardNotServed : AcquisitionReason
 
--- a/src/main/kotlin/io/reedmast/cluster/Cluster.kt
+++ b/src/main/kotlin/io/reedmast/cluster/Cluster.kt
@@ -113,8 +113,8 @@
     override fun isCurrent(): Boolean = staleness.isCurrent && rollout.isAdmitted
 
     /**
-     * Whether this controller may still answer workers with 200: it knows every cancellation that users were told of
-     * until a short time ago, either from the store or, during an outage, from all other controllers.
+     * Whether this controller may still answer workers with 200: it knows every cancellation confirmed to a user
+     * up to a short time ago, either from the store or, during an outage, from all other controllers.
      */
     fun mayAcknowledgeHeartbeats(): Boolean {
         if (!rollout.mayAcknowledgeHeartbeats) return false
--- a/src/main/kotlin/io/reedmast/cluster/FailoverRequests.kt
+++ b/src/main/kotlin/io/reedmast/cluster/FailoverRequests.kt
@@ -12,7 +12,7 @@
 
     private val requests = HashMap<ShardId, Request>()
 
-    /** Records a request received at [now]. A delayed copy names a term that has ended, and is ignored. */
+    /** Records a request received at [now]. A delayed copy contains a term that has ended, and is ignored. */
     fun record(message: PeerMessage.FailoverRequest, now: Long) {
         val shard = message.shard
         if (shards.records.getOrNull(shard.value)?.version != message.term) return
--- a/src/main/kotlin/io/reedmast/cluster/PeerStatuses.kt
+++ b/src/main/kotlin/io/reedmast/cluster/PeerStatuses.kt
@@ -8,12 +8,12 @@
  *
  * A cancelled job's tasks must be gone within `cancel_s` of the answer to the user (PROTOCOL, POST
  * /submissions/{id}/abort), and a worker keeps its tasks for `lease_s` after its last answered heartbeat (PROTOCOL,
- * Leases). Workers are therefore answered only while every cancellation that a user was told of up to a recent time is
+ * Leases). Workers are therefore answered only while every cancellation confirmed to a user up to a recent time is
  * known here, see [WatchStaleness.isWithinSelfFence].
  *
- * A controller tells a user of a cancellation only after recording it in its job index, and its report contains all
- * cancellations in that index. Once every other controller has answered a query with a report, every cancellation that
- * a user was told of before the earliest of these queries is known here, although the store does not answer. A report
+ * A controller confirms a cancellation to a user only after recording it in its job index, and its report contains all
+ * cancellations in that index. Once every other controller has answered a query with a report, every cancellation
+ * confirmed to a user before the earliest of these queries is known here, although the store does not answer. A report
  * counts only if the reporting process was already running at the time up to which this controller knows the store's
  * contents: cancellations that an earlier process of that controller confirmed after that time are not in the report.
  *
@@ -27,7 +27,7 @@
         /** How long before its newest report both of its watches had last been answered; null if they never were. */
         var storeViewAgeMs: Long? = null
 
-        /** Every cancellation that this peer told a user of before this time is known here; null if unknown. */
+        /** Every cancellation that this peer confirmed to a user before this time is known here; null if unknown. */
         var knownUntil: Long? = null
     }
 
@@ -68,7 +68,8 @@
     }
 
     /**
-     * The time before which every cancellation that another controller told a user of is known here; null if unknown.
+     * The time before which every cancellation that another controller confirmed to a user is known here; null if
+     * unknown.
      */
     fun cancellationsKnownUntil(): Long? {
         var earliest = Long.MAX_VALUE
--- a/src/main/kotlin/io/reedmast/cluster/WatchStaleness.kt
+++ b/src/main/kotlin/io/reedmast/cluster/WatchStaleness.kt
@@ -22,11 +22,11 @@
      * The self-fencing bound: for how many milliseconds after the time up to which all cancellations are known workers
      * may be answered.
      *
-     * A cancelled task must be gone `cancel_s` after its user was told (PROTOCOL, POST /submissions/{id}/abort), and a
-     * worker keeps its tasks for up to `lease_s` after the last answer (PROTOCOL, Leases). A controller that no longer
-     * learns of cancellations must therefore give its last answer `cancel_s - lease_s` after the time up to which it
-     * knows all of them, less an allowance for a slow clock and a safety margin. The workers' leases then expire in
-     * time for any cancellation that it has missed.
+     * A cancelled task must be gone `cancel_s` after the answer to its user (PROTOCOL, POST /submissions/{id}/abort),
+     * and a worker keeps its tasks for up to `lease_s` after the last answer (PROTOCOL, Leases). A controller that no
+     * longer learns of cancellations must therefore give its last answer `cancel_s - lease_s` after the time up to
+     * which it knows all of them, less an allowance for a slow clock and a safety margin. The workers' leases then
+     * expire in time for any cancellation that it has missed.
      */
     private val selfFenceMs = (
         maxOf(
@@ -58,7 +58,7 @@
     fun ageMs(): Long? = observedThrough?.let { clock.now() - it }
 
     /**
-     * Whether workers may be answered when every cancellation that a user was told of up to [cancellationsKnownUntil]
+     * Whether workers may be answered when every cancellation confirmed to a user up to [cancellationsKnownUntil]
      * is known here.
      */
     fun isWithinSelfFence(cancellationsKnownUntil: Long): Boolean = clock.now() - cancellationsKnownUntil < selfFenceMs
--- a/src/main/kotlin/io/reedmast/heartbeats/MissingTaskHandler.kt
+++ b/src/main/kotlin/io/reedmast/heartbeats/MissingTaskHandler.kt
@@ -55,7 +55,7 @@
 
     /**
      * The launch, if it may be sent now. During a store outage, heartbeats are still answered so that running tasks
-     * keep running, but no task is started: its user may have been told that its job is cancelled.
+     * keep running, but no task is started: the cancellation of its job may have been confirmed to the user.
      */
     private fun launchIfAllowed(placement: Placement, status: WorkerStatus): List<WorkerCommand> =
         if (shardState.isCurrent() && gangs.mayLaunch(placement)) listOf(launch(placement, status)) else emptyList()
--- a/src/main/kotlin/io/reedmast/heartbeats/UnknownTaskHandler.kt
+++ b/src/main/kotlin/io/reedmast/heartbeats/UnknownTaskHandler.kt
@@ -40,9 +40,9 @@
     }
 
     /**
-     * Handles a task on a machine that another shard's record names too: that shard's tasks are left alone, and those
-     * that have ended are kept until its owner has stored their ends. Tasks of jobs that are cancelled or have ended
-     * are stopped by whichever owner answers the worker.
+     * Handles a task on a machine that another shard's record contains too: that shard's tasks are left alone, and
+     * those that have ended are kept until its owner has stored their ends. Tasks of jobs that are cancelled or have
+     * ended are stopped by whichever owner answers the worker.
      */
     private fun onTaskOfOtherShard(reported: TaskStatus): WorkerCommand? {
         if (reported.state == TaskState.ENDED || !isCancelledOrEnded(reported.id.jobId)) return null
--- a/src/main/kotlin/io/reedmast/machines/ContestedMachineHandler.kt
+++ b/src/main/kotlin/io/reedmast/machines/ContestedMachineHandler.kt
@@ -27,12 +27,13 @@
 
     /**
      * Whether [machine] has been silent for so long that its worker's lease has expired and no shard's work runs there
-     * any more. Only the owner that answers the worker can tell.
+     * any more. Only the owner that answers the worker can determine this.
      */
     fun isLost(machine: Machine, observationGapUntil: Long, now: Long): Boolean {
         if (machine.recordConflict != RecordConflict.ANSWERED_HERE) return false
-        val heardAt = maxOf(machine.lastHeartbeatAt, machine.conflictSince, shardState.activeAt, observationGapUntil)
-        return now - heardAt > leaseMs + silentAfterMs
+        val silentSince =
+            maxOf(machine.lastHeartbeatAt, machine.conflictSince, shardState.activeAt, observationGapUntil)
+        return now - silentSince > leaseMs + silentAfterMs
     }
 
     /** Logs that [machine] is decommissioned for all shards. */
--- a/src/main/kotlin/io/reedmast/persistence/PageReader.kt
+++ b/src/main/kotlin/io/reedmast/persistence/PageReader.kt
@@ -119,7 +119,7 @@
 
     /**
      * Handles a malformed record or chunk: tasks may be running that are not known here. No task is placed until the
-     * workers of such tasks have been told to stop them, or have lost their leases.
+     * workers of such tasks have been commanded to stop them, or have lost their leases.
      */
     private fun onUnreadable(path: String, e: MalformedException) {
         log.error(
--- a/src/main/kotlin/io/reedmast/requests/JobRequestHandler.kt
+++ b/src/main/kotlin/io/reedmast/requests/JobRequestHandler.kt
@@ -24,9 +24,9 @@
 /**
  * Handles submissions, polls and cancellations, on any controller.
  *
- * What a user is told has been stored before, and a poll waits until this controller knows everything that was stored
- * when the poll arrived. So every later answer, by any controller, agrees with what a user was told. Each request is
- * answered exactly once.
+ * Whatever an answer to a user states has been stored before, and a poll waits until this controller knows everything
+ * that was stored when the poll arrived. So every later answer, by any controller, agrees with the earlier ones. Each
+ * request is answered exactly once.
  */
 class JobRequestHandler(
     private val settings: Settings,
--- a/src/main/kotlin/io/reedmast/rollout/RolloutAdministration.kt
+++ b/src/main/kotlin/io/reedmast/rollout/RolloutAdministration.kt
@@ -15,9 +15,9 @@
  * Actions of operators: target overrides, exclusions, drains, and queries about them.
  *
  * Each action reads the cluster's keys, checks that it is possible, and is stored on condition that what it was checked
- * against still holds. When two operators act at once, the second action is refused, naming the keys that have changed,
- * so that the operator can look at what the first one has done. An action that conflicts only with a gate transition by
- * the leader is planned again on the new state, at most [MAX_ATTEMPTS] times in all.
+ * against still holds. When two operators act at once, the second action is refused with a list of the keys that have
+ * changed, so that the operator can look at what the first one has done. An action that conflicts only with a gate
+ * transition by the leader is planned again on the new state, at most [MAX_ATTEMPTS] times in all.
  */
 class RolloutAdministration(
     private val registry: FeatureRegistry,
--- a/src/main/kotlin/io/reedmast/shard/ShardMachines.kt
+++ b/src/main/kotlin/io/reedmast/shard/ShardMachines.kt
@@ -16,8 +16,8 @@
     private val clock = shardState.clock
 
     /**
-     * The machine that a stored placement names. If the shard no longer has it, it is added as decommissioned and kept
-     * until it is returned.
+     * The machine to which a stored placement refers. If the shard no longer has it, it is added as decommissioned and
+     * kept until it is returned.
      */
     fun machineOfStoredPlacement(machineName: String): Machine = shardState.machines.getOrPut(machineName) {
         val record = MachineRecord(machineName, typeName = "", zone = "", spot = false)
--- a/src/main/kotlin/io/reedmast/wire/StoreMessages.kt
+++ b/src/main/kotlin/io/reedmast/wire/StoreMessages.kt
@@ -27,7 +27,7 @@
     /** [value] as it is stored: with the id of the transaction. */
     fun stored(value: Fields, transactionId: String): Fields = value + (TRANSACTION to transactionId)
 
-    /** The id of the transaction that stored [value]; null if the value names none. */
+    /** The id of the transaction that stored [value]; null if the value contains none. */
     fun transactionId(value: Fields): String? = value[TRANSACTION] as? String
 
     /** [value] as it was before [stored] added the transaction id. */
