--- a/src/main/kotlin/io/reedmast/app/HttpApi.kt
+++ b/src/main/kotlin/io/reedmast/app/HttpApi.kt
@@ -9,6 +9,11 @@
 import io.reedmast.wire.UserAnswer
 import io.reedmast.wire.WorkerReplies
 import io.reedmast.wire.WorkerStatus
+import java.nio.ByteBuffer
+import java.util.concurrent.CompletableFuture
+import java.util.concurrent.Semaphore
+import java.util.concurrent.TimeUnit
+import java.util.concurrent.TimeoutException
 import org.http4k.core.Body
 import org.http4k.core.HttpHandler
 import org.http4k.core.Method
@@ -17,11 +22,6 @@
 import org.http4k.core.Status
 import org.http4k.server.HttpExchangeHandler
 import org.slf4j.LoggerFactory
-import java.nio.ByteBuffer
-import java.util.concurrent.CompletableFuture
-import java.util.concurrent.Semaphore
-import java.util.concurrent.TimeUnit
-import java.util.concurrent.TimeoutException
 
 /**
  * The HTTP API on the `front` address: reads requests, passes them to the event loop and waits for the answers.
@@ -169,9 +169,9 @@
 
     private fun tooLarge() = Response(Status.REQUEST_ENTITY_TOO_LARGE).header("Connection", "close")
 
-    private fun cbor(status: Status, fields: Fields): Response = Response(
-        status,
-    ).header("Content-Type", "application/cbor").body(Body(ByteBuffer.wrap(BodyCodec.writeCbor(fields))))
+    private fun cbor(status: Status, fields: Fields): Response = Response(status)
+        .header("Content-Type", "application/cbor")
+        .body(Body(ByteBuffer.wrap(BodyCodec.writeCbor(fields))))
 
     private companion object {
         const val JOB_PREFIX = "/submissions/"
--- a/src/main/kotlin/io/reedmast/cluster/Cluster.kt
+++ b/src/main/kotlin/io/reedmast/cluster/Cluster.kt
@@ -113,8 +113,8 @@
     override fun isCurrent(): Boolean = staleness.isCurrent && rollout.isAdmitted
 
     /**
-     * Whether this controller may still answer workers with 200: it knows every cancellation that users were told of
-     * until a short time ago, either from the store or, during an outage, from all other controllers.
+     * Whether this controller may still answer workers with 200: it knows every cancellation confirmed to a user
+     * up to a short time ago, either from the store or, during an outage, from all other controllers.
      */
     fun mayAcknowledgeHeartbeats(): Boolean {
         if (!rollout.mayAcknowledgeHeartbeats) return false
@@ -180,7 +180,7 @@
             rollout.runOnce(membership.leaderVersion.takeIf { membership.leading })
             failover.runOnce(now)
             releaseShards(now)
-            divideForReducedLimits()
+            splitForReducedLimits()
         } else {
             failover.onStoreUnreachable(now)
         }
@@ -209,13 +209,13 @@
      * Once no earlier version reads the records any more, stores those that are too large for the reduced limits again
      * in smaller parts.
      */
-    private fun divideForReducedLimits() {
+    private fun splitForReducedLimits() {
         if (!limits.isReduced) return
         if (!reducedLimitsShared) membership.shareLimits()
         reducedLimitsShared = true
         for (owner in activeOwners()) {
             if (owner.needsReload) failover.reload(owner.index)
-            assignment.divideOversized(owner.index)
+            assignment.splitOversized(owner.index)
         }
     }
 
