--- a/src/main/kotlin/io/reedmast/app/HttpApi.kt
+++ b/src/main/kotlin/io/reedmast/app/HttpApi.kt
@@ -9,11 +9,6 @@
 import io.reedmast.wire.UserAnswer
 import io.reedmast.wire.WorkerReplies
 import io.reedmast.wire.WorkerStatus
-import java.nio.ByteBuffer
-import java.util.concurrent.CompletableFuture
-import java.util.concurrent.Semaphore
-import java.util.concurrent.TimeUnit
-import java.util.concurrent.TimeoutException
 import org.http4k.core.Body
 import org.http4k.core.HttpHandler
 import org.http4k.core.Method
@@ -22,6 +17,11 @@
 import org.http4k.core.Status
 import org.http4k.server.HttpExchangeHandler
 import org.slf4j.LoggerFactory
+import java.nio.ByteBuffer
+import java.util.concurrent.CompletableFuture
+import java.util.concurrent.Semaphore
+import java.util.concurrent.TimeUnit
+import java.util.concurrent.TimeoutException
 
 /**
  * The HTTP API on the `front` address: reads requests, passes them to the event loop and waits for the answers.
--- a/src/main/kotlin/io/reedmast/persistence/PageReader.kt
+++ b/src/main/kotlin/io/reedmast/persistence/PageReader.kt
@@ -5,8 +5,8 @@
 import io.reedmast.model.ShardState
 import io.reedmast.wire.BodyCodec
 import io.reedmast.wire.MalformedException
-import java.util.BitSet
 import org.slf4j.LoggerFactory
+import java.util.BitSet
 
 /**
  * Restores a shard's progress from its stored pages.
