--- a/src/main/kotlin/io/reedmast/autoscaling/IntakeStage.kt
+++ b/src/main/kotlin/io/reedmast/autoscaling/IntakeStage.kt
@@ -2,19 +2,27 @@
 
 /** An event in the assignment of a machine to a shard. */
 internal enum class IntakeEvent {
-    /** A write that adds the machine to its destination is sent. */
+    /** A write that adds the machine to its destination shard is sent. */
     WRITE_SENT,
 
-    /** That write was not sent by this controller, or had no room for the machine. */
+    /**
+     * This controller did not send the write that adds the machine, or sent one that had no room for the machine.
+     */
     WRITE_NOT_SENT,
 
-    /** That write is stored. */
+    /** The write that adds the machine is stored. */
     WRITE_APPLIED,
 
-    /** That write was not applied, or was applied and its record has been replaced since. */
+    /**
+     * The write that adds the machine was not applied, or was applied and the record that it stored has been replaced
+     * since.
+     */
     WRITE_NOT_CONFIRMED,
 
-    /** Everything stored up to the last write's outcome is known here, and no record contains the machine. */
+    /**
+     * This controller knows everything that was stored up to the outcome of the last write that adds the machine, and
+     * no record of a shard contains the machine.
+     */
     OBSERVED,
 
     /** A record of a shard contains the machine. */
@@ -23,15 +31,21 @@
 
 /** How far the assignment of a machine to a shard has got. */
 internal enum class IntakeStage {
-    /** The machine has a destination and no write has been sent: a rental may replace one chosen for a heartbeat. */
+    /**
+     * The machine has a destination shard, and no write that adds it there is in flight or in doubt. A destination that
+     * was chosen for a heartbeat may still be replaced by that of a rental.
+     */
     WAITING,
 
-    /** A write is in flight: the destination stays until its outcome is certain. */
+    /**
+     * A write that adds the machine is in flight. The machine keeps its destination until the outcome of the write is
+     * certain.
+     */
     STORING,
 
     /**
-     * A write has failed according to its answer, but may have been applied. The destination stays until the watch has
-     * caught up with it.
+     * According to the store's answer, the write that adds the machine failed, but it may have been applied. The
+     * machine keeps its destination until the watch has delivered everything that was stored up to that answer.
      */
     UNCERTAIN,
 
--- a/src/main/kotlin/io/reedmast/cluster/ClusterRollout.kt
+++ b/src/main/kotlin/io/reedmast/cluster/ClusterRollout.kt
@@ -59,8 +59,8 @@
     override val isAdmitted: Boolean get() = view.admission == Admission.Admitted
 
     /**
-     * Whether heartbeats of workers may be acknowledged. While the rollout record cannot be read they are, so that
-     * running tasks go on; a process that is excluded or whose versions do not fit must not answer.
+     * Whether this process may acknowledge heartbeats of workers. It may do so even while the rollout record cannot be
+     * read, so that running tasks go on, but not if it is excluded or its versions are incompatible.
      */
     val mayAcknowledgeHeartbeats: Boolean
         get() = when (view.admission) {
--- a/src/main/kotlin/io/reedmast/heartbeats/MissingTask.kt
+++ b/src/main/kotlin/io/reedmast/heartbeats/MissingTask.kt
@@ -42,7 +42,10 @@
      */
     LATE_LAUNCH_POSSIBLE,
 
-    /** The task is to be stopped, and this status is no newer than the one whose answer last carried its launch. */
+    /**
+     * The task is to be stopped. The last answer that carried its launch was to this status or to a newer one, so this
+     * status does not show whether that launch has arrived.
+     */
     ANSWER_PENDING,
 
     /** The task is to be stopped, and is not on the machine: no launch of it can arrive any more. */
--- a/src/main/kotlin/io/reedmast/jobs/EndedJobs.kt
+++ b/src/main/kotlin/io/reedmast/jobs/EndedJobs.kt
@@ -28,7 +28,10 @@
     /** Caches a final record that the store holds. */
     fun record(jobId: String, end: FinalRecord) = finalRecords.put(jobId, end)
 
-    /** Records that this controller removed the live record at [revision], which the watch has not reached yet. */
+    /**
+     * Records that this controller removed the job's live record at [revision]; the watch has not yet delivered
+     * the changes up to that revision.
+     */
     internal fun recordRemoval(jobId: String, revision: Long) {
         ownRemovals[jobId] = revision
     }
--- a/src/main/kotlin/io/reedmast/persistence/PageWritePolicy.kt
+++ b/src/main/kotlin/io/reedmast/persistence/PageWritePolicy.kt
@@ -12,8 +12,8 @@
  */
 internal object PageWritePolicy {
     /**
-     * Results are stored no sooner than this after the first of them, so that results that come in close together share
-     * one put.
+     * A page that has only results to store is written at the earliest this long after the first of these results, so
+     * that results that come in close together share one put.
      */
     private const val RESULTS_DELAY_MS = 700L
 
